--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -15,7 +15,7 @@
 
 var _ = Describe("What agents tell", func() {
 	var g *Gateway
-	var backend *noBackend
+	var backend *rejectingBackend
 	addr := netip.MustParseAddr("10.0.1.1")
 
 	BeforeEach(func() {
@@ -117,7 +117,7 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		listed(g, backend, start)
 		Expect(backend.listed[0].Changing).To(BeFalse(), "the engines may have lived on")
-		g.noteDeclined(start, backend.listed[0])
+		g.handleDeclined(start, backend.listed[0])
 		listed(g, backend, start)
 		Expect(backend.listed[0].Changing).To(BeTrue())
 		Expect(g.soonest(start)).To(HaveKey(fleet.ServiceName("pool")), "calls wait for it")
@@ -131,7 +131,7 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)), "platform")
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
 		listed(g, backend, start)
-		g.noteDeclined(start, backend.listed[0])
+		g.handleDeclined(start, backend.listed[0])
 		listed(g, backend, start)
 		Expect(backend.listed[1].Changing).To(BeFalse())
 	})
@@ -143,9 +143,9 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1})
 		listed(g, backend, start)
-		now := at(hearsAllWithin)
-		Expect(g.soonest(now)).To(HaveKeyWithValue(fleet.ServiceName("pool"), at(usuallyLoaded)))
-		Expect(g.soonest(at(newFor))).NotTo(HaveKey(fleet.ServiceName("pool")), "they do not come")
+		now := at(allAgentsReportWithin)
+		Expect(g.soonest(now)).To(HaveKeyWithValue(fleet.ServiceName("pool"), at(typicalLoadTime)))
+		Expect(g.soonest(at(newEntryPeriod))).NotTo(HaveKey(fleet.ServiceName("pool")), "they do not come")
 
 		tell(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1})
 		listed(g, backend, now)
@@ -156,16 +156,16 @@
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		listed(g, backend, start)
-		g.noteDeclined(start, backend.listed[0])
+		g.handleDeclined(start, backend.listed[0])
 		listed(g, backend, start)
-		listed(g, backend, at(hearsAllWithin))
+		listed(g, backend, at(allAgentsReportWithin))
 		Expect(backend.listed[0].Changing).To(BeFalse())
 	})
 
 	// After a pause of the process the engines may all have changed.
 	It("is forgotten when the process wakes up", func() {
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
-		g.woke(at(time.Second), 4*time.Second)
+		g.resumeAfterPause(at(time.Second), 4*time.Second)
 		listed(g, backend, at(time.Second))
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
 		Expect(g.Ready()).To(BeFalse())
--- a/daemon/gateway/backendregion_test.go
+++ b/daemon/gateway/backendregion_test.go
@@ -13,8 +13,8 @@
 	"chivespindle.example/core/routing"
 )
 
-// startRegionWith starts entries of one region that send to engines of the service
-// "pool", which backend stands for.
+// startRegionWith starts entries of one region that send calls to engines of the service
+// "pool", which backend simulates.
 func startRegionWith(backend Backend, c *routing.Config, entries, engineCount int) *fleetOf {
 	p := newPublisher(c)
 	for i := range engineCount {
@@ -29,10 +29,10 @@
 	return region
 }
 
-// ask has an entry serve one call and returns how it was refused, the zero value if
-// it was not.
+// ask sends a call to an entry and returns the error response, the zero value if there was
+// none.
 func (m *member) ask(path, id string) Verdict {
-	caller := make(refusals, 1)
+	caller := make(refusalRecorder, 1)
 	m.gateway.Serve(context.Background(), &Call{
 		ID: id, Host: "relay.example", Path: path, Target: path, Arrived: time.Now(), Patience: 6 * time.Second, LastEvent: -1,
 	}, caller)
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -15,7 +15,7 @@
 
 // adoptList takes of a whole catalog what is not older than the own one.
 func (g *Gateway) adoptList(now time.Time, s catalog.Snapshot, r reading) {
-	g.doubtful = false
+	g.stale = false
 	before := g.snapshot
 	if err := s.CheckList(); err != nil {
 		g.readings.refused(err, r, s.AsOf, before.AsOf)
@@ -65,7 +65,7 @@
 		g.removed(now, old)
 	}
 	g.noteLeaving(before, changes)
-	g.urgentNear = g.urgentNear || r.origin == fromStore
+	g.groupFlushDue = g.groupFlushDue || r.origin == fromStore
 	g.settle(now, r)
 }
 
@@ -97,7 +97,7 @@
 func (g *Gateway) settle(now time.Time, r reading) {
 	g.changed = true
 	g.noteWanted(now)
-	if g.snapshot.Config == nil || g.snapshot.ConfigRevision == g.tableOf {
+	if g.snapshot.Config == nil || g.snapshot.ConfigRevision == g.tableRevision {
 		return
 	}
 	table, err := routing.NewTable(*g.snapshot.Config)
@@ -107,9 +107,9 @@
 		return
 	}
 	g.table = table
-	g.tableOf = g.snapshot.ConfigRevision
+	g.tableRevision = g.snapshot.ConfigRevision
 	g.opts.Logger.Info("config_in_force", zap.Int64("version", table.Version()), zap.String("from", r.giver()),
-		zap.Int64("revision", int64(g.tableOf)), zap.Int("routes", len(g.snapshot.Config.Routes)))
+		zap.Int64("revision", int64(g.tableRevision)), zap.Int("routes", len(g.snapshot.Config.Routes)))
 	if r.origin == fromStore {
 		// The others of the region wait for this one's word; at the next beat it
 		// would reach them up to half a second later.
@@ -126,7 +126,7 @@
 			continue
 		}
 		named := g.heardNow(now, w.Version)
-		if g.tableOf == 0 {
+		if g.tableRevision == 0 {
 			named.Since = now.Add(-g.opts.VersionTime)
 		}
 		g.setWanted(w.Model, named)
--- a/daemon/gateway/crash.go
+++ b/daemon/gateway/crash.go
@@ -37,7 +37,7 @@
 		fingerprint: j.contentFingerprint(),
 		server:      j.g.opts.Backend.Check(ctx, server.Addr),
 	}
-	isPlanned := j.g.board.IsLeaving(server.ID)
+	isPlanned := j.g.scheduler.IsLeaving(server.ID)
 	switch now := time.Now(); {
 	case isPlanned:
 	case b.server == Down:
@@ -56,7 +56,7 @@
 // leftBehind records that the client disconnected while the call was at a server. If
 // the server crashes before it reads the cancellation, the call was in flight.
 func (j *job) leftBehind(now time.Time, server placement.Server) {
-	if !j.g.board.IsLeaving(server.ID) {
+	if !j.g.scheduler.IsLeaving(server.ID) {
 		j.g.quarantine.Doubt(now, j.contentFingerprint(), server.ID)
 	}
 }
@@ -64,7 +64,7 @@
 // unreached checks the server of an attempt that could not be sent. It may have
 // crashed with calls in flight whose outcome is in doubt.
 func (j *job) unreached(ctx context.Context, now time.Time, server placement.Server) {
-	if j.g.quarantine.IsDoubted(now, server.ID) && !j.g.board.IsLeaving(server.ID) &&
+	if j.g.quarantine.IsDoubted(now, server.ID) && !j.g.scheduler.IsLeaving(server.ID) &&
 		j.g.opts.Backend.Check(ctx, server.Addr) == Down {
 		j.g.serverCrashed(now, server.ID)
 	}
@@ -128,7 +128,7 @@
 // is reported on at once: each second more costs servers.
 func (g *Gateway) receiveCrashes(now time.Time, from mesh.Peer, reports []quarantine.Report) {
 	for _, request := range g.quarantine.Merge(now, reports, sourceOf(from)) {
-		g.urgent = true
+		g.flushDue = true
 		g.log.quarantined(request, g.quarantine.Standing(now, request), "peer "+string(from.ID))
 	}
 }
@@ -144,7 +144,7 @@
 func (l *requestLog) serverCrashed(j *job, server placement.Server, b *brokenAttempt) {
 	l.metrics.Counter("calls_at_crashes").Inc(1)
 	if len(b.standing.Servers) > 1 && l.allowed() {
-		l.logger.Warn("suspect_request", inputs(j, zap.Stringer("fingerprint", b.fingerprint),
+		l.logger.Warn("suspect_request", callFields(j, zap.Stringer("fingerprint", b.fingerprint),
 			zap.String("server", string(server.ID)), zap.Int("crashes", len(b.standing.Servers)))...)
 	}
 	if b.standing.IsQuarantined() {
@@ -155,7 +155,7 @@
 // keptBack logs that a call is sent to no server since its content is quarantined.
 func (l *requestLog) keptBack(j *job, s quarantine.Standing) {
 	if l.allowed() {
-		l.logger.Info("not_placed", inputs(j, zap.String("reason", reasonQuarantined),
+		l.logger.Info("not_placed", callFields(j, zap.String("reason", reasonQuarantined),
 			zap.Stringer("fingerprint", j.contentFingerprint()), zap.String("servers", joinIDs(s.Servers)), zap.Time("until", s.Until))...)
 	}
 }
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -46,7 +46,7 @@
 		return nil, failure.WithOutcome(failure.Unavailable.New("connection refused"), failure.NotRun)
 	}
 	if call.Path != crashingPath {
-		return emptyAnswer{}, nil
+		return emptyResponse{}, nil
 	}
 	e.crashed[o.Server.Addr] = true
 	e.reached++
@@ -59,7 +59,7 @@
 	return e.reached
 }
 
-func (b *noBackend) Check(context.Context, netip.AddrPort) Liveness { return b.state }
+func (b *rejectingBackend) Check(context.Context, netip.AddrPort) Liveness { return b.state }
 
 var _ = Describe("A call that crashes the engines that run it, at entries in turn", func() {
 	const entries, engineCount, allowed = 5, 20, 3
@@ -93,7 +93,7 @@
 var _ = Describe("A call whose connection to its server breaks", func() {
 	var (
 		g       *Gateway
-		backend *noBackend
+		backend *rejectingBackend
 		target  string // of the calls that are placed
 	)
 	broken := failure.WithOutcome(failure.Unavailable.New("unexpected EOF"), failure.Unknown)
@@ -102,12 +102,12 @@
 	place := func(id fleet.InstanceID) (*job, *placement.Ticket) {
 		now := time.Now()
 		call := &Call{ID: "c", Method: "POST", Target: target, Arrived: now}
-		j := &job{g: g, call: call, view: g.view.Load(), reply: newReply(g, call, make(refusals, 1)),
+		j := &job{g: g, call: call, view: g.view.Load(), reply: newReply(g, call, make(refusalRecorder, 1)),
 			route: g.table.Match("a.example", "/"), service: g.table.Service("pool"),
-			deadline: now.Add(time.Minute), serverUntil: now.Add(time.Minute), attempts: 1}
-		ask := j.ask(now)
+			deadline: now.Add(time.Minute), serverDeadline: now.Add(time.Minute), attempts: 1}
+		ask := j.placementRequest(now)
 		ask.Exclude = slices.DeleteFunc([]fleet.InstanceID{"i-1", "i-2", "i-3"}, func(other fleet.InstanceID) bool { return other == id })
-		ticket, _ := g.board.Choose(now, ask)
+		ticket, _ := g.scheduler.Choose(now, ask)
 		Expect(ticket).NotTo(BeNil())
 		return j, ticket
 	}
@@ -118,7 +118,7 @@
 		for _, f := range between {
 			f()
 		}
-		j.failed(context.Background(), time.Now(), ticket, err)
+		j.endFailedAttempt(context.Background(), time.Now(), ticket, err)
 		return j
 	}
 
@@ -157,18 +157,18 @@
 	// Guards against an entry that crashes the last server before quarantine by its own retry.
 	It("is repeated after one crash and not after two", func() {
 		now := time.Now()
-		Expect(fail("i-1", broken).again(context.Background(), now)).To(BeTrue())
-		Expect(fail("i-2", broken).again(context.Background(), now)).To(BeFalse())
+		Expect(fail("i-1", broken).shouldRetry(context.Background(), now)).To(BeTrue())
+		Expect(fail("i-2", broken).shouldRetry(context.Background(), now)).To(BeFalse())
 		j := fail("i-3", broken)
 		Expect(j.standing(now).IsQuarantined()).To(BeTrue())
-		Expect(j.mayMove(nil)).To(BeFalse())
+		Expect(j.mayHandOver(nil)).To(BeFalse())
 	})
 
 	It("is repeated again once it has succeeded", func() {
 		now := time.Now()
 		fail("i-1", broken)
 		fail("i-2", broken).clearOfCrashes(now.Add(time.Second))
-		Expect(fail("i-3", broken).again(context.Background(), now)).To(BeTrue())
+		Expect(fail("i-3", broken).shouldRetry(context.Background(), now)).To(BeTrue())
 	})
 
 	// Guards against crashes that count for nobody: the client left just before, or
@@ -181,7 +181,7 @@
 		DescribeTable("is a suspect once the server turns out to have crashed", func(state Liveness, ctx context.Context, find func()) {
 			backend.state = state
 			j, ticket := place("i-1")
-			j.failed(ctx, time.Now(), ticket, broken)
+			j.endFailedAttempt(ctx, time.Now(), ticket, broken)
 			Expect(j.standing(time.Now()).IsSuspect()).To(BeFalse())
 			backend.state = Down
 			target = "/other"
@@ -190,11 +190,11 @@
 		},
 			Entry("since it refuses another call", LivenessUnknown, context.Background(), func() {
 				j, ticket := place("i-1")
-				j.sendFailed(context.Background(), ticket, refused)
+				j.handleSendError(context.Background(), ticket, refused)
 			}),
 			Entry("since it refuses another call, after the client had left", Alive, gone, func() {
 				j, ticket := place("i-1")
-				j.sendFailed(context.Background(), ticket, refused)
+				j.handleSendError(context.Background(), ticket, refused)
 			}),
 			Entry("since the connection of another call breaks", Alive, gone, func() { fail("i-1", broken) }),
 			Entry("since another one is registered at its address", LivenessUnknown, context.Background(), func() {
@@ -210,7 +210,7 @@
 				fail(id, broken)
 			}
 			j, ticket := place("i-1")
-			j.failed(gone, time.Now(), ticket, broken)
+			j.endFailedAttempt(gone, time.Now(), ticket, broken)
 			full, stop := context.WithCancel(context.Background())
 			filled := make(chan struct{})
 			go func() {
@@ -233,7 +233,7 @@
 		It("is no suspect if the server was leaving", func() {
 			j, ticket := place("i-1")
 			leave()
-			j.failed(gone, time.Now(), ticket, broken)
+			j.endFailedAttempt(gone, time.Now(), ticket, broken)
 			fail("i-2", broken, func() { g.serverCrashed(time.Now(), "i-1") })
 			Expect(j.standing(time.Now()).Servers).To(Equal([]fleet.InstanceID{"i-2"}))
 		})
--- a/daemon/gateway/follow.go
+++ b/daemon/gateway/follow.go
@@ -63,7 +63,7 @@
 		call, end := g.reading.begin(ctx)
 		// Looked at once the call can be ended: before, a call that began at the moment
 		// in which there was none to make any more read one copy too many.
-		if v := g.view.Load(); v == nil || !v.reads {
+		if v := g.view.Load(); v == nil || !v.readsPlatform {
 			end()
 			at.answered = false
 			wait(ctx, idlePoll)
@@ -198,7 +198,7 @@
 }
 
 func (g *Gateway) sourceFailed(now time.Time, err error) {
-	g.turnedAwayUntil = now.Add(turnedAwayFor)
+	g.refusedUntil = now.Add(turnedAwayFor)
 	if g.contact.fail(now) {
 		g.opts.Logger.Warn("platform_lost", zap.Error(err), zap.Duration("heard_ago", now.Sub(g.contact.heard)))
 	}
@@ -207,8 +207,8 @@
 
 // sourceAnswered notes an answer.
 func (g *Gateway) sourceAnswered(now time.Time) {
-	g.doubtful = false
-	g.turnedAwayUntil = time.Time{}
+	g.stale = false
+	g.refusedUntil = time.Time{}
 	silent := now.Sub(g.contact.heard)
 	if g.contact.succeed(now) {
 		g.opts.Logger.Info("platform_regained", zap.Duration("after", silent))
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -18,7 +18,7 @@
 
 var _ = Describe("The catalog", func() {
 	var g *Gateway
-	var backend *noBackend
+	var backend *rejectingBackend
 	one, two := server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)
 	removeTwo := []catalog.Change{{Revision: 9, Removed: "i-2"}}
 	broken := failure.Unavailable.New("turned away")
@@ -96,7 +96,7 @@
 	// entry would let the key in.
 	It("is doubted after a pause until the configuration has been read again", func() {
 		g.publish(start)
-		g.woke(at(5*time.Second), 5*time.Second)
+		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
 		g.heardReader(at(5*time.Second), wire.Beat{
 			Platform: &wire.PlatformState{}, Servers: &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo},
 		})
@@ -115,7 +115,7 @@
 	// links are cut, say. The entry waits no longer than the operator's bound allows.
 	It("is read from the platform when no peer gives what it is ahead by", func() {
 		g.behindSince = at(time.Second)
-		g.readerAt, g.readAt = at(2300*time.Millisecond), at(2300*time.Millisecond) // its readers are heard
+		g.readerSeenAt, g.changesReadAt = at(2300*time.Millisecond), at(2300*time.Millisecond) // its readers are heard
 		Expect(g.reads(at(1900*time.Millisecond), regionReaders)).To(BeFalse())
 		Expect(g.reads(at(2100*time.Millisecond), regionReaders)).To(BeTrue())
 		Expect(g.reads(at(2100*time.Millisecond), regionReaders+1)).To(BeFalse())
@@ -364,7 +364,7 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
 		Expect(g.compose(start, nearEntry, mesh.First).Loads).To(BeEmpty())
-		ticket, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+		ticket, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
 		Expect(g.hasNews("10.0.0.2")).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).Loads).To(HaveLen(1))
 		Expect(g.hasNews("10.0.0.2")).To(BeFalse())
@@ -385,7 +385,7 @@
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
 		}}
 		isPlaced := func() bool {
-			t, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+			t, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
 			return t != nil
 		}
 
@@ -412,7 +412,7 @@
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
-		_, refusal := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+		_, refusal := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
 		Expect(refusal.Reason).To(BeEmpty())
 		Expect(g.compose(start, nearEntry, mesh.First).AllLoads).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).AllLoads).To(BeFalse())
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway is the entry on a platform where callers speak plain HTTP,
+// Package gateway is the entry on a platform where callers use plain HTTP and
 // backend servers are called directly and report themselves which calls did not
 // run.
 //
-// The control loop owns what the process believes: the platform's catalog, the
+// The control loop owns the state of the process: the platform's catalog, the
 // other entries and the engines that agents report. Each call reads one
 // immutable view of it. core/placement decides where a call goes and when it is
 // refused.
@@ -37,15 +37,16 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// RetryBudget bounds the retries that all entries together send to a service.
+// RetryBudget limits the retries that all entries together send to a service.
 type RetryBudget struct {
-	// Ratio is the share of requests, Slack what is allowed besides in Span.
+	// Ratio is the number of retries allowed per request. Slack is the number
+	// allowed in addition within a window of length Span.
 	Ratio float64
 	Slack float64
 	Span  time.Duration
 }
 
-// Options of a Gateway. All fields are needed.
+// Options of a Gateway. All fields are required.
 type Options struct {
 	Self        fleet.InstanceID
 	Addr        netip.Addr
@@ -54,179 +55,182 @@
 	CallerAddr  netip.AddrPort
 	PeerPort    uint16
 	Seeds       []netip.Addr
-	// Regions is the region of each zone.
+	// Regions maps each availability zone to its region.
 	Regions map[fleet.Zone]fleet.Region
 	Loop    *control.Loop
-	// Endpoint is where peers are reached. It serves this gateway's streams.
+	// Endpoint connects to peers and serves the streams that they open to this gateway.
 	Endpoint *peer.Endpoint
 	Source   catalog.Source
 	Backend  Backend
 	Budget   RetryBudget
-	// VersionTime is how long after its publication a new version of weights must
-	// have replaced the one before.
+	// VersionTime is how long after the publication of a new version of weights the
+	// one before may still be used.
 	VersionTime time.Duration
-	// SoundTime is how long the platform must have answered to count as sound.
+	// SoundTime is how long the platform must have answered without failures to count
+	// as healthy.
 	SoundTime time.Duration
-	// Off is what is switched off.
+	// Off holds the mechanisms that are switched off.
 	Off     policy.Off
 	Logger  *zap.Logger
 	Metrics tally.Scope
 }
 
-// Gateway is the entry's state. Serve, Addresses and Ready may be called by
-// any goroutine; everything else belongs to the control loop.
+// Gateway holds the state of an entry. Serve, Addresses and Ready are safe for
+// concurrent use; everything else belongs to the control loop.
 type Gateway struct {
-	opts  Options
-	ctx   context.Context
-	mesh  links
-	clock bootclock.Watch
-	board *placement.Board
-	log   *requestLog
-	view  atomic.Pointer[view]
+	opts      Options
+	ctx       context.Context
+	mesh      links
+	clock     bootclock.Watch
+	scheduler *placement.Board
+	log       *requestLog
+	view      atomic.Pointer[view]
 
-	snapshot catalog.Snapshot
-	table    *routing.Table
-	tableOf  catalog.Revision
-	names    map[string]loading.Names // by model
-	replicas map[netip.Addr]replica
-	readyAt  map[netip.Addr]time.Time // when engines are expected to be ready
-	started  time.Time
-	heardAll bool // hearsAll at the last update of the servers
-	// listsAfter is how long after the start the platform's catalog is listed if
-	// nothing is received from another entry.
-	listsAfter time.Duration
-	// doubtsRegistrations is true once an engine that no agent has reported declined
+	snapshot      catalog.Snapshot
+	table         *routing.Table
+	tableRevision catalog.Revision
+	names         map[string]loading.Names // by model
+	replicas      map[netip.Addr]replica
+	readyAt       map[netip.Addr]time.Time // when engines are expected to be ready
+	started       time.Time
+	knewAllAgents bool // knowsAllAgents at the last update of the servers
+	// listDelay is how long after the start the platform's catalog is listed if no
+	// other entry of the region is known.
+	listDelay time.Duration
+	// suspectsRegistrations is true once an engine that no agent has reported declined
 	// a call.
-	doubtsRegistrations bool
-	leaving             bool
-	changed             bool
+	suspectsRegistrations bool
+	leaving               bool
+	changed               bool
 	// published is the time of the latest view.
 	published time.Time
-	// urgent is true while a message to all others is due at once, urgentNear while
-	// one to the own group is.
-	urgent     bool
-	urgentNear bool
-	asking     bool
-	nextAsk    time.Time
-	// startAsk asks a peer for its catalog. The answer comes to askEnded.
-	startAsk func(addr netip.Addr, ask wire.CatalogAsk)
-	// revisionHeard is the newest configuration that a peer reported.
-	revisionHeard catalog.Revision
-	// behindSince is since when a peer's catalog is ahead; zero if none is.
+	// flushDue is true while a message to all peers is due without delay, groupFlushDue
+	// while one to the own group is.
+	flushDue           bool
+	groupFlushDue      bool
+	requestingCatalog  bool
+	nextCatalogRequest time.Time
+	// startCatalogRequest requests the catalog of a peer. The result is passed to askEnded.
+	startCatalogRequest func(addr netip.Addr, ask wire.CatalogAsk)
+	// newestPeerRevision is the newest configuration that a peer reported.
+	newestPeerRevision catalog.Revision
+	// behindSince is since when a peer has had a newer catalog, zero if none has.
 	behindSince time.Time
 	contact     contact
-	// doubtful is true from a pause of the process until the platform or a peer
-	// has been read again.
-	doubtful bool
-	reading  running
-	packed   packedConfig
-	// lapsed are servers whose registration ended while the platform was not
-	// sound.
-	lapsed    map[fleet.InstanceID]catalog.Server
-	toldLoads map[fleet.InstanceID]uint64 // change of the board up to which each entry is up to date
-	told      map[fleet.InstanceID]uint64 // members that each agent has received
-	// readAt is up to when the platform's changes of servers are known, feed the changes
-	// that are forwarded, and toldServers up to which revision each entry has them.
-	readAt      time.Time
-	readings    *readingLog
-	feed        serverFeed
-	toldServers map[fleet.InstanceID]catalog.Revision
-	// missing is up to which revision a reader of the region sent changes that do not
-	// continue those known here.
-	missing catalog.Revision
-	// readerAt is when a reader of the region was last heard, or the platform read here.
-	readerAt time.Time
-	// turnedAwayUntil is until when this entry counts as turned away by the
+	// stale is true after a pause of the process until the catalog has been read
+	// again from the platform or a peer.
+	stale   bool
+	reading running
+	packed  packedConfig
+	// lapsed holds servers whose registration ended while the platform was not
+	// healthy.
+	lapsed            map[fleet.InstanceID]catalog.Server
+	sentLoads         map[fleet.InstanceID]uint64 // change of the scheduler up to which loads were sent, by entry
+	sentMembersDigest map[fleet.InstanceID]uint64 // digest of the member list that was sent, by agent
+	// changesReadAt is the time up to which the platform's changes of servers are known. feed
+	// holds the changes to forward, and sentServers the revision up to which each entry
+	// has them.
+	changesReadAt time.Time
+	readings      *readingLog
+	feed          serverFeed
+	sentServers   map[fleet.InstanceID]catalog.Revision
+	// gapUntil is the revision up to which a reader of the region sent changes that leave a
+	// gap after those known here.
+	gapUntil catalog.Revision
+	// readerSeenAt is when a message of a reader of the region was last received, or the
+	// platform was last read by this entry.
+	readerSeenAt time.Time
+	// refusedUntil is the time until which this entry counts as refused by the
 	// platform.
-	turnedAwayUntil time.Time
-	manifests       manifests
+	refusedUntil time.Time
+	manifests    manifests
 	// quarantine holds the requests that crash servers. announceCrashes is true while
-	// a newly quarantined request is to be reported at once.
+	// a newly quarantined request has to be reported to all peers without delay.
 	quarantine      *quarantine.Registry
 	crashReports    reportSender[quarantine.Report]
 	announceCrashes atomic.Bool
-	// limits are those that servers advertise. limitsChanged is true until their
-	// shares have been computed anew, sharedAt is when they last were.
+	// limits holds the request limits that servers advertise. limitsChanged is true
+	// until the shares of the entries have been recomputed, sharedAt is when they last
+	// were.
 	limits        *serverlimit.Registry
 	limitReports  reportSender[serverlimit.Report]
 	limitsChanged bool
 	sharedAt      time.Time
-	// listed are the servers that were published last.
+	// listed holds the servers of the latest view.
 	listed map[netip.AddrPort]placement.Server
 
-	callsMu  sync.Mutex
-	budgets  map[fleet.ServiceName]*retry.Window
-	rooms    map[fleet.ServiceName]*placement.HoldRoom
-	inFlight atomic.Int64
-	answerer *addressing.Answerer
-	// patience distinguishes the retries of clients from new calls.
-	patience placement.Patience
+	callsMu      sync.Mutex
+	budgets      map[fleet.ServiceName]*retry.Window
+	holdLimiters map[fleet.ServiceName]*placement.HoldRoom
+	inFlight     atomic.Int64
+	answerer     *addressing.Answerer
+	// retryDetector distinguishes the retries of callers from new calls.
+	retryDetector placement.Patience
 }
 
-// replica is what an agent reported of its engine.
+// replica is an agent's report on its engine.
 type replica struct {
 	wire.Replica
-	heard  time.Time
-	direct bool // by the agent itself and not by another entry
+	reportedAt time.Time
+	direct     bool // received from the agent itself and not through another entry
 }
 
-// view is what calls see. It is never changed.
+// view is the immutable state that calls read.
 type view struct {
 	table   *routing.Table
 	names   map[string]loading.Names
 	entries []mesh.Entry
-	// rank is this entry's place among those of its region.
+	// rank is this entry's rank among the entries of its region.
 	rank int
-	// reads is true while this entry reads the platform, for others as well.
-	reads bool
-	// asOf and operatorAsOf are up to which revision the two parts of the catalog
+	// readsPlatform is true while this entry reads the platform, on behalf of others as well.
+	readsPlatform bool
+	// asOf and operatorAsOf are the revisions up to which the two parts of the catalog
 	// are known.
 	asOf, operatorAsOf catalog.Revision
 	leaving            bool
 	// isNew is true soon after the start of this entry.
 	isNew bool
-	// doubtful views are from before a pause of the process.
-	doubtful bool
-	// soonest is when the first engine of a service is expected to be ready
-	// that is not yet.
-	soonest map[fleet.ServiceName]time.Time
-	// sure is false once nothing has been received from the platform or a peer for
-	// so long that a route or a key may be missing here and in force elsewhere.
-	sure bool
+	// stale is true if the view may date from before a pause of the process.
+	stale bool
+	// nextEngineReady is when the next engine of a service is expected to become ready.
+	nextEngineReady map[fleet.ServiceName]time.Time
+	// isCurrent is false if nothing has been received from the platform or a peer for so
+	// long that other entries may have routes or keys that are missing here.
+	isCurrent bool
 }
 
-// New returns a gateway that follows nothing before its parts run.
+// New returns a gateway that follows no source until its parts run.
 func New(ctx context.Context, now time.Time, opts Options) *Gateway {
 	g := &Gateway{
-		opts:        opts,
-		ctx:         ctx,
-		board:       placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Off),
-		log:         newRequestLog(now, opts.Logger, opts.Metrics),
-		answerer:    addressing.New(addressing.Options{Rand: chance.Shared{}}),
-		names:       make(map[string]loading.Names),
-		replicas:    make(map[netip.Addr]replica),
-		readyAt:     make(map[netip.Addr]time.Time),
-		started:     now,
-		listsAfter:  rand.N(unheardReadAfter),
-		lapsed:      make(map[fleet.InstanceID]catalog.Server),
-		told:        make(map[fleet.InstanceID]uint64),
-		manifests:   newManifests(),
-		toldLoads:   make(map[fleet.InstanceID]uint64),
-		toldServers: make(map[fleet.InstanceID]catalog.Revision),
-		readAt:      now,
-		readerAt:    now,
-		readings:    newReadingLog(opts.Logger, opts.Metrics),
-		quarantine:  quarantine.New(),
-		limits:      serverlimit.New(),
-		listed:      make(map[netip.AddrPort]placement.Server),
-		budgets:     make(map[fleet.ServiceName]*retry.Window),
-		rooms:       make(map[fleet.ServiceName]*placement.HoldRoom),
-		contact:     contact{heard: now, off: opts.Off},
+		opts:              opts,
+		ctx:               ctx,
+		scheduler:         placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Off),
+		log:               newRequestLog(now, opts.Logger, opts.Metrics),
+		answerer:          addressing.New(addressing.Options{Rand: chance.Shared{}}),
+		names:             make(map[string]loading.Names),
+		replicas:          make(map[netip.Addr]replica),
+		readyAt:           make(map[netip.Addr]time.Time),
+		started:           now,
+		listDelay:         rand.N(maxListDelay),
+		lapsed:            make(map[fleet.InstanceID]catalog.Server),
+		sentMembersDigest: make(map[fleet.InstanceID]uint64),
+		manifests:         newManifests(),
+		sentLoads:         make(map[fleet.InstanceID]uint64),
+		sentServers:       make(map[fleet.InstanceID]catalog.Revision),
+		changesReadAt:     now,
+		readerSeenAt:      now,
+		readings:          newReadingLog(opts.Logger, opts.Metrics),
+		quarantine:        quarantine.New(),
+		limits:            serverlimit.New(),
+		listed:            make(map[netip.AddrPort]placement.Server),
+		budgets:           make(map[fleet.ServiceName]*retry.Window),
+		holdLimiters:      make(map[fleet.ServiceName]*placement.HoldRoom),
+		contact:           contact{heard: now, off: opts.Off},
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
 	g.limitReports = newReportSender[serverlimit.Report](g.limits)
-	g.startAsk = func(addr netip.Addr, ask wire.CatalogAsk) { go g.askPeer(addr, ask) }
-	g.board.SetSelf(opts.Self, opts.Place)
+	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogAsk) { go g.askPeer(addr, ask) }
+	g.scheduler.SetSelf(opts.Self, opts.Place)
 	g.mesh = mesh.New(ctx, now, mesh.Options{
 		Self:       opts.Self,
 		Role:       fleet.RoleEntry,
@@ -238,31 +242,31 @@
 		Logger:     opts.Logger,
 		Metrics:    opts.Metrics,
 		Compose:    g.compose,
-		GroupLoads: g.board.RegionLoads,
+		GroupLoads: g.scheduler.RegionLoads,
 		HasNews:    g.hasNews,
 		Heard:      g.heard,
-		Lost:       g.lost,
+		Lost:       g.dropPeer,
 		FarLess:    !opts.Off.FarLess,
 	})
 	return g
 }
 
-// lost drops the state of the link with a process.
-func (g *Gateway) lost(_ time.Time, id fleet.InstanceID) {
-	delete(g.told, id)
-	delete(g.toldLoads, id)
-	delete(g.toldServers, id)
+// dropPeer drops the state kept for the link to a process.
+func (g *Gateway) dropPeer(_ time.Time, id fleet.InstanceID) {
+	delete(g.sentMembersDigest, id)
+	delete(g.sentLoads, id)
+	delete(g.sentServers, id)
 	g.crashReports.lost(id)
 	g.limitReports.lost(id)
 	g.manifests.lost(id)
-	g.board.Forget(id)
-	g.changed = true // parts that depend on the number of entries
+	g.scheduler.Forget(id)
+	g.changed = true // shares depend on the number of entries
 }
 
 // Tick is called by the control loop.
 func (g *Gateway) Tick(now time.Time) {
-	if gap := g.clock.Elapsed(); gap > pausedAfter {
-		g.woke(now, gap)
+	if gap := g.clock.Elapsed(); gap > pauseThreshold {
+		g.resumeAfterPause(now, gap)
 	}
 	g.step(now)
 }
@@ -272,50 +276,51 @@
 	g.askPeers(now)
 	g.endLapses(now)
 	g.publishDue(now)
-	g.log.account.tell(now, g.opts.Logger)
+	g.log.results.logDue(now, g.opts.Logger)
 	if g.announceCrashes.Swap(false) {
-		g.urgent = true
+		g.flushDue = true
 	}
 	switch {
-	case g.urgent:
+	case g.flushDue:
 		g.mesh.Flush(now)
-	case g.urgentNear:
+	case g.groupFlushDue:
 		g.mesh.FlushNear(now)
 	}
-	g.urgent, g.urgentNear = false, false
+	g.flushDue, g.groupFlushDue = false, false
 }
 
-// pausedAfter is the time between two ticks from which on the process counts
-// as paused: many ticks, and less than the operator's bounds.
-const pausedAfter = time.Second
+// pauseThreshold is the least time between two ticks that counts as a pause of the
+// process. It is many tick intervals and less than the operator's time limits.
+const pauseThreshold = time.Second
 
-// woke forgets what may have changed while the process did not run. Beliefs
-// that are old do not look old: the clock may not have counted the pause.
-func (g *Gateway) woke(now time.Time, gap time.Duration) {
+// resumeAfterPause discards state that may have changed while the process was paused. The
+// age of that state does not show that it is outdated, since the clock may not have
+// counted the pause.
+func (g *Gateway) resumeAfterPause(now time.Time, gap time.Duration) {
 	g.opts.Logger.Warn("woke", zap.Duration("after", gap))
-	g.doubtful = true
+	g.stale = true
 	g.contact.woke(now)
-	g.readAt = g.readAt.Add(-gap) // the clock may not have counted the pause
+	g.changesReadAt = g.changesReadAt.Add(-gap) // the clock may not have counted the pause
 	g.replicas = make(map[netip.Addr]replica)
 	g.readyAt = make(map[netip.Addr]time.Time)
 	g.changed = true
 	g.mesh.Woke(now)
-	g.reading.end() // it may wait on a connection that is dead by now
+	g.reading.end() // it may be waiting on a dead connection
 }
 
-// SetSeeds replaces the seeds by those in the settings now.
+// SetSeeds replaces the seeds.
 func (g *Gateway) SetSeeds(ctx context.Context, seeds []netip.Addr) error {
 	return g.opts.Loop.Do(ctx, func(now time.Time) { g.mesh.SetSeeds(now, seeds) })
 }
 
-// Ready reports whether the entry takes requests.
+// Ready reports whether the entry accepts requests.
 func (g *Gateway) Ready() bool {
 	v := g.view.Load()
-	return v != nil && v.table != nil && !v.leaving && !v.doubtful
+	return v != nil && v.table != nil && !v.leaving && !v.stale
 }
 
-// Addresses returns the entries for a client at a place that take requests, this one
-// included. An entry is not listed once its planned stop is known.
+// Addresses returns the entries that accept requests, this one included, for a client at
+// a place. An entry is not listed once its planned stop is known.
 func (g *Gateway) Addresses(near fleet.Place) []netip.AddrPort {
 	v := g.view.Load()
 	if v == nil {
@@ -334,8 +339,8 @@
 	return g.answerer.All(near, entries)
 }
 
-// Leave reports to the other entries at once that this one leaves, which ends its
-// listing.
+// Leave reports to the other entries without delay that this one leaves, so that they no
+// longer list it.
 func (g *Gateway) Leave(ctx context.Context) error {
 	return g.opts.Loop.Do(ctx, func(now time.Time) {
 		g.leaving = true
@@ -345,8 +350,8 @@
 	})
 }
 
-// BodyLimit returns how many bytes of body a client may send, fallback while no
-// configuration is known.
+// BodyLimit returns the maximum size of a request body in bytes, fallback if there is no
+// configuration yet or it sets none.
 func (g *Gateway) BodyLimit(fallback int64) int64 {
 	v := g.view.Load()
 	if v == nil || v.table == nil || v.table.Limits().BodyBytes <= 0 {
@@ -355,11 +360,12 @@
 	return v.table.Limits().BodyBytes
 }
 
-// InFlight returns the number of calls that are being served.
+// InFlight returns the number of calls being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// allowRepeat takes a retry of a request from the budget of a service.
-func (g *Gateway) allowRepeat(now time.Time, service fleet.ServiceName) bool {
+// allowRetry takes one retry from the budget of a service and reports whether the budget
+// allowed it.
+func (g *Gateway) allowRetry(now time.Time, service fleet.ServiceName) bool {
 	return g.budget(now, service).Repeat(now)
 }
 
@@ -375,25 +381,25 @@
 	return w
 }
 
-// holdRoom returns where late calls wait for a service.
-func (g *Gateway) holdRoom(service fleet.ServiceName) *placement.HoldRoom {
+// holdLimiter returns the limiter of the late calls that are held for a service.
+func (g *Gateway) holdLimiter(service fleet.ServiceName) *placement.HoldRoom {
 	g.callsMu.Lock()
 	defer g.callsMu.Unlock()
-	room := g.rooms[service]
+	room := g.holdLimiters[service]
 	if room == nil {
 		room = &placement.HoldRoom{}
-		g.rooms[service] = room
+		g.holdLimiters[service] = room
 	}
 	return room
 }
 
-// budgetShare is the part of the retry budget that is used. The window of the
-// platform and those of the entries do not start at the same time, and a
-// request may be counted in another one than its retry.
+// budgetShare is the part of the retry budget that is used. The windows of the
+// platform and of the entries do not start at the same time, so a request and its
+// retry may be counted in different windows.
 const budgetShare = 0.7
 
-// slack is this entry's part of what the budget allows besides the ratio. Silent
-// entries keep theirs: they may live behind a partition and use it.
+// slack returns this entry's part of the budget's Slack. Silent entries keep theirs,
+// since they may be alive behind a partition and use it.
 func (g *Gateway) slack() float64 {
 	entries := 1
 	if v := g.view.Load(); v != nil {
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -10,131 +10,133 @@
 )
 
 const (
-	// pauseShare is the part of the longest pause that callers bear within which
-	// the next server must be predicted to go on; the rest is for the way there
-	// and for what the prediction does not know.
-	pauseShare = 0.7
-	// worthMoving is the time that a stream must still need to be moved: what is
-	// over sooner hardly delays the load, and its prompt would be read in vain.
-	worthMoving = 400 * time.Millisecond
-	// longerShare is the part of what is written already that a stream is taken to
-	// last on when it is longer than its caller expected.
-	longerShare = 0.3
+	// predictedPauseShare is the part of the longest acceptable pause within which the next
+	// server must be predicted to continue. The rest is for the network and for the
+	// error of the prediction.
+	predictedPauseShare = 0.7
+	// minRemainingTime is the least remaining time of a stream that is handed over. A
+	// shorter one hardly delays the load, and reading its prompt again is not worth it.
+	minRemainingTime = 400 * time.Millisecond
+	// overrunShare is the least estimate of the remaining tokens of a stream, as a part
+	// of those written. It applies to streams that are longer than their caller expected.
+	overrunShare = 0.3
 )
 
-// successor is where a stream goes on.
+// successor is the server on which a stream continues.
 type successor struct {
-	ticket *placement.Ticket
-	answer Answer
-	run    *delivery.Run
-	until  time.Time // when the server ends its work on the call
+	ticket   *placement.Ticket
+	response Answer
+	attempt  *delivery.Run
+	deadline time.Time // the server's own deadline for the call
 }
 
-// handOver has a stream go on at another server, and returns nil if it stays.
+// handOver resumes a stream on another server. It returns nil if the stream stays.
 //
-// An engine that was ordered to load takes nothing new until all that it runs
-// has ended, which takes several times as long as the load. Its streams can be
-// resumed on engines that still hold the same version, after the last event that was
-// returned, and the caller sees a pause within the route's aim.
+// An engine that was ordered to load weights accepts no calls until all its streams
+// have ended, which takes several times as long as the load. Its streams can be
+// resumed after the last event on engines that still have the same version, and the
+// caller sees a pause within the route's limit.
 //
-// The old server is left only once the next one returns events: a stream that left
-// before would be cut if the next one declined it. Events of the old one wait on its
-// connection meanwhile.
-func (j *job) handOver(ctx context.Context, ticket *placement.Ticket) *successor {
-	if j.g.opts.Off.HandOver || !ticket.IsDisplaced() || !j.mayMove(ticket) {
+// The connection to the old server is kept until the next one returns an event:
+// otherwise the stream would be aborted if the next one declined it. Events of the old
+// server are buffered by its connection meanwhile.
+func (j *job) handOver(ctx context.Context, assignment *placement.Ticket) *successor {
+	if j.g.opts.Off.HandOver || !assignment.IsDisplaced() || !j.mayHandOver(assignment) {
 		return nil
 	}
 	now := time.Now()
-	next, _ := j.g.board.Choose(now, j.askToResume(now, ticket))
+	next, _ := j.g.scheduler.Choose(now, j.resumeRequest(now, assignment))
 	if next == nil {
 		return nil
 	}
-	j.moveTried = true
-	if !j.g.allowRepeat(now, j.service.Name) {
+	j.handoverTried = true
+	if !j.g.allowRetry(now, j.service.Name) {
 		next.End(now, placement.Abandoned)
 		return nil
 	}
-	resumed, err := j.resumeOn(ctx, now, next, j.order(now, next))
+	resumed, err := j.resumeOn(ctx, now, next, j.sendOptions(now, next))
 	if err != nil {
-		j.g.log.handedOver(j, ticket, next, err, j.withdrawn(ctx, time.Now(), next, err))
+		j.g.log.handedOver(j, assignment, next, err, j.withdrawn(ctx, time.Now(), next, err))
 		return nil
 	}
-	j.g.log.handedOver(j, ticket, next, nil, nil)
+	j.g.log.handedOver(j, assignment, next, nil, nil)
 	return resumed
 }
 
-// resumeOn sends the call to another server and returns that one once it has resumed the
-// stream, within the longest pause that the route allows.
-func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, order Order) (*successor, error) {
-	order.FirstBy = earlier(j.latestResponseTime(order.Until), now.Add(j.pauseAim()))
+// resumeOn sends the call to another server and returns that server once it has resumed
+// the stream. It fails if that takes longer than the longest pause that the route allows.
+func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, opts Order) (*successor, error) {
+	opts.FirstBy = earlier(j.latestResponseTime(opts.Until), now.Add(j.targetPause()))
 	j.attempts++
-	answer, err := j.g.opts.Backend.Send(ctx, j.call, order)
+	response, err := j.g.opts.Backend.Send(ctx, j.call, opts)
 	if err != nil {
 		next.End(time.Now(), placement.Abandoned)
 		return nil, err
 	}
-	j.noteLimit(now, next.Server, answer)
-	if answer.NotRun() || answer.Misdirected() {
-		answer.Close(answer.NotRun())
+	j.noteLimit(now, next.Server, response)
+	if response.NotRun() || response.Misdirected() {
+		response.Close(response.NotRun())
 		next.End(time.Now(), placement.Declined)
-		return nil, failure.Unavailable.New("declined with status %d", answer.Status())
+		return nil, failure.Unavailable.New("declined with status %d", response.Status())
 	}
-	run, err := j.reply.accept(answer)
+	attempt, err := j.reply.accept(response)
 	if err != nil {
-		answer.Close(false)
-		next.End(time.Now(), j.resultOf(answer))
+		response.Close(false)
+		next.End(time.Now(), j.resultOf(response))
 		return nil, err
 	}
-	answer.SetDeadline(order.FirstBy)
-	event, err := answer.Next()
+	response.SetDeadline(opts.FirstBy)
+	event, err := response.Next()
 	if err == nil {
-		err = j.takeEvent(next, answer, run, event)
+		err = j.forwardEvent(next, response, attempt, event)
 	}
 	if err != nil {
-		answer.Close(false)
+		response.Close(false)
 		next.End(time.Now(), placement.Abandoned)
 		return nil, err
 	}
-	return &successor{ticket: next, answer: answer, run: run, until: order.Until}, nil
+	return &successor{ticket: next, response: response, attempt: attempt, deadline: opts.Until}, nil
 }
 
-func (j *job) pauseAim() time.Duration {
+func (j *job) targetPause() time.Duration {
 	if j.route.PauseAim > 0 {
 		return j.route.PauseAim
 	}
 	return j.route.Aim
 }
 
-// mayMove reports whether the stream can go on elsewhere and is worth it.
-func (j *job) mayMove(ticket *placement.Ticket) bool {
+// mayHandOver reports whether the stream can be resumed on another server and has enough
+// left to be worth it.
+func (j *job) mayHandOver(assignment *placement.Ticket) bool {
 	if j.standing(time.Now()).IsQuarantined() {
 		return false
 	}
-	if j.moveTried || j.service.Engine == nil || !j.hasStarted() || !j.mayBeSentAgain() || j.attempts >= j.route.MaxAttempts {
+	if j.handoverTried || j.service.Engine == nil || !j.hasStarted() || !j.isRetryable() || j.attempts >= j.route.MaxAttempts {
 		return false
 	}
-	return j.service.Engine.Write(ticket.Work(), j.remainingTokens(ticket)) >= worthMoving
+	return j.service.Engine.Write(assignment.Work(), j.remainingTokens(assignment)) >= minRemainingTime
 }
 
-// remainingTokens is how many tokens the stream is expected to have yet.
-func (j *job) remainingTokens(ticket *placement.Ticket) int {
+// remainingTokens estimates how many tokens the stream has left.
+func (j *job) remainingTokens(assignment *placement.Ticket) int {
 	expected := j.call.Expected
 	if expected == 0 {
 		expected = j.service.Engine.UsualAnswer
 	}
-	written := ticket.Written()
-	return max(expected-written, int(longerShare*float64(written)))
+	written := assignment.Written()
+	return max(expected-written, int(overrunShare*float64(written)))
 }
 
-// askToResume describes the rest of a stream: what was written is read again.
-func (j *job) askToResume(now time.Time, ticket *placement.Ticket) placement.Ask {
-	a := j.ask(now)
-	written := ticket.Written()
+// resumeRequest returns the placement request for the rest of a stream. The tokens written
+// so far count as prompt, since the next engine has to read them.
+func (j *job) resumeRequest(now time.Time, assignment *placement.Ticket) placement.Ask {
+	a := j.placementRequest(now)
+	written := assignment.Written()
 	a.Prompt += written
 	a.Answer = max(0, a.Answer-written)
-	a.Expected = j.remainingTokens(ticket)
+	a.Expected = j.remainingTokens(assignment)
 	a.Late = false
-	a.Exclude = placement.Exclude(j.exclude, ticket.Server.ID)
-	a.Pause = time.Duration(pauseShare * float64(j.pauseAim()))
+	a.Exclude = placement.Exclude(j.exclude, assignment.Server.ID)
+	a.Pause = time.Duration(predictedPauseShare * float64(j.targetPause()))
 	return a
 }
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -23,24 +23,25 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// engines answer calls with streams that go on after the last event asked for.
-type engines struct {
+// streamBackend is a backend that answers calls with streams which continue after the
+// requested last event.
+type streamBackend struct {
 	mu      sync.Mutex
 	sent    []Order
-	streams map[fleet.InstanceID]*engineStream // the last one of each
-	// declines has a server say that it does not run what it gets.
+	streams map[fleet.InstanceID]*engineStream // the latest one of each server
+	// declines holds servers that state that they do not run the call.
 	declines map[fleet.InstanceID]bool
-	// silent servers take a call and give nothing until the time for it is up.
+	// silent holds servers that accept a call and return nothing until its deadline.
 	silent map[fleet.InstanceID]bool
-	// changes are made to the next answer of a server.
+	// changes modify the next stream of a server.
 	changes map[fleet.InstanceID]func(*engineStream)
 }
 
-func (e *engines) Keep([]placement.Server) {}
+func (e *streamBackend) Keep([]placement.Server) {}
 
-func (*engines) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*streamBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
 
-func (e *engines) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
+func (e *streamBackend) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
@@ -53,13 +54,13 @@
 	return s, nil
 }
 
-func (e *engines) stream(id fleet.InstanceID) *engineStream {
+func (e *streamBackend) stream(id fleet.InstanceID) *engineStream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streams[id]
 }
 
-func (e *engines) orders() []Order {
+func (e *streamBackend) orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.sent...)
@@ -72,7 +73,7 @@
 	status           int // 200 if 0
 	next             int64
 	version          placement.ModelVersion
-	events           chan struct{} // one for each event that may be given
+	events           chan struct{} // one element for each event that may be returned
 	closed           chan struct{}
 	once             sync.Once
 }
@@ -91,7 +92,7 @@
 
 func (s *engineStream) Next() (eventstream.Event, error) {
 	if s.silent {
-		return eventstream.Event{}, failure.Timeout.New("nothing came")
+		return eventstream.Event{}, failure.Timeout.New("no event before the deadline")
 	}
 	if s.next > streamEvents {
 		return eventstream.Event{}, io.EOF
@@ -102,27 +103,27 @@
 	return event, nil
 }
 
-// give lets a stream give so many more events.
-func (s *engineStream) give(n int) {
+// release lets a stream return n more events.
+func (s *engineStream) release(n int) {
 	for range n {
 		s.events <- struct{}{}
 	}
 }
 
-// reader is a caller that keeps what it got.
-type reader struct {
+// textRecorder is a caller that records the text that it receives.
+type textRecorder struct {
 	mu       sync.Mutex
 	text     []byte
 	complete bool
-	leavesAt int // the write that fails, and all after it; 0 for none
+	leavesAt int // the first write that fails, as all after it do; 0 for none
 	writes   int
 }
 
-func (*reader) Whole(Answer, []byte) error { return nil }
-func (*reader) Begin(Answer) error         { return nil }
-func (*reader) Refuse(Verdict)             {}
+func (*textRecorder) Whole(Answer, []byte) error { return nil }
+func (*textRecorder) Begin(Answer) error         { return nil }
+func (*textRecorder) Refuse(Verdict)             {}
 
-func (r *reader) Write(p []byte) error {
+func (r *textRecorder) Write(p []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.writes++; r.leavesAt > 0 && r.writes >= r.leavesAt {
@@ -132,29 +133,29 @@
 	return nil
 }
 
-func (r *reader) Complete() error {
+func (r *textRecorder) Complete() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.complete = true
 	return nil
 }
 
-func (r *reader) got() string {
+func (r *textRecorder) received() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return string(r.text)
 }
 
-// A version is replaced. The engine that writes a caller's stream is ordered to
-// load, and takes nothing new until the stream has ended, seconds later. The
-// stream goes on at another engine with the same version, and the caller sees
-// one answer, each event once and in order.
-var _ = Describe("The stream of an engine that is to load weights", func() {
+// During a version change, an engine that is ordered to load accepts no calls until
+// its streams have ended, seconds later. A stream is resumed on another engine with
+// the same version, and the caller must see one response, with each event once and in
+// order.
+var _ = Describe("The stream of an engine that has been ordered to load weights", func() {
 	const oneID, twoID = fleet.InstanceID("i-1"), fleet.InstanceID("i-2")
 	var (
 		g       *Gateway
-		backend *engines
-		caller  *reader
+		backend *streamBackend
+		caller  *textRecorder
 		ended   chan struct{}
 		from    *engineStream
 		first   fleet.InstanceID
@@ -176,7 +177,7 @@
 		core, logged := observer.New(zap.InfoLevel)
 		lines, metrics = logged, tally.NewTestScope("", nil)
 		g.log = newRequestLog(start, zap.New(core), metrics)
-		backend = &engines{streams: make(map[fleet.InstanceID]*engineStream),
+		backend = &streamBackend{streams: make(map[fleet.InstanceID]*engineStream),
 			declines: make(map[fleet.InstanceID]bool), silent: make(map[fleet.InstanceID]bool),
 			changes: make(map[fleet.InstanceID]func(*engineStream))}
 		g.opts.Backend = backend
@@ -189,7 +190,7 @@
 		g.adopt(time.Now(), s, "platform")
 		tell(oneID, 1, false)
 		tell(twoID, 1, false)
-		caller = &reader{}
+		caller = &textRecorder{}
 		ended = make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -200,56 +201,57 @@
 		first = backend.orders()[0].Server.ID
 		second = map[fleet.InstanceID]fleet.InstanceID{oneID: twoID, twoID: oneID}[first]
 		from = backend.stream(first)
-		from.give(3)
-		Eventually(caller.got).Should(Equal("012"))
+		from.release(3)
+		Eventually(caller.received).Should(Equal("012"))
 	}
 
-	// change makes an answer of the next engine, whose events are there at once.
+	// change modifies the response of the next engine. Its events are available
+	// immediately.
 	change := func(f func(*engineStream)) {
-		backend.changes[second] = func(s *engineStream) { s.give(streamEvents); f(s) }
+		backend.changes[second] = func(s *engineStream) { s.release(streamEvents); f(s) }
 	}
 
-	It("goes on at another engine, after the last event", func() {
+	It("is resumed on another engine, after the last event", func() {
 		begin(routing.Stream, true)
 		tell(first, 2, true)
-		from.give(1)
+		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
 		order := backend.orders()[1]
 		Expect(order.Server.ID).To(Equal(second))
 		Expect(order.LastEvent).To(Equal(int64(3)))
-		Expect(from.closed).NotTo(BeClosed(), "the first engine is left once the next one goes on")
-		backend.stream(second).give(streamEvents)
+		Expect(from.closed).NotTo(BeClosed(), "the first engine's response is closed before the next engine has resumed the stream")
+		backend.stream(second).release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(from.closed).To(BeClosed())
-		Expect(caller.got()).To(Equal("0123456789"))
+		Expect(caller.received()).To(Equal("0123456789"))
 	})
 
-	// Guards against a served line that does not tell a stream that its last server
-	// finished from one that it gave nothing of.
-	It("is logged with the events of its last run and whether its end was marked", func() {
+	// Guards against a log line that does not distinguish a stream that its last server
+	// completed from one to which it contributed nothing.
+	It("is logged with the number of events of its last run and whether its end was marked", func() {
 		begin(routing.Stream, true)
 		tell(first, 2, true)
-		from.give(1)
+		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
-		backend.stream(second).give(streamEvents)
+		backend.stream(second).release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		served := lines.FilterMessage("served").All()
 		Expect(served).To(HaveLen(1))
 		Expect(served[0].ContextMap()).To(And(HaveKeyWithValue("run_events", int64(6)), HaveKeyWithValue("end_framed", true)))
 	})
 
-	// The next engine was full, or gave nothing in the time that the route allows
-	// for a pause. Left before, the first engine could not have gone on, and the
-	// caller's answer was cut.
-	DescribeTable("stays when the next engine does not go on",
+	// Guards against an aborted response: the next engine is full, or returns nothing
+	// within the pause that the route allows, and the first engine's stream has already
+	// been closed.
+	DescribeTable("stays when the next engine does not resume it",
 		func(prepare func()) {
 			begin(routing.Stream, true)
 			prepare()
 			tell(first, 2, true)
-			from.give(streamEvents)
+			from.release(streamEvents)
 			Eventually(ended).Should(BeClosed())
 			Expect(backend.orders()).To(HaveLen(2))
-			Expect(caller.got()).To(Equal("0123456789"))
+			Expect(caller.received()).To(Equal("0123456789"))
 			Expect(caller.complete).To(BeTrue())
 			Expect(lines.FilterMessage("handed_over").All()[0].ContextMap()).To(HaveKey("error"))
 		},
@@ -258,37 +260,37 @@
 		Entry("it fails", func() { change(func(s *engineStream) { s.status = 500 }) }),
 		Entry("it has another version", func() { change(func(s *engineStream) { s.version++ }) }),
 		Entry("it skips an event", func() { change(func(s *engineStream) { s.next++ }) }),
-		Entry("it has no event", func() { change(func(s *engineStream) { s.next = streamEvents + 1 }) }),
+		Entry("it returns no event", func() { change(func(s *engineStream) { s.next = streamEvents + 1 }) }),
 	)
 
-	// Guards against an answer that ends as complete though the last event, which the
+	// Guards against a response that ends as complete though the last event, which the
 	// next engine returned, could not be written.
-	It("is not complete if the caller leaves at the next engine's first event", func() {
+	It("is not complete if the caller disconnects at the next engine's first event", func() {
 		begin(routing.Stream, true)
-		from.give(streamEvents - 4)
-		Eventually(caller.got).Should(Equal("01234567"))
+		from.release(streamEvents - 4)
+		Eventually(caller.received).Should(Equal("01234567"))
 		caller.mu.Lock()
 		caller.leavesAt = streamEvents + 1 // the last event
 		caller.mu.Unlock()
 		tell(first, 2, true)
-		from.give(2)
+		from.release(2)
 		Eventually(backend.orders).Should(HaveLen(2))
-		backend.stream(second).give(1)
+		backend.stream(second).release(1)
 		Eventually(ended).Should(BeClosed())
-		Expect(caller.got()).To(Equal("012345678"))
+		Expect(caller.received()).To(Equal("012345678"))
 		Expect(caller.complete).To(BeFalse())
 		Expect(from.closed).To(BeClosed())
 		Expect(metrics.Snapshot().Counters()).To(HaveKey("calls_abandoned+"))
 		Expect(metrics.Snapshot().Counters()).NotTo(HaveKey("illegal_deliveries+"))
 	})
 
-	// The call waits at the next engine, and nothing told that it was closed there
-	// before that began it.
-	It("is told to have been withdrawn from a next engine that is silent", func() {
+	// Guards against a call that is closed at the next engine before that began it,
+	// without a log line.
+	It("is logged as withdrawn from a next engine that is silent", func() {
 		begin(routing.Stream, true)
 		backend.silent[second] = true
 		tell(first, 2, true)
-		from.give(streamEvents)
+		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		told := lines.FilterMessage("handed_over").All()
 		Expect(told).To(HaveLen(1))
@@ -297,34 +299,35 @@
 		Expect(metrics.Snapshot().Counters()).To(HaveKey("calls_withdrawn+reason=silent"))
 	})
 
-	// Guards against a stream that begins at its next engine after the time of the
-	// version that it must go on with.
-	It("gives the next engine no more than the time of its version", func() {
+	// Guards against a stream that begins on its next engine when the version that it
+	// must continue on may no longer be used.
+	It("gives the next engine a deadline within the time of its version", func() {
 		begin(routing.Stream, true)
 		named := time.Now()
 		g.names["m"] = loading.Names{{Version: 2, Since: named}}
 		tell(first, 2, true)
-		from.give(1)
+		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
 		Expect(backend.orders()[0].Until).To(BeTemporally(">", named.Add(g.opts.VersionTime)))
 		Expect(backend.orders()[1].Until).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
-		backend.stream(second).give(streamEvents)
+		backend.stream(second).release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 	})
 
-	It("stays where the route does not let streams be resumed", func() {
+	It("stays if the route does not allow resumption", func() {
 		begin(routing.Stream, false)
 		tell(first, 2, true)
-		from.give(streamEvents)
+		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
 	})
 
-	// Guards against events of two runs in one answer that nothing says can be resumed.
-	It("stays on a safe route, which declares no resumption", func() {
+	// Guards against events of two runs in one response of a route that does not declare
+	// its streams resumable.
+	It("stays on a safe route, which does not allow resumption", func() {
 		begin(routing.Safe, false)
 		tell(first, 2, true)
-		from.give(streamEvents)
+		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
 		Expect(caller.complete).To(BeTrue())
@@ -332,10 +335,10 @@
 
 	It("stays when the retry budget is used up", func() {
 		begin(routing.Stream, true)
-		for g.allowRepeat(time.Now(), "pool") {
+		for g.allowRetry(time.Now(), "pool") {
 		}
 		tell(first, 2, true)
-		from.give(streamEvents)
+		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
 	})
--- a/daemon/gateway/lapses_test.go
+++ b/daemon/gateway/lapses_test.go
@@ -12,12 +12,12 @@
 	"chivespindle.example/daemon/wire"
 )
 
-var _ = Describe("The catalog, around calls that fail,", func() {
+var _ = Describe("The catalog, while calls to the platform fail,", func() {
 	var g *Gateway
-	var backend *noBackend
+	var backend *rejectingBackend
 	one, two := server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)
 	removeTwo := []catalog.Change{{Revision: 9, Removed: "i-2"}}
-	broken := failure.Unavailable.New("turned away")
+	broken := failure.Unavailable.New("platform refused the connection")
 
 	BeforeEach(func() {
 		g, backend = newGateway()
@@ -25,16 +25,16 @@
 		g.adopt(start, snapshot(5, one, two), "platform")
 	})
 
-	// removal is what another entry tells of the second server's end.
+	// removal returns another entry's report that the second server was removed.
 	removal := func() wire.Beat {
 		b := beat("10.0.0.2")
 		b.Servers = &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo}
 		return b
 	}
 
-	// Guards against requests to a server that left without a word, at an entry
-	// of which one call failed while the platform was sound.
-	It("drops one at once that leaves while a single call fails", func() {
+	// Guards against requests to a server that is gone, at an entry of which a single
+	// call failed while the platform was healthy.
+	It("drops a removed server immediately if only a single call failed", func() {
 		g.sourceFailed(at(time.Second), broken)
 		g.heard(at(1100*time.Millisecond), nearEntry, removal())
 		Expect(listed(g, backend, at(1100*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
@@ -43,16 +43,16 @@
 		Expect(listed(g, backend, at(1300*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// Guards against requests to a server that left while the process stood still.
-	It("drops one at once that a peer tells of after a pause", func() {
-		g.woke(at(5*time.Second), 5*time.Second)
+	// Guards against requests to a server that left while the process was paused.
+	It("drops a removed server immediately if a peer reports it after a pause of the process", func() {
+		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
 		g.heard(at(5100*time.Millisecond), nearEntry, removal())
 		Expect(listed(g, backend, at(5100*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// Guards against a service without servers for two seconds, at an entry that
-	// hears of lapses from a peer before the platform answers here.
-	It("keeps those that lapsed also when a peer tells of it first", func() {
+	// Guards against a service without servers for two seconds, at an entry that receives
+	// lapses from a peer before the platform answers the entry itself.
+	It("keeps lapsed servers if a peer reports them before the platform answers", func() {
 		g.sourceFailed(at(time.Second), broken)
 		g.heard(at(6*time.Second), nearEntry, removal())
 		Expect(listed(g, backend, at(6*time.Second))).To(HaveLen(2))
@@ -63,9 +63,9 @@
 		Expect(listed(g, backend, at(6500*time.Millisecond+lapseTime))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// Guards against a failed call just after an outage that ends what was known of
-	// the outage: live servers would be dropped.
-	It("keeps those that lapsed also when a call fails after the return", func() {
+	// Guards against a failed call just after an outage that discards the record of the
+	// outage, so that live servers are dropped.
+	It("keeps lapsed servers if a call fails after the outage", func() {
 		g.sourceFailed(at(time.Second), broken)
 		g.sourceAnswered(at(6 * time.Second))
 		g.sourceFailed(at(6300*time.Millisecond), broken)
@@ -76,9 +76,9 @@
 		Expect(listed(g, backend, at(7*time.Second))).To(HaveLen(2))
 	})
 
-	// Guards against servers that are gone staying listed for longer with each call
-	// that fails after an outage.
-	It("keeps none for longer because a call fails after the return", func() {
+	// Guards against servers that are gone staying listed longer with each call that
+	// fails after an outage.
+	It("does not keep lapsed servers longer if a call fails after the outage", func() {
 		g.sourceFailed(at(time.Second), broken)
 		g.sourceAnswered(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
@@ -87,8 +87,9 @@
 		Expect(listed(g, backend, at(6*time.Second+lapseTime))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// Guards against a failed call that makes the next removal a lapse no more.
-	It("keeps one that lapsed whose end is read after a further failed call", func() {
+	// Guards against a failed call after which the next removal no longer counts as a
+	// lapse.
+	It("keeps a lapsed server whose removal is read after another failed call", func() {
 		g.sourceFailed(at(time.Second), broken)
 		g.sourceAnswered(at(6 * time.Second))
 		g.sourceFailed(at(6300*time.Millisecond), broken)
--- a/daemon/gateway/limit.go
+++ b/daemon/gateway/limit.go
@@ -39,7 +39,7 @@
 // to the group at once; a server may adjust its limit in each response.
 func (g *Gateway) applyLimits(urgent bool) {
 	g.limitsChanged = true
-	g.urgentNear = g.urgentNear || urgent
+	g.groupFlushDue = g.groupFlushDue || urgent
 }
 
 func (g *Gateway) limitReportsFor(now time.Time, to mesh.Peer, form mesh.Form) []serverlimit.Report {
@@ -78,7 +78,7 @@
 	for server, perSecond := range shares {
 		shares[server] = serverlimit.Share(perSecond, server, g.opts.Self, others)
 	}
-	g.board.SetLimits(now, shares)
+	g.scheduler.SetLimits(now, shares)
 }
 
 func (l *requestLog) serverLimit(server fleet.InstanceID, perSecond float64, source string) {
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -42,7 +42,7 @@
 }
 
 type limitedAnswer struct {
-	emptyAnswer
+	emptyResponse
 	limit       ServerLimit
 	misdirected bool
 	status      int // 200 if it is 0
@@ -137,7 +137,7 @@
 		g.adopt(now, s, "platform")
 		g.limits.Advertised(now, "i-1", 1)
 		g.publish(now)
-		caller := make(refusals, 1)
+		caller := make(refusalRecorder, 1)
 		g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: time.Minute, LastEvent: -1}, caller)
 		Expect(caller).To(Receive(And(HaveField("Code", Unavailable), HaveField("Reason", "limited"), HaveField("RetryAfter", BeNumerically(">", 0)))))
 	})
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// linesPerSecond bounds the lines about calls: a burst of refusals must not make
-	// the entry slower.
-	linesPerSecond = 150
-	// servedEvery is how many plain successes have one line.
-	servedEvery = 50
+	// maxLinesPerSecond bounds the log lines about calls, so that a burst of refusals does
+	// not slow down the entry.
+	maxLinesPerSecond = 150
+	// servedSampleInterval is the sampling interval for calls that succeeded at the first
+	// attempt and for calls whose caller left: one line is written for that many.
+	servedSampleInterval = 50
 )
 
-// requestLog writes one line for each decision about a call, within a bound,
-// and counts all of them.
+// requestLog logs each decision about a call, up to a number of lines per second, and
+// counts all of them.
 type requestLog struct {
-	logger  *zap.Logger
-	metrics tally.Scope
-	gate    lineGate
-	account *account
-	whole   tally.Histogram // time to the end of an answer
-	first   tally.Histogram // time to the first event of a stream
+	logger         *zap.Logger
+	metrics        tally.Scope
+	limiter        lineLimiter
+	results        *resultCounter
+	responseTime   tally.Histogram // time to the end of a response
+	firstEventTime tally.Histogram // time to the first event of a stream
 }
 
 func newRequestLog(now time.Time, logger *zap.Logger, metrics tally.Scope) *requestLog {
 	return &requestLog{
-		logger: logger, metrics: metrics, account: newAccount(now),
-		whole: metrics.Histogram("call_seconds", tally.DefaultBuckets),
-		first: metrics.Histogram("first_event_seconds", tally.DefaultBuckets),
+		logger: logger, metrics: metrics, results: newResultCounter(now),
+		responseTime:   metrics.Histogram("call_seconds", tally.DefaultBuckets),
+		firstEventTime: metrics.Histogram("first_event_seconds", tally.DefaultBuckets),
 	}
 }
 
-// inputs are what every line about a call holds.
-func inputs(j *job, fields ...zap.Field) []zap.Field {
+// callFields returns the fields that every line about a call has, followed by fields.
+func callFields(j *job, fields ...zap.Field) []zap.Field {
 	all := []zap.Field{zap.String("request", j.call.ID), zap.Duration("age", time.Since(j.call.Arrived))}
 	if j.route != nil {
 		all = append(all, zap.String("route", j.route.Name), zap.Stringer("kind", j.route.Kind),
@@ -49,7 +50,7 @@
 }
 
 func (l *requestLog) allowed() bool {
-	ok, left := l.gate.allow(time.Now())
+	ok, left := l.limiter.allow(time.Now())
 	if left > 0 {
 		l.logger.Warn("lines_left_out", zap.Int("count", left))
 	}
@@ -61,34 +62,34 @@
 
 func (l *requestLog) served(j *job, status int) {
 	l.metrics.Tagged(map[string]string{"kind": j.route.Kind.String()}).Counter("calls_served").Inc(1)
-	l.whole.RecordDuration(time.Since(j.call.Arrived))
-	l.account.note(j, j.servedResult(time.Now()))
-	if !j.firstAt.IsZero() {
-		l.first.RecordDuration(j.firstAfter())
+	l.responseTime.RecordDuration(time.Since(j.call.Arrived))
+	l.results.record(j, j.servedResult(time.Now()))
+	if !j.firstEventAt.IsZero() {
+		l.firstEventTime.RecordDuration(j.firstAfter())
 	}
 	isPlain := j.attempts < 2 && status < http.StatusInternalServerError
-	if isPlain && !l.gate.sample(servedEvery) || !l.allowed() {
+	if isPlain && !l.limiter.sample(servedSampleInterval) || !l.allowed() {
 		return
 	}
-	l.logger.Info("served", inputs(j, zap.Duration("patience", j.call.Patience), zap.Int("status", status), zap.Int64("last_event", j.reply.progress.LastEvent()),
-		zap.Int("run_events", j.run.Events()), zap.Bool("end_framed", j.endFramed),
+	l.logger.Info("served", callFields(j, zap.Duration("patience", j.call.Patience), zap.Int("status", status), zap.Int64("last_event", j.reply.progress.LastEvent()),
+		zap.Int("run_events", j.lastAttempt.Events()), zap.Bool("end_framed", j.endFramed),
 		zap.Duration("predicted", j.predicted), zap.Duration("first", j.firstAfter()))...)
 }
 
 func (j *job) firstAfter() time.Duration {
-	if j.firstAt.IsZero() {
+	if j.firstEventAt.IsZero() {
 		return 0
 	}
-	return j.firstAt.Sub(j.call.Arrived)
+	return j.firstEventAt.Sub(j.call.Arrived)
 }
 
 func (l *requestLog) refused(j *job, v Verdict) {
-	l.account.note(j, v.result())
+	l.results.record(j, v.result())
 	l.metrics.Tagged(map[string]string{"code": v.Code.String(), "reason": v.Reason}).Counter("calls_refused").Inc(1)
 	if !l.allowed() {
 		return
 	}
-	l.logger.Info("refused", inputs(j, zap.Stringer("code", v.Code), zap.String("reason", v.Reason),
+	l.logger.Info("refused", callFields(j, zap.Stringer("code", v.Code), zap.String("reason", v.Reason),
 		zap.Duration("retry_after", v.RetryAfter), zap.Bool("begun", j.hasStarted()), zap.Bool("may_have_run", j.mayHaveRun))...)
 }
 
@@ -96,9 +97,9 @@
 	if !l.allowed() {
 		return
 	}
-	l.logger.Info("not_placed", inputs(j, zap.String("reason", string(r.Reason)), zap.Duration("predicted", r.Predicted),
+	l.logger.Info("not_placed", callFields(j, zap.String("reason", string(r.Reason)), zap.Duration("predicted", r.Predicted),
 		zap.Int("usable", r.Usable), zap.Int("prompt", j.call.Prompt),
-		zap.Int("expected", j.call.Expected), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.returned))...)
+		zap.Int("expected", j.call.Expected), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.refusedBefore))...)
 }
 
 func (l *requestLog) held(j *job, r placement.Refusal) {
@@ -106,20 +107,20 @@
 	if !l.allowed() {
 		return
 	}
-	soonest := j.g.view.Load().soonest[j.service.Name]
-	l.logger.Info("held", inputs(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Usable),
-		zap.Duration("engine_in", max(0, time.Until(soonest))), zap.Bool("returned", j.returned))...)
+	soonest := j.g.view.Load().nextEngineReady[j.service.Name]
+	l.logger.Info("held", callFields(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Usable),
+		zap.Duration("engine_in", max(0, time.Until(soonest))), zap.Bool("returned", j.refusedBefore))...)
 }
 
-// attempt notes that no whole answer came, and that the call was withdrawn, if
-// it was.
-func (l *requestLog) attempt(j *job, t *placement.Ticket, err error, w *withdrawal, b *brokenAttempt) {
+// attemptFailed records an attempt without a complete response, and its withdrawal if there
+// was one.
+func (l *requestLog) attemptFailed(j *job, t *placement.Ticket, err error, w *withdrawal, b *brokenAttempt) {
 	l.metrics.Counter("attempts_failed").Inc(1)
 	l.countWithdrawn(w)
 	if !l.allowed() {
 		return
 	}
-	fields := inputs(j, zap.String("server", string(t.Server.ID)),
+	fields := callFields(j, zap.String("server", string(t.Server.ID)),
 		zap.Stringer("addr", t.Server.Addr),
 		zap.Uint64("loaded", uint64(t.Server.Loaded)), zap.Duration("predicted", t.Predicted),
 		zap.Int64("last_event", j.reply.progress.LastEvent()), zap.Error(err))
@@ -133,37 +134,37 @@
 	}
 }
 
-// handedOver notes that a stream goes on at another server, or that it was
-// withdrawn from that again.
+// handedOver records that a stream continues on another server, or that the handover
+// failed.
 func (l *requestLog) handedOver(j *job, from, to *placement.Ticket, err error, w *withdrawal) {
 	l.metrics.Tagged(map[string]string{"taken": strconv.FormatBool(err == nil)}).Counter("streams_handed_over").Inc(1)
 	l.countWithdrawn(w)
 	if l.allowed() {
-		fields := inputs(j, zap.String("server", string(from.Server.ID)), zap.String("to", string(to.Server.ID)),
+		fields := callFields(j, zap.String("server", string(from.Server.ID)), zap.String("to", string(to.Server.ID)),
 			zap.Int64("last_event", j.reply.progress.LastEvent()), zap.Duration("predicted", to.Predicted), zap.Error(err))
 		l.logger.Info("handed_over", append(fields, w.fields()...)...)
 	}
 }
 
-// declined notes that a server said that it did not run the call.
+// declined records an attempt that the server did not run.
 func (l *requestLog) declined(j *job, server placement.Server) {
 	l.metrics.Counter("attempts_declined").Inc(1)
 	if l.allowed() {
-		l.logger.Info("attempt_declined", inputs(j, zap.String("server", string(server.ID)),
+		l.logger.Info("attempt_declined", callFields(j, zap.String("server", string(server.ID)),
 			zap.Stringer("addr", server.Addr), zap.Uint64("loaded", uint64(server.Loaded)))...)
 	}
 }
 
-// serverError notes a failure that a server answered itself.
+// serverError records an error response of a server.
 func (l *requestLog) serverError(j *job, t *placement.Ticket, status int) {
 	l.metrics.Counter("server_errors").Inc(1)
 	if l.allowed() {
-		l.logger.Info("server_error", inputs(j, zap.String("server", string(t.Server.ID)),
+		l.logger.Info("server_error", callFields(j, zap.String("server", string(t.Server.ID)),
 			zap.Stringer("addr", t.Server.Addr), zap.Int("status", status))...)
 	}
 }
 
-// result is what a verdict makes of a call.
+// result returns the result of a call that ends with the verdict.
 func (v Verdict) result() callResult {
 	if v.Code == Broken || v.Code == TimedOut {
 		return resultFailed + callResult(v.Reason)
@@ -171,8 +172,8 @@
 	return resultRefused + callResult(v.Reason)
 }
 
-// panicked logs a panic and lets it pass: net/http then ends the connection, without a log
-// line of its own.
+// panicked logs a panic and panics again: net/http then closes the connection, without a
+// log line of its own.
 func (l *requestLog) panicked(call *Call) {
 	p := recover()
 	if p == nil {
@@ -184,9 +185,9 @@
 }
 
 func (l *requestLog) abandoned(j *job) {
-	l.account.note(j, resultAbandoned)
+	l.results.record(j, resultAbandoned)
 	l.metrics.Counter("calls_abandoned").Inc(1)
-	if l.gate.sample(servedEvery) && l.allowed() {
-		l.logger.Info("abandoned", inputs(j, zap.Int64("last_event", j.reply.progress.LastEvent()))...)
+	if l.limiter.sample(servedSampleInterval) && l.allowed() {
+		l.logger.Info("abandoned", callFields(j, zap.Int64("last_event", j.reply.progress.LastEvent()))...)
 	}
 }
--- a/daemon/gateway/manifests.go
+++ b/daemon/gateway/manifests.go
@@ -94,7 +94,7 @@
 	if !g.manifests.take(heard, near) {
 		return
 	}
-	g.urgent = true
+	g.flushDue = true
 	g.opts.Logger.Info("manifest_heard", zap.String("model", heard.Model), zap.Uint64("version", heard.Version),
 		zap.Bool("near", near))
 }
--- a/daemon/gateway/model_links_test.go
+++ b/daemon/gateway/model_links_test.go
@@ -75,7 +75,7 @@
 func (l *modelLinks) takeDown(now time.Time, k *modelLink) {
 	if k.up {
 		k.up = false
-		l.e.g.lost(now, k.to.g.opts.Self)
+		l.e.g.dropPeer(now, k.to.g.opts.Self)
 	}
 }
 
--- a/daemon/gateway/model_store_test.go
+++ b/daemon/gateway/model_store_test.go
@@ -205,7 +205,7 @@
 	}
 	ctx, _ := e.g.reading.begin(e.g.ctx)
 	v := e.g.view.Load()
-	if v == nil || !v.reads {
+	if v == nil || !v.readsPlatform {
 		f.at.answered = false
 		e.m.after(idlePoll, f.turn)
 		return
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -114,7 +114,7 @@
 type modelEntry struct {
 	m       *model
 	g       *Gateway
-	backend *noBackend
+	backend *rejectingBackend
 	links   *modelLinks
 	follow  *follower
 	alive   bool
@@ -175,7 +175,7 @@
 }
 
 func (m *model) start(now time.Time, addr netip.Addr, region fleet.Region) {
-	e := &modelEntry{m: m, alive: true, started: now, backend: &noBackend{}}
+	e := &modelEntry{m: m, alive: true, started: now, backend: &rejectingBackend{}}
 	e.g = New(context.Background(), now, Options{
 		Self: fleet.InstanceID(addr.String()), Addr: addr, Place: fleet.Place{Zone: "hall", Region: region},
 		CallerAddr: netip.AddrPortFrom(addr, 80), Regions: map[fleet.Zone]fleet.Region{"hall": region},
@@ -183,10 +183,10 @@
 		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
-	e.g.listsAfter = m.chance(unheardReadAfter)
+	e.g.listDelay = m.chance(maxListDelay)
 	e.links = &modelLinks{e: e, byID: make(map[fleet.InstanceID]*modelLink)}
 	e.g.mesh = e.links
-	e.g.startAsk = e.ask
+	e.g.startCatalogRequest = e.ask
 	e.follow = &follower{e: e}
 	for _, other := range m.entries {
 		if other.alive && (other.g.opts.Place.Region == region || len(m.entries) <= modelGroup) {
@@ -239,7 +239,7 @@
 		}
 		e.m.after(e.m.beatWay(), func(now time.Time) {
 			answer, config := newerThan(other.g.snapshot, ask)
-			answer.AgeMS = now.Sub(other.g.readAt).Milliseconds()
+			answer.AgeMS = now.Sub(other.g.changesReadAt).Milliseconds()
 			if config != nil {
 				answer.Snapshot.Config, answer.Snapshot.ConfigRevision = config, answer.ConfigRevision
 			}
@@ -311,7 +311,7 @@
 func (m *model) loseReaders(now time.Time, loss modelLoss) {
 	for _, e := range m.entries {
 		v := e.g.view.Load()
-		if !e.alive || v == nil || !v.reads || m.rand.IntN(4) == 0 {
+		if !e.alive || v == nil || !v.readsPlatform || m.rand.IntN(4) == 0 {
 			continue
 		}
 		if loss != readersKilled {
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -16,152 +16,153 @@
 )
 
 const (
-	// heldBytes bounds the body of a plain service's answer that is read whole
-	// before it is given on, so that a broken one can be asked for again.
-	heldBytes = 512 << 10
-	// minimalRest is the least time that another attempt is worth.
-	minimalRest = 60 * time.Millisecond
+	// maxBufferedBody bounds the response body of a plain service. The body is buffered
+	// before it is forwarded, so that the call can be retried if it breaks off.
+	maxBufferedBody = 512 << 10
+	// minAttemptTime is the time that must be left for another attempt.
+	minAttemptTime = 60 * time.Millisecond
 )
 
-// sendFailed follows a Send without an answer.
-func (j *job) sendFailed(ctx context.Context, ticket *placement.Ticket, err error) bool {
+// handleSendError handles an error of Send and reports whether to make another attempt.
+func (j *job) handleSendError(ctx context.Context, assignment *placement.Ticket, err error) bool {
 	now := time.Now()
 	notRun := failure.OutcomeOf(err) == failure.NotRun
-	j.failed(ctx, now, ticket, err)
+	j.endFailedAttempt(ctx, now, assignment, err)
 	if notRun {
-		j.unreached(ctx, now, ticket.Server)
+		j.unreached(ctx, now, assignment.Server)
 		j.unsent++
-		if ctx.Err() == nil && j.unsent < unsentAttempts {
+		if ctx.Err() == nil && j.unsent < maxUnsentAttempts {
 			return true
 		}
-		return j.ended(ctx, now, "unreachable")
+		return j.endCall(ctx, now, "unreachable")
 	}
 	j.attempts++
 	j.mayHaveRun = true
-	if j.again(ctx, now) {
+	if j.shouldRetry(ctx, now) {
 		return true
 	}
-	return j.ended(ctx, now, "no_answer")
+	return j.endCall(ctx, now, "no_answer")
 }
 
-// failed ends an attempt that brought no whole answer. Its server gets the
-// call no more.
-func (j *job) failed(ctx context.Context, now time.Time, ticket *placement.Ticket, err error) {
-	j.exclude = placement.Exclude(j.exclude, ticket.Server.ID)
+// endFailedAttempt ends an attempt without a complete response and excludes its server from
+// further attempts of the call.
+func (j *job) endFailedAttempt(ctx context.Context, now time.Time, assignment *placement.Ticket, err error) {
+	j.exclude = placement.Exclude(j.exclude, assignment.Server.ID)
 	var broken *brokenAttempt
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		ticket.End(now, placement.Abandoned)
-		j.leftBehind(now, ticket.Server)
-	case j.isOver(ctx, now) && !j.isSilent(now):
-		ticket.End(now, placement.Abandoned)
-	case j.isOver(ctx, now):
-		ticket.End(now, placement.Silent)
-	case j.wasToEnd(now), !j.hasStarted() && errorx.IsOfType(err, failure.Timeout) && j.isOutOfTime(now, ticket.Server):
-		ticket.End(now, placement.Abandoned)
+		assignment.End(now, placement.Abandoned)
+		j.leftBehind(now, assignment.Server)
+	case j.isCallOver(ctx, now) && !j.isSilent(now):
+		assignment.End(now, placement.Abandoned)
+	case j.isCallOver(ctx, now):
+		assignment.End(now, placement.Silent)
+	case j.isServerDeadlineOver(now), !j.hasStarted() && errorx.IsOfType(err, failure.Timeout) && j.isVersionExpired(now, assignment.Server):
+		assignment.End(now, placement.Abandoned)
 	case errorx.IsOfType(err, failure.Timeout):
-		ticket.End(now, placement.Silent)
+		assignment.End(now, placement.Silent)
 	case errorx.IsOfType(err, delivery.OutOfOrder):
-		ticket.End(now, placement.Failed)
+		assignment.End(now, placement.Failed)
 	default:
-		ticket.End(now, placement.Broken)
-		broken = j.brokenAt(ctx, ticket.Server, err)
+		assignment.End(now, placement.Broken)
+		broken = j.brokenAt(ctx, assignment.Server, err)
 	}
-	j.g.log.attempt(j, ticket, err, j.withdrawn(ctx, now, ticket, err), broken)
+	j.g.log.attemptFailed(j, assignment, err, j.withdrawn(ctx, now, assignment, err), broken)
 }
 
-// isOver reports whether the caller has left or its time is up. A read that
-// ends at the deadline fails a moment before ctx does.
-func (j *job) isOver(ctx context.Context, now time.Time) bool {
+// isCallOver reports whether the caller has disconnected or the deadline has passed. A read
+// that times out at the deadline fails a moment before ctx does.
+func (j *job) isCallOver(ctx context.Context, now time.Time) bool {
 	return ctx.Err() != nil || !now.Before(j.deadline)
 }
 
-// wasToEnd reports whether the server was to have ended its work by now, before the
-// caller's time is up: that it went no further is no failure of its own.
-func (j *job) wasToEnd(now time.Time) bool {
-	return j.serverUntil.Before(j.deadline) && !now.Before(j.serverUntil)
+// isServerDeadlineOver reports whether the server had a deadline before the caller's and
+// that has passed. That it stopped is then not its failure.
+func (j *job) isServerDeadlineOver(now time.Time) bool {
+	return j.serverDeadline.Before(j.deadline) && !now.Before(j.serverDeadline)
 }
 
-// resultOfFailure is how an attempt ended whose server answered with a failure.
+// resultOfFailure returns the result of an attempt whose server answered with an error.
 func (j *job) resultOfFailure(now time.Time) placement.Result {
-	if j.wasToEnd(now) {
+	if j.isServerDeadlineOver(now) {
 		return placement.Abandoned
 	}
 	return placement.Failed
 }
 
-// isSilent reports whether the server has given nothing for so long that this
-// is its failure: a hung server must be found out by requests that may not be
-// repeated too, and these wait for it until their time is up.
+// isSilent reports whether the server has made no progress for so long that this counts
+// as its failure. Calls that may not be retried wait until their deadline, and a hung
+// server must be detected by these too.
 func (j *job) isSilent(now time.Time) bool {
-	allowed := safeSilence * j.route.Aim
+	allowed := plainStallFactor * j.route.Aim
 	if j.service.Engine != nil {
-		allowed = j.predicted + streamSilence
+		allowed = j.predicted + streamStallTimeout
 	}
 	return now.Sub(j.progressAt) >= allowed
 }
 
-// again reports whether the call may be sent once more, now that a server may
-// have run it.
-func (j *job) again(ctx context.Context, now time.Time) bool {
-	return ctx.Err() == nil && !j.g.opts.Off.Repeat && j.mayBeSentAgain() && j.attempts < j.route.MaxAttempts &&
-		j.deadline.Sub(now) > minimalRest && j.standing(now).MayRepeat()
+// shouldRetry reports whether to retry the call after an attempt that a server may have run.
+func (j *job) shouldRetry(ctx context.Context, now time.Time) bool {
+	return ctx.Err() == nil && !j.g.opts.Off.Repeat && j.isRetryable() && j.attempts < j.route.MaxAttempts &&
+		j.deadline.Sub(now) > minAttemptTime && j.standing(now).MayRepeat()
 }
 
-// declined follows a server's word that it did not run the call.
-func (j *job) declined(ctx context.Context, server placement.Server) bool {
+// handleDeclined handles a response which says that the server did not run the call, or that
+// another server was meant. It reports whether to make another attempt.
+func (j *job) handleDeclined(ctx context.Context, server placement.Server) bool {
 	j.g.log.declined(j, server)
 	j.exclude = placement.Exclude(j.exclude, server.ID)
-	j.g.post(func(now time.Time) { j.g.noteDeclined(now, server) })
+	j.g.post(func(now time.Time) { j.g.handleDeclined(now, server) })
 	now := time.Now()
 	if ctx.Err() != nil {
-		return j.ended(ctx, now, "declined")
+		return j.endCall(ctx, now, "declined")
 	}
-	if j.attempts < j.route.MaxAttempts && j.deadline.Sub(now) > minimalRest {
+	if j.attempts < j.route.MaxAttempts && j.deadline.Sub(now) > minAttemptTime {
 		return true
 	}
-	j.giveUp("declined", j.comeBack(now))
+	j.giveUp("declined", j.retryAfter(now))
 	return false
 }
 
-func (j *job) comeBack(now time.Time) time.Duration {
-	const honoured = 3 // callers wait up to a third of their time
+func (j *job) retryAfter(now time.Time) time.Duration {
+	const honoured = 3 // callers wait for up to a third of their remaining time
 	return max(0, j.deadline.Sub(now)/honoured)
 }
 
-// notPlaced follows a refusal of the board.
-func (j *job) notPlaced(r placement.Refusal) {
+// handleNotPlaced refuses a call for which the scheduler has no server.
+func (j *job) handleNotPlaced(r placement.Refusal) {
 	j.g.log.notPlaced(j, r)
 	j.giveUp(string(r.Reason), r.RetryAfter)
 }
 
-// giveUp answers for a call that nobody takes.
+// giveUp ends a call that no further server is tried for, with the best response
+// that is left: the held one, or an error response. A started stream is aborted.
 func (j *job) giveUp(reason string, retryAfter time.Duration) {
 	switch {
 	case j.hasStarted():
-		j.cut(reason)
-	case j.held != nil:
-		j.giveHeld()
+		j.abort(reason)
+	case j.heldResponse != nil:
+		j.forwardHeld()
 	case j.mayHaveRun:
-		// It may be running still, so nothing is promised.
+		// The call may still be running, so the response must not say that it is not.
 		j.refuse(Verdict{Code: Broken, Reason: reason})
 	default:
 		j.refuse(Verdict{Code: Unavailable, RetryAfter: retryAfter, Reason: reason})
 	}
 }
 
-// ended follows the end of the time or of the ways to serve the call.
-func (j *job) ended(ctx context.Context, now time.Time, reason string) bool {
-	isOver := j.isOver(ctx, now)
+// endCall ends a call for which no attempt is left or no time. It returns false.
+func (j *job) endCall(ctx context.Context, now time.Time, reason string) bool {
+	isOver := j.isCallOver(ctx, now)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		j.callerLeft()
-	case isOver && j.mayHaveRun && j.held == nil && !j.hasStarted():
+		j.endAbandonedCall()
+	case isOver && j.mayHaveRun && j.heldResponse == nil && !j.hasStarted():
 		j.refuse(Verdict{Code: TimedOut, Reason: "timeout"})
 	case isOver:
 		j.giveUp("timeout", 0)
 	default:
-		j.giveUp(reason, j.comeBack(now))
+		j.giveUp(reason, j.retryAfter(now))
 	}
 	return false
 }
@@ -171,237 +172,238 @@
 	j.reply.refuse(v)
 }
 
-// callerLeft ends a call whose caller is there no more.
-func (j *job) callerLeft() {
+// endAbandonedCall ends a call whose caller has disconnected.
+func (j *job) endAbandonedCall() {
 	j.g.log.abandoned(j)
-	j.reply.cut()
+	j.reply.abort()
 }
 
-// answered follows an answer of a server that has run the call.
-func (j *job) answered(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+// handleResponse handles the response of a server that has run the call.
+func (j *job) handleResponse(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
 	j.mayHaveRun = true
-	run, err := j.reply.accept(answer)
+	attempt, err := j.reply.accept(response)
 	if err != nil {
-		return j.notContinued(ctx, ticket, answer, err)
+		return j.handleMismatch(ctx, assignment, response, err)
 	}
-	j.run, j.endFramed = run, answer.EndIsFramed()
-	if headOf(answer).IsEventStream() {
-		return j.stream(ctx, ticket, answer)
+	j.lastAttempt, j.endFramed = attempt, response.EndIsFramed()
+	if headerOf(response).IsEventStream() {
+		return j.forwardStream(ctx, assignment, response)
 	}
-	return j.whole(ctx, ticket, answer)
+	return j.forwardWhole(ctx, assignment, response)
 }
 
-// notContinued follows an answer that cannot go on with what the caller has.
-func (j *job) notContinued(ctx context.Context, ticket *placement.Ticket, answer Answer, err error) bool {
-	answer.Close(false)
+// handleMismatch handles a response that cannot continue what the caller has received.
+func (j *job) handleMismatch(ctx context.Context, assignment *placement.Ticket, response Answer, err error) bool {
+	response.Close(false)
 	now := time.Now()
-	ticket.End(now, j.resultOf(answer))
-	j.exclude = placement.Exclude(j.exclude, ticket.Server.ID)
-	if answer.Status() >= http.StatusInternalServerError {
-		j.g.log.serverError(j, ticket, answer.Status())
+	assignment.End(now, j.resultOf(response))
+	j.exclude = placement.Exclude(j.exclude, assignment.Server.ID)
+	if response.Status() >= http.StatusInternalServerError {
+		j.g.log.serverError(j, assignment, response.Status())
 	} else {
-		j.g.log.attempt(j, ticket, err, nil, nil)
+		j.g.log.attemptFailed(j, assignment, err, nil, nil)
 	}
-	if j.again(ctx, now) {
+	if j.shouldRetry(ctx, now) {
 		return true
 	}
-	return j.ended(ctx, now, "not_continued")
+	return j.endCall(ctx, now, "not_continued")
 }
 
-// resultOf is how an attempt ended whose answer cannot be passed on.
-func (j *job) resultOf(answer Answer) placement.Result {
-	if answer.Status() < http.StatusInternalServerError {
+// resultOf returns the result of an attempt whose response cannot be forwarded.
+func (j *job) resultOf(response Answer) placement.Result {
+	if response.Status() < http.StatusInternalServerError {
 		return placement.Declined
 	}
 	return j.resultOfFailure(time.Now())
 }
 
-// whole gives on the answer of a plain service, once it has come whole.
+// forwardWhole forwards the response of a plain service once its body is complete.
 //
-// Callers send a call again after a status that promises that it did not run. A server
-// that does not say so may have run it, so such an answer is not given where the call may
-// run only once.
-func (j *job) whole(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
-	answer.SetDeadline(j.deadline)
-	body, err := answer.Body(heldBytes)
+// Callers retry after a status which implies that the call did not run. A server that
+// does not also say so explicitly may have run it, so such a response is not forwarded
+// if the call must not run twice.
+func (j *job) forwardWhole(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+	response.SetDeadline(j.deadline)
+	body, err := response.Body(maxBufferedBody)
 	if err == nil {
-		err = j.checkClose(ctx, ticket.Server, answer)
+		err = j.checkServerAlive(ctx, assignment.Server, response)
 	}
 	now := time.Now()
 	if err != nil {
-		answer.Close(false)
-		return j.bodyFailed(ctx, ticket, err)
+		response.Close(false)
+		return j.handleBodyError(ctx, assignment, err)
 	}
-	answer.Close(true)
-	if answer.PromisesNotRun() && !j.route.Idempotent() {
-		ticket.End(now, j.resultOfFailure(now))
-		j.g.log.serverError(j, ticket, answer.Status())
+	response.Close(true)
+	if response.PromisesNotRun() && !j.route.Idempotent() {
+		assignment.End(now, j.resultOfFailure(now))
+		j.g.log.serverError(j, assignment, response.Status())
 		j.giveUp("unproved_refusal", 0)
 		return false
 	}
-	if answer.Status() < http.StatusInternalServerError {
-		ticket.End(now, placement.Succeeded)
+	if response.Status() < http.StatusInternalServerError {
+		assignment.End(now, placement.Succeeded)
 		j.clearOfCrashes(now)
-		j.give(answer, body)
+		j.forward(response, body)
 		return false
 	}
-	ticket.End(now, j.resultOfFailure(now))
-	j.g.log.serverError(j, ticket, answer.Status())
-	j.held = &heldAnswer{answer: answer, body: body}
-	j.exclude = placement.Exclude(j.exclude, ticket.Server.ID)
-	if j.again(ctx, now) {
+	assignment.End(now, j.resultOfFailure(now))
+	j.g.log.serverError(j, assignment, response.Status())
+	j.heldResponse = &heldResponse{response: response, body: body}
+	j.exclude = placement.Exclude(j.exclude, assignment.Server.ID)
+	if j.shouldRetry(ctx, now) {
 		return true
 	}
-	j.giveHeld()
+	j.forwardHeld()
 	return false
 }
 
-func (j *job) bodyFailed(ctx context.Context, ticket *placement.Ticket, err error) bool {
+func (j *job) handleBodyError(ctx context.Context, assignment *placement.Ticket, err error) bool {
 	now := time.Now()
-	j.failed(ctx, now, ticket, err)
-	if j.again(ctx, now) {
+	j.endFailedAttempt(ctx, now, assignment, err)
+	if j.shouldRetry(ctx, now) {
 		return true
 	}
-	return j.ended(ctx, now, "answer_broken")
+	return j.endCall(ctx, now, "answer_broken")
 }
 
-func (j *job) give(answer Answer, body []byte) {
-	if err := j.reply.whole(answer, body); err != nil {
-		j.callerLeft()
+func (j *job) forward(response Answer, body []byte) {
+	if err := j.reply.whole(response, body); err != nil {
+		j.endAbandonedCall()
 		return
 	}
-	j.g.log.served(j, answer.Status())
+	j.g.log.served(j, response.Status())
 }
 
-func (j *job) giveHeld() { j.give(j.held.answer, j.held.body) }
+func (j *job) forwardHeld() { j.forward(j.heldResponse.response, j.heldResponse.body) }
 
-// stream gives on the events of an engine's answer.
+// forwardStream forwards the events of an engine's response.
 //
-// The header goes out with the first event, so that until then another server
-// can take over without the caller noticing. After that it can where the route
-// allows: the next server goes on after the last event that was given whole.
-func (j *job) stream(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+// The header is sent with the first event, so that until then another server can
+// take over without the caller noticing. After that it can if the route allows
+// resumption: the next server continues after the last complete event.
+func (j *job) forwardStream(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
 	for {
-		answer.SetDeadline(j.eventBy(time.Now(), ticket.Server))
-		event, err := answer.Next()
+		response.SetDeadline(j.nextEventDeadline(time.Now(), assignment.Server))
+		event, err := response.Next()
 		if errors.Is(err, io.EOF) {
-			return j.streamEnded(ctx, ticket, answer)
+			return j.handleStreamEnd(ctx, assignment, response)
 		}
 		if err != nil {
-			return j.streamBroke(ctx, ticket, answer, err)
+			return j.handleStreamError(ctx, assignment, response, err)
 		}
-		err = j.takeEvent(ticket, answer, j.run, event)
+		err = j.forwardEvent(assignment, response, j.lastAttempt, event)
 		if errorx.IsOfType(err, delivery.OutOfOrder) {
-			return j.streamBroke(ctx, ticket, answer, err)
+			return j.handleStreamError(ctx, assignment, response, err)
 		}
 		if err != nil {
-			return j.streamLeft(ticket, answer)
+			return j.endAbandonedStream(assignment, response)
 		}
-		next := j.handOver(ctx, ticket)
-		if j.reply.isCut() {
-			return j.streamLeft(ticket, answer)
+		next := j.handOver(ctx, assignment)
+		if j.reply.isAborted() {
+			return j.endAbandonedStream(assignment, response)
 		}
 		if next != nil {
-			answer.Close(false)
-			ticket.End(time.Now(), placement.Abandoned)
-			ticket, answer, j.serverUntil = next.ticket, next.answer, next.until
-			j.run, j.endFramed = next.run, answer.EndIsFramed()
+			response.Close(false)
+			assignment.End(time.Now(), placement.Abandoned)
+			assignment, response, j.serverDeadline = next.ticket, next.response, next.deadline
+			j.lastAttempt, j.endFramed = next.attempt, response.EndIsFramed()
 		}
 	}
 }
 
-// streamLeft ends a stream whose caller is there no more.
-func (j *job) streamLeft(ticket *placement.Ticket, answer Answer) bool {
-	answer.Close(false)
-	ticket.End(time.Now(), placement.Abandoned)
-	j.leftBehind(time.Now(), ticket.Server)
-	j.callerLeft()
+// endAbandonedStream ends a stream whose caller has disconnected.
+func (j *job) endAbandonedStream(assignment *placement.Ticket, response Answer) bool {
+	response.Close(false)
+	assignment.End(time.Now(), placement.Abandoned)
+	j.leftBehind(time.Now(), assignment.Server)
+	j.endAbandonedCall()
 	return false
 }
 
-// takeEvent passes on an event of a server, unless the caller has it already. It fails
-// if the event does not follow or the caller has left.
-func (j *job) takeEvent(ticket *placement.Ticket, answer Answer, run *delivery.Run, event eventstream.Event) error {
+// forwardEvent forwards an event of a server, unless the caller has it already. It fails
+// if the event is out of order or the caller has disconnected.
+func (j *job) forwardEvent(assignment *placement.Ticket, response Answer, attempt *delivery.Run, event eventstream.Event) error {
 	j.progressAt = time.Now()
-	ticket.Wrote(j.tokensOfEvent())
-	passed, err := j.reply.event(answer, run, event)
+	assignment.Wrote(j.tokensPerEvent())
+	passed, err := j.reply.event(response, attempt, event)
 	if err != nil || !passed {
 		return err
 	}
-	if j.firstAt.IsZero() {
-		j.firstAt = time.Now()
-		j.eventAt = j.firstAt
+	if j.firstEventAt.IsZero() {
+		j.firstEventAt = time.Now()
+		j.lastEventAt = j.firstEventAt
 	}
-	j.longestPause = max(j.longestPause, j.progressAt.Sub(j.eventAt))
-	j.eventAt = j.progressAt
+	j.longestPause = max(j.longestPause, j.progressAt.Sub(j.lastEventAt))
+	j.lastEventAt = j.progressAt
 	return nil
 }
 
-func (j *job) tokensOfEvent() int {
+func (j *job) tokensPerEvent() int {
 	if j.service.Engine == nil {
 		return 1
 	}
 	return max(1, j.service.Engine.Stride)
 }
 
-// eventBy is when the next event must be there.
-func (j *job) eventBy(now time.Time, server placement.Server) time.Time {
-	by := j.latestResponseTime(j.serverUntil)
+// nextEventDeadline returns the deadline for the next event.
+func (j *job) nextEventDeadline(now time.Time, server placement.Server) time.Time {
+	by := j.latestResponseTime(j.serverDeadline)
 	if !j.hasStarted() {
-		by = j.beginBy(now, server, j.serverUntil)
+		by = j.startDeadline(now, server, j.serverDeadline)
 	}
-	if !j.mayBeSentAgain() || j.attempts >= j.route.MaxAttempts {
+	if !j.isRetryable() || j.attempts >= j.route.MaxAttempts {
 		return by
 	}
-	allowed := streamSilence
+	allowed := streamStallTimeout
 	if !j.hasStarted() {
 		allowed += j.predicted
 	}
 	return earlier(by, now.Add(allowed))
 }
 
-// streamEnded follows the end of a stream between two events.
-func (j *job) streamEnded(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
-	err := j.reply.progress.CheckEnd(j.run)
+// handleStreamEnd handles the end of a server's stream after a complete event.
+func (j *job) handleStreamEnd(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+	err := j.reply.progress.CheckEnd(j.lastAttempt)
 	if err == nil {
-		err = j.checkClose(ctx, ticket.Server, answer)
+		err = j.checkServerAlive(ctx, assignment.Server, response)
 	}
 	if err != nil {
-		return j.streamBroke(ctx, ticket, answer, err)
+		return j.handleStreamError(ctx, assignment, response, err)
 	}
-	answer.Close(true)
+	response.Close(true)
 	now := time.Now()
-	ticket.End(now, placement.Succeeded)
+	assignment.End(now, placement.Succeeded)
 	j.clearOfCrashes(now)
-	if err := j.reply.complete(answer, j.run); err != nil {
-		j.callerLeft()
+	if err := j.reply.complete(response, j.lastAttempt); err != nil {
+		j.endAbandonedCall()
 		return false
 	}
-	j.g.log.served(j, answer.Status())
+	j.g.log.served(j, response.Status())
 	return false
 }
 
-// checkClose fails if the close of a connection was to mark the end of an answer and its
-// server does not run any more: the connections of a killed process are closed too.
-func (j *job) checkClose(ctx context.Context, server placement.Server, answer Answer) error {
-	if answer.EndIsFramed() || j.g.opts.Backend.Check(ctx, server.Addr) != Down {
+// checkServerAlive fails if the end of the response was marked only by the close of its
+// connection and the server is down: the connections of a killed process are closed
+// too, so the response may be truncated.
+func (j *job) checkServerAlive(ctx context.Context, server placement.Server, response Answer) error {
+	if response.EndIsFramed() || j.g.opts.Backend.Check(ctx, server.Addr) != Down {
 		return nil
 	}
-	return failure.WithOutcome(failure.Unavailable.New("the server ended with its connection"), failure.Unknown)
+	return failure.WithOutcome(failure.Unavailable.New("connection closed and server down: response may be truncated"), failure.Unknown)
 }
 
-func (j *job) streamBroke(ctx context.Context, ticket *placement.Ticket, answer Answer, err error) bool {
-	answer.Close(false)
+func (j *job) handleStreamError(ctx context.Context, assignment *placement.Ticket, response Answer, err error) bool {
+	response.Close(false)
 	now := time.Now()
-	j.failed(ctx, now, ticket, err)
-	if j.again(ctx, now) {
+	j.endFailedAttempt(ctx, now, assignment, err)
+	if j.shouldRetry(ctx, now) {
 		return true
 	}
-	return j.ended(ctx, now, "stream_broken")
+	return j.endCall(ctx, now, "stream_broken")
 }
 
-// cut ends a stream that cannot be finished.
-func (j *job) cut(reason string) {
+// abort aborts a stream that cannot be completed.
+func (j *job) abort(reason string) {
 	j.g.log.refused(j, Verdict{Code: Broken, Reason: reason})
-	j.reply.cut()
+	j.reply.abort()
 }
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -15,25 +15,25 @@
 	"chivespindle.example/core/placement"
 )
 
-// A call waits at an engine whose version is about to be out of time, and is
-// taken off before it begins there. The engine is sound: left out as silent, it
-// missed the first second after it held the new version, when it is needed most.
-var _ = Describe("An engine that a call is taken off since its version is out of time", func() {
+// Guards against a healthy engine that is taken out of use as silent because a call was
+// withdrawn from it shortly before its version expired. It would be missing in the first
+// second after it has loaded the new version, when it is needed most.
+var _ = Describe("An engine from which a call is withdrawn because its version expires", func() {
 	var g *Gateway
 	engine := &enginemodel.Figures{Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
 
-	// draws is how many calls are placed; with that many, chance leaves out none of
-	// two servers that are both used.
+	// draws is the number of calls placed. With that many, both of two usable servers are
+	// certain in practice to get a call.
 	const draws = 64
 
 	choose := func(now time.Time) *placement.Ticket {
-		t, _ := g.board.Choose(now, placement.Ask{Service: "pool", Engine: engine, Aim: time.Second, Left: time.Minute})
+		t, _ := g.scheduler.Choose(now, placement.Ask{Service: "pool", Engine: engine, Aim: time.Second, Left: time.Minute})
 		Expect(t).NotTo(BeNil())
 		return t
 	}
 
-	// failAt has a call end with silence, for so long after a new version was
-	// named, and returns the servers that calls may go to afterwards.
+	// failAt lets a call fail with a timeout the given time after a new version was named,
+	// and returns the servers that get calls afterwards.
 	failAt := func(named time.Duration) map[fleet.InstanceID]bool {
 		now := time.Now()
 		g, _ = newGateway()
@@ -47,8 +47,8 @@
 		call := &Call{ID: "c", Arrived: now.Add(-time.Second)}
 		j := &job{g: g, call: call, reply: newReply(g, call, nil), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), deadline: now.Add(time.Minute), progressAt: now.Add(-time.Second)}
-		j.serverUntil = j.order(now, t).Until
-		j.failed(context.Background(), now, t, failure.Timeout.New("nothing came"))
+		j.serverDeadline = j.sendOptions(now, t).Until
+		j.endFailedAttempt(context.Background(), now, t, failure.Timeout.New("no event before the deadline"))
 		used := make(map[fleet.InstanceID]bool)
 		for range draws {
 			next := choose(now)
@@ -58,11 +58,11 @@
 		return used
 	}
 
-	It("is used on", func() {
+	It("stays in use", func() {
 		Expect(failAt(7800 * time.Millisecond)).To(HaveLen(2))
 	})
 
-	It("is left out for its silence at any other time", func() {
+	It("is taken out of use as silent at any other time", func() {
 		Expect(failAt(2 * time.Second)).To(HaveLen(1))
 	})
 })
--- a/daemon/gateway/peercatalog.go
+++ b/daemon/gateway/peercatalog.go
@@ -42,7 +42,7 @@
 // of it by itself: another entry reads it for this one, or the platform turns
 // this one away, or the watch has gone silent.
 func (g *Gateway) askPeers(now time.Time) {
-	if g.asking || now.Before(g.nextAsk) {
+	if g.requestingCatalog || now.Before(g.nextCatalogRequest) {
 		return
 	}
 	addr, near, ok := g.mesh.Ahead(now, func(b wire.Beat) bool {
@@ -58,10 +58,10 @@
 	if now.Sub(g.behindSince) < g.askAfter(near) {
 		return
 	}
-	g.asking = true
-	g.nextAsk = now.Add(askEvery)
+	g.requestingCatalog = true
+	g.nextCatalogRequest = now.Add(askEvery)
 	ask := wire.CatalogAsk{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
-	g.startAsk(addr, ask)
+	g.startCatalogRequest(addr, ask)
 }
 
 // lacksServers reports whether what this entry knows of the servers was read long ago, or
@@ -71,7 +71,7 @@
 // moment of their return. Until it has the changes since, it sends calls to the
 // predecessors of restarted servers.
 func (g *Gateway) lacksServers(now time.Time) bool {
-	return now.Sub(g.readAt) > watchWait || g.missing > g.snapshot.AsOf
+	return now.Sub(g.changesReadAt) > watchWait || g.gapUntil > g.snapshot.AsOf
 }
 
 // askAfter is how long a peer must be ahead before it is asked.
@@ -82,7 +82,7 @@
 		return 0 // callers wait, and a neighbour is nearer than the platform
 	case !near:
 		return farBehindFor
-	case v == nil || v.reads:
+	case v == nil || v.readsPlatform:
 		return behindFor
 	default:
 		return 0
@@ -100,7 +100,7 @@
 // askEnded takes what a peer answered, with size bytes of a configuration.
 func (g *Gateway) askEnded(now time.Time, addr netip.Addr, began time.Time, got wire.CatalogAnswer, size int, err error) {
 	told := []zap.Field{zap.String("peer", addr.String()), zap.Duration("took", now.Sub(began)), zap.Int("bytes", size)}
-	g.asking = false
+	g.requestingCatalog = false
 	if err != nil {
 		g.opts.Logger.Warn("peer_catalog_failed", append(told, zap.Error(err))...)
 		return
@@ -178,7 +178,7 @@
 func (g *Gateway) giveCatalog(ctx context.Context, s *peer.Stream, ask wire.CatalogAsk) error {
 	var held catalog.Snapshot
 	var age time.Duration
-	if err := g.opts.Loop.Do(ctx, func(now time.Time) { held, age = g.snapshot, now.Sub(g.readAt) }); err != nil {
+	if err := g.opts.Loop.Do(ctx, func(now time.Time) { held, age = g.snapshot, now.Sub(g.changesReadAt) }); err != nil {
 		return err
 	}
 	answer, config := newerThan(held, ask)
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -41,12 +41,12 @@
 	b := wire.Beat{ID: g.opts.Self, Role: fleet.RoleEntry, Incarnation: g.opts.Incarnation, Brief: form == mesh.Brief}
 	if to.Near {
 		if form == mesh.First {
-			delete(g.toldLoads, to.ID)
+			delete(g.sentLoads, to.ID)
 		}
-		b.AllLoads = g.toldLoads[to.ID] == 0
-		b.Loads, g.toldLoads[to.ID] = g.board.LoadsSince(g.toldLoads[to.ID])
+		b.AllLoads = g.sentLoads[to.ID] == 0
+		b.Loads, g.sentLoads[to.ID] = g.scheduler.LoadsSince(g.sentLoads[to.ID])
 	} else {
-		delete(g.toldLoads, to.ID)
+		delete(g.sentLoads, to.ID)
 	}
 	b.ConfigRevision = g.snapshot.ConfigRevision
 	g.tellRegion(now, &b, to, form)
@@ -83,15 +83,15 @@
 func (g *Gateway) directReplicas(now time.Time) []wire.Replica {
 	var all []wire.Replica
 	for _, r := range g.replicas {
-		if r.direct && now.Sub(r.heard) < replicaLife {
-			all = append(all, r.Aged(now.Sub(r.heard)))
+		if r.direct && now.Sub(r.reportedAt) < replicaLife {
+			all = append(all, r.Aged(now.Sub(r.reportedAt)))
 		}
 	}
 	return all
 }
 
 // hasNews reports whether the own loads have changed since an entry was told.
-func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.board.Changed(g.toldLoads[to]) }
+func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.scheduler.Changed(g.sentLoads[to]) }
 
 func (g *Gateway) wantedNow(now time.Time) []wire.WantedVersion {
 	var all []wire.WantedVersion
@@ -117,9 +117,9 @@
 	}
 	b.Supply = &plan.Supply
 	b.Manifest = g.manifests.forAgent(to, plan.Supply.Model)
-	if first || g.told[to] != plan.Digest {
+	if first || g.sentMembersDigest[to] != plan.Digest {
 		b.Members = plan.Members
-		g.told[to] = plan.Digest
+		g.sentMembersDigest[to] = plan.Digest
 	}
 }
 
@@ -157,10 +157,10 @@
 // more: those that it told last would stay, and engines with room pass for full.
 func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Beat) {
 	if !from.Near || b.AllLoads {
-		g.board.Forget(b.ID)
+		g.scheduler.Forget(b.ID)
 	}
 	if from.Near {
-		g.board.Heard(now, b.ID, b.Loads)
+		g.scheduler.Heard(now, b.ID, b.Loads)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (g *Gateway) heardGroups(now time.Time, digests []wire.Digest) {
 	for _, d := range digests {
 		if d.Group != g.mesh.Group() {
-			g.board.HeardGroup(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
+			g.scheduler.HeardGroup(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
 		}
 	}
 }
@@ -181,10 +181,10 @@
 	if b.ConfigRevision <= g.snapshot.ConfigRevision {
 		g.snapshot.OperatorAsOf = max(g.snapshot.OperatorAsOf, b.OperatorAsOf)
 	}
-	if b.ConfigRevision <= max(g.revisionHeard, g.snapshot.ConfigRevision) {
+	if b.ConfigRevision <= max(g.newestPeerRevision, g.snapshot.ConfigRevision) {
 		return
 	}
-	g.revisionHeard = b.ConfigRevision
+	g.newestPeerRevision = b.ConfigRevision
 	g.opts.Logger.Info("config_heard", zap.Int64("revision", int64(b.ConfigRevision)), zap.String("peer", string(b.ID)))
 }
 
@@ -195,7 +195,7 @@
 // to tell, this process knows better: its own catalog did not have the version.
 func (g *Gateway) heardWanted(now time.Time, w wire.WantedVersion) {
 	named := w.Named(now)
-	if g.tableOf != 0 {
+	if g.tableRevision != 0 {
 		named = g.names[w.Model].Correct(named, g.heardNow(now, w.Version))
 	}
 	g.setWanted(w.Model, named)
@@ -212,17 +212,17 @@
 	}
 	g.names[model] = names
 	g.changed = true
-	g.urgent = true // agents heard of it 0.3 s later with their next heartbeat
+	g.flushDue = true // agents heard of it 0.3 s later with their next heartbeat
 	g.opts.Logger.Info("version_wanted", zap.String("model", model), zap.Uint64("version", named.Version),
 		zap.Time("since", named.Since), zap.Bool("assumed", named.Assumed))
 }
 
 func (g *Gateway) heardReplica(now time.Time, r wire.Replica, direct bool) {
 	known, ok := g.replicas[r.Addr]
-	if ok && !r.Newer(known.Replica, now.Sub(known.heard)) && !r.SameWord(known.Replica) {
+	if ok && !r.Newer(known.Replica, now.Sub(known.reportedAt)) && !r.SameWord(known.Replica) {
 		return
 	}
-	g.replicas[r.Addr] = replica{Replica: r, heard: now, direct: direct || known.direct && r.SameWord(known.Replica)}
+	g.replicas[r.Addr] = replica{Replica: r, reportedAt: now, direct: direct || known.direct && r.SameWord(known.Replica)}
 	if r.ReadyInMS > 0 {
 		g.readyAt[r.Addr] = now.Add(time.Duration(r.ReadyInMS) * time.Millisecond)
 	} else {
@@ -230,7 +230,7 @@
 	}
 	if !ok || !r.SameEngine(known.Replica) {
 		g.changed = true
-		g.urgentNear = g.urgentNear || direct
+		g.groupFlushDue = g.groupFlushDue || direct
 		g.opts.Logger.Info("replica", zap.String("addr", r.Addr.String()), zap.Uint64("loaded", r.Loaded),
 			zap.Bool("changing", r.Changing), zap.Bool("down", r.Down), zap.Int("pace_percent", r.Pace), zap.Bool("direct", direct))
 	}
@@ -245,7 +245,7 @@
 // force at once, or it is time.
 func (g *Gateway) publishDue(now time.Time) {
 	v := g.view.Load()
-	isSame := v != nil && !g.changed && !g.limitsChanged && v.table == g.table && v.leaving == g.leaving && v.doubtful == g.doubtful
+	isSame := v != nil && !g.changed && !g.limitsChanged && v.table == g.table && v.leaving == g.leaving && v.stale == g.stale
 	if isSame && now.Sub(g.published) < publishEvery {
 		return
 	}
@@ -265,18 +265,18 @@
 	}
 	rank := g.rank(now, entries)
 	v := &view{
-		table:        g.table,
-		names:        maps.Clone(g.names),
-		entries:      entries,
-		rank:         rank,
-		reads:        g.reads(now, rank),
-		asOf:         g.snapshot.AsOf,
-		operatorAsOf: g.snapshot.OperatorAsOf,
-		leaving:      g.leaving,
-		isNew:        g.isNew(now),
-		doubtful:     g.doubtful,
-		soonest:      g.soonest(now),
-		sure:         g.contact.recent(now) || g.mesh.Hears(now),
+		table:           g.table,
+		names:           maps.Clone(g.names),
+		entries:         entries,
+		rank:            rank,
+		readsPlatform:   g.reads(now, rank),
+		asOf:            g.snapshot.AsOf,
+		operatorAsOf:    g.snapshot.OperatorAsOf,
+		leaving:         g.leaving,
+		isNew:           g.isNew(now),
+		stale:           g.stale,
+		nextEngineReady: g.soonest(now),
+		isCurrent:       g.contact.recent(now) || g.mesh.Hears(now),
 	}
 	g.followAnew(g.view.Swap(v), v)
 	slack := g.slack()
@@ -303,10 +303,10 @@
 			note(s.Service, at)
 		}
 		switch {
-		case !g.hearsAll(now):
-			note(s.Service, g.started.Add(hearsAllWithin))
-		case g.isNew(now) && !g.board.HasUsable(s.Service):
-			note(s.Service, g.loadedAt(now))
+		case !g.knowsAllAgents(now):
+			note(s.Service, g.started.Add(allAgentsReportWithin))
+		case g.isNew(now) && !g.scheduler.HasUsable(s.Service):
+			note(s.Service, g.expectedLoadTime(now))
 		}
 	}
 	return soonest
@@ -316,17 +316,17 @@
 // fleet of so many entries.
 func (g *Gateway) publishServers(now time.Time, entries int) {
 	for addr, r := range g.replicas {
-		if now.Sub(r.heard) > replicaLife {
+		if now.Sub(r.reportedAt) > replicaLife {
 			delete(g.replicas, addr)
 			g.changed = true
 		}
 	}
-	hearsAll := g.hearsAll(now)
-	if !g.changed && hearsAll == g.heardAll {
+	hearsAll := g.knowsAllAgents(now)
+	if !g.changed && hearsAll == g.knewAllAgents {
 		return
 	}
 	g.changed = false
-	g.heardAll = hearsAll
+	g.knewAllAgents = hearsAll
 	var list []placement.Server
 	for _, s := range g.snapshot.Servers {
 		list = append(list, g.server(now, s, entries))
@@ -337,7 +337,7 @@
 		}
 	}
 	g.noteReplaced(now, list)
-	g.board.SetServers(now, list)
+	g.scheduler.SetServers(now, list)
 	g.limitsChanged = true // those of servers that are listed anew
 	g.limits.Keep(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
@@ -383,7 +383,7 @@
 	r, reported := g.replicas[s.Addr.Addr()]
 	switch {
 	case !reported:
-		out.Changing = g.doubtsRegistrations && !g.hearsAll(now)
+		out.Changing = g.suspectsRegistrations && !g.knowsAllAgents(now)
 	case isOfEarlierStart(r.Replica, s):
 	case g.isSuperseded(now, r.Replica, s):
 		out.Changing = true
--- a/daemon/gateway/ports.go
+++ b/daemon/gateway/ports.go
@@ -12,64 +12,65 @@
 
 // Call is a caller's request, decoded by the platform's adapter.
 type Call struct {
-	// ID is the caller's name for this attempt.
+	// ID is the caller's identifier of this request. A retry has another one.
 	ID string
 	// Host and Path select the route.
 	Host, Path string
 	// Method, Target (the path with the query) and Body are the request's content.
 	Method, Target string
 	Body           []byte
-	// Key names the workspace; empty if the caller gave none.
+	// Key identifies the workspace. It is empty if the caller sent none.
 	Key     string
 	Arrived time.Time
-	// IsKept is true on a connection that had carried a call before.
+	// IsKept is true if the connection has carried an earlier call.
 	IsKept bool
-	// Patience is how long the caller waits; 0 if it did not say.
+	// Patience is the caller's timeout, 0 if it sent none.
 	Patience time.Duration
-	// Prompt and Answer are token counts; Answer is the most that is written.
+	// Prompt is the number of prompt tokens, Answer the maximum number of generated
+	// tokens.
 	Prompt, Answer int
-	// Expected is the caller's estimate of the answer's tokens; 0 if unknown.
+	// Expected is the caller's estimate of the number of generated tokens, 0 if unknown.
 	Expected int
 	// LastEvent is the last event that the caller has; -1 for none.
 	LastEvent int64
-	// Native is what the adapter needs to pass the call on.
+	// Native is the adapter's own representation of the request.
 	Native any
 }
 
-// Order is one attempt to have a call answered by a server.
+// Order describes one attempt of a call at a server.
 type Order struct {
 	Server    placement.Server
 	Workspace fleet.Workspace
-	// Until is when the server is to end its work on the call, whether or not it
-	// has begun.
+	// Until is the server's deadline: it ends its work on the call then, whether or
+	// not it has begun.
 	Until time.Time
-	// FirstBy is when the answer must have begun.
+	// FirstBy is the deadline for the start of the response.
 	FirstBy time.Time
-	// Require is the version that must answer; 0 allows any.
+	// Require is the version of the weights that must answer, 0 if any may.
 	Require placement.ModelVersion
 	// LastEvent is the last event that the caller has; -1 for none.
 	LastEvent int64
 }
 
-// Backend passes calls on to servers. A failure of Send carries its
+// Backend forwards calls to servers. An error of Send carries its
 // failure.Outcome; NotRun means that no byte was sent.
 type Backend interface {
 	Send(ctx context.Context, call *Call, order Order) (Answer, error)
-	// Keep drops what is kept of servers that are not listed.
+	// Keep drops the state of all servers but the given ones.
 	Keep(servers []placement.Server)
-	// Check finds out quickly whether a server's process has ended.
+	// Check reports whether the process of a server has ended. It returns quickly.
 	Check(ctx context.Context, addr netip.AddrPort) Liveness
 }
 
-// Liveness is what a check of a server found.
+// Liveness is the result of a check of a server.
 type Liveness uint8
 
 const (
-	// LivenessUnknown: the check got no answer in its time.
+	// LivenessUnknown: the check timed out.
 	LivenessUnknown Liveness = iota
 	// Alive: the server accepts connections.
 	Alive
-	// Down: it refuses connections, as one does whose process has ended.
+	// Down: the server refuses connections, so its process has ended.
 	Down
 )
 
@@ -85,25 +86,25 @@
 	}
 }
 
-// Answer is a server's answer whose header has come.
+// Answer is a server's response whose header has been received.
 type Answer interface {
 	Status() int
-	// NotRun reports whether the server says that it did not run the call.
+	// NotRun reports whether the server stated that it did not run the call.
 	NotRun() bool
-	// Misdirected reports whether another server than the one that was meant, or
-	// another version, answers.
+	// Misdirected reports whether the response came from another server or another
+	// version than the attempt required.
 	Misdirected() bool
-	// PromisesNotRun reports whether callers take the status for a promise that the call
-	// did not run. Without NotRun the server does not say so.
+	// PromisesNotRun reports whether callers conclude from the status that the call did
+	// not run. The server itself states that only if NotRun is true as well.
 	PromisesNotRun() bool
-	// Version is the one that answers; 0 if it was not told.
+	// Version is the version of the weights that answers, 0 if the server did not state it.
 	Version() placement.ModelVersion
-	// Limit is what the server says of the requests that it takes.
+	// Limit is the request limit that the server advertises.
 	Limit() ServerLimit
 	// Streams reports whether the body is a stream of events.
 	Streams() bool
-	// EndIsFramed reports whether the server marks the end of the body. Otherwise the
-	// body ends with its connection, which a killed server closes too.
+	// EndIsFramed reports whether the end of the body is marked. Otherwise the close of
+	// the connection ends it, and a killed server closes its connections too.
 	EndIsFramed() bool
 	// SetDeadline bounds the reads that follow.
 	SetDeadline(by time.Time)
@@ -111,59 +112,59 @@
 	Body(limit int64) ([]byte, error)
 	// Next returns the next event of a stream, io.EOF after the last.
 	Next() (eventstream.Event, error)
-	// Close ends the answer. whole tells that its end was read.
+	// Close releases the response. whole is true if its end was read.
 	Close(whole bool)
 }
 
-// ServerLimit is what an answer says of the requests that its server takes.
+// ServerLimit is the request limit that a response advertises for its server.
 type ServerLimit struct {
-	// Advertised is true if the answer advertises a limit: PerSecond requests a second
+	// Advertised is true if the response advertises a limit: PerSecond requests per second
 	// from all entries together.
 	Advertised bool
 	PerSecond  float64
-	// Malformed is the header's text if it is no number.
+	// Malformed is the text of the header if it is not a number.
 	Malformed string
 }
 
-// Caller takes the answer to a call. All methods are called by one goroutine.
+// Caller receives the response to a call. All methods are called by one goroutine.
 //
-// An answer is complete only after Whole, Complete or Refuse. One that is not when Serve
-// returns must not look so.
+// A response is complete only after Whole, Complete or Refuse. If it is not when Serve
+// returns, the client must be able to see that it is truncated.
 type Caller interface {
-	// Whole sends a server's answer with its body.
+	// Whole sends a server's response with its complete body.
 	Whole(answer Answer, body []byte) error
-	// Begin sends the header of a server's answer whose body follows.
+	// Begin sends the header of a server's response. The body follows.
 	Begin(answer Answer) error
-	// Write sends a part of the body at once.
+	// Write sends a part of the body without buffering it.
 	Write(p []byte) error
-	// Complete ends a body that Begin has started.
+	// Complete ends a response that Begin has started.
 	Complete() error
-	// Refuse sends an answer of our own.
+	// Refuse sends an error response of this entry.
 	Refuse(v Verdict)
 }
 
-// Verdict is an answer of our own.
+// Verdict is an error response of this entry.
 type Verdict struct {
 	Code Code
-	// RetryAfter is when the caller may come back; only with a code that says
+	// RetryAfter is when the caller may retry. It is set only with a code which says
 	// that the call did not run.
 	RetryAfter time.Duration
 	Reason     string
 }
 
-// Code says what is known of a call that got no answer of a server.
+// Code classifies a call that is not answered with a server's response.
 type Code uint8
 
 const (
-	// Unavailable: the call did not run and will not.
+	// Unavailable: the call did not run and will not run.
 	Unavailable Code = iota + 1
-	// NoRoute: no route leads anywhere.
+	// NoRoute: no route matches the call.
 	NoRoute
 	// NoKey: the key is unknown.
 	NoKey
 	// Broken: the server failed; the call may have run.
 	Broken
-	// TimedOut: the time was up; the call may have run.
+	// TimedOut: the deadline passed; the call may have run.
 	TimedOut
 )
 
--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -46,8 +46,8 @@
 // does not read it cannot tell.
 func (g *Gateway) isTurnedAway(now time.Time) bool {
 	v := g.view.Load()
-	isUnheard := v != nil && v.reads && !g.contact.recent(now)
-	return isUnheard || now.Before(g.turnedAwayUntil)
+	isUnheard := v != nil && v.readsPlatform && !g.contact.recent(now)
+	return isUnheard || now.Before(g.refusedUntil)
 }
 
 // rankIn is the place of an entry among those of its region and group that are
@@ -72,9 +72,9 @@
 		return true
 	}
 	if g.snapshot.Config == nil {
-		return g.readsFirst(now)
+		return g.listsCatalogFirst(now)
 	}
-	if g.doubtful || rank < regionReaders {
+	if g.stale || rank < regionReaders {
 		return true
 	}
 	if g.isUnread(now) {
@@ -89,9 +89,9 @@
 // old as the platform's answers are late, and calls of all others would only fill the same
 // link. One that lacks a configuration would read a further copy of it.
 func (g *Gateway) isUnread(now time.Time) bool {
-	isOld := now.Sub(g.readAt) > readingMaxAge
-	isUnheard := now.Sub(g.readerAt) > readerUnheardFor
-	lacksConfig := g.revisionHeard > g.snapshot.ConfigRevision
+	isOld := now.Sub(g.changesReadAt) > readingMaxAge
+	isUnheard := now.Sub(g.readerSeenAt) > readerUnheardFor
+	lacksConfig := g.newestPeerRevision > g.snapshot.ConfigRevision
 	return isOld && isUnheard && !lacksConfig
 }
 
@@ -106,12 +106,12 @@
 	if isFirst {
 		g.reading.end()
 	}
-	if before.reads == now.reads {
+	if before.readsPlatform == now.readsPlatform {
 		return
 	}
-	g.opts.Logger.Info("reads_platform", zap.Bool("reads", now.reads), zap.Int("rank", now.rank),
+	g.opts.Logger.Info("reads_platform", zap.Bool("reads", now.readsPlatform), zap.Int("rank", now.rank),
 		zap.Int64("as_of", int64(now.asOf)))
-	if !now.reads {
+	if !now.readsPlatform {
 		g.reading.endIfWaiting()
 	}
 }
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -74,7 +74,7 @@
 type readingLog struct {
 	logger  *zap.Logger
 	metrics tally.Scope
-	gate    lineGate
+	gate    lineLimiter
 }
 
 func newReadingLog(logger *zap.Logger, metrics tally.Scope) *readingLog {
@@ -150,11 +150,11 @@
 	case asOf > before:
 		g.readings.adopted(now, before, asOf, r, fields...)
 	}
-	if r.readAt.After(g.readAt) || before == 0 {
-		g.readAt = r.readAt
+	if r.readAt.After(g.changesReadAt) || before == 0 {
+		g.changesReadAt = r.readAt
 	}
 	if r.origin == fromStore {
-		g.readerAt = now
+		g.readerSeenAt = now
 	}
 }
 
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -62,10 +62,10 @@
 
 	// Guards against logs that make an entry slower while hundreds start at once.
 	It("has no more lines than the bound in a second", func() {
-		for i := range 10 * linesPerSecond {
+		for i := range 10 * maxLinesPerSecond {
 			g.adoptList(start, snapshot(catalog.Revision(6+i), one), reading{origin: fromPeer, readAt: start})
 		}
-		Expect(lines.FilterMessage("servers_adopted").Len()).To(BeNumerically("<=", 2*linesPerSecond))
+		Expect(lines.FilterMessage("servers_adopted").Len()).To(BeNumerically("<=", 2*maxLinesPerSecond))
 	})
 })
 
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -253,7 +253,7 @@
 func (f *fleetOf) takeReaders() []*member {
 	var readers, others []*member
 	for _, m := range f.members {
-		if v := m.gateway.view.Load(); v.reads {
+		if v := m.gateway.view.Load(); v.readsPlatform {
 			readers = append(readers, m)
 		} else {
 			others = append(others, m)
@@ -281,7 +281,7 @@
 		Self: id, Addr: addr, Incarnation: 1, Place: fleet.Place{Zone: "sharada", Region: "kano"},
 		CallerAddr: netip.AddrPortFrom(addr, 80), PeerPort: f.port, Seeds: []netip.Addr{netip.MustParseAddr("127.0.3.1")},
 		Regions: map[fleet.Zone]fleet.Region{"sharada": "kano"}, Loop: m.loop, Endpoint: endpoint, Source: &source{publisher: f.p},
-		Backend: &noBackend{}, Budget: RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
+		Backend: &rejectingBackend{}, Budget: RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
 	handler.Handler = m.gateway
--- a/daemon/gateway/reply.go
+++ b/daemon/gateway/reply.go
@@ -8,7 +8,8 @@
 	"chivespindle.example/core/delivery"
 )
 
-// reply is the answer that a caller gets. Nothing else writes to the caller.
+// reply writes the response to a caller and tracks how much of it was sent. Nothing else
+// writes to the caller.
 type reply struct {
 	caller   Caller
 	progress *delivery.Progress
@@ -20,100 +21,103 @@
 	return &reply{caller: caller, progress: delivery.New(call.LastEvent), log: g.log, id: call.ID}
 }
 
-// passAll has the caller get the events too that it says it has.
-func (r *reply) passAll() { r.progress = delivery.New(delivery.NoEvent) }
+// ignoreLastEvent drops the last event that the caller says it has, so that all events
+// are sent.
+func (r *reply) ignoreLastEvent() { r.progress = delivery.New(delivery.NoEvent) }
 
-// accept starts a server's run, and fails if its answer cannot follow what the caller
-// has.
+// accept starts the attempt of a server. It fails if the server's response cannot
+// continue what the caller has received.
 func (r *reply) accept(answer Answer) (*delivery.Run, error) {
-	run, err := r.progress.Accept(headOf(answer))
-	return run, r.checked(err)
+	run, err := r.progress.Accept(headerOf(answer))
+	return run, r.checkStep(err)
 }
 
-func headOf(answer Answer) delivery.Head {
-	return delivery.Head{Status: answer.Status(), IsStream: answer.Streams(), Version: uint64(answer.Version())}
+func headerOf(response Answer) delivery.Head {
+	return delivery.Head{Status: response.Status(), IsStream: response.Streams(), Version: uint64(response.Version())}
 }
 
-// event passes an event on, with the head before the first one, unless the caller has
-// it. It fails with delivery.OutOfOrder if it does not follow, else if the caller has
-// left; the answer is cut then.
-func (r *reply) event(answer Answer, run *delivery.Run, event eventstream.Event) (passed bool, err error) {
+// event forwards an event unless the caller has it already, with the header before the
+// first one. It fails with delivery.OutOfOrder if the event is out of order, and with the
+// write error if the caller has disconnected; the response is aborted in that case.
+func (r *reply) event(response Answer, attempt *delivery.Run, event eventstream.Event) (passed bool, err error) {
 	if isComment(event) {
 		return r.comment(event)
 	}
 	isFirst := !r.progress.HasStarted()
-	passed, err = r.progress.Event(run, event.ID)
+	passed, err = r.progress.Event(attempt, event.ID)
 	if err != nil || !passed {
-		return false, r.checked(err)
+		return false, r.checkStep(err)
 	}
 	if isFirst {
-		err = r.caller.Begin(answer)
+		err = r.caller.Begin(response)
 	}
 	if err == nil {
 		err = r.caller.Write(event.Raw)
 	}
-	return r.written(err)
+	return r.checkWrite(err)
 }
 
-// isComment reports whether an event has no place in the order of events.
+// isComment reports whether an event carries neither an id nor data, like an SSE
+// comment. Such an event is not part of the sequence.
 func isComment(event eventstream.Event) bool { return event.ID < 0 && !event.HasData() }
 
-// comment passes a comment on, if the answer has started.
+// comment forwards a comment if the response has started.
 func (r *reply) comment(event eventstream.Event) (passed bool, err error) {
 	if r.progress.Stage() != delivery.Partial {
 		return false, nil
 	}
-	return r.written(r.caller.Write(event.Raw))
+	return r.checkWrite(r.caller.Write(event.Raw))
 }
 
-// written follows a write to the caller: an answer that was not written is cut.
-func (r *reply) written(err error) (passed bool, _ error) {
+// checkWrite handles the result of a write to the caller. A failed write aborts the response.
+func (r *reply) checkWrite(err error) (passed bool, _ error) {
 	if err != nil {
-		r.cut()
+		r.abort()
 	}
 	return err == nil, err
 }
 
 // complete ends a stream after its last event.
-func (r *reply) complete(answer Answer, run *delivery.Run) error {
+func (r *reply) complete(response Answer, attempt *delivery.Run) error {
 	isFirst := !r.progress.HasStarted()
-	if err := r.checked(r.progress.Finish(run)); err != nil {
+	if err := r.checkStep(r.progress.Finish(attempt)); err != nil {
 		return err
 	}
 	if isFirst {
-		if err := r.caller.Begin(answer); err != nil {
+		if err := r.caller.Begin(response); err != nil {
 			return err
 		}
 	}
 	return r.caller.Complete()
 }
 
-// whole sends an answer whose body is known.
-func (r *reply) whole(answer Answer, body []byte) error {
-	if err := r.checked(r.progress.Whole()); err != nil {
+// whole sends a response with its complete body.
+func (r *reply) whole(response Answer, body []byte) error {
+	if err := r.checkStep(r.progress.Whole()); err != nil {
 		return err
 	}
-	return r.caller.Whole(answer, body)
+	return r.caller.Whole(response, body)
 }
 
-// refuse sends an answer of our own.
+// refuse sends an error response of this entry.
 func (r *reply) refuse(v Verdict) {
-	if r.checked(r.progress.Whole()) == nil {
+	if r.checkStep(r.progress.Whole()) == nil {
 		r.caller.Refuse(v)
 	}
 }
 
-// cut leaves the answer without a regular end.
-func (r *reply) cut() { r.progress.Cut() }
+// abort ends the response so that the caller sees it as truncated.
+func (r *reply) abort() { r.progress.Cut() }
 
-// isCut reports whether nothing more can be passed on.
-func (r *reply) isCut() bool { return r.progress.Stage() == delivery.Cut }
+// isAborted reports whether the response was aborted, so that nothing more can be sent.
+func (r *reply) isAborted() bool { return r.progress.Stage() == delivery.Cut }
 
-// checked reports a step that the stage of the answer does not allow. The answer is cut.
-func (r *reply) checked(err error) error {
+// checkStep logs a step that the stage of the response does not allow and aborts the
+// response. It returns err.
+func (r *reply) checkStep(err error) error {
 	if err != nil && errorx.IsOfType(err, delivery.Illegal) {
 		r.log.illegalStep(r.id, err)
-		r.cut()
+		r.abort()
 	}
 	return err
 }
--- a/daemon/gateway/reply_test.go
+++ b/daemon/gateway/reply_test.go
@@ -19,66 +19,66 @@
 	pass := func(caller Caller, events ...eventstream.Event) *reply {
 		g, _ := newGateway()
 		r := newReply(g, &Call{ID: "c", Arrived: time.Now(), LastEvent: -1}, caller)
-		run, err := r.accept(emptyAnswer{})
+		run, err := r.accept(emptyResponse{})
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range events {
-			_, err := r.event(emptyAnswer{}, run, e)
+			_, err := r.event(emptyResponse{}, run, e)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		return r
 	}
 
-	// Guards against a stream that is cut, and not resumed, since its last event was
-	// followed by a comment.
-	It("is passed on and leaves the stream resumable", func() {
-		caller := &reader{}
+	// Guards against a stream that is aborted instead of resumed because its last event
+	// was followed by a comment.
+	It("is forwarded and leaves the stream resumable", func() {
+		caller := &textRecorder{}
 		r := pass(caller, event, comment)
-		Expect(caller.got()).To(Equal(string(event.Raw) + string(comment.Raw)))
-		_, err := r.accept(emptyAnswer{})
+		Expect(caller.received()).To(Equal(string(event.Raw) + string(comment.Raw)))
+		_, err := r.accept(emptyResponse{})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Guards against a comment that commits an answer to a server before its first event.
-	It("does not begin an answer", func() {
-		caller := &reader{}
+	// Guards against a comment that commits a response to a server before its first event.
+	It("does not begin a response", func() {
+		caller := &textRecorder{}
 		r := pass(caller, comment)
-		Expect(caller.got()).To(BeEmpty())
+		Expect(caller.received()).To(BeEmpty())
 		Expect(r.progress.HasStarted()).To(BeFalse())
 	})
 })
 
 var _ = Describe("A reply that has begun", func() {
-	// Guards against a second answer behind the first events, by whatever path.
-	DescribeTable("is cut by a step that would answer anew, and writes nothing",
+	// Guards against a second response after the first events, on any code path.
+	DescribeTable("is aborted by a step that would begin a second response, and writes nothing",
 		func(step func(*reply, Answer)) {
 			g, _ := newGateway()
 			metrics := tally.NewTestScope("", nil)
 			g.log = newRequestLog(start, zap.NewNop(), metrics)
-			caller := &recorder{}
+			caller := &responseRecorder{}
 			r := newReply(g, &Call{ID: "c", LastEvent: delivery.NoEvent}, caller)
-			answer := &scriptedAnswer{outcome: outcomes[0]}
+			answer := &scriptedResponse{outcome: outcomes[0]}
 			run, err := r.accept(answer)
 			Expect(err).NotTo(HaveOccurred())
 			event, err := answer.Next()
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.event(answer, run, event)).To(BeTrue())
 			step(r, answer)
-			Expect(r.isCut()).To(BeTrue())
+			Expect(r.isAborted()).To(BeTrue())
 			Expect(caller.heads).To(Equal(1))
 			Expect(caller.refused).To(BeEmpty())
 			Expect(caller.complete).To(BeFalse())
 			Expect(metrics.Snapshot().Counters()).To(HaveKey("illegal_deliveries+"))
 		},
 		Entry("a refusal", func(r *reply, _ Answer) { r.refuse(Verdict{Code: Broken}) }),
-		Entry("a whole answer", func(r *reply, a Answer) { Expect(r.whole(a, nil)).To(HaveOccurred()) }),
+		Entry("a complete response", func(r *reply, a Answer) { Expect(r.whole(a, nil)).To(HaveOccurred()) }),
 	)
 
 	// Guards against a resumption that is sent to an engine of another version.
-	It("is continued on the version that began it only", func() {
+	It("is continued only on the version that began it", func() {
 		g, _ := newGateway()
-		j := &job{reply: newReply(g, &Call{ID: "c", LastEvent: delivery.NoEvent}, &recorder{})}
+		j := &job{reply: newReply(g, &Call{ID: "c", LastEvent: delivery.NoEvent}, &responseRecorder{})}
 		Expect(j.mayContinueOn(2)).To(BeTrue())
-		answer := &scriptedAnswer{outcome: outcomes[0]}
+		answer := &scriptedResponse{outcome: outcomes[0]}
 		run, err := j.reply.accept(answer)
 		Expect(err).NotTo(HaveOccurred())
 		event, err := answer.Next()
--- a/daemon/gateway/reports_test.go
+++ b/daemon/gateway/reports_test.go
@@ -27,6 +27,6 @@
 	reconnect(g)
 	expectReports(form, 1)
 },
-	Entry("whose end was noticed", func(g *Gateway) { g.lost(time.Now(), nearEntry.ID) }, mesh.Whole),
+	Entry("whose end was noticed", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Whole),
 	Entry("whose end was not", func(*Gateway) {}, mesh.First),
 )
--- a/daemon/gateway/rig_test.go
+++ b/daemon/gateway/rig_test.go
@@ -19,35 +19,35 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// These specs call the control loop's methods directly, in the order in which
-// the loop would apply them.
+// The specs of this package call the control loop's methods directly, in the order in
+// which the loop would call them.
 
 var start = time.Date(2031, 5, 6, 7, 8, 9, 0, time.UTC)
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// noBackend takes no calls.
-type noBackend struct {
+// rejectingBackend is a backend that accepts no calls.
+type rejectingBackend struct {
 	listed []placement.Server
 	state  Liveness // of every server
 }
 
-func (*noBackend) Send(context.Context, *Call, Order) (Answer, error) {
-	return nil, failure.Internal.New("no call is expected")
+func (*rejectingBackend) Send(context.Context, *Call, Order) (Answer, error) {
+	return nil, failure.Internal.New("unexpected call")
 }
 
-func (b *noBackend) Keep(servers []placement.Server) { b.listed = servers }
+func (b *rejectingBackend) Keep(servers []placement.Server) { b.listed = servers }
 
-// newGateway returns a gateway that has run for long enough to have heard of all
-// agents.
-func newGateway() (*Gateway, *noBackend) {
+// newGateway returns a gateway that has run long enough to have received a report of
+// every agent.
+func newGateway() (*Gateway, *rejectingBackend) {
 	g, backend := newGatewayAtStart()
 	g.started = time.Time{}
 	return g, backend
 }
 
-func newGatewayAtStart() (*Gateway, *noBackend) {
-	backend := &noBackend{}
+func newGatewayAtStart() (*Gateway, *rejectingBackend) {
+	backend := &rejectingBackend{}
 	g := New(context.Background(), start, Options{
 		Self: "10.0.0.1", Addr: netip.MustParseAddr("10.0.0.1"), Place: fleet.Place{Zone: "hall", Region: "lagos"},
 		CallerAddr: netip.MustParseAddrPort("10.0.0.1:80"),
@@ -80,8 +80,8 @@
 	return catalog.Snapshot{AsOf: asOf, Config: config(1), ConfigRevision: 1, Servers: servers}
 }
 
-// listed returns the ids of the servers that calls may go to.
-func listed(g *Gateway, b *noBackend, now time.Time) []fleet.InstanceID {
+// listed returns the ids of the servers to which calls may be sent.
+func listed(g *Gateway, b *rejectingBackend, now time.Time) []fleet.InstanceID {
 	g.publish(now)
 	var ids []fleet.InstanceID
 	for _, s := range b.listed {
@@ -97,7 +97,7 @@
 	anAgent   = mesh.Peer{ID: "10.0.1.1", Role: fleet.RoleAgent}
 )
 
-// adopt takes a catalog that has just been read, from the platform or a peer.
+// adopt applies a catalog that has just been read from the platform or a peer.
 func (g *Gateway) adopt(now time.Time, s catalog.Snapshot, from string) {
 	r := reading{origin: fromPeer, from: from, readAt: now}
 	if from == fromPlatform {
@@ -106,12 +106,12 @@
 	g.adoptList(now, s, r)
 }
 
-// apply takes changes that the platform has just told.
+// apply applies changes that have just been read from the platform.
 func (g *Gateway) apply(now time.Time, changes []catalog.Change, asOf catalog.Revision) {
 	g.adoptChanges(now, changes, asOf, reading{origin: fromStore, readAt: now})
 }
 
-// applyServers takes changes of servers that a reader has just told.
+// applyServers applies changes of servers that a reader has just sent.
 func (g *Gateway) applyServers(now time.Time, changes []catalog.Change, asOf catalog.Revision, from string) {
 	g.adoptServers(now, changes, asOf, reading{origin: fromReader, from: from, readAt: now})
 }
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// starting is when a caller may come back to an entry that knows no
-	// configuration yet: it reads one within a second.
-	starting = 500 * time.Millisecond
-	// answerMargin is taken off the caller's time, so that our own answer still
-	// reaches it.
-	answerMargin = 20 * time.Millisecond
-	// unsentAttempts is how many servers may be tried that could not be reached;
-	// nothing arrives there, so they draw on no budget.
-	unsentAttempts = 4
+	// noViewRetryAfter is the Retry-After of an entry that has no configuration yet. It
+	// reads one within a second.
+	noViewRetryAfter = 500 * time.Millisecond
+	// responseMargin is subtracted from the caller's timeout, so that an error
+	// response of this entry still reaches the caller in time.
+	responseMargin = 20 * time.Millisecond
+	// maxUnsentAttempts bounds the attempts whose server could not be reached.
+	// Nothing arrives there, so they do not count against the retry budget.
+	maxUnsentAttempts = 4
 )
 
-// job is one call on its way.
+// job is the state of one call while it is served.
 type job struct {
 	g         *Gateway
 	call      *Call
@@ -34,51 +34,53 @@
 	service   *routing.Service
 	workspace fleet.Workspace
 	deadline  time.Time
-	// fingerprint is of the call's content; nil until it is needed.
+	// fingerprint is a digest of the call's content, nil until it is needed.
 	fingerprint *quarantine.Fingerprint
 
-	// returned is true for a caller that was refused before.
-	returned bool
-	attempts int // sent
-	unsent   int // could not be sent
-	exclude  []fleet.InstanceID
-	room     *placement.HoldRoom // in which it waits; nil if it does not
-	waits    bool                // it waits here for a server
+	// refusedBefore is true if the call is a retry by a caller that was refused before.
+	refusedBefore bool
+	attempts      int // sent
+	unsent        int // could not be sent
+	exclude       []fleet.InstanceID
+	holdLimiter   *placement.HoldRoom // where the call waits, nil if it does not
+	wasHeld       bool                // the call was held until a server could take it
 	// mayHaveRun is true once a server may have run the call.
 	mayHaveRun bool
-	// held is a server's failure, given to the caller if nothing better comes.
-	held *heldAnswer
+	// heldResponse is a server's error response. The caller gets it if all further attempts
+	// fail.
+	heldResponse *heldResponse
 
-	// moveTried is true once it was tried to have the stream go on elsewhere.
-	moveTried bool
+	// handoverTried is true once a handover of the stream to another server was tried.
+	handoverTried bool
 
 	predicted time.Duration
-	// predictedFirst is what was predicted for the attempt that gave the first event,
-	// placedAt when that was placed.
+	// predictedFirst is the predicted time to the first event of the attempt that
+	// returned it, placedAt when that attempt was placed.
 	predictedFirst time.Duration
 	placedAt       time.Time
-	firstAt        time.Time
-	// longestPause is the longest time between two events that were given on,
-	// eventAt when the last one was.
+	firstEventAt   time.Time
+	// longestPause is the longest time between two events sent to the caller,
+	// lastEventAt when the last one was sent.
 	longestPause time.Duration
-	eventAt      time.Time
-	// run is that of the last server, endFramed whether it marks the end of its answer.
-	run       *delivery.Run
-	endFramed bool
-	// progressAt is when the server last gave something: the answer's last event,
-	// or the request's way to it.
+	lastEventAt  time.Time
+	// lastAttempt is the response of the last server, endFramed whether that server
+	// marks the end of it.
+	lastAttempt *delivery.Run
+	endFramed   bool
+	// progressAt is when the server last made progress: when its last event came,
+	// or when the request was sent to it.
 	progressAt time.Time
-	// serverUntil is when the server ends its work on the call.
-	serverUntil time.Time
+	// serverDeadline is the server's own deadline for the call.
+	serverDeadline time.Time
 }
 
-type heldAnswer struct {
-	answer Answer
-	body   []byte
+type heldResponse struct {
+	response Answer
+	body     []byte
 }
 
-// Serve answers a call. It returns when the caller has its answer or has left,
-// which ends ctx.
+// Serve answers a call. It returns when the caller has its response or has
+// disconnected, which cancels ctx.
 func (g *Gateway) Serve(ctx context.Context, call *Call, caller Caller) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -89,49 +91,50 @@
 		return
 	}
 	if !j.route.MayResume() {
-		j.reply.passAll()
+		j.reply.ignoreLastEvent()
 	}
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
 	g.budget(call.Arrived, j.service.Name).Request(call.Arrived)
-	for j.attempt(ctx) {
+	for j.tryServer(ctx) {
 	}
-	j.leaveRoom(time.Now(), false)
+	j.leaveHold(time.Now(), false)
 }
 
 const (
-	// doubtFor is how long a call waits for a view that is not from before a
-	// pause of the process; the platform answers in milliseconds.
-	doubtFor = 400 * time.Millisecond
-	// firstViewFor is how long a call waits at an entry that has just started for its
-	// first configuration.
-	firstViewFor = 1200 * time.Millisecond
-	// viewPoll is how often it looks.
-	viewPoll = 10 * time.Millisecond
+	// staleViewWait is how long a call waits for a current view after the process was
+	// paused. The platform answers in milliseconds.
+	staleViewWait = 400 * time.Millisecond
+	// firstViewWait is how long a call waits for the first configuration of an entry
+	// that has just started.
+	firstViewWait = 1200 * time.Millisecond
+	// viewPollInterval is the interval at which a waiting call checks the view.
+	viewPollInterval = 10 * time.Millisecond
 )
 
-// currentView returns the view in force, nil while there is none to rely on.
+// currentView waits for a reliable view and returns it, or nil if there is none in
+// time.
 //
-// After a loss of power all callers come at once to entries that know nothing yet.
-// Refused, they would come back while the engines still load, and have no retry left
-// after that.
+// After a power failure all callers connect at once to entries that have no
+// configuration yet. If they were refused, they would use their last retry while the
+// engines are still loading.
 func (g *Gateway) currentView(ctx context.Context, call *Call) *view {
-	for waited := time.Duration(0); ; waited += viewPoll {
+	for waited := time.Duration(0); ; waited += viewPollInterval {
 		v := g.view.Load()
-		limit := doubtFor
+		limit := staleViewWait
 		switch {
 		case v == nil || v.table == nil:
-			limit = firstViewFor
+			limit = firstViewWait
 			if call.Patience > 0 {
-				limit = min(limit, call.Patience/holdShare)
+				limit = min(limit, call.Patience/holdDivisor)
 			}
-		case !v.doubtful:
+		case !v.stale:
 			return v
 		}
 		if waited >= limit || ctx.Err() != nil {
 			return nil
 		}
-		wait(ctx, viewPoll)
+		wait(ctx, viewPollInterval)
 	}
 }
 
@@ -139,118 +142,118 @@
 func (j *job) admit() (Verdict, bool) {
 	v := j.view
 	if v == nil || v.table == nil {
-		return Verdict{Code: Unavailable, RetryAfter: starting, Reason: "no_view"}, false
+		return Verdict{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "no_view"}, false
 	}
 	j.route = v.table.Match(j.call.Host, j.call.Path)
 	if j.route == nil {
-		return j.unless(v.sure, Verdict{Code: NoRoute, Reason: "no_route"})
+		return j.ifAuthoritative(v.isCurrent, Verdict{Code: NoRoute, Reason: "no_route"})
 	}
 	if v.table.NeedsKey(j.route) {
 		w := v.table.Workspace(j.call.Key)
 		if w == nil {
-			return j.unless(v.sure, Verdict{Code: NoKey, Reason: "no_key"})
+			return j.ifAuthoritative(v.isCurrent, Verdict{Code: NoKey, Reason: "no_key"})
 		}
 		j.workspace = w.Name
 	} else if w := v.table.Workspace(j.call.Key); w != nil {
 		j.workspace = w.Name
 	}
 	j.service = v.table.Service(j.route.Target(rand.Float64()))
-	j.returned = !j.g.opts.Off.TellReturned && j.g.patience.IsReturned(j.route.Name, j.call.Patience, j.call.IsKept)
+	j.refusedBefore = !j.g.opts.Off.TellReturned && j.g.retryDetector.IsReturned(j.route.Name, j.call.Patience, j.call.IsKept)
 	timeout := j.route.Timeout
 	if j.call.Patience > 0 {
 		timeout = min(timeout, j.call.Patience)
 	}
-	j.deadline = j.call.Arrived.Add(timeout - answerMargin)
+	j.deadline = j.call.Arrived.Add(timeout - responseMargin)
 	return Verdict{}, true
 }
 
-// unless returns the verdict if this entry is sure of its configuration. One
-// that is cut off may lack a route or a key that others have: it must not tell
-// the caller that there is none.
-func (j *job) unless(sure bool, v Verdict) (Verdict, bool) {
+// ifAuthoritative returns the verdict if the configuration of this entry is known to be
+// current. An entry that is partitioned may lack a route or a key that others have,
+// so it must not tell the caller that there is none.
+func (j *job) ifAuthoritative(sure bool, v Verdict) (Verdict, bool) {
 	if !sure {
-		return Verdict{Code: Unavailable, RetryAfter: starting, Reason: "cut_off"}, false
+		return Verdict{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "cut_off"}, false
 	}
 	return v, false
 }
 
-// attempt sends the call to one server and reports whether it is to be tried
-// again.
-func (j *job) attempt(ctx context.Context) bool {
+// tryServer sends the call to one server and reports whether to make another attempt.
+func (j *job) tryServer(ctx context.Context) bool {
 	now := time.Now()
 	if s := j.standing(now); s.IsQuarantined() {
 		j.g.log.keptBack(j, s)
 		j.giveUp(reasonQuarantined, s.Until.Sub(now))
 		return false
 	}
-	ticket, refusal := j.g.board.Choose(now, j.ask(now))
-	if ticket == nil && j.mayHold(now, refusal.Reason) {
-		if !j.waits {
-			j.waits = true
+	assignment, refusal := j.g.scheduler.Choose(now, j.placementRequest(now))
+	if assignment == nil && j.mayHold(now, refusal.Reason) {
+		if !j.wasHeld {
+			j.wasHeld = true
 			j.g.log.held(j, refusal)
 		}
-		wait(ctx, holdPoll)
-		return ctx.Err() == nil || j.ended(ctx, time.Now(), "timeout")
+		wait(ctx, holdPollInterval)
+		return ctx.Err() == nil || j.endCall(ctx, time.Now(), "timeout")
 	}
-	j.leaveRoom(now, ticket != nil)
-	if ticket == nil {
-		j.notPlaced(refusal)
+	j.leaveHold(now, assignment != nil)
+	if assignment == nil {
+		j.handleNotPlaced(refusal)
 		return false
 	}
-	if j.attempts > 0 && !j.g.allowRepeat(now, j.service.Name) {
-		ticket.End(now, placement.Abandoned)
-		j.giveUp("retry_budget", j.comeBack(now))
+	if j.attempts > 0 && !j.g.allowRetry(now, j.service.Name) {
+		assignment.End(now, placement.Abandoned)
+		j.giveUp("retry_budget", j.retryAfter(now))
 		return false
 	}
-	j.predicted = ticket.Predicted
+	j.predicted = assignment.Predicted
 	if !j.hasStarted() {
-		j.predictedFirst = ticket.Predicted
+		j.predictedFirst = assignment.Predicted
 		j.placedAt = now
 	}
 	j.progressAt = now
-	order := j.order(now, ticket)
-	j.serverUntil = order.Until
-	order.FirstBy = j.firstBy(now, order)
-	answer, err := j.g.opts.Backend.Send(ctx, j.call, order)
+	opts := j.sendOptions(now, assignment)
+	j.serverDeadline = opts.Until
+	opts.FirstBy = j.responseStartDeadline(now, opts)
+	response, err := j.g.opts.Backend.Send(ctx, j.call, opts)
 	if err != nil {
-		return j.sendFailed(ctx, ticket, err)
+		return j.handleSendError(ctx, assignment, err)
 	}
 	j.attempts++
-	j.noteLimit(now, ticket.Server, answer)
-	if answer.NotRun() || answer.Misdirected() {
-		answer.Close(true)
-		ticket.End(time.Now(), placement.Declined)
-		return j.declined(ctx, ticket.Server)
+	j.noteLimit(now, assignment.Server, response)
+	if response.NotRun() || response.Misdirected() {
+		response.Close(true)
+		assignment.End(time.Now(), placement.Declined)
+		return j.handleDeclined(ctx, assignment.Server)
 	}
-	return j.answered(ctx, ticket, answer)
+	return j.handleResponse(ctx, assignment, response)
 }
 
 const (
-	// holdFor is the longest time for which a call is held while no server can
-	// take it and one is expected to.
-	holdFor = 2000 * time.Millisecond
-	// holdShare is the same as a part of the caller's time.
-	holdShare = 3
-	// holdPoll is how often a held call looks again.
-	holdPoll = 25 * time.Millisecond
+	// maxHold bounds how long a call is held while no server can take it and one is
+	// expected to be able to soon.
+	maxHold = 2000 * time.Millisecond
+	// holdDivisor bounds the same time relative to the call's timeout: at most one
+	// holdDivisor-th of it.
+	holdDivisor = 3
+	// holdPollInterval is the interval at which a held call tries to be placed again.
+	holdPollInterval = 25 * time.Millisecond
 )
 
-// mayHold reports whether the call waits here for a server.
+// mayHold reports whether the call is held here until a server can take it.
 //
-// After a loss of power all engines load at the same moment. Callers that are
-// refused just before it come back seconds later, and those that have no retry
-// left are lost; held for the rest of the load, they are answered. Where no
-// engine is expected in time, a caller is told at once to come back.
+// After a power failure all engines load at the same time. Callers that are refused
+// shortly before the load ends retry seconds later, and those without a retry left
+// fail; held until the load ends, they are answered. If no engine is expected in
+// time, the caller is refused at once and told when to retry.
 //
-// The first engine that is ready is full at once, with the others ready a moment
-// later. So a call that can still be on time waits for the next one too.
+// The first engine that is ready is full immediately, and the others are ready a
+// moment later. So a call that can still be on time waits for the next one too.
 //
-// A caller that comes back waits for room: refused again, it is lost. Soon after the
-// start of this entry it may wait for an engine too, since all engines may be about
-// to load.
+// A late call, such as a retry, waits for a free slot, since it fails for good if it
+// is refused again. Soon after the start of this entry it may wait for an engine as
+// well, since all engines may be about to load.
 func (j *job) mayHold(now time.Time, reason placement.Reason) bool {
 	timeout := j.deadline.Sub(j.call.Arrived)
-	until := j.call.Arrived.Add(min(holdFor, timeout/holdShare))
+	until := j.call.Arrived.Add(min(maxHold, timeout/holdDivisor))
 	if !now.Before(until) || reason == placement.TooLong {
 		return false
 	}
@@ -260,34 +263,35 @@
 		until = earlier(until, j.call.Arrived.Add(j.route.Aim))
 	}
 	v := j.g.view.Load()
-	at, expected := v.soonest[j.service.Name]
+	at, expected := v.nextEngineReady[j.service.Name]
 	comes := expected && at.Before(until) && !j.g.opts.Off.HoldForLoad
 	if isBusy && isLate {
-		return comes && v.isNew || !j.g.opts.Off.HoldLate && j.enterRoom(now)
+		return comes && v.isNew || !j.g.opts.Off.HoldLate && j.enterHold(now)
 	}
 	return comes
 }
 
-// enterRoom takes the call among those that wait for room, once.
-func (j *job) enterRoom(now time.Time) bool {
-	if j.room == nil {
-		room := j.g.holdRoom(j.service.Name)
+// enterHold adds the call to those that wait for a free slot, unless it is among them
+// already. It reports whether the call may wait.
+func (j *job) enterHold(now time.Time) bool {
+	if j.holdLimiter == nil {
+		room := j.g.holdLimiter(j.service.Name)
 		if !room.Enter(now) {
 			return false
 		}
-		j.room = room
+		j.holdLimiter = room
 	}
 	return true
 }
 
-func (j *job) leaveRoom(now time.Time, placed bool) {
-	if j.room != nil {
-		j.room.Leave(now, placed)
-		j.room = nil
+func (j *job) leaveHold(now time.Time, placed bool) {
+	if j.holdLimiter != nil {
+		j.holdLimiter.Leave(now, placed)
+		j.holdLimiter = nil
 	}
 }
 
-func (j *job) ask(now time.Time) placement.Ask {
+func (j *job) placementRequest(now time.Time) placement.Ask {
 	a := placement.Ask{
 		Service:  j.service.Name,
 		Engine:   j.service.Engine,
@@ -302,72 +306,74 @@
 		Near:     j.g.opts.Place,
 	}
 	if j.service.Engine != nil {
-		a.Versions = j.versions(now)
+		a.Versions = j.usableVersions(now)
 	}
 	return a
 }
 
-// isLate reports whether the answer cannot be on time any more.
+// isLate reports whether the response can no longer meet the route's target latency.
 func (j *job) isLate(now time.Time) bool {
-	return j.returned || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.Aim
+	return j.refusedBefore || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.Aim
 }
 
-// order describes an attempt at the ticket's server.
-func (j *job) order(now time.Time, ticket *placement.Ticket) Order {
+// sendOptions returns the options of an attempt at the assigned server.
+func (j *job) sendOptions(now time.Time, assignment *placement.Ticket) Order {
 	o := Order{
-		Server:    ticket.Server,
+		Server:    assignment.Server,
 		Workspace: j.workspace,
 		Until:     j.deadline,
 		LastEvent: j.reply.progress.LastEvent(),
 	}
-	if ticket.Within > 0 {
-		o.Until = earlier(j.deadline, now.Add(ticket.Within))
+	if assignment.Within > 0 {
+		o.Until = earlier(j.deadline, now.Add(assignment.Within))
 	}
 	if j.service.Engine != nil {
-		o.Require = ticket.Server.Loaded
+		o.Require = assignment.Server.Loaded
 	}
 	return o
 }
 
 const (
-	// streamSilence is how much later than predicted a stream may begin, or how
-	// long it may pause, before it is continued elsewhere. It is longer than any
-	// pause of a sound engine and shorter than callers wait.
-	streamSilence = 1500 * time.Millisecond
-	// safeSilence is the same for the answer of a plain service, in aims.
-	safeSilence = 2
+	// streamStallTimeout is how much later than predicted a stream may begin, or how
+	// long it may pause, before it is continued on another server. It is longer than
+	// any pause of a healthy engine and shorter than the timeouts of callers.
+	streamStallTimeout = 1500 * time.Millisecond
+	// plainStallFactor is the same for the response of a plain service, as a multiple of
+	// the route's target latency.
+	plainStallFactor = 2
 )
 
-// firstBy is when the answer must have begun: early enough for another server
-// if one may be tried.
-func (j *job) firstBy(now time.Time, order Order) time.Time {
-	by := j.beginBy(now, order.Server, order.Until)
+// responseStartDeadline returns the deadline for the start of the response. If another
+// attempt is allowed, it leaves time for that.
+func (j *job) responseStartDeadline(now time.Time, opts Order) time.Time {
+	by := j.startDeadline(now, opts.Server, opts.Until)
 	switch {
-	case !j.mayRepeat():
+	case !j.mayRetryAfterNext():
 		return by
 	case j.service.Engine != nil:
-		return earlier(by, now.Add(j.predicted+streamSilence))
+		return earlier(by, now.Add(j.predicted+streamStallTimeout))
 	default:
-		return earlier(by, now.Add(safeSilence*j.route.Aim))
+		return earlier(by, now.Add(plainStallFactor*j.route.Aim))
 	}
 }
 
-// mayRepeat reports whether another server may get the call after the one that
-// it is sent to next.
-func (j *job) mayRepeat() bool {
-	return j.mayBeSentAgain() && j.attempts+1 < j.route.MaxAttempts
+// mayRetryAfterNext reports whether the call may be retried on another server if the next
+// attempt fails.
+func (j *job) mayRetryAfterNext() bool {
+	return j.isRetryable() && j.attempts+1 < j.route.MaxAttempts
 }
 
-// mayBeSentAgain reports whether another server may get the call once one may have run
-// it. After the first event, the next server must be able to resume the stream.
-func (j *job) mayBeSentAgain() bool {
+// isRetryable reports whether the call may be sent to another server after one may
+// have run it. After the first event, the next server must be able to resume the
+// stream.
+func (j *job) isRetryable() bool {
 	if j.hasStarted() {
 		return j.route.MayResume() && j.reply.progress.MayResume()
 	}
 	return j.route.Idempotent()
 }
 
-// hasStarted reports whether the caller has a part of its answer.
+// hasStarted reports whether the caller has received a part of its response.
 func (j *job) hasStarted() bool { return j.reply.progress.HasStarted() }
 
 func earlier(a, b time.Time) time.Time {
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -22,51 +22,51 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// answering is a backend whose engines answer at once, with an empty stream.
-type answering struct{ sent chan Order }
+// emptyStreamBackend is a backend whose engines return an empty stream immediately.
+type emptyStreamBackend struct{ sent chan Order }
 
-func (b *answering) Send(_ context.Context, _ *Call, order Order) (Answer, error) {
+func (b *emptyStreamBackend) Send(_ context.Context, _ *Call, order Order) (Answer, error) {
 	b.sent <- order
-	return emptyAnswer{}, nil
+	return emptyResponse{}, nil
 }
 
-func (*answering) Keep([]placement.Server) {}
+func (*emptyStreamBackend) Keep([]placement.Server) {}
 
-func (*answering) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*emptyStreamBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
 
-type emptyAnswer struct{}
+type emptyResponse struct{}
 
-func (emptyAnswer) Status() int                      { return http.StatusOK }
-func (emptyAnswer) NotRun() bool                     { return false }
-func (emptyAnswer) Misdirected() bool                { return false }
-func (emptyAnswer) PromisesNotRun() bool             { return false }
-func (emptyAnswer) Version() placement.ModelVersion  { return 1 }
-func (emptyAnswer) Limit() ServerLimit               { return ServerLimit{} }
-func (emptyAnswer) Streams() bool                    { return true }
-func (emptyAnswer) EndIsFramed() bool                { return true }
-func (emptyAnswer) SetDeadline(time.Time)            {}
-func (emptyAnswer) Body(int64) ([]byte, error)       { return nil, nil }
-func (emptyAnswer) Next() (eventstream.Event, error) { return eventstream.Event{}, io.EOF }
-func (emptyAnswer) Close(bool)                       {}
+func (emptyResponse) Status() int                      { return http.StatusOK }
+func (emptyResponse) NotRun() bool                     { return false }
+func (emptyResponse) Misdirected() bool                { return false }
+func (emptyResponse) PromisesNotRun() bool             { return false }
+func (emptyResponse) Version() placement.ModelVersion  { return 1 }
+func (emptyResponse) Limit() ServerLimit               { return ServerLimit{} }
+func (emptyResponse) Streams() bool                    { return true }
+func (emptyResponse) EndIsFramed() bool                { return true }
+func (emptyResponse) SetDeadline(time.Time)            {}
+func (emptyResponse) Body(int64) ([]byte, error)       { return nil, nil }
+func (emptyResponse) Next() (eventstream.Event, error) { return eventstream.Event{}, io.EOF }
+func (emptyResponse) Close(bool)                       {}
 
-// refusals is a caller that notes how it was refused.
-type refusals chan Verdict
+// refusalRecorder is a caller that records the error response it gets.
+type refusalRecorder chan Verdict
 
-func (refusals) Whole(Answer, []byte) error { return nil }
-func (refusals) Begin(Answer) error         { return nil }
-func (refusals) Write([]byte) error         { return nil }
-func (refusals) Complete() error            { return nil }
-func (r refusals) Refuse(v Verdict)         { r <- v }
+func (refusalRecorder) Whole(Answer, []byte) error { return nil }
+func (refusalRecorder) Begin(Answer) error         { return nil }
+func (refusalRecorder) Write([]byte) error         { return nil }
+func (refusalRecorder) Complete() error            { return nil }
+func (r refusalRecorder) Refuse(v Verdict)         { r <- v }
 
-var _ = Describe("A call that no engine can take now", func() {
+var _ = Describe("A call while all engines are full", func() {
 	const (
 		routeAim = 2 * time.Second
 		timeout  = 30 * time.Second
 	)
 	var (
 		g       *Gateway
-		backend *answering
-		caller  refusals
+		backend *emptyStreamBackend
+		caller  refusalRecorder
 		lines   *observer.ObservedLogs
 	)
 	holds := netip.MustParseAddr("10.0.1.1")
@@ -84,9 +84,9 @@
 		var core zapcore.Core
 		core, lines = observer.New(zap.InfoLevel)
 		g.log = newRequestLog(start, zap.New(core), tally.NoopScope)
-		backend = &answering{sent: make(chan Order, 1)}
+		backend = &emptyStreamBackend{sent: make(chan Order, 1)}
 		g.opts.Backend = backend
-		caller = make(refusals, 1)
+		caller = make(refusalRecorder, 1)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = &enginemodel.Figures{
 			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
@@ -97,10 +97,10 @@
 		tell(empty, wire.Replica{Seq: 1, Changing: true})
 	})
 
-	// occupy fills the engine that holds weights.
+	// occupy fills the engine that has weights loaded.
 	occupy := func() {
 		for {
-			t, _ := g.board.Choose(time.Now(), placement.Ask{
+			t, _ := g.scheduler.Choose(time.Now(), placement.Ask{
 				Service: "pool", Engine: g.table.Service("pool").Engine, Aim: routeAim, Left: timeout})
 			if t == nil {
 				return
@@ -115,17 +115,17 @@
 
 	isHeld := func() int { return lines.FilterMessage("held").Len() }
 
-	It("is refused at once if no other engine is expected", func() {
+	It("is refused immediately if no other engine is expected", func() {
 		occupy()
 		serve()
 		Eventually(caller).Should(Receive(HaveField("Reason", "full")))
 		Expect(isHeld()).To(BeZero())
 	})
 
-	// After a loss of power the engines load within a few 100 ms of each other.
-	// The first one is full at once. A caller refused then comes back a second
-	// later, when its answer is late; held for the next engine, it is on time.
-	It("waits for an engine that is expected while it can still be on time", func() {
+	// After a power failure the engines finish loading within a few 100 ms of each
+	// other, and the first one is full immediately. A caller refused then retries a
+	// second later and is answered late; held for the next engine, it is on time.
+	It("waits for an expected engine while it can still be on time", func() {
 		occupy()
 		tell(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 300})
 		serve()
@@ -136,7 +136,7 @@
 
 	// Engines that change their version one after the other finish their streams
 	// first. Callers that waited for one of them would be refused late.
-	It("is refused at once if the next engine is ready too late for it", func() {
+	It("is refused immediately if the next engine is ready too late", func() {
 		occupy()
 		tell(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 2500})
 		serve()
@@ -145,10 +145,10 @@
 	})
 })
 
-var _ = Describe("A call whose time is up", func() {
+var _ = Describe("A call that reaches its deadline", func() {
 	const aim = 200 * time.Millisecond
 	var g *Gateway
-	var caller refusals
+	var caller refusalRecorder
 
 	BeforeEach(func() {
 		g, _ = newGateway()
@@ -157,25 +157,25 @@
 		s.Config.Routes[0].Aim = aim
 		g.adopt(start, s, "platform")
 		g.publish(start)
-		caller = make(refusals, 1)
+		caller = make(refusalRecorder, 1)
 	})
 
-	// fail has calls end at their deadline at server i-1, which gave something
-	// last at progress, and returns how many of the next it is given.
+	// fail ends calls at server i-1 at their deadline, the server having made its last
+	// progress at the given time, and returns how many of the next calls it gets.
 	fail := func(progress time.Time) int {
 		deadline := at(time.Second)
 		call := &Call{ID: "c", Arrived: start, LastEvent: -1}
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), mayHaveRun: true, view: g.view.Load(),
 			route: &g.snapshot.Config.Routes[0], service: g.table.Service("pool"), deadline: deadline, progressAt: progress}
 		for range 50 {
-			ticket, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second,
+			ticket, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second,
 				Exclude: []fleet.InstanceID{"i-2"}})
-			j.failed(context.Background(), deadline, ticket, failure.Timeout.New("read the answer"))
+			j.endFailedAttempt(context.Background(), deadline, ticket, failure.Timeout.New("read the answer"))
 		}
-		j.ended(context.Background(), deadline, "stream_broken")
+		j.endCall(context.Background(), deadline, "stream_broken")
 		chosen := 0
 		for range 50 {
-			ticket, _ := g.board.Choose(deadline, placement.Ask{Service: "pool", Left: time.Second})
+			ticket, _ := g.scheduler.Choose(deadline, placement.Ask{Service: "pool", Left: time.Second})
 			if ticket.Server.ID == "i-1" {
 				chosen++
 			}
@@ -184,80 +184,80 @@
 		return chosen
 	}
 
-	// A caller came back late, and the time that it waits ends in the middle of
-	// its stream: the read of the next event fails a moment before the context
-	// ends. The server did nothing wrong. Counted as its failure, a burst of late
-	// callers would have sound engines left out.
+	// The deadline of a late retry passes in the middle of its stream: the read of the
+	// next event fails a moment before the context ends, which is not the server's
+	// fault. If it counted as such, a burst of late callers would take healthy engines
+	// out of use.
 	It("counts neither as its server's failure nor as a broken stream", func() {
 		Expect(fail(at(950 * time.Millisecond))).To(BeNumerically(">", 10))
 		Expect(caller).To(Receive(HaveField("Code", TimedOut)))
 	})
 
-	// A server hangs. Requests that may not be repeated wait for it until their
-	// time is up, and nobody else would find it out.
-	It("counts as its server's failure if that gave nothing for long", func() {
+	// Guards against a hung server that is not detected: calls that may not be retried
+	// wait for it until their deadline.
+	It("counts as its server's failure after a long time without progress", func() {
 		Expect(fail(start)).To(BeZero())
 	})
 })
 
-// leaving is a backend that declines each call, while its caller leaves.
-type leaving struct {
+// decliningBackend is a backend that declines each call while its caller disconnects.
+type decliningBackend struct {
 	leave func()
 	sent  int
 }
 
-func (b *leaving) Send(context.Context, *Call, Order) (Answer, error) {
+func (b *decliningBackend) Send(context.Context, *Call, Order) (Answer, error) {
 	b.sent++
 	b.leave()
-	return declinedAnswer{}, nil
+	return declinedResponse{}, nil
 }
 
-func (*leaving) Keep([]placement.Server) {}
+func (*decliningBackend) Keep([]placement.Server) {}
 
-func (*leaving) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*decliningBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
 
-type declinedAnswer struct{ emptyAnswer }
+type declinedResponse struct{ emptyResponse }
 
-func (declinedAnswer) NotRun() bool { return true }
+func (declinedResponse) NotRun() bool { return true }
 
 var _ = Describe("A call that a server declines", func() {
-	// Guards against a place that is taken at the next server for a caller who has
-	// left.
-	It("goes to no other server once its caller has left", func() {
+	// Guards against a slot that is taken at the next server for a caller that has
+	// disconnected.
+	It("is not sent to another server once its caller has disconnected", func() {
 		g, _ := newGateway()
 		ctx, leave := context.WithCancel(context.Background())
-		backend := &leaving{leave: leave}
+		backend := &decliningBackend{leave: leave}
 		g.opts.Backend = backend
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
-		caller := make(refusals, 1)
+		caller := make(refusalRecorder, 1)
 		g.Serve(ctx, &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), LastEvent: -1}, caller)
 		Expect(backend.sent).To(Equal(1))
-		Expect(caller).NotTo(Receive(), "the answer to a caller who has left")
+		Expect(caller).NotTo(Receive(), "response to a caller that has disconnected")
 	})
 })
 
-// panicking is a backend that fails as no backend should.
-type panicking struct{ answering }
+// panickingBackend is a backend whose Send panics.
+type panickingBackend struct{ emptyStreamBackend }
 
-func (*panicking) Send(context.Context, *Call, Order) (Answer, error) { panic("out of range") }
+func (*panickingBackend) Send(context.Context, *Call, Order) (Answer, error) { panic("out of range") }
 
-var _ = Describe("A call at which the program panics", func() {
-	// Guards against a panic that nobody sees, since the HTTP server's own log is left out.
-	It("is logged and counted, and the panic goes on", func() {
+var _ = Describe("A call whose handling panics", func() {
+	// Guards against a panic that goes unnoticed, since the HTTP server's own log is off.
+	It("is logged and counted, and the panic continues", func() {
 		g, _ := newGateway()
 		core, lines := observer.New(zap.InfoLevel)
 		metrics := tally.NewTestScope("", nil)
 		g.log = newRequestLog(start, zap.New(core), metrics)
-		g.opts.Backend = &panicking{}
+		g.opts.Backend = &panickingBackend{}
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
 		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout = time.Second, time.Minute
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
 		serve := func() {
-			g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), LastEvent: -1}, make(refusals, 1))
+			g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), LastEvent: -1}, make(refusalRecorder, 1))
 		}
 		Expect(serve).To(PanicWith("out of range"))
 		Expect(lines.FilterMessage("request_panicked").All()).To(HaveLen(1))
--- a/daemon/gateway/serverfeed.go
+++ b/daemon/gateway/serverfeed.go
@@ -55,16 +55,16 @@
 // from this one, if it reads it.
 func (g *Gateway) tellRegion(now time.Time, b *wire.Beat, to mesh.Peer, form mesh.Form) {
 	v := g.view.Load()
-	if v == nil || !v.reads || !to.Near || to.Region != g.opts.Place.Region {
+	if v == nil || !v.readsPlatform || !to.Near || to.Region != g.opts.Place.Region {
 		return
 	}
 	if form == mesh.First {
-		delete(g.toldServers, to.ID)
+		delete(g.sentServers, to.ID)
 	}
 	b.Servers = g.newsFor(now, to)
 	if !b.Brief || b.Servers != nil {
 		contact := g.contact.told(now)
-		contact.ReadAgoMS = now.Sub(g.readAt).Milliseconds()
+		contact.ReadAgoMS = now.Sub(g.changesReadAt).Milliseconds()
 		b.Platform = &contact
 	}
 }
@@ -73,13 +73,13 @@
 // nothing. If that is not known any more, the news leads from its own end to its end, so
 // that only an entry which knows all of it can take it. Any other asks for the whole list.
 func (g *Gateway) newsFor(now time.Time, to mesh.Peer) *wire.ServerNews {
-	after := max(g.toldServers[to.ID], to.AsOf)
+	after := max(g.sentServers[to.ID], to.AsOf)
 	if after == 0 || after >= g.feed.asOf {
 		return nil
 	}
 	changes, ok := g.feed.since(after)
-	g.toldServers[to.ID] = g.feed.asOf
-	news := &wire.ServerNews{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.readAt).Milliseconds()}
+	g.sentServers[to.ID] = g.feed.asOf
+	news := &wire.ServerNews{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.changesReadAt).Milliseconds()}
 	if !ok {
 		news.After = news.AsOf
 		g.readings.wholeListDue(to.ID, after, news.After)
@@ -90,8 +90,8 @@
 // heardReader takes what an entry tells that reads the platform for the region.
 func (g *Gateway) heardReader(now time.Time, b wire.Beat) {
 	if b.Platform != nil {
-		g.readerAt = now
-		if v := g.view.Load(); v != nil && !v.reads {
+		g.readerSeenAt = now
+		if v := g.view.Load(); v != nil && !v.readsPlatform {
 			g.contact.follow(now, *b.Platform)
 		}
 	}
@@ -109,7 +109,7 @@
 func (g *Gateway) heardChanges(now time.Time, from fleet.InstanceID, n wire.ServerNews) {
 	r := reading{origin: fromReader, from: string(from), readAt: readBefore(now, n.AgeMS)}
 	if n.After > g.snapshot.AsOf {
-		g.missing = max(g.missing, n.AsOf)
+		g.gapUntil = max(g.gapUntil, n.AsOf)
 		g.readings.dropped(dropGap, r, n.After, n.AsOf, g.snapshot.AsOf)
 		return
 	}
@@ -120,6 +120,6 @@
 // much is up to date as of the reader's last reading.
 func (g *Gateway) compareReader(now time.Time, b wire.Beat) {
 	if b.AsOf <= g.snapshot.AsOf {
-		g.readAt = later(g.readAt, readBefore(now, b.Platform.ReadAgoMS))
+		g.changesReadAt = later(g.changesReadAt, readBefore(now, b.Platform.ReadAgoMS))
 	}
 }
--- a/daemon/gateway/starting.go
+++ b/daemon/gateway/starting.go
@@ -10,73 +10,76 @@
 	"chivespindle.example/daemon/mesh"
 )
 
-// An entry that has just started knows nothing, and all others may have started with
-// it: after a loss of power they come back together, and callers come at once.
+// An entry that has just started has no state, and all others may have started at the
+// same time: after a power failure they restart together, and callers connect at once.
 
 const (
-	// hearsAllWithin is the time in which an entry that has started has heard of
+	// allAgentsReportWithin is how long after its start an entry has received a report of
 	// every agent.
-	hearsAllWithin = 900 * time.Millisecond
-	// newFor is how long an entry counts as new: engines that started at the same
-	// moment answer by then, and usuallyLoaded is when the first of them do.
-	newFor        = 3 * time.Second
-	usuallyLoaded = 1300 * time.Millisecond
-	// loadPoll is how soon one is expected that is later.
-	loadPoll = 250 * time.Millisecond
-	// unheardReadAfter is the longest time for which an entry that has started waits
-	// to hear of others of its region before it lists the platform's catalog, by
-	// chance, and othersReadFirst how long it leaves that to those that come before
-	// it and have none either.
-	unheardReadAfter = 500 * time.Millisecond
-	othersReadFirst  = 800 * time.Millisecond
+	allAgentsReportWithin = 900 * time.Millisecond
+	// newEntryPeriod is how long after its start an entry counts as new. Engines that started at
+	// the same time answer by then, the first of them after typicalLoadTime.
+	newEntryPeriod  = 3 * time.Second
+	typicalLoadTime = 1300 * time.Millisecond
+	// lateLoadDelay is how soon the first engine is expected once typicalLoadTime has passed.
+	lateLoadDelay = 250 * time.Millisecond
+	// maxListDelay bounds the random time for which an entry that has started and
+	// knows no other entry of its region waits before it lists the platform's catalog.
+	// lowerRankDelay is how long it leaves that to entries of a lower rank, which have
+	// no catalog either.
+	maxListDelay   = 500 * time.Millisecond
+	lowerRankDelay = 800 * time.Millisecond
 )
 
-func (g *Gateway) hearsAll(now time.Time) bool { return now.Sub(g.started) >= hearsAllWithin }
+func (g *Gateway) knowsAllAgents(now time.Time) bool {
+	return now.Sub(g.started) >= allAgentsReportWithin
+}
 
-func (g *Gateway) isNew(now time.Time) bool { return now.Sub(g.started) < newFor }
+func (g *Gateway) isNew(now time.Time) bool { return now.Sub(g.started) < newEntryPeriod }
 
-// loadedAt is when the first engine of a service is expected that has lost its weights
-// with the power, seen from an entry that is new and knows of no engine to use.
-func (g *Gateway) loadedAt(now time.Time) time.Time {
-	at := g.started.Add(usuallyLoaded)
-	if soon := now.Add(loadPoll); soon.After(at) {
+// expectedLoadTime estimates when the first engine of a service is ready after a power failure
+// in which all engines lost their weights. It is for a new entry that knows of no usable
+// engine.
+func (g *Gateway) expectedLoadTime(now time.Time) time.Time {
+	at := g.started.Add(typicalLoadTime)
+	if soon := now.Add(lateLoadDelay); soon.After(at) {
 		return soon
 	}
 	return at
 }
 
-// noteDeclined follows a call that a server declined. If that is an engine which no
-// agent has reported to an entry that has just started, the registrations are from
-// before a loss of power: for seconds the platform lists engines that have lost their
-// weights.
-func (g *Gateway) noteDeclined(now time.Time, s placement.Server) {
+// handleDeclined handles a call that a server declined. If this entry has just started and
+// the server is an engine that no agent has reported, the registrations are taken to be
+// from before a power failure: for seconds after one, the platform lists engines that
+// have lost their weights.
+func (g *Gateway) handleDeclined(now time.Time, s placement.Server) {
 	_, reported := g.replicas[s.Addr.Addr()]
-	if reported || g.hearsAll(now) || g.doubtsRegistrations || !g.isEngine(s.Service) {
+	if reported || g.knowsAllAgents(now) || g.suspectsRegistrations || !g.isEngine(s.Service) {
 		return
 	}
-	g.doubtsRegistrations = true
+	g.suspectsRegistrations = true
 	g.changed = true
 	g.opts.Logger.Warn("registrations_doubted", zap.String("server", string(s.ID)))
 }
 
-// readsFirst reports whether an entry without a catalog lists the platform's. Peers
-// send a compressed copy.
+// listsCatalogFirst reports whether an entry without a catalog lists the platform's, instead of
+// waiting for the compressed copy of a peer.
 //
-// Listed by all entries at the same moment, a large configuration fills the links
-// between regions for seconds, and with them the way of everything by which agents and
-// entries find each other.
-func (g *Gateway) readsFirst(now time.Time) bool {
+// If all entries listed a large configuration at the same time, it would fill the links
+// between regions for seconds and delay the messages by which agents and entries discover
+// each other.
+func (g *Gateway) listsCatalogFirst(now time.Time) bool {
 	rank, others := startingRank(g.mesh.Entries(now), g.opts.Self, g.opts.Place.Region)
 	switch waited := now.Sub(g.started); {
 	case others == 0:
-		return waited >= g.listsAfter
+		return waited >= g.listDelay
 	default:
-		return rank < regionReaders || waited >= othersReadFirst
+		return rank < regionReaders || waited >= lowerRankDelay
 	}
 }
 
-// startingRank is the place of an entry among those of its region that are there,
-// whether they take requests yet or not, and the number of the others.
+// startingRank returns the rank of an entry by id among the live entries of its region,
+// whether or not they accept requests yet, and the number of the others.
 func startingRank(entries []mesh.Entry, self fleet.InstanceID, region fleet.Region) (rank, others int) {
 	for _, e := range entries {
 		if !e.Near || e.Place.Region != region || e.Leaving || e.Silent || e.TurnedAway {
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -7,27 +7,29 @@
 	"chivespindle.example/core/placement"
 )
 
-// An engine may begin nothing on outdated weights from VersionTime after the naming
-// of a newer version on. What bounds a call there, in the order of time:
+// An engine must not begin a call on outdated weights once VersionTime has passed since
+// a newer version was named. The bounds of a call on such an engine, in order of time:
 //
-//   - versionEnd: the engine ends its work on the call, as it was told in Order.Until;
-//   - the bound itself, heardLate and onTheWay later;
-//   - latestResponseTime: the engine's answer or refusal is here, or the entry gives it up.
+//   - versionEnd: the engine ends its work on the call, as required by Order.Until;
+//   - the end of VersionTime, maxNamingDelay and networkDelay later;
+//   - latestResponseTime: the response or refusal of the engine must have arrived, else
+//     the entry gives up the attempt.
 
 const (
-	// heardLate is how much later than others, or than the platform confirmed it,
-	// this entry may have heard of a version.
-	heardLate = 150 * time.Millisecond
-	// onTheWay is the time that a call is given to reach a server, which counts its own
-	// time from the call's arrival.
-	onTheWay = 250 * time.Millisecond
+	// maxNamingDelay is how much later than other entries, or than the platform's
+	// confirmation, this entry may learn of a version.
+	maxNamingDelay = 150 * time.Millisecond
+	// networkDelay is the time allowed for a call to reach a server. The server starts its
+	// own timer when the call arrives.
+	networkDelay = 250 * time.Millisecond
 )
 
-// versions tells which weights may answer.
+// usableVersions returns a function that says whether engines with a version of the weights
+// may answer the call and, if that version is outdated, for how long.
 //
-// A stream goes on only on the version that began it. Otherwise the wanted
-// version answers, or the one before for as long as its time lasts.
-func (j *job) versions(now time.Time) func(placement.ModelVersion) (placement.Use, time.Duration) {
+// A stream continues only on the version that began it. Otherwise any version may
+// answer, an outdated one until its time is over.
+func (j *job) usableVersions(now time.Time) func(placement.ModelVersion) (placement.Use, time.Duration) {
 	names := j.g.view.Load().names[j.service.Model]
 	return func(v placement.ModelVersion) (placement.Use, time.Duration) {
 		if v == 0 || !j.mayContinueOn(v) {
@@ -45,47 +47,48 @@
 	}
 }
 
-// mayContinueOn reports whether an engine of a version can go on with what the caller
-// has of its answer.
+// mayContinueOn reports whether an engine with a version of the weights can continue what
+// the caller has received.
 func (j *job) mayContinueOn(v placement.ModelVersion) bool {
 	begunOn := placement.ModelVersion(j.reply.progress.Version())
 	return begunOn == 0 || v == begunOn
 }
 
-// versionEnd returns when the use of an outdated version ends; false if it is
-// not outdated.
+// versionEnd returns when an outdated version may no longer be used. It returns false if
+// the version is not outdated.
 func (g *Gateway) versionEnd(names loading.Names, v placement.ModelVersion) (time.Time, bool) {
 	since, outdated := names.OutdatedSince(uint64(v))
-	return since.Add(g.opts.VersionTime - heardLate - onTheWay), outdated
+	return since.Add(g.opts.VersionTime - maxNamingDelay - networkDelay), outdated
 }
 
-// latestResponseTime is when a server's answer or refusal must have come: its way and that of
-// the call after the time that the server was given.
+// latestResponseTime returns when the response or refusal of a server must have arrived:
+// its deadline and the network delays of the call and the response.
 func (j *job) latestResponseTime(until time.Time) time.Time {
-	return earlier(j.deadline, until.Add(2*onTheWay))
+	return earlier(j.deadline, until.Add(2*networkDelay))
 }
 
-// beginBy is when the answer must have begun at a server that ends its work at
-// until. A version may be named while the call waits that was not when it was sent:
-// the engine was told nothing of that one.
-func (j *job) beginBy(now time.Time, server placement.Server, until time.Time) time.Time {
+// startDeadline returns the deadline for the start of the response of a server that ends its
+// work at until. A newer version may be named while the call waits at an engine, which
+// was then sent with a deadline that does not allow for it.
+func (j *job) startDeadline(now time.Time, server placement.Server, until time.Time) time.Time {
 	if j.service.Engine == nil || until.Before(j.deadline) {
 		return j.latestResponseTime(until)
 	}
 	end, outdated := j.versionEndAt(server)
 	if !outdated {
-		end = now.Add(j.g.opts.VersionTime - heardLate - onTheWay)
+		end = now.Add(j.g.opts.VersionTime - maxNamingDelay - networkDelay)
 	}
 	return earlier(j.deadline, end)
 }
 
-// isOutOfTime reports whether a server's version is outdated and its time over.
-func (j *job) isOutOfTime(now time.Time, server placement.Server) bool {
+// isVersionExpired reports whether the version of a server is outdated and may no longer be
+// used.
+func (j *job) isVersionExpired(now time.Time, server placement.Server) bool {
 	end, outdated := j.versionEndAt(server)
 	return outdated && !now.Before(end)
 }
 
-// versionEndAt is versionEnd for the version that a server holds.
+// versionEndAt is versionEnd for the version that a server has loaded.
 func (j *job) versionEndAt(server placement.Server) (time.Time, bool) {
 	return j.g.versionEnd(j.g.view.Load().names[j.service.Model], server.Loaded)
 }
