--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -19,38 +19,38 @@
 	"chivespindle.example/core/routing"
 )
 
-// deafEngines never learn that a call was taken back, and begin it as late as the
-// time that they were given allows.
-type deafEngines struct {
+// unresponsiveBackend is a backend whose engines do not notice that a call was withdrawn, and may
+// begin it at any time up to its deadline.
+type unresponsiveBackend struct {
 	mu   sync.Mutex
 	sent []Order
-	// gives is how many events the first call gets before its engine fails.
-	gives int
+	// eventsBeforeFailure is the number of events that the first call gets before its engine fails.
+	eventsBeforeFailure int
 }
 
-func (*deafEngines) Keep([]placement.Server) {}
+func (*unresponsiveBackend) Keep([]placement.Server) {}
 
-func (*deafEngines) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*unresponsiveBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
 
-func (e *deafEngines) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
+func (e *unresponsiveBackend) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
-	if len(e.sent) == 1 && e.gives > 0 {
-		return &brokenStream{left: e.gives, version: o.Server.Loaded}, nil
+	if len(e.sent) == 1 && e.eventsBeforeFailure > 0 {
+		return &brokenStream{left: e.eventsBeforeFailure, version: o.Server.Loaded}, nil
 	}
-	return nil, failure.WithOutcome(failure.Timeout.New("nothing came"), failure.Unknown)
+	return nil, failure.WithOutcome(failure.Timeout.New("no response before the deadline"), failure.Unknown)
 }
 
-func (e *deafEngines) orders() []Order {
+func (e *unresponsiveBackend) orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.sent...)
 }
 
-// brokenStream gives some events and fails.
+// brokenStream returns some events and then fails.
 type brokenStream struct {
-	emptyAnswer
+	emptyResponse
 	left    int
 	next    int64
 	version placement.ModelVersion
@@ -68,27 +68,26 @@
 	return eventstream.Event{ID: s.next, Raw: []byte("e")}, nil
 }
 
-// Two callers had a 502 at 30.03 and 30.33 s, since their entries had withdrawn
-// both calls from an engine that gave nothing. The engine began them at 31.02 and
-// 30.74 s ("a request began on version 2, 10004 ms after version 3 was acked" and
-// 9719 ms, where 9700 are allowed). The entries closed their connections before
-// that, but a close ends no call that waits in an engine until it is read there.
-// The time given to the engine was all of the callers' 6 s, so nothing else ended
-// them.
+// Guards against calls that an engine begins on an outdated version after the entry has
+// withdrawn them. An engine does not notice a closed connection while a call waits in
+// its queue, so only the deadline sent with the call ends it. In one run, with the full
+// timeout of the callers (6 s) as deadline, two calls that were withdrawn at 30.03 and
+// 30.33 s began at 31.02 and 30.74 s: 10004 and 9719 ms after the newer version was
+// acknowledged, where 9700 ms are allowed.
 var _ = Describe("A call at an engine whose version is outdated", func() {
 	const (
 		timeout = 30 * time.Second
-		passed  = 4 * time.Second // of the 8 s for the version
+		passed  = 4 * time.Second // of the 8 s for which the outdated version may be used
 	)
 	var (
 		g        *Gateway
-		backend  *deafEngines
+		backend  *unresponsiveBackend
 		named    time.Time
-		expected int // tokens of the answer
+		expected int // expected tokens of the response
 	)
 
-	// serve has a call answered at engines that hold version 1, some time after
-	// version 2 was named.
+	// serve sends a call to engines that have version 1 loaded, passed after version 2 was
+	// named, and returns the attempts.
 	serve := func(resumable bool, attempts int) []Order {
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = &enginemodel.Figures{
@@ -103,35 +102,35 @@
 		g.names["m"] = loading.Names{{Version: 2, Since: named}}
 		g.publish(now)
 		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: timeout, LastEvent: -1, Expected: expected}
-		g.Serve(context.Background(), call, &reader{})
+		g.Serve(context.Background(), call, &textRecorder{})
 		return backend.orders()
 	}
 
 	prepare := func() {
 		g, _ = newGateway()
-		backend = &deafEngines{}
+		backend = &unresponsiveBackend{}
 		g.opts.Backend = backend
 		expected = 50
 	}
 	BeforeEach(prepare)
 
-	// Guards against calls that begin on outdated weights because the word that
-	// takes them back is late or lost.
-	It("cannot begin there after the time of the version, whatever the engine hears", func() {
+	// Guards against calls that begin on outdated weights because their withdrawal
+	// arrives late or is lost.
+	It("has a deadline within the time of the version, even if the engine misses its withdrawal", func() {
 		for _, c := range []struct {
 			name            string
 			resumable       bool
 			attempts, gives int
 			sent            int
 		}{
-			{name: "a call that may be repeated", resumable: true, attempts: 2, sent: 2},
-			{name: "one on its last attempt", resumable: true, attempts: 1, sent: 1},
-			{name: "one that may run only once", attempts: 2, sent: 1},
-			{name: "a stream that goes on at another engine", resumable: true, attempts: 2, gives: 3, sent: 2},
+			{name: "a call that may be retried", resumable: true, attempts: 2, sent: 2},
+			{name: "a call on its last attempt", resumable: true, attempts: 1, sent: 1},
+			{name: "a call that must not run twice", attempts: 2, sent: 1},
+			{name: "a stream that is resumed on another engine", resumable: true, attempts: 2, gives: 3, sent: 2},
 		} {
 			By(c.name)
 			prepare()
-			backend.gives = c.gives
+			backend.eventsBeforeFailure = c.gives
 			got := serve(c.resumable, c.attempts)
 			Expect(got).To(HaveLen(c.sent))
 			for _, o := range got {
@@ -141,34 +140,34 @@
 		}
 	})
 
-	// Guards against long calls that wait there with nothing to end them, or are cut
-	// off when the time is over.
-	It("is not sent there if its answer is not expected in time", func() {
+	// Guards against long calls that wait there with nothing to end them, or are aborted
+	// when the time of the version is over.
+	It("is not sent there if its response is not expected in time", func() {
 		expected = 500
 		Expect(serve(true, 2)).To(BeEmpty())
 	})
 
-	// Guards against engines left unused while they may still answer.
-	It("is sent there while its answer is expected in time", func() {
+	// Guards against engines that are left unused while they may still answer.
+	It("is sent there while its response is expected in time", func() {
 		Expect(serve(true, 2)).NotTo(BeEmpty())
 	})
 
-	// Guards against a whole answer that is cut off since its end came a moment after
-	// the time that the engine was given.
-	It("is whole if its stream ends as the time of the engine is over", func() {
+	// Guards against a complete response that is aborted because its end came a moment
+	// after the engine's deadline.
+	It("is complete if its stream ends just after the engine's deadline", func() {
 		g.adopt(time.Now(), snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(time.Now())
-		caller := &reader{}
+		caller := &textRecorder{}
 		call := &Call{ID: "c", LastEvent: -1}
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), mayHaveRun: true,
-			deadline: time.Now().Add(time.Minute), serverUntil: time.Now()}
-		ticket, _ := g.board.Choose(time.Now(), placement.Ask{Service: "pool", Left: time.Minute})
+			deadline: time.Now().Add(time.Minute), serverDeadline: time.Now()}
+		ticket, _ := g.scheduler.Choose(time.Now(), placement.Ask{Service: "pool", Left: time.Minute})
 		var err error
-		j.run, err = j.reply.accept(emptyAnswer{})
+		j.lastAttempt, err = j.reply.accept(emptyResponse{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(j.takeEvent(ticket, emptyAnswer{}, j.run, eventstream.Event{ID: 0, Raw: []byte("0")})).To(Succeed())
-		Expect(j.streamEnded(context.Background(), ticket, emptyAnswer{})).To(BeFalse())
+		Expect(j.forwardEvent(ticket, emptyResponse{}, j.lastAttempt, eventstream.Event{ID: 0, Raw: []byte("0")})).To(Succeed())
+		Expect(j.handleStreamEnd(context.Background(), ticket, emptyResponse{})).To(BeFalse())
 		Expect(caller.complete).To(BeTrue())
 	})
 })
--- a/daemon/gateway/watch_test.go
+++ b/daemon/gateway/watch_test.go
@@ -76,10 +76,10 @@
 	// Guards against full links between regions after a restart of the whole fleet, when
 	// every entry listed a large configuration at the same moment.
 	It("waits for a peer's before it lists the platform's", func() {
-		Expect(g.listsAfter).To(BeNumerically("<=", unheardReadAfter))
-		g.listsAfter = unheardReadAfter
+		Expect(g.listDelay).To(BeNumerically("<=", maxListDelay))
+		g.listDelay = maxListDelay
 		Expect(g.reads(started, 0)).To(BeFalse())
-		Expect(g.reads(started.Add(unheardReadAfter), 0)).To(BeTrue())
+		Expect(g.reads(started.Add(maxListDelay), 0)).To(BeTrue())
 	})
 
 	It("leaves the listing to others that start in its region, for a while", func() {
@@ -95,7 +95,7 @@
 		Expect(rankAmong("kano", first, second)).To(BeZero(), "they read for another region")
 		first.TurnedAway = true
 		Expect(rankAmong("lagos", first, second)).To(Equal(1), "the platform does not answer one of them")
-		Expect(g.reads(started.Add(othersReadFirst), 5)).To(BeTrue())
+		Expect(g.reads(started.Add(lowerRankDelay), 5)).To(BeTrue())
 	})
 
 	// Guards against callers refused by an entry that has just started, who came back
@@ -111,16 +111,16 @@
 		Expect(v.table).NotTo(BeNil())
 
 		g, _ = newGatewayAtStart()
-		Expect(g.currentView(context.Background(), &Call{Patience: 3 * viewPoll})).To(BeNil())
+		Expect(g.currentView(context.Background(), &Call{Patience: 3 * viewPollInterval})).To(BeNil())
 	})
 
 	It("lists no more once a peer has sent one", func() {
 		call, end := g.reading.begin(context.Background())
 		defer end()
-		g.followAnew(&view{reads: true}, &view{reads: true, table: g.table})
+		g.followAnew(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
 		Expect(call.Err()).NotTo(HaveOccurred())
 		g.adopt(started, snapshot(5), "peer")
-		g.followAnew(&view{reads: true}, &view{reads: true, table: g.table})
+		g.followAnew(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
 		Expect(call.Err()).To(HaveOccurred())
 	})
 })
@@ -128,7 +128,7 @@
 var _ = Describe("An entry that does not read the platform", func() {
 	one, two := server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)
 	var g *Gateway
-	var backend *noBackend
+	var backend *rejectingBackend
 
 	// told is what one that reads it tells.
 	told := func(when time.Time, c wire.PlatformState, news wire.ServerNews) {
@@ -136,13 +136,13 @@
 		b.Platform, b.Servers = &c, &news
 		g.heard(when, nearEntry, b)
 	}
-	reads := func() { g.view.Store(&view{reads: true}) }
+	reads := func() { g.view.Store(&view{readsPlatform: true}) }
 	removeTwo := []catalog.Change{{Revision: 9, Removed: "i-2"}}
 
 	BeforeEach(func() {
 		g, backend = newGateway()
 		g.adopt(start, snapshot(5, one, two), "platform")
-		g.view.Store(&view{reads: false})
+		g.view.Store(&view{readsPlatform: false})
 	})
 
 	It("follows the servers by what it is told", func() {
@@ -186,7 +186,7 @@
 	// Guards against a reader that tells of an old reading as new after a pause that its
 	// clock did not count.
 	It("counts a pause of the process in the age of its reading", func() {
-		g.woke(at(time.Second), 3*time.Second)
+		g.resumeAfterPause(at(time.Second), 3*time.Second)
 		reads()
 		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
 		Expect(g.compose(at(time.Second), peer, mesh.Whole).Platform.ReadAgoMS).To(Equal(int64(4000)))
@@ -197,9 +197,9 @@
 	It("reads the platform itself once what it knows is old, and no reader is heard", func() {
 		old := at(readingMaxAge + time.Millisecond)
 		Expect(g.reads(old, regionReaders)).To(BeTrue(), "no reader is heard")
-		g.revisionHeard = 9
+		g.newestPeerRevision = 9
 		Expect(g.reads(old, regionReaders)).To(BeFalse(), "it would read a configuration that its readers have read")
-		g.revisionHeard = 0
+		g.newestPeerRevision = 0
 		Expect(g.reads(old, regionReaders)).To(BeTrue())
 		b := beat("10.0.0.2")
 		b.AsOf, b.Platform = 7, &wire.PlatformState{}
@@ -274,7 +274,7 @@
 		g, _ := newGateway()
 		g.opts.Source = platform
 		g.adopt(start, snapshot(5), "peer")
-		reads := view{reads: true, table: g.table, asOf: 5, operatorAsOf: 5}
+		reads := view{readsPlatform: true, table: g.table, asOf: 5, operatorAsOf: 5}
 		g.view.Store(&reads)
 		// turn tells the turns of the loop that makes the calls from each other.
 		turn := func() time.Time {
--- a/daemon/gateway/withdrawn.go
+++ b/daemon/gateway/withdrawn.go
@@ -12,40 +12,40 @@
 	"chivespindle.example/core/placement"
 )
 
-// Why a call is withdrawn from an engine.
+// Reasons for which a call is withdrawn from an engine.
 const (
 	withdrawnCallerLeft  = "caller_left"
 	withdrawnDeadline    = "deadline"
 	withdrawnVersionTime = "version_time"
 	withdrawnSilent      = "silent"
-	// withdrawnOtherAnswer: the answer to another call came.
+	// withdrawnOtherAnswer: the response belonged to another call.
 	withdrawnOtherAnswer = "other_answer"
 )
 
-// withdrawal tells of a call that was closed at an engine before any event of
-// its answer had come. The engine may begin it yet: it may learn of it late.
+// withdrawal describes a call whose connection to an engine this entry closed before
+// any event came. The engine may still begin the call if it notices the close late.
 type withdrawal struct {
 	reason string
 	waited time.Duration // since it was placed
-	// versionLeft is what was left of the time of the engine's version, negative
-	// once that is over; of use only if the version is outdated.
+	// versionLeft is how long the engine's version could still be used, negative once
+	// that time is over. It is set only if the version is outdated.
 	versionLeft time.Duration
 	outdated    bool
 }
 
-// withdrawn returns what is to be told of an attempt that failed; nil if it was
-// no call that this entry closed at an engine before that had begun.
-func (j *job) withdrawn(ctx context.Context, now time.Time, ticket *placement.Ticket, err error) *withdrawal {
-	waited, waits := ticket.Waited(now)
+// withdrawn returns the withdrawal to log for a failed attempt. It is nil unless this
+// entry closed the call at an engine before any event came.
+func (j *job) withdrawn(ctx context.Context, now time.Time, assignment *placement.Ticket, err error) *withdrawal {
+	waited, waits := assignment.Waited(now)
 	if j.service.Engine == nil || !waits || failure.OutcomeOf(err) == failure.NotRun {
 		return nil
 	}
-	reason := j.withdrawReason(ctx, now, ticket.Server, err)
+	reason := j.withdrawReason(ctx, now, assignment.Server, err)
 	if reason == "" {
 		return nil
 	}
 	w := &withdrawal{reason: reason, waited: waited}
-	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(ticket.Server.Loaded))
+	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(assignment.Server.Loaded))
 	if outdated {
 		w.outdated = true
 		w.versionLeft = since.Add(j.g.opts.VersionTime).Sub(now)
@@ -53,16 +53,16 @@
 	return w
 }
 
-// withdrawReason returns why the entry closed a call, empty if the connection
+// withdrawReason returns why this entry closed a call. It is empty if the connection
 // failed by itself.
 func (j *job) withdrawReason(ctx context.Context, now time.Time, server placement.Server, err error) string {
 	isTimeout := errorx.IsOfType(err, failure.Timeout)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return withdrawnCallerLeft
-	case j.isOver(ctx, now):
+	case j.isCallOver(ctx, now):
 		return withdrawnDeadline
-	case isTimeout && j.isOutOfTime(now, server):
+	case isTimeout && j.isVersionExpired(now, server):
 		return withdrawnVersionTime
 	case isTimeout:
 		return withdrawnSilent
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -19,8 +19,8 @@
 	"chivespindle.example/core/placement"
 )
 
-// Engines began calls that entries had withdrawn from them, and no line told
-// which calls those were, why, and how much of the version's time was left.
+// Engines began calls that entries had withdrawn from them, and no log line said which
+// calls those were, why they were withdrawn and how long the version could still be used.
 var _ = Describe("A call that an entry closes at an engine before its first event", func() {
 	const (
 		versionTime = 8 * time.Second // of the gateway in these specs
@@ -34,11 +34,11 @@
 		ticket  *placement.Ticket
 		failed  time.Time
 	)
-	silence := failure.Timeout.New("nothing came")
+	silence := failure.Timeout.New("no event before the deadline")
 	closed := failure.Unavailable.New("use of closed connection")
 
-	// place has a call wait at an engine of version 1. The call fails so long
-	// after version 2 was named; 0 if that was never.
+	// place puts a call at an engine of version 1. The call fails the given time after
+	// version 2 was named, 0 if it never was.
 	place := func(named time.Duration) {
 		g, _ = newGateway()
 		var core zapcore.Core
@@ -58,7 +58,7 @@
 		}
 		g.publish(failed)
 		placed := failed.Add(-waited)
-		ticket, _ = g.board.Choose(placed, placement.Ask{
+		ticket, _ = g.scheduler.Choose(placed, placement.Ask{
 			Service: "pool", Engine: g.table.Service("pool").Engine, Aim: time.Second, Left: time.Minute})
 		Expect(ticket).NotTo(BeNil())
 		call := &Call{ID: "c", Arrived: placed, LastEvent: -1}
@@ -83,10 +83,10 @@
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 
-	DescribeTable("is told with its reason and the time left of the version",
+	DescribeTable("is logged with its reason and the time left of the version",
 		func(named time.Duration, ctx context.Context, err error, reason string, left types.GomegaMatcher) {
 			place(named)
-			j.failed(ctx, failed, ticket, err)
+			j.endFailedAttempt(ctx, failed, ticket, err)
 			Expect(line()).To(And(
 				HaveKeyWithValue("request", "c"), HaveKeyWithValue("server", "i-1"), HaveKeyWithValue("addr", "10.0.1.1:80"),
 				HaveKeyWithValue("loaded", uint64(1)),
@@ -95,60 +95,60 @@
 			Expect(withdrawn(reason)).To(Equal(int64(1)))
 		},
 		Entry("silence on a version that is not outdated", time.Duration(0), context.Background(), silence, "silent", BeNil()),
-		Entry("silence on an outdated one", 2*time.Second, context.Background(), silence, "silent", Equal(versionTime-2*time.Second)),
-		Entry("its time is nearly over", 7900*time.Millisecond, context.Background(), silence, "version_time", Equal(100*time.Millisecond)),
-		Entry("its time is over", 8300*time.Millisecond, context.Background(), silence, "version_time", Equal(-300*time.Millisecond)),
-		Entry("the caller left", 2*time.Second, gone, closed, "caller_left", Equal(versionTime-2*time.Second)),
-		Entry("another call's answer came", 2*time.Second, context.Background(), failure.Corrupt.New("another"), "other_answer",
+		Entry("silence on an outdated version", 2*time.Second, context.Background(), silence, "silent", Equal(versionTime-2*time.Second)),
+		Entry("the time of the version is nearly over", 7900*time.Millisecond, context.Background(), silence, "version_time", Equal(100*time.Millisecond)),
+		Entry("the time of the version is over", 8300*time.Millisecond, context.Background(), silence, "version_time", Equal(-300*time.Millisecond)),
+		Entry("the caller disconnected", 2*time.Second, gone, closed, "caller_left", Equal(versionTime-2*time.Second)),
+		Entry("the response belonged to another call", 2*time.Second, context.Background(), failure.Corrupt.New("response to another call"), "other_answer",
 			Equal(versionTime-2*time.Second)),
 	)
 
-	It("is told to have been closed at its deadline", func() {
+	It("is logged as closed at its deadline", func() {
 		place(0)
 		j.deadline = failed
-		j.failed(context.Background(), failed, ticket, silence)
+		j.endFailedAttempt(context.Background(), failed, ticket, silence)
 		Expect(line()).To(HaveKeyWithValue("reason", "deadline"))
 	})
 
-	// A line that names as withdrawn what the engine had begun, or what never
-	// reached it, sends its reader after the wrong calls.
-	DescribeTable("is not told of",
+	// Guards against misleading lines that report calls as withdrawn which the engine had
+	// begun or never received.
+	DescribeTable("is not logged as withdrawn",
 		func(prepare func(), err error) {
 			place(2 * time.Second)
 			prepare()
-			j.failed(context.Background(), failed, ticket, err)
+			j.endFailedAttempt(context.Background(), failed, ticket, err)
 			Expect(line()).NotTo(HaveKey("reason"))
 			for _, counter := range metrics.Snapshot().Counters() {
 				Expect(counter.Name()).NotTo(Equal("calls_withdrawn"))
 			}
 		},
-		Entry("when an event had come", func() { ticket.Wrote(1) }, silence),
+		Entry("when an event had been received", func() { ticket.Wrote(1) }, silence),
 		Entry("when it could not be sent", func() {}, failure.WithOutcome(failure.Timeout.New("connect"), failure.NotRun)),
 		Entry("when the connection broke by itself", func() {}, failure.Unavailable.New("connection reset by peer")),
-		Entry("when a plain service had it", func() { j.service = g.table.Service("weights") }, silence),
+		Entry("when it was sent to a plain service", func() { j.service = g.table.Service("weights") }, silence),
 	)
 
-	// Retries of one request have other request ids, and a connection may break though
-	// its server lives: the line did not let either be told.
-	DescribeTable("has the content's fingerprint in its line if its connection broke",
+	// Retries of a request have different request ids, and a connection may break though its
+	// server is alive. The line must identify the request's content and the server's state.
+	DescribeTable("is logged with the fingerprint of its content if its connection broke",
 		func(state Liveness) {
 			place(0)
-			g.opts.Backend = &noBackend{state: state}
-			j.serverUntil = j.deadline
-			j.failed(context.Background(), failed, ticket, failure.Unavailable.New("unexpected EOF"))
+			g.opts.Backend = &rejectingBackend{state: state}
+			j.serverDeadline = j.deadline
+			j.endFailedAttempt(context.Background(), failed, ticket, failure.Unavailable.New("unexpected EOF"))
 			Expect(line()).To(And(HaveKeyWithValue("fingerprint", j.contentFingerprint().String()), HaveKeyWithValue("server_state", state.String())))
 		},
-		Entry("and its server ended", Down),
-		Entry("and its server lives", Alive),
-		Entry("and nothing is known of its server", LivenessUnknown),
+		Entry("and its server is down", Down),
+		Entry("and its server is alive", Alive),
+		Entry("and the state of its server is unknown", LivenessUnknown),
 	)
 
-	// A burst of withdrawals writes no more lines than any other burst, and none of
-	// them is missing in the count.
-	It("is counted beyond the bound of lines", func() {
+	// A burst of withdrawals is subject to the limit on log lines, but all of them must be
+	// counted.
+	It("is counted even if the limit on log lines is reached", func() {
 		place(2 * time.Second)
-		g.log.gate.second, g.log.gate.passed = failed.Add(time.Hour), linesPerSecond
-		j.failed(context.Background(), failed, ticket, silence)
+		g.log.limiter.windowStart, g.log.limiter.written = failed.Add(time.Hour), maxLinesPerSecond
+		j.endFailedAttempt(context.Background(), failed, ticket, silence)
 		Expect(lines.FilterMessage("attempt_failed").Len()).To(BeZero())
 		Expect(withdrawn("silent")).To(Equal(int64(1)))
 	})
