--- a/cmd/chivespindled/platform_entry.go
+++ b/cmd/chivespindled/platform_entry.go
@@ -48,8 +48,8 @@
 		CallerAddr: s.Callers, PeerPort: s.PeerPort, Seeds: s.Seeds, Regions: s.Regions,
 		Loop: b.loop, Endpoint: b.endpoint,
 		Source: platform.NewStore(s.Store, b.logger), Backend: platform.NewBackend(),
-		Budget:      gateway.RetryBudget{Ratio: s.RetryRatio, Slack: s.RetrySlack, Span: s.RetryWindow},
-		VersionTime: s.VersionTime, SoundTime: s.SoundTime, Off: b.off,
+		Budget:      gateway.RetryBudget{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
+		VersionTime: s.VersionTime, SoundTime: s.SoundTime, Disabled: b.off,
 		Logger: b.logger, Metrics: b.metrics,
 	})
 	b.handler.Handler = g
--- a/daemon/gateway/backendregion_test.go
+++ b/daemon/gateway/backendregion_test.go
@@ -31,15 +31,15 @@
 
 // ask sends a call to an entry and returns the error response, the zero value if there was
 // none.
-func (m *member) ask(path, id string) Verdict {
+func (m *member) ask(path, id string) ErrorResponse {
 	caller := make(refusalRecorder, 1)
 	m.gateway.Serve(context.Background(), &Call{
-		ID: id, Host: "relay.example", Path: path, Target: path, Arrived: time.Now(), Patience: 6 * time.Second, LastEvent: -1,
+		ID: id, Host: "relay.example", Path: path, Target: path, Arrived: time.Now(), Timeout: 6 * time.Second, LastEvent: -1,
 	}, caller)
 	select {
 	case v := <-caller:
 		return v
 	default:
-		return Verdict{}
+		return ErrorResponse{}
 	}
 }
--- a/daemon/gateway/callresults.go
+++ b/daemon/gateway/callresults.go
@@ -36,7 +36,7 @@
 	resultLatePause callResult = "late_pause"
 	// resultAbandoned: the caller disconnected.
 	resultAbandoned callResult = "abandoned"
-	// resultRefused and resultFailed are prefixes of the verdict's reason.
+	// resultRefused and resultFailed are prefixes of the reason of the error response.
 	resultRefused callResult = "refused_"
 	resultFailed  callResult = "failed_"
 )
--- a/daemon/gateway/crash.go
+++ b/daemon/gateway/crash.go
@@ -35,7 +35,7 @@
 	}
 	b := &brokenAttempt{
 		fingerprint: j.contentFingerprint(),
-		server:      j.g.opts.Backend.Check(ctx, server.Addr),
+		server:      j.g.opts.Backend.CheckLiveness(ctx, server.Addr),
 	}
 	isPlanned := j.g.scheduler.IsLeaving(server.ID)
 	switch now := time.Now(); {
@@ -65,7 +65,7 @@
 // crashed with calls in flight whose outcome is in doubt.
 func (j *job) unreached(ctx context.Context, now time.Time, server placement.Server) {
 	if j.g.quarantine.IsDoubted(now, server.ID) && !j.g.scheduler.IsLeaving(server.ID) &&
-		j.g.opts.Backend.Check(ctx, server.Addr) == Down {
+		j.g.opts.Backend.CheckLiveness(ctx, server.Addr) == Down {
 		j.g.serverCrashed(now, server.ID)
 	}
 }
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -28,9 +28,9 @@
 
 const crashingPath = "/pool/crash"
 
-func (*fragileEngines) Keep([]placement.Server) {}
+func (*fragileEngines) Retain([]placement.Server) {}
 
-func (e *fragileEngines) Check(_ context.Context, addr netip.AddrPort) Liveness {
+func (e *fragileEngines) CheckLiveness(_ context.Context, addr netip.AddrPort) Liveness {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed[addr] {
@@ -39,7 +39,7 @@
 	return Alive
 }
 
-func (e *fragileEngines) Send(_ context.Context, call *Call, o Order) (Answer, error) {
+func (e *fragileEngines) Send(_ context.Context, call *Call, o SendOptions) (Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed[o.Server.Addr] {
@@ -59,7 +59,7 @@
 	return e.reached
 }
 
-func (b *rejectingBackend) Check(context.Context, netip.AddrPort) Liveness { return b.state }
+func (b *rejectingBackend) CheckLiveness(context.Context, netip.AddrPort) Liveness { return b.state }
 
 var _ = Describe("A call that crashes the engines that run it, at entries in turn", func() {
 	const entries, engineCount, allowed = 5, 20, 3
@@ -73,7 +73,7 @@
 		route.MaxAttempts = 1
 		region := startRegionWith(backend, c, entries, engineCount)
 		for _, m := range region.members {
-			Eventually(m.ask, "10s").WithArguments("/pool/other", "before").Should(Equal(Verdict{}))
+			Eventually(m.ask, "10s").WithArguments("/pool/other", "before").Should(Equal(ErrorResponse{}))
 		}
 		for i := range allowed {
 			region.members[i].ask(crashingPath, fmt.Sprintf("first-%d", i))
@@ -85,7 +85,7 @@
 		}
 		Expect(backend.reachedBy()).To(BeNumerically("<=", 2*allowed))
 		for _, m := range region.members {
-			Expect(m.ask("/pool/other", "other")).To(Equal(Verdict{}))
+			Expect(m.ask("/pool/other", "other")).To(Equal(ErrorResponse{}))
 		}
 	})
 })
--- a/daemon/gateway/delivery_test.go
+++ b/daemon/gateway/delivery_test.go
@@ -39,7 +39,7 @@
 	isWhole  bool // the body came with the head
 	events   []receivedEvent
 	complete bool
-	refused  []Verdict
+	refused  []ErrorResponse
 	heads    int
 	afterEnd int
 	leavesAt int // the write from which on the caller has disconnected, 0 for never
@@ -48,13 +48,13 @@
 
 var errCallerLeft = errors.New("caller disconnected")
 
-func (r *responseRecorder) Begin(a Answer) error {
+func (r *responseRecorder) Begin(a Response) error {
 	r.head = a.(*scriptedResponse)
 	r.heads++
 	return r.write()
 }
 
-func (r *responseRecorder) Whole(a Answer, body []byte) error {
+func (r *responseRecorder) WriteResponse(a Response, body []byte) error {
 	r.body, r.isWhole = string(body), true
 	if err := r.Begin(a); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (r *responseRecorder) Refuse(v Verdict) { r.refused = append(r.refused, v) }
+func (r *responseRecorder) Refuse(v ErrorResponse) { r.refused = append(r.refused, v) }
 
 // violation returns the guarantee that a call violates, empty for none.
 func (b *scriptedBackend) violation(r *responseRecorder, resumable bool) string {
@@ -231,7 +231,7 @@
 	backend := &scriptedBackend{script: script, state: make(map[netip.AddrPort]Liveness)}
 	g.opts.Backend = backend
 	caller := &responseRecorder{leavesAt: s.leavesAt}
-	g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), Patience: 5 * time.Second, LastEvent: -1}, caller)
+	g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), Timeout: 5 * time.Second, LastEvent: -1}, caller)
 	backend.illegal = errorLines.FilterMessage("illegal_delivery").Len() > 0
 	return backend, caller
 }
@@ -240,7 +240,7 @@
 // caller retries it, though it may have run.
 func (s scenario) invitesUnsafeRetry(r *responseRecorder) bool {
 	isIdempotent := s.resumable || s.kind == routing.Safe
-	return r.isWhole && r.head.PromisesNotRun() && !isIdempotent
+	return r.isWhole && r.head.ImpliesNotRun() && !isIdempotent
 }
 
 // runAll runs all scripts that begin with the given one. A script is extended, up to
--- a/daemon/gateway/follow.go
+++ b/daemon/gateway/follow.go
@@ -169,7 +169,7 @@
 // watchPause is the pause before the next watch.
 func (g *Gateway) watchPause() time.Duration {
 	v := g.view.Load()
-	if v == nil || g.opts.Off.FewWatchers {
+	if v == nil || g.opts.Disabled.FewWatchers {
 		return gatherChanges
 	}
 	return pauseAt(v.rank)
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -40,10 +40,10 @@
 // RetryBudget limits the retries that all entries together send to a service.
 type RetryBudget struct {
 	// Ratio is the number of retries allowed per request. Slack is the number
-	// allowed in addition within a window of length Span.
-	Ratio float64
-	Slack float64
-	Span  time.Duration
+	// allowed in addition within Window.
+	Ratio  float64
+	Slack  float64
+	Window time.Duration
 }
 
 // Options of a Gateway. All fields are required.
@@ -69,10 +69,10 @@
 	// SoundTime is how long the platform must have answered without failures to count
 	// as healthy.
 	SoundTime time.Duration
-	// Off holds the mechanisms that are switched off.
-	Off     policy.Off
-	Logger  *zap.Logger
-	Metrics tally.Scope
+	// Disabled holds the mechanisms that are switched off.
+	Disabled policy.Off
+	Logger   *zap.Logger
+	Metrics  tally.Scope
 }
 
 // Gateway holds the state of an entry. Serve, Addresses and Ready are safe for
@@ -204,7 +204,7 @@
 	g := &Gateway{
 		opts:              opts,
 		ctx:               ctx,
-		scheduler:         placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Off),
+		scheduler:         placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Disabled),
 		log:               newRequestLog(now, opts.Logger, opts.Metrics),
 		answerer:          addressing.New(addressing.Options{Rand: chance.Shared{}}),
 		names:             make(map[string]loading.Names),
@@ -225,7 +225,7 @@
 		listed:            make(map[netip.AddrPort]placement.Server),
 		budgets:           make(map[fleet.ServiceName]*retry.Window),
 		holdLimiters:      make(map[fleet.ServiceName]*placement.HoldRoom),
-		contact:           contact{heard: now, off: opts.Off},
+		contact:           contact{heard: now, off: opts.Disabled},
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
 	g.limitReports = newReportSender[serverlimit.Report](g.limits)
@@ -246,7 +246,7 @@
 		HasNews:    g.hasNews,
 		Heard:      g.heard,
 		Lost:       g.dropPeer,
-		FarLess:    !opts.Off.FarLess,
+		FarLess:    !opts.Disabled.FarLess,
 	})
 	return g
 }
@@ -375,7 +375,7 @@
 	w := g.budgets[service]
 	if w == nil {
 		b := g.opts.Budget
-		w = retry.NewWindow(now, b.Span, b.Ratio*budgetShare, g.slack())
+		w = retry.NewWindow(now, b.Window, b.Ratio*budgetShare, g.slack())
 		g.budgets[service] = w
 	}
 	return w
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -25,7 +25,7 @@
 // successor is the server on which a stream continues.
 type successor struct {
 	ticket   *placement.Ticket
-	response Answer
+	response Response
 	attempt  *delivery.Run
 	deadline time.Time // the server's own deadline for the call
 }
@@ -41,7 +41,7 @@
 // otherwise the stream would be aborted if the next one declined it. Events of the old
 // server are buffered by its connection meanwhile.
 func (j *job) handOver(ctx context.Context, assignment *placement.Ticket) *successor {
-	if j.g.opts.Off.HandOver || !assignment.IsDisplaced() || !j.mayHandOver(assignment) {
+	if j.g.opts.Disabled.HandOver || !assignment.IsDisplaced() || !j.mayHandOver(assignment) {
 		return nil
 	}
 	now := time.Now()
@@ -65,8 +65,8 @@
 
 // resumeOn sends the call to another server and returns that server once it has resumed
 // the stream. It fails if that takes longer than the longest pause that the route allows.
-func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, opts Order) (*successor, error) {
-	opts.FirstBy = earlier(j.latestResponseTime(opts.Until), now.Add(j.targetPause()))
+func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, opts SendOptions) (*successor, error) {
+	opts.StartDeadline = earlier(j.latestResponseTime(opts.Deadline), now.Add(j.targetPause()))
 	j.attempts++
 	response, err := j.g.opts.Backend.Send(ctx, j.call, opts)
 	if err != nil {
@@ -85,7 +85,7 @@
 		next.End(time.Now(), j.resultOf(response))
 		return nil, err
 	}
-	response.SetDeadline(opts.FirstBy)
+	response.SetDeadline(opts.StartDeadline)
 	event, err := response.Next()
 	if err == nil {
 		err = j.forwardEvent(next, response, attempt, event)
@@ -95,7 +95,7 @@
 		next.End(time.Now(), placement.Abandoned)
 		return nil, err
 	}
-	return &successor{ticket: next, response: response, attempt: attempt, deadline: opts.Until}, nil
+	return &successor{ticket: next, response: response, attempt: attempt, deadline: opts.Deadline}, nil
 }
 
 func (j *job) targetPause() time.Duration {
@@ -119,7 +119,7 @@
 
 // remainingTokens estimates how many tokens the stream has left.
 func (j *job) remainingTokens(assignment *placement.Ticket) int {
-	expected := j.call.Expected
+	expected := j.call.ExpectedTokens
 	if expected == 0 {
 		expected = j.service.Engine.UsualAnswer
 	}
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -27,7 +27,7 @@
 // requested last event.
 type streamBackend struct {
 	mu      sync.Mutex
-	sent    []Order
+	sent    []SendOptions
 	streams map[fleet.InstanceID]*engineStream // the latest one of each server
 	// declines holds servers that state that they do not run the call.
 	declines map[fleet.InstanceID]bool
@@ -37,11 +37,11 @@
 	changes map[fleet.InstanceID]func(*engineStream)
 }
 
-func (e *streamBackend) Keep([]placement.Server) {}
+func (e *streamBackend) Retain([]placement.Server) {}
 
-func (*streamBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*streamBackend) CheckLiveness(context.Context, netip.AddrPort) Liveness { return Alive }
 
-func (e *streamBackend) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
+func (e *streamBackend) Send(_ context.Context, _ *Call, o SendOptions) (Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
@@ -60,10 +60,10 @@
 	return e.streams[id]
 }
 
-func (e *streamBackend) orders() []Order {
+func (e *streamBackend) orders() []SendOptions {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Order(nil), e.sent...)
+	return append([]SendOptions(nil), e.sent...)
 }
 
 const streamEvents = 9
@@ -81,10 +81,10 @@
 func (s *engineStream) Status() int                     { return max(s.status, 200) }
 func (s *engineStream) NotRun() bool                    { return s.declined }
 func (s *engineStream) Misdirected() bool               { return false }
-func (s *engineStream) PromisesNotRun() bool            { return false }
+func (s *engineStream) ImpliesNotRun() bool             { return false }
 func (s *engineStream) Version() placement.ModelVersion { return s.version }
 func (s *engineStream) Limit() ServerLimit              { return ServerLimit{} }
-func (s *engineStream) Streams() bool                   { return true }
+func (s *engineStream) IsEventStream() bool             { return true }
 func (s *engineStream) EndIsFramed() bool               { return true }
 func (s *engineStream) SetDeadline(time.Time)           {}
 func (s *engineStream) Body(int64) ([]byte, error)      { return nil, nil }
@@ -119,9 +119,9 @@
 	writes   int
 }
 
-func (*textRecorder) Whole(Answer, []byte) error { return nil }
-func (*textRecorder) Begin(Answer) error         { return nil }
-func (*textRecorder) Refuse(Verdict)             {}
+func (*textRecorder) WriteResponse(Response, []byte) error { return nil }
+func (*textRecorder) Begin(Response) error                 { return nil }
+func (*textRecorder) Refuse(ErrorResponse)                 {}
 
 func (r *textRecorder) Write(p []byte) error {
 	r.mu.Lock()
@@ -195,7 +195,7 @@
 		go func() {
 			defer close(ended)
 			g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(),
-				Patience: 30 * time.Second, LastEvent: -1, Expected: 400}, caller)
+				Timeout: 30 * time.Second, LastEvent: -1, ExpectedTokens: 400}, caller)
 		}()
 		Eventually(backend.orders).Should(HaveLen(1))
 		first = backend.orders()[0].Server.ID
@@ -308,8 +308,8 @@
 		tell(first, 2, true)
 		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
-		Expect(backend.orders()[0].Until).To(BeTemporally(">", named.Add(g.opts.VersionTime)))
-		Expect(backend.orders()[1].Until).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
+		Expect(backend.orders()[0].Deadline).To(BeTemporally(">", named.Add(g.opts.VersionTime)))
+		Expect(backend.orders()[1].Deadline).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
 		backend.stream(second).release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 	})
--- a/daemon/gateway/limit.go
+++ b/daemon/gateway/limit.go
@@ -13,7 +13,7 @@
 )
 
 // noteLimit records the limit that a response advertises. sent is when the call was sent.
-func (j *job) noteLimit(sent time.Time, server placement.Server, answer Answer) {
+func (j *job) noteLimit(sent time.Time, server placement.Server, answer Response) {
 	if answer.Misdirected() {
 		return // another server may have answered
 	}
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -23,11 +23,11 @@
 	reached map[fleet.InstanceID]int
 }
 
-func (*limitedEngines) Keep([]placement.Server) {}
+func (*limitedEngines) Retain([]placement.Server) {}
 
-func (*limitedEngines) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*limitedEngines) CheckLiveness(context.Context, netip.AddrPort) Liveness { return Alive }
 
-func (e *limitedEngines) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
+func (e *limitedEngines) Send(_ context.Context, _ *Call, o SendOptions) (Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reached[o.Server.ID]++
@@ -76,7 +76,7 @@
 		before := backend.reachedAt("i-0")
 		for range requests {
 			for _, m := range region.members {
-				Expect(m.ask(path, "then")).To(Equal(Verdict{}))
+				Expect(m.ask(path, "then")).To(Equal(ErrorResponse{}))
 			}
 		}
 		Expect(float64(backend.reachedAt("i-0") - before)).To(BeNumerically("<=", allowed))
@@ -138,7 +138,7 @@
 		g.limits.Advertised(now, "i-1", 1)
 		g.publish(now)
 		caller := make(refusalRecorder, 1)
-		g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: time.Minute, LastEvent: -1}, caller)
+		g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Timeout: time.Minute, LastEvent: -1}, caller)
 		Expect(caller).To(Receive(And(HaveField("Code", Unavailable), HaveField("Reason", "limited"), HaveField("RetryAfter", BeNumerically(">", 0)))))
 	})
 })
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -71,7 +71,7 @@
 	if isPlain && !l.limiter.sample(servedSampleInterval) || !l.allowed() {
 		return
 	}
-	l.logger.Info("served", callFields(j, zap.Duration("patience", j.call.Patience), zap.Int("status", status), zap.Int64("last_event", j.reply.progress.LastEvent()),
+	l.logger.Info("served", callFields(j, zap.Duration("patience", j.call.Timeout), zap.Int("status", status), zap.Int64("last_event", j.reply.progress.LastEvent()),
 		zap.Int("run_events", j.lastAttempt.Events()), zap.Bool("end_framed", j.endFramed),
 		zap.Duration("predicted", j.predicted), zap.Duration("first", j.firstAfter()))...)
 }
@@ -83,7 +83,7 @@
 	return j.firstEventAt.Sub(j.call.Arrived)
 }
 
-func (l *requestLog) refused(j *job, v Verdict) {
+func (l *requestLog) refused(j *job, v ErrorResponse) {
 	l.results.record(j, v.result())
 	l.metrics.Tagged(map[string]string{"code": v.Code.String(), "reason": v.Reason}).Counter("calls_refused").Inc(1)
 	if !l.allowed() {
@@ -98,8 +98,8 @@
 		return
 	}
 	l.logger.Info("not_placed", callFields(j, zap.String("reason", string(r.Reason)), zap.Duration("predicted", r.Predicted),
-		zap.Int("usable", r.Usable), zap.Int("prompt", j.call.Prompt),
-		zap.Int("expected", j.call.Expected), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.refusedBefore))...)
+		zap.Int("usable", r.Usable), zap.Int("prompt", j.call.PromptTokens),
+		zap.Int("expected", j.call.ExpectedTokens), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.refusedBefore))...)
 }
 
 func (l *requestLog) held(j *job, r placement.Refusal) {
@@ -164,9 +164,9 @@
 	}
 }
 
-// result returns the result of a call that ends with the verdict.
-func (v Verdict) result() callResult {
-	if v.Code == Broken || v.Code == TimedOut {
+// result returns the result of a call that ends with the error response.
+func (v ErrorResponse) result() callResult {
+	if v.Code == ServerFailed || v.Code == TimedOut {
 		return resultFailed + callResult(v.Reason)
 	}
 	return resultRefused + callResult(v.Reason)
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -180,7 +180,7 @@
 		Self: fleet.InstanceID(addr.String()), Addr: addr, Place: fleet.Place{Zone: "hall", Region: region},
 		CallerAddr: netip.AddrPortFrom(addr, 80), Regions: map[fleet.Zone]fleet.Region{"hall": region},
 		Loop: control.New(control.Options{}), Backend: e.backend,
-		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
+		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
 	e.g.listDelay = m.chance(maxListDelay)
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -103,7 +103,7 @@
 
 // shouldRetry reports whether to retry the call after an attempt that a server may have run.
 func (j *job) shouldRetry(ctx context.Context, now time.Time) bool {
-	return ctx.Err() == nil && !j.g.opts.Off.Repeat && j.isRetryable() && j.attempts < j.route.MaxAttempts &&
+	return ctx.Err() == nil && !j.g.opts.Disabled.Repeat && j.isRetryable() && j.attempts < j.route.MaxAttempts &&
 		j.deadline.Sub(now) > minAttemptTime && j.standing(now).MayRepeat()
 }
 
@@ -145,9 +145,9 @@
 		j.forwardHeld()
 	case j.mayHaveRun:
 		// The call may still be running, so the response must not say that it is not.
-		j.refuse(Verdict{Code: Broken, Reason: reason})
+		j.refuse(ErrorResponse{Code: ServerFailed, Reason: reason})
 	default:
-		j.refuse(Verdict{Code: Unavailable, RetryAfter: retryAfter, Reason: reason})
+		j.refuse(ErrorResponse{Code: Unavailable, RetryAfter: retryAfter, Reason: reason})
 	}
 }
 
@@ -158,7 +158,7 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		j.endAbandonedCall()
 	case isOver && j.mayHaveRun && j.heldResponse == nil && !j.hasStarted():
-		j.refuse(Verdict{Code: TimedOut, Reason: "timeout"})
+		j.refuse(ErrorResponse{Code: TimedOut, Reason: "timeout"})
 	case isOver:
 		j.giveUp("timeout", 0)
 	default:
@@ -167,7 +167,7 @@
 	return false
 }
 
-func (j *job) refuse(v Verdict) {
+func (j *job) refuse(v ErrorResponse) {
 	j.g.log.refused(j, v)
 	j.reply.refuse(v)
 }
@@ -179,7 +179,7 @@
 }
 
 // handleResponse handles the response of a server that has run the call.
-func (j *job) handleResponse(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+func (j *job) handleResponse(ctx context.Context, assignment *placement.Ticket, response Response) bool {
 	j.mayHaveRun = true
 	attempt, err := j.reply.accept(response)
 	if err != nil {
@@ -193,7 +193,7 @@
 }
 
 // handleMismatch handles a response that cannot continue what the caller has received.
-func (j *job) handleMismatch(ctx context.Context, assignment *placement.Ticket, response Answer, err error) bool {
+func (j *job) handleMismatch(ctx context.Context, assignment *placement.Ticket, response Response, err error) bool {
 	response.Close(false)
 	now := time.Now()
 	assignment.End(now, j.resultOf(response))
@@ -210,7 +210,7 @@
 }
 
 // resultOf returns the result of an attempt whose response cannot be forwarded.
-func (j *job) resultOf(response Answer) placement.Result {
+func (j *job) resultOf(response Response) placement.Result {
 	if response.Status() < http.StatusInternalServerError {
 		return placement.Declined
 	}
@@ -222,7 +222,7 @@
 // Callers retry after a status which implies that the call did not run. A server that
 // does not also say so explicitly may have run it, so such a response is not forwarded
 // if the call must not run twice.
-func (j *job) forwardWhole(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+func (j *job) forwardWhole(ctx context.Context, assignment *placement.Ticket, response Response) bool {
 	response.SetDeadline(j.deadline)
 	body, err := response.Body(maxBufferedBody)
 	if err == nil {
@@ -234,7 +234,7 @@
 		return j.handleBodyError(ctx, assignment, err)
 	}
 	response.Close(true)
-	if response.PromisesNotRun() && !j.route.Idempotent() {
+	if response.ImpliesNotRun() && !j.route.Idempotent() {
 		assignment.End(now, j.resultOfFailure(now))
 		j.g.log.serverError(j, assignment, response.Status())
 		j.giveUp("unproved_refusal", 0)
@@ -266,7 +266,7 @@
 	return j.endCall(ctx, now, "answer_broken")
 }
 
-func (j *job) forward(response Answer, body []byte) {
+func (j *job) forward(response Response, body []byte) {
 	if err := j.reply.whole(response, body); err != nil {
 		j.endAbandonedCall()
 		return
@@ -281,7 +281,7 @@
 // The header is sent with the first event, so that until then another server can
 // take over without the caller noticing. After that it can if the route allows
 // resumption: the next server continues after the last complete event.
-func (j *job) forwardStream(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+func (j *job) forwardStream(ctx context.Context, assignment *placement.Ticket, response Response) bool {
 	for {
 		response.SetDeadline(j.nextEventDeadline(time.Now(), assignment.Server))
 		event, err := response.Next()
@@ -312,7 +312,7 @@
 }
 
 // endAbandonedStream ends a stream whose caller has disconnected.
-func (j *job) endAbandonedStream(assignment *placement.Ticket, response Answer) bool {
+func (j *job) endAbandonedStream(assignment *placement.Ticket, response Response) bool {
 	response.Close(false)
 	assignment.End(time.Now(), placement.Abandoned)
 	j.leftBehind(time.Now(), assignment.Server)
@@ -322,7 +322,7 @@
 
 // forwardEvent forwards an event of a server, unless the caller has it already. It fails
 // if the event is out of order or the caller has disconnected.
-func (j *job) forwardEvent(assignment *placement.Ticket, response Answer, attempt *delivery.Run, event eventstream.Event) error {
+func (j *job) forwardEvent(assignment *placement.Ticket, response Response, attempt *delivery.Run, event eventstream.Event) error {
 	j.progressAt = time.Now()
 	assignment.Wrote(j.tokensPerEvent())
 	passed, err := j.reply.event(response, attempt, event)
@@ -362,7 +362,7 @@
 }
 
 // handleStreamEnd handles the end of a server's stream after a complete event.
-func (j *job) handleStreamEnd(ctx context.Context, assignment *placement.Ticket, response Answer) bool {
+func (j *job) handleStreamEnd(ctx context.Context, assignment *placement.Ticket, response Response) bool {
 	err := j.reply.progress.CheckEnd(j.lastAttempt)
 	if err == nil {
 		err = j.checkServerAlive(ctx, assignment.Server, response)
@@ -385,14 +385,14 @@
 // checkServerAlive fails if the end of the response was marked only by the close of its
 // connection and the server is down: the connections of a killed process are closed
 // too, so the response may be truncated.
-func (j *job) checkServerAlive(ctx context.Context, server placement.Server, response Answer) error {
-	if response.EndIsFramed() || j.g.opts.Backend.Check(ctx, server.Addr) != Down {
+func (j *job) checkServerAlive(ctx context.Context, server placement.Server, response Response) error {
+	if response.EndIsFramed() || j.g.opts.Backend.CheckLiveness(ctx, server.Addr) != Down {
 		return nil
 	}
 	return failure.WithOutcome(failure.Unavailable.New("connection closed and server down: response may be truncated"), failure.Unknown)
 }
 
-func (j *job) handleStreamError(ctx context.Context, assignment *placement.Ticket, response Answer, err error) bool {
+func (j *job) handleStreamError(ctx context.Context, assignment *placement.Ticket, response Response, err error) bool {
 	response.Close(false)
 	now := time.Now()
 	j.endFailedAttempt(ctx, now, assignment, err)
@@ -404,6 +404,6 @@
 
 // abort aborts a stream that cannot be completed.
 func (j *job) abort(reason string) {
-	j.g.log.refused(j, Verdict{Code: Broken, Reason: reason})
+	j.g.log.refused(j, ErrorResponse{Code: ServerFailed, Reason: reason})
 	j.reply.abort()
 }
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -47,7 +47,7 @@
 		call := &Call{ID: "c", Arrived: now.Add(-time.Second)}
 		j := &job{g: g, call: call, reply: newReply(g, call, nil), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), deadline: now.Add(time.Minute), progressAt: now.Add(-time.Second)}
-		j.serverDeadline = j.sendOptions(now, t).Until
+		j.serverDeadline = j.sendOptions(now, t).Deadline
 		j.endFailedAttempt(context.Background(), now, t, failure.Timeout.New("no event before the deadline"))
 		used := make(map[fleet.InstanceID]bool)
 		for range draws {
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -342,7 +342,7 @@
 	g.limits.Keep(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
 	})
-	g.opts.Backend.Keep(list)
+	g.opts.Backend.Retain(list)
 }
 
 const (
--- a/daemon/gateway/ports.go
+++ b/daemon/gateway/ports.go
@@ -22,32 +22,33 @@
 	// Key identifies the workspace. It is empty if the caller sent none.
 	Key     string
 	Arrived time.Time
-	// IsKept is true if the connection has carried an earlier call.
-	IsKept bool
-	// Patience is the caller's timeout, 0 if it sent none.
-	Patience time.Duration
-	// Prompt is the number of prompt tokens, Answer the maximum number of generated
-	// tokens.
-	Prompt, Answer int
-	// Expected is the caller's estimate of the number of generated tokens, 0 if unknown.
-	Expected int
+	// IsReusedConn is true if the connection has carried an earlier call.
+	IsReusedConn bool
+	// Timeout is the caller's timeout, 0 if it sent none.
+	Timeout time.Duration
+	// PromptTokens is the number of prompt tokens, MaxTokens the maximum number of
+	// generated tokens.
+	PromptTokens, MaxTokens int
+	// ExpectedTokens is the caller's estimate of the number of generated tokens, 0 if
+	// unknown.
+	ExpectedTokens int
 	// LastEvent is the last event that the caller has; -1 for none.
 	LastEvent int64
 	// Native is the adapter's own representation of the request.
 	Native any
 }
 
-// Order describes one attempt of a call at a server.
-type Order struct {
+// SendOptions describes one attempt of a call at a server.
+type SendOptions struct {
 	Server    placement.Server
 	Workspace fleet.Workspace
-	// Until is the server's deadline: it ends its work on the call then, whether or
-	// not it has begun.
-	Until time.Time
-	// FirstBy is the deadline for the start of the response.
-	FirstBy time.Time
-	// Require is the version of the weights that must answer, 0 if any may.
-	Require placement.ModelVersion
+	// Deadline is when the server ends its work on the call, whether or not it has
+	// begun.
+	Deadline time.Time
+	// StartDeadline is the deadline for the start of the response.
+	StartDeadline time.Time
+	// RequiredVersion is the version of the weights that must answer, 0 if any may.
+	RequiredVersion placement.ModelVersion
 	// LastEvent is the last event that the caller has; -1 for none.
 	LastEvent int64
 }
@@ -55,11 +56,12 @@
 // Backend forwards calls to servers. An error of Send carries its
 // failure.Outcome; NotRun means that no byte was sent.
 type Backend interface {
-	Send(ctx context.Context, call *Call, order Order) (Answer, error)
-	// Keep drops the state of all servers but the given ones.
-	Keep(servers []placement.Server)
-	// Check reports whether the process of a server has ended. It returns quickly.
-	Check(ctx context.Context, addr netip.AddrPort) Liveness
+	Send(ctx context.Context, call *Call, opts SendOptions) (Response, error)
+	// Retain drops the state of all servers but the given ones.
+	Retain(servers []placement.Server)
+	// CheckLiveness reports whether the process of a server has ended. It returns
+	// quickly.
+	CheckLiveness(ctx context.Context, addr netip.AddrPort) Liveness
 }
 
 // Liveness is the result of a check of a server.
@@ -86,23 +88,23 @@
 	}
 }
 
-// Answer is a server's response whose header has been received.
-type Answer interface {
+// Response is a server's response whose header has been received.
+type Response interface {
 	Status() int
 	// NotRun reports whether the server stated that it did not run the call.
 	NotRun() bool
 	// Misdirected reports whether the response came from another server or another
 	// version than the attempt required.
 	Misdirected() bool
-	// PromisesNotRun reports whether callers conclude from the status that the call did
+	// ImpliesNotRun reports whether callers conclude from the status that the call did
 	// not run. The server itself states that only if NotRun is true as well.
-	PromisesNotRun() bool
+	ImpliesNotRun() bool
 	// Version is the version of the weights that answers, 0 if the server did not state it.
 	Version() placement.ModelVersion
 	// Limit is the request limit that the server advertises.
 	Limit() ServerLimit
-	// Streams reports whether the body is a stream of events.
-	Streams() bool
+	// IsEventStream reports whether the body is a stream of events.
+	IsEventStream() bool
 	// EndIsFramed reports whether the end of the body is marked. Otherwise the close of
 	// the connection ends it, and a killed server closes its connections too.
 	EndIsFramed() bool
@@ -128,23 +130,23 @@
 
 // Caller receives the response to a call. All methods are called by one goroutine.
 //
-// A response is complete only after Whole, Complete or Refuse. If it is not when Serve
+// A response is complete only after WriteResponse, Complete or Refuse. If it is not when Serve
 // returns, the client must be able to see that it is truncated.
 type Caller interface {
-	// Whole sends a server's response with its complete body.
-	Whole(answer Answer, body []byte) error
+	// WriteResponse sends a server's response with its complete body.
+	WriteResponse(response Response, body []byte) error
 	// Begin sends the header of a server's response. The body follows.
-	Begin(answer Answer) error
+	Begin(response Response) error
 	// Write sends a part of the body without buffering it.
 	Write(p []byte) error
 	// Complete ends a response that Begin has started.
 	Complete() error
 	// Refuse sends an error response of this entry.
-	Refuse(v Verdict)
+	Refuse(v ErrorResponse)
 }
 
-// Verdict is an error response of this entry.
-type Verdict struct {
+// ErrorResponse is an error response of this entry.
+type ErrorResponse struct {
 	Code Code
 	// RetryAfter is when the caller may retry. It is set only with a code which says
 	// that the call did not run.
@@ -160,10 +162,10 @@
 	Unavailable Code = iota + 1
 	// NoRoute: no route matches the call.
 	NoRoute
-	// NoKey: the key is unknown.
-	NoKey
-	// Broken: the server failed; the call may have run.
-	Broken
+	// UnknownKey: the key is unknown.
+	UnknownKey
+	// ServerFailed: the server failed; the call may have run.
+	ServerFailed
 	// TimedOut: the deadline passed; the call may have run.
 	TimedOut
 )
@@ -175,9 +177,9 @@
 		return "unavailable"
 	case NoRoute:
 		return "no_route"
-	case NoKey:
+	case UnknownKey:
 		return "no_key"
-	case Broken:
+	case ServerFailed:
 		return "broken"
 	case TimedOut:
 		return "timed_out"
--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -68,7 +68,7 @@
 // reads reports whether this entry reads the platform, and does not take from
 // peers what it holds.
 func (g *Gateway) reads(now time.Time, rank int) bool {
-	if g.opts.Off.FewWatchers {
+	if g.opts.Disabled.FewWatchers {
 		return true
 	}
 	if g.snapshot.Config == nil {
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -281,7 +281,7 @@
 		Self: id, Addr: addr, Incarnation: 1, Place: fleet.Place{Zone: "sharada", Region: "kano"},
 		CallerAddr: netip.AddrPortFrom(addr, 80), PeerPort: f.port, Seeds: []netip.Addr{netip.MustParseAddr("127.0.3.1")},
 		Regions: map[fleet.Zone]fleet.Region{"sharada": "kano"}, Loop: m.loop, Endpoint: endpoint, Source: &source{publisher: f.p},
-		Backend: &rejectingBackend{}, Budget: RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
+		Backend: &rejectingBackend{}, Budget: RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
 	handler.Handler = m.gateway
--- a/daemon/gateway/reply.go
+++ b/daemon/gateway/reply.go
@@ -27,19 +27,19 @@
 
 // accept starts the attempt of a server. It fails if the server's response cannot
 // continue what the caller has received.
-func (r *reply) accept(answer Answer) (*delivery.Run, error) {
+func (r *reply) accept(answer Response) (*delivery.Run, error) {
 	run, err := r.progress.Accept(headerOf(answer))
 	return run, r.checkStep(err)
 }
 
-func headerOf(response Answer) delivery.Head {
-	return delivery.Head{Status: response.Status(), IsStream: response.Streams(), Version: uint64(response.Version())}
+func headerOf(response Response) delivery.Head {
+	return delivery.Head{Status: response.Status(), IsStream: response.IsEventStream(), Version: uint64(response.Version())}
 }
 
 // event forwards an event unless the caller has it already, with the header before the
 // first one. It fails with delivery.OutOfOrder if the event is out of order, and with the
 // write error if the caller has disconnected; the response is aborted in that case.
-func (r *reply) event(response Answer, attempt *delivery.Run, event eventstream.Event) (passed bool, err error) {
+func (r *reply) event(response Response, attempt *delivery.Run, event eventstream.Event) (passed bool, err error) {
 	if isComment(event) {
 		return r.comment(event)
 	}
@@ -78,7 +78,7 @@
 }
 
 // complete ends a stream after its last event.
-func (r *reply) complete(response Answer, attempt *delivery.Run) error {
+func (r *reply) complete(response Response, attempt *delivery.Run) error {
 	isFirst := !r.progress.HasStarted()
 	if err := r.checkStep(r.progress.Finish(attempt)); err != nil {
 		return err
@@ -92,15 +92,15 @@
 }
 
 // whole sends a response with its complete body.
-func (r *reply) whole(response Answer, body []byte) error {
+func (r *reply) whole(response Response, body []byte) error {
 	if err := r.checkStep(r.progress.Whole()); err != nil {
 		return err
 	}
-	return r.caller.Whole(response, body)
+	return r.caller.WriteResponse(response, body)
 }
 
 // refuse sends an error response of this entry.
-func (r *reply) refuse(v Verdict) {
+func (r *reply) refuse(v ErrorResponse) {
 	if r.checkStep(r.progress.Whole()) == nil {
 		r.caller.Refuse(v)
 	}
--- a/daemon/gateway/reply_test.go
+++ b/daemon/gateway/reply_test.go
@@ -50,7 +50,7 @@
 var _ = Describe("A reply that has begun", func() {
 	// Guards against a second response after the first events, on any code path.
 	DescribeTable("is aborted by a step that would begin a second response, and writes nothing",
-		func(step func(*reply, Answer)) {
+		func(step func(*reply, Response)) {
 			g, _ := newGateway()
 			metrics := tally.NewTestScope("", nil)
 			g.log = newRequestLog(start, zap.NewNop(), metrics)
@@ -69,8 +69,8 @@
 			Expect(caller.complete).To(BeFalse())
 			Expect(metrics.Snapshot().Counters()).To(HaveKey("illegal_deliveries+"))
 		},
-		Entry("a refusal", func(r *reply, _ Answer) { r.refuse(Verdict{Code: Broken}) }),
-		Entry("a complete response", func(r *reply, a Answer) { Expect(r.whole(a, nil)).To(HaveOccurred()) }),
+		Entry("a refusal", func(r *reply, _ Response) { r.refuse(ErrorResponse{Code: ServerFailed}) }),
+		Entry("a complete response", func(r *reply, a Response) { Expect(r.whole(a, nil)).To(HaveOccurred()) }),
 	)
 
 	// Guards against a resumption that is sent to an engine of another version.
--- a/daemon/gateway/rig_test.go
+++ b/daemon/gateway/rig_test.go
@@ -32,11 +32,11 @@
 	state  Liveness // of every server
 }
 
-func (*rejectingBackend) Send(context.Context, *Call, Order) (Answer, error) {
+func (*rejectingBackend) Send(context.Context, *Call, SendOptions) (Response, error) {
 	return nil, failure.Internal.New("unexpected call")
 }
 
-func (b *rejectingBackend) Keep(servers []placement.Server) { b.listed = servers }
+func (b *rejectingBackend) Retain(servers []placement.Server) { b.listed = servers }
 
 // newGateway returns a gateway that has run long enough to have received a report of
 // every agent.
@@ -53,7 +53,7 @@
 		CallerAddr: netip.MustParseAddrPort("10.0.0.1:80"),
 		Regions:    map[fleet.Zone]fleet.Region{"hall": "lagos"},
 		Loop:       control.New(control.Options{}), Backend: backend,
-		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Span: 10 * time.Second},
+		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
 	return g, backend
--- a/daemon/gateway/scripted_test.go
+++ b/daemon/gateway/scripted_test.go
@@ -96,21 +96,21 @@
 	twice, illegal bool
 }
 
-func (b *scriptedBackend) Keep([]placement.Server) {}
+func (b *scriptedBackend) Retain([]placement.Server) {}
 
-func (b *scriptedBackend) Check(_ context.Context, addr netip.AddrPort) Liveness {
+func (b *scriptedBackend) CheckLiveness(_ context.Context, addr netip.AddrPort) Liveness {
 	return b.state[addr]
 }
 
-func (b *scriptedBackend) Send(ctx context.Context, _ *Call, order Order) (Answer, error) {
+func (b *scriptedBackend) Send(ctx context.Context, _ *Call, opts SendOptions) (Response, error) {
 	o := outcomes[0]
 	if n := len(b.sent); n < len(b.script) {
 		o = b.script[n]
 	}
 	b.sent = append(b.sent, o)
-	_, again := b.state[order.Server.Addr]
+	_, again := b.state[opts.Server.Addr]
 	b.twice = b.twice || again
-	b.state[order.Server.Addr] = max(o.state, Alive)
+	b.state[opts.Server.Addr] = max(o.state, Alive)
 	if o.blocks {
 		<-ctx.Done()
 		return nil, errTimeout
@@ -120,7 +120,7 @@
 	}
 	a := &scriptedResponse{outcome: o, attempt: len(b.sent)}
 	if !o.fromStart {
-		a.first = order.LastEvent + 1
+		a.first = opts.LastEvent + 1
 	}
 	return a, nil
 }
@@ -135,9 +135,9 @@
 func (a *scriptedResponse) Status() int                { return max(a.status, http.StatusOK) }
 func (a *scriptedResponse) NotRun() bool               { return a.notRun }
 func (a *scriptedResponse) Misdirected() bool          { return a.status == http.StatusMisdirectedRequest }
-func (a *scriptedResponse) PromisesNotRun() bool       { return a.status == 503 || a.status == 429 }
+func (a *scriptedResponse) ImpliesNotRun() bool        { return a.status == 503 || a.status == 429 }
 func (a *scriptedResponse) Limit() ServerLimit         { return ServerLimit{} }
-func (a *scriptedResponse) Streams() bool              { return a.isStream }
+func (a *scriptedResponse) IsEventStream() bool        { return a.isStream }
 func (a *scriptedResponse) EndIsFramed() bool          { return !a.unframed }
 func (a *scriptedResponse) SetDeadline(time.Time)      {}
 func (a *scriptedResponse) Body(int64) ([]byte, error) { return []byte(a.body()), nil }
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -75,7 +75,7 @@
 }
 
 type heldResponse struct {
-	response Answer
+	response Response
 	body     []byte
 }
 
@@ -86,8 +86,8 @@
 	defer g.inFlight.Add(-1)
 	defer g.log.panicked(call)
 	j := &job{g: g, call: call, reply: newReply(g, call, caller), view: g.currentView(ctx, call)}
-	if verdict, ok := j.admit(); !ok {
-		j.refuse(verdict)
+	if response, ok := j.admit(); !ok {
+		j.refuse(response)
 		return
 	}
 	if !j.route.MayResume() {
@@ -125,8 +125,8 @@
 		switch {
 		case v == nil || v.table == nil:
 			limit = firstViewWait
-			if call.Patience > 0 {
-				limit = min(limit, call.Patience/holdDivisor)
+			if call.Timeout > 0 {
+				limit = min(limit, call.Timeout/holdDivisor)
 			}
 		case !v.stale:
 			return v
@@ -139,40 +139,40 @@
 }
 
 // admit finds the route and the workspace of the call.
-func (j *job) admit() (Verdict, bool) {
+func (j *job) admit() (ErrorResponse, bool) {
 	v := j.view
 	if v == nil || v.table == nil {
-		return Verdict{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "no_view"}, false
+		return ErrorResponse{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "no_view"}, false
 	}
 	j.route = v.table.Match(j.call.Host, j.call.Path)
 	if j.route == nil {
-		return j.ifAuthoritative(v.isCurrent, Verdict{Code: NoRoute, Reason: "no_route"})
+		return j.ifAuthoritative(v.isCurrent, ErrorResponse{Code: NoRoute, Reason: "no_route"})
 	}
 	if v.table.NeedsKey(j.route) {
 		w := v.table.Workspace(j.call.Key)
 		if w == nil {
-			return j.ifAuthoritative(v.isCurrent, Verdict{Code: NoKey, Reason: "no_key"})
+			return j.ifAuthoritative(v.isCurrent, ErrorResponse{Code: UnknownKey, Reason: "no_key"})
 		}
 		j.workspace = w.Name
 	} else if w := v.table.Workspace(j.call.Key); w != nil {
 		j.workspace = w.Name
 	}
 	j.service = v.table.Service(j.route.Target(rand.Float64()))
-	j.refusedBefore = !j.g.opts.Off.TellReturned && j.g.retryDetector.IsReturned(j.route.Name, j.call.Patience, j.call.IsKept)
+	j.refusedBefore = !j.g.opts.Disabled.TellReturned && j.g.retryDetector.IsReturned(j.route.Name, j.call.Timeout, j.call.IsReusedConn)
 	timeout := j.route.Timeout
-	if j.call.Patience > 0 {
-		timeout = min(timeout, j.call.Patience)
+	if j.call.Timeout > 0 {
+		timeout = min(timeout, j.call.Timeout)
 	}
 	j.deadline = j.call.Arrived.Add(timeout - responseMargin)
-	return Verdict{}, true
+	return ErrorResponse{}, true
 }
 
-// ifAuthoritative returns the verdict if the configuration of this entry is known to be
-// current. An entry that is partitioned may lack a route or a key that others have,
-// so it must not tell the caller that there is none.
-func (j *job) ifAuthoritative(sure bool, v Verdict) (Verdict, bool) {
+// ifAuthoritative returns the error response v if the configuration of this entry is
+// known to be current. An entry that is partitioned may lack a route or a key that
+// others have, so it must not tell the caller that there is none.
+func (j *job) ifAuthoritative(sure bool, v ErrorResponse) (ErrorResponse, bool) {
 	if !sure {
-		return Verdict{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "cut_off"}, false
+		return ErrorResponse{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "cut_off"}, false
 	}
 	return v, false
 }
@@ -211,8 +211,8 @@
 	}
 	j.progressAt = now
 	opts := j.sendOptions(now, assignment)
-	j.serverDeadline = opts.Until
-	opts.FirstBy = j.responseStartDeadline(now, opts)
+	j.serverDeadline = opts.Deadline
+	opts.StartDeadline = j.responseStartDeadline(now, opts)
 	response, err := j.g.opts.Backend.Send(ctx, j.call, opts)
 	if err != nil {
 		return j.handleSendError(ctx, assignment, err)
@@ -264,9 +264,9 @@
 	}
 	v := j.g.view.Load()
 	at, expected := v.nextEngineReady[j.service.Name]
-	comes := expected && at.Before(until) && !j.g.opts.Off.HoldForLoad
+	comes := expected && at.Before(until) && !j.g.opts.Disabled.HoldForLoad
 	if isBusy && isLate {
-		return comes && v.isNew || !j.g.opts.Off.HoldLate && j.enterHold(now)
+		return comes && v.isNew || !j.g.opts.Disabled.HoldLate && j.enterHold(now)
 	}
 	return comes
 }
@@ -295,9 +295,9 @@
 	a := placement.Ask{
 		Service:  j.service.Name,
 		Engine:   j.service.Engine,
-		Prompt:   j.call.Prompt,
-		Answer:   j.call.Answer,
-		Expected: j.call.Expected,
+		Prompt:   j.call.PromptTokens,
+		Answer:   j.call.MaxTokens,
+		Expected: j.call.ExpectedTokens,
 		Aim:      j.view.table.ShortestAim(j.service.Name),
 		Left:     j.deadline.Sub(now),
 		Late:     j.isLate(now),
@@ -317,18 +317,18 @@
 }
 
 // sendOptions returns the options of an attempt at the assigned server.
-func (j *job) sendOptions(now time.Time, assignment *placement.Ticket) Order {
-	o := Order{
+func (j *job) sendOptions(now time.Time, assignment *placement.Ticket) SendOptions {
+	o := SendOptions{
 		Server:    assignment.Server,
 		Workspace: j.workspace,
-		Until:     j.deadline,
+		Deadline:  j.deadline,
 		LastEvent: j.reply.progress.LastEvent(),
 	}
 	if assignment.Within > 0 {
-		o.Until = earlier(j.deadline, now.Add(assignment.Within))
+		o.Deadline = earlier(j.deadline, now.Add(assignment.Within))
 	}
 	if j.service.Engine != nil {
-		o.Require = assignment.Server.Loaded
+		o.RequiredVersion = assignment.Server.Loaded
 	}
 	return o
 }
@@ -345,8 +345,8 @@
 
 // responseStartDeadline returns the deadline for the start of the response. If another
 // attempt is allowed, it leaves time for that.
-func (j *job) responseStartDeadline(now time.Time, opts Order) time.Time {
-	by := j.startDeadline(now, opts.Server, opts.Until)
+func (j *job) responseStartDeadline(now time.Time, opts SendOptions) time.Time {
+	by := j.startDeadline(now, opts.Server, opts.Deadline)
 	switch {
 	case !j.mayRetryAfterNext():
 		return by
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -23,26 +23,26 @@
 )
 
 // emptyStreamBackend is a backend whose engines return an empty stream immediately.
-type emptyStreamBackend struct{ sent chan Order }
+type emptyStreamBackend struct{ sent chan SendOptions }
 
-func (b *emptyStreamBackend) Send(_ context.Context, _ *Call, order Order) (Answer, error) {
-	b.sent <- order
+func (b *emptyStreamBackend) Send(_ context.Context, _ *Call, opts SendOptions) (Response, error) {
+	b.sent <- opts
 	return emptyResponse{}, nil
 }
 
-func (*emptyStreamBackend) Keep([]placement.Server) {}
+func (*emptyStreamBackend) Retain([]placement.Server) {}
 
-func (*emptyStreamBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*emptyStreamBackend) CheckLiveness(context.Context, netip.AddrPort) Liveness { return Alive }
 
 type emptyResponse struct{}
 
 func (emptyResponse) Status() int                      { return http.StatusOK }
 func (emptyResponse) NotRun() bool                     { return false }
 func (emptyResponse) Misdirected() bool                { return false }
-func (emptyResponse) PromisesNotRun() bool             { return false }
+func (emptyResponse) ImpliesNotRun() bool              { return false }
 func (emptyResponse) Version() placement.ModelVersion  { return 1 }
 func (emptyResponse) Limit() ServerLimit               { return ServerLimit{} }
-func (emptyResponse) Streams() bool                    { return true }
+func (emptyResponse) IsEventStream() bool              { return true }
 func (emptyResponse) EndIsFramed() bool                { return true }
 func (emptyResponse) SetDeadline(time.Time)            {}
 func (emptyResponse) Body(int64) ([]byte, error)       { return nil, nil }
@@ -50,13 +50,13 @@
 func (emptyResponse) Close(bool)                       {}
 
 // refusalRecorder is a caller that records the error response it gets.
-type refusalRecorder chan Verdict
+type refusalRecorder chan ErrorResponse
 
-func (refusalRecorder) Whole(Answer, []byte) error { return nil }
-func (refusalRecorder) Begin(Answer) error         { return nil }
-func (refusalRecorder) Write([]byte) error         { return nil }
-func (refusalRecorder) Complete() error            { return nil }
-func (r refusalRecorder) Refuse(v Verdict)         { r <- v }
+func (refusalRecorder) WriteResponse(Response, []byte) error { return nil }
+func (refusalRecorder) Begin(Response) error                 { return nil }
+func (refusalRecorder) Write([]byte) error                   { return nil }
+func (refusalRecorder) Complete() error                      { return nil }
+func (r refusalRecorder) Refuse(v ErrorResponse)             { r <- v }
 
 var _ = Describe("A call while all engines are full", func() {
 	const (
@@ -84,7 +84,7 @@
 		var core zapcore.Core
 		core, lines = observer.New(zap.InfoLevel)
 		g.log = newRequestLog(start, zap.New(core), tally.NoopScope)
-		backend = &emptyStreamBackend{sent: make(chan Order, 1)}
+		backend = &emptyStreamBackend{sent: make(chan SendOptions, 1)}
 		g.opts.Backend = backend
 		caller = make(refusalRecorder, 1)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
@@ -109,7 +109,7 @@
 	}
 
 	serve := func() {
-		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), Patience: timeout, LastEvent: -1}
+		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), Timeout: timeout, LastEvent: -1}
 		go g.Serve(context.Background(), call, caller)
 	}
 
@@ -206,15 +206,15 @@
 	sent  int
 }
 
-func (b *decliningBackend) Send(context.Context, *Call, Order) (Answer, error) {
+func (b *decliningBackend) Send(context.Context, *Call, SendOptions) (Response, error) {
 	b.sent++
 	b.leave()
 	return declinedResponse{}, nil
 }
 
-func (*decliningBackend) Keep([]placement.Server) {}
+func (*decliningBackend) Retain([]placement.Server) {}
 
-func (*decliningBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*decliningBackend) CheckLiveness(context.Context, netip.AddrPort) Liveness { return Alive }
 
 type declinedResponse struct{ emptyResponse }
 
@@ -242,7 +242,9 @@
 // panickingBackend is a backend whose Send panics.
 type panickingBackend struct{ emptyStreamBackend }
 
-func (*panickingBackend) Send(context.Context, *Call, Order) (Answer, error) { panic("out of range") }
+func (*panickingBackend) Send(context.Context, *Call, SendOptions) (Response, error) {
+	panic("out of range")
+}
 
 var _ = Describe("A call whose handling panics", func() {
 	// Guards against a panic that goes unnoticed, since the HTTP server's own log is off.
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -10,7 +10,7 @@
 // An engine must not begin a call on outdated weights once VersionTime has passed since
 // a newer version was named. The bounds of a call on such an engine, in order of time:
 //
-//   - versionEnd: the engine ends its work on the call, as required by Order.Until;
+//   - versionEnd: the engine ends its work on the call, as required by SendOptions.Deadline;
 //   - the end of VersionTime, maxNamingDelay and networkDelay later;
 //   - latestResponseTime: the response or refusal of the engine must have arrived, else
 //     the entry gives up the attempt.
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -23,16 +23,16 @@
 // begin it at any time up to its deadline.
 type unresponsiveBackend struct {
 	mu   sync.Mutex
-	sent []Order
+	sent []SendOptions
 	// eventsBeforeFailure is the number of events that the first call gets before its engine fails.
 	eventsBeforeFailure int
 }
 
-func (*unresponsiveBackend) Keep([]placement.Server) {}
+func (*unresponsiveBackend) Retain([]placement.Server) {}
 
-func (*unresponsiveBackend) Check(context.Context, netip.AddrPort) Liveness { return Alive }
+func (*unresponsiveBackend) CheckLiveness(context.Context, netip.AddrPort) Liveness { return Alive }
 
-func (e *unresponsiveBackend) Send(_ context.Context, _ *Call, o Order) (Answer, error) {
+func (e *unresponsiveBackend) Send(_ context.Context, _ *Call, o SendOptions) (Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
@@ -42,10 +42,10 @@
 	return nil, failure.WithOutcome(failure.Timeout.New("no response before the deadline"), failure.Unknown)
 }
 
-func (e *unresponsiveBackend) orders() []Order {
+func (e *unresponsiveBackend) orders() []SendOptions {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Order(nil), e.sent...)
+	return append([]SendOptions(nil), e.sent...)
 }
 
 // brokenStream returns some events and then fails.
@@ -88,7 +88,7 @@
 
 	// serve sends a call to engines that have version 1 loaded, passed after version 2 was
 	// named, and returns the attempts.
-	serve := func(resumable bool, attempts int) []Order {
+	serve := func(resumable bool, attempts int) []SendOptions {
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = &enginemodel.Figures{
 			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 50}
@@ -101,7 +101,7 @@
 		named = now.Add(-passed)
 		g.names["m"] = loading.Names{{Version: 2, Since: named}}
 		g.publish(now)
-		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: timeout, LastEvent: -1, Expected: expected}
+		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Timeout: timeout, LastEvent: -1, ExpectedTokens: expected}
 		g.Serve(context.Background(), call, &textRecorder{})
 		return backend.orders()
 	}
@@ -135,7 +135,7 @@
 			Expect(got).To(HaveLen(c.sent))
 			for _, o := range got {
 				Expect(o.Server.Loaded).To(Equal(placement.ModelVersion(1)))
-				Expect(o.Until).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
+				Expect(o.Deadline).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
 			}
 		}
 	})
--- a/daemon/gateway/watch_test.go
+++ b/daemon/gateway/watch_test.go
@@ -106,12 +106,12 @@
 			g.adopt(started, snapshot(5), "peer")
 			g.publish(started)
 		}()
-		v := g.currentView(context.Background(), &Call{Patience: time.Minute})
+		v := g.currentView(context.Background(), &Call{Timeout: time.Minute})
 		Expect(v).NotTo(BeNil())
 		Expect(v.table).NotTo(BeNil())
 
 		g, _ = newGatewayAtStart()
-		Expect(g.currentView(context.Background(), &Call{Patience: 3 * viewPollInterval})).To(BeNil())
+		Expect(g.currentView(context.Background(), &Call{Timeout: 3 * viewPollInterval})).To(BeNil())
 	})
 
 	It("lists no more once a peer has sent one", func() {
