--- a/daemon/gateway/backendregion_test.go
+++ b/daemon/gateway/backendregion_test.go
@@ -29,9 +29,9 @@
 	return region
 }
 
-// ask sends a call to an entry and returns the error response, the zero value if there was
+// serveCall sends a call to an entry and returns the error response, the zero value if there was
 // none.
-func (m *member) ask(path, id string) ErrorResponse {
+func (m *member) serveCall(path, id string) ErrorResponse {
 	caller := make(refusalRecorder, 1)
 	m.gateway.Serve(context.Background(), &Call{
 		ID: id, Host: "relay.example", Path: path, Target: path, Arrived: time.Now(), Timeout: 6 * time.Second, LastEvent: -1,
--- a/daemon/gateway/callresults.go
+++ b/daemon/gateway/callresults.go
@@ -122,15 +122,15 @@
 	if j.route.Kind == routing.Stream && !j.firstEventAt.IsZero() {
 		first = j.firstEventAt
 	}
-	inAim := first.Sub(j.call.Arrived) <= j.route.Aim
+	onTime := first.Sub(j.call.Arrived) <= j.route.Aim
 	switch {
 	case j.refusedBefore:
 		return resultLateReturned
-	case !inAim && j.attempts > 1:
+	case !onTime && j.attempts > 1:
 		return resultLateRepeated
-	case !inAim && j.wasHeld:
+	case !onTime && j.wasHeld:
 		return resultLateHeld
-	case !inAim:
+	case !onTime:
 		return resultLateFirst
 	case j.route.PauseAim > 0 && j.longestPause > j.route.PauseAim:
 		return resultLatePause
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -73,19 +73,19 @@
 		route.MaxAttempts = 1
 		region := startRegionWith(backend, c, entries, engineCount)
 		for _, m := range region.members {
-			Eventually(m.ask, "10s").WithArguments("/pool/other", "before").Should(Equal(ErrorResponse{}))
+			Eventually(m.serveCall, "10s").WithArguments("/pool/other", "before").Should(Equal(ErrorResponse{}))
 		}
 		for i := range allowed {
-			region.members[i].ask(crashingPath, fmt.Sprintf("first-%d", i))
+			region.members[i].serveCall(crashingPath, fmt.Sprintf("first-%d", i))
 		}
 		Expect(backend.reachedBy()).To(Equal(allowed))
 		for _, m := range region.members {
-			refused := func() Code { return m.ask(crashingPath, "again").Code }
+			refused := func() Code { return m.serveCall(crashingPath, "again").Code }
 			Eventually(refused, "5s", "200ms").Should(Equal(Unavailable))
 		}
 		Expect(backend.reachedBy()).To(BeNumerically("<=", 2*allowed))
 		for _, m := range region.members {
-			Expect(m.ask("/pool/other", "other")).To(Equal(ErrorResponse{}))
+			Expect(m.serveCall("/pool/other", "other")).To(Equal(ErrorResponse{}))
 		}
 	})
 })
--- a/daemon/gateway/delivery_test.go
+++ b/daemon/gateway/delivery_test.go
@@ -34,19 +34,19 @@
 
 // responseRecorder is a caller that records what it receives.
 type responseRecorder struct {
-	head     *scriptedResponse
-	body     string
-	isWhole  bool // the body came with the head
-	events   []receivedEvent
-	complete bool
-	refused  []ErrorResponse
-	heads    int
-	afterEnd int
-	leavesAt int // the write from which on the caller has disconnected, 0 for never
-	writes   int
+	head           *scriptedResponse
+	body           string
+	isWhole        bool // the body came with the head
+	events         []receivedEvent
+	complete       bool
+	refused        []ErrorResponse
+	heads          int
+	writesAfterEnd int
+	disconnectsAt  int // the write from which on the caller has disconnected, 0 for never
+	writes         int
 }
 
-var errCallerLeft = errors.New("caller disconnected")
+var errDisconnected = errors.New("caller disconnected")
 
 func (r *responseRecorder) Begin(a Response) error {
 	r.head = a.(*scriptedResponse)
@@ -73,20 +73,22 @@
 
 func (r *responseRecorder) write() error {
 	if r.complete || len(r.refused) > 0 {
-		r.afterEnd++
+		r.writesAfterEnd++
 	}
 	r.writes++
-	if r.hasLeft() {
-		return errCallerLeft
+	if r.hasDisconnected() {
+		return errDisconnected
 	}
 	return nil
 }
 
-func (r *responseRecorder) hasLeft() bool { return r.leavesAt > 0 && r.writes >= r.leavesAt }
+func (r *responseRecorder) hasDisconnected() bool {
+	return r.disconnectsAt > 0 && r.writes >= r.disconnectsAt
+}
 
 func (r *responseRecorder) Complete() error {
 	if r.complete || r.heads == 0 {
-		r.afterEnd++
+		r.writesAfterEnd++
 	}
 	r.complete = true
 	return nil
@@ -96,12 +98,12 @@
 
 // violation returns the guarantee that a call violates, empty for none.
 func (b *scriptedBackend) violation(r *responseRecorder, resumable bool) string {
-	switch broken := r.violation(b.sent, resumable); {
-	case broken != "":
-		return broken
-	case b.twice:
+	switch violated := r.violation(b.sent, resumable); {
+	case violated != "":
+		return violated
+	case b.sentTwice:
 		return "a server gets the same call twice"
-	case b.illegal:
+	case b.illegalStep:
 		return "an illegal delivery step was attempted"
 	default:
 		return ""
@@ -113,13 +115,13 @@
 	switch {
 	case r.heads+len(r.refused) > 1:
 		return "a response begins twice"
-	case r.afterEnd > 0:
+	case r.writesAfterEnd > 0:
 		return "bytes follow the end of a response"
 	case len(r.refused) > 0:
 		return r.refusalViolation(sent)
 	case r.retriedWithoutResumption(sent, resumable):
 		return "a call is retried though its response cannot be resumed"
-	case r.complete && r.hasLeft():
+	case r.complete && r.hasDisconnected():
 		return "a response is complete though its caller had disconnected"
 	case r.complete && r.isWhole && (r.body != r.head.body() || r.head.isKilled()):
 		return "a body is not the complete body of its server"
@@ -156,7 +158,7 @@
 	last := sent[len(sent)-1]
 	marked := last.isStream && errors.Is(last.end, io.EOF) && !last.isKilled()
 	if !marked || r.head.attempt == len(sent) {
-		return marked // with a single run, the server's end mark is the only evidence
+		return marked // with a single attempt, the server's end mark is the only evidence
 	}
 	for i, e := range r.events {
 		if e.id != int64(i) && !hasGap(sent) {
@@ -173,11 +175,11 @@
 		before, e := r.events[i-1], r.events[i]
 		switch {
 		case e.attempt != before.attempt && !resumable:
-			return "events of two runs are joined on a route that does not allow resumption"
+			return "events of two attempts are joined on a route that does not allow resumption"
 		case e.version != before.version:
 			return "events of two versions are joined"
 		case e.attempt != before.attempt && (e.id == noID || before.id == noID):
-			return "events of two runs are joined though they have no order"
+			return "events of two attempts are joined though they have no order"
 		case e.id != noID && e.id <= before.id:
 			return "an event is repeated or out of order"
 		case e.attempt != before.attempt && e.id != before.id+1 && !hasGap(sent):
@@ -196,7 +198,7 @@
 type scenario struct {
 	kind          routing.Kind
 	resumable     bool
-	leavesAt      int
+	disconnectsAt int
 	isBudgetSpent bool // the retry budget is used up
 }
 
@@ -230,9 +232,9 @@
 	}
 	backend := &scriptedBackend{script: script, state: make(map[netip.AddrPort]Liveness)}
 	g.opts.Backend = backend
-	caller := &responseRecorder{leavesAt: s.leavesAt}
+	caller := &responseRecorder{disconnectsAt: s.disconnectsAt}
 	g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: time.Now(), Timeout: 5 * time.Second, LastEvent: -1}, caller)
-	backend.illegal = errorLines.FilterMessage("illegal_delivery").Len() > 0
+	backend.illegalStep = errorLines.FilterMessage("illegal_delivery").Len() > 0
 	return backend, caller
 }
 
@@ -276,8 +278,8 @@
 		"not resumable":           {kind: routing.Stream},
 		"safe":                    {kind: routing.Safe},
 		"unsafe":                  {kind: routing.Unsafe},
-		"caller disconnects":      {kind: routing.Stream, resumable: true, leavesAt: 3},
-		"caller has disconnected": {kind: routing.Stream, resumable: true, leavesAt: 1},
+		"caller disconnects":      {kind: routing.Stream, resumable: true, disconnectsAt: 3},
+		"caller has disconnected": {kind: routing.Stream, resumable: true, disconnectsAt: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -385,12 +385,12 @@
 func (g *Gateway) holdLimiter(service fleet.ServiceName) *placement.HoldRoom {
 	g.callsMu.Lock()
 	defer g.callsMu.Unlock()
-	room := g.holdLimiters[service]
-	if room == nil {
-		room = &placement.HoldRoom{}
-		g.holdLimiters[service] = room
+	limiter := g.holdLimiters[service]
+	if limiter == nil {
+		limiter = &placement.HoldRoom{}
+		g.holdLimiters[service] = limiter
 	}
-	return room
+	return limiter
 }
 
 // budgetShare is the part of the retry budget that is used. The windows of the
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -24,10 +24,10 @@
 
 // successor is the server on which a stream continues.
 type successor struct {
-	ticket   *placement.Ticket
-	response Response
-	attempt  *delivery.Run
-	deadline time.Time // the server's own deadline for the call
+	assignment *placement.Ticket
+	response   Response
+	attempt    *delivery.Run
+	deadline   time.Time // the server's own deadline for the call
 }
 
 // handOver resumes a stream on another server. It returns nil if the stream stays.
@@ -95,7 +95,7 @@
 		next.End(time.Now(), placement.Abandoned)
 		return nil, err
 	}
-	return &successor{ticket: next, response: response, attempt: attempt, deadline: opts.Deadline}, nil
+	return &successor{assignment: next, response: response, attempt: attempt, deadline: opts.Deadline}, nil
 }
 
 func (j *job) targetPause() time.Duration {
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -112,11 +112,11 @@
 
 // textRecorder is a caller that records the text that it receives.
 type textRecorder struct {
-	mu       sync.Mutex
-	text     []byte
-	complete bool
-	leavesAt int // the first write that fails, as all after it do; 0 for none
-	writes   int
+	mu            sync.Mutex
+	text          []byte
+	complete      bool
+	disconnectsAt int // the first write that fails, as all after it do; 0 for none
+	writes        int
 }
 
 func (*textRecorder) WriteResponse(Response, []byte) error { return nil }
@@ -126,8 +126,8 @@
 func (r *textRecorder) Write(p []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.writes++; r.leavesAt > 0 && r.writes >= r.leavesAt {
-		return errCallerLeft
+	if r.writes++; r.disconnectsAt > 0 && r.writes >= r.disconnectsAt {
+		return errDisconnected
 	}
 	r.text = append(r.text, p...)
 	return nil
@@ -164,7 +164,7 @@
 		metrics tally.TestScope
 	)
 
-	tell := func(id fleet.InstanceID, seq uint64, changing bool) {
+	report := func(id fleet.InstanceID, seq uint64, changing bool) {
 		addr := map[fleet.InstanceID]netip.Addr{oneID: netip.MustParseAddr("10.0.1.1"), twoID: netip.MustParseAddr("10.0.1.2")}[id]
 		now := time.Now()
 		g.heard(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{
@@ -188,8 +188,8 @@
 		route.Kind, route.Resumable, route.MaxAttempts = kind, resumable, 2
 		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, 30*time.Second
 		g.adopt(time.Now(), s, "platform")
-		tell(oneID, 1, false)
-		tell(twoID, 1, false)
+		report(oneID, 1, false)
+		report(twoID, 1, false)
 		caller = &textRecorder{}
 		ended = make(chan struct{})
 		go func() {
@@ -213,7 +213,7 @@
 
 	It("is resumed on another engine, after the last event", func() {
 		begin(routing.Stream, true)
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
 		order := backend.orders()[1]
@@ -228,9 +228,9 @@
 
 	// Guards against a log line that does not distinguish a stream that its last server
 	// completed from one to which it contributed nothing.
-	It("is logged with the number of events of its last run and whether its end was marked", func() {
+	It("is logged with the number of events of its last attempt and whether its end was marked", func() {
 		begin(routing.Stream, true)
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
 		backend.stream(second).release(streamEvents)
@@ -247,7 +247,7 @@
 		func(prepare func()) {
 			begin(routing.Stream, true)
 			prepare()
-			tell(first, 2, true)
+			report(first, 2, true)
 			from.release(streamEvents)
 			Eventually(ended).Should(BeClosed())
 			Expect(backend.orders()).To(HaveLen(2))
@@ -270,9 +270,9 @@
 		from.release(streamEvents - 4)
 		Eventually(caller.received).Should(Equal("01234567"))
 		caller.mu.Lock()
-		caller.leavesAt = streamEvents + 1 // the last event
+		caller.disconnectsAt = streamEvents + 1 // the last event
 		caller.mu.Unlock()
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(2)
 		Eventually(backend.orders).Should(HaveLen(2))
 		backend.stream(second).release(1)
@@ -289,12 +289,12 @@
 	It("is logged as withdrawn from a next engine that is silent", func() {
 		begin(routing.Stream, true)
 		backend.silent[second] = true
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
-		told := lines.FilterMessage("handed_over").All()
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].ContextMap()).To(And(
+		logged := lines.FilterMessage("handed_over").All()
+		Expect(logged).To(HaveLen(1))
+		Expect(logged[0].ContextMap()).To(And(
 			HaveKeyWithValue("to", string(second)), HaveKeyWithValue("reason", "silent"), HaveKey("waited")))
 		Expect(metrics.Snapshot().Counters()).To(HaveKey("calls_withdrawn+reason=silent"))
 	})
@@ -305,7 +305,7 @@
 		begin(routing.Stream, true)
 		named := time.Now()
 		g.names["m"] = loading.Names{{Version: 2, Since: named}}
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
 		Expect(backend.orders()[0].Deadline).To(BeTemporally(">", named.Add(g.opts.VersionTime)))
@@ -316,17 +316,17 @@
 
 	It("stays if the route does not allow resumption", func() {
 		begin(routing.Stream, false)
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
 	})
 
-	// Guards against events of two runs in one response of a route that does not declare
+	// Guards against events of two attempts in one response of a route that does not declare
 	// its streams resumable.
 	It("stays on a safe route, which does not allow resumption", func() {
 		begin(routing.Safe, false)
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
@@ -337,7 +337,7 @@
 		begin(routing.Stream, true)
 		for g.allowRetry(time.Now(), "pool") {
 		}
-		tell(first, 2, true)
+		report(first, 2, true)
 		from.release(streamEvents)
 		Eventually(ended).Should(BeClosed())
 		Expect(backend.orders()).To(HaveLen(1))
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -66,7 +66,7 @@
 		region := startRegionWith(backend, c, entries, 2)
 		for _, m := range region.members {
 			Eventually(func() bool {
-				m.ask(path, "before")
+				m.serveCall(path, "before")
 				return len(m.gateway.limits.All(time.Now())) > 0
 			}, "10s").Should(BeTrue())
 		}
@@ -76,7 +76,7 @@
 		before := backend.reachedAt("i-0")
 		for range requests {
 			for _, m := range region.members {
-				Expect(m.ask(path, "then")).To(Equal(ErrorResponse{}))
+				Expect(m.serveCall(path, "then")).To(Equal(ErrorResponse{}))
 			}
 		}
 		Expect(float64(backend.reachedAt("i-0") - before)).To(BeNumerically("<=", allowed))
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -44,8 +44,8 @@
 	return j.endCall(ctx, now, "no_answer")
 }
 
-// endFailedAttempt ends an attempt without a complete response and excludes its server from
-// further attempts of the call.
+// endFailedAttempt ends an attempt without a complete response and excludes its server
+// from further attempts of the call.
 func (j *job) endFailedAttempt(ctx context.Context, now time.Time, assignment *placement.Ticket, err error) {
 	j.exclude = placement.Exclude(j.exclude, assignment.Server.ID)
 	var broken *brokenAttempt
@@ -107,8 +107,9 @@
 		j.deadline.Sub(now) > minAttemptTime && j.standing(now).MayRepeat()
 }
 
-// handleDeclined handles a response which says that the server did not run the call, or that
-// another server was meant. It reports whether to make another attempt.
+// handleDeclined handles a response which says that the server did not run the call, or
+// that came from another server or version than required. It reports whether to make
+// another attempt.
 func (j *job) handleDeclined(ctx context.Context, server placement.Server) bool {
 	j.g.log.declined(j, server)
 	j.exclude = placement.Exclude(j.exclude, server.ID)
@@ -125,8 +126,8 @@
 }
 
 func (j *job) retryAfter(now time.Time) time.Duration {
-	const honoured = 3 // callers wait for up to a third of their remaining time
-	return max(0, j.deadline.Sub(now)/honoured)
+	const maxWaitDivisor = 3 // callers wait for up to a third of their remaining time
+	return max(0, j.deadline.Sub(now)/maxWaitDivisor)
 }
 
 // handleNotPlaced refuses a call for which the scheduler has no server.
@@ -305,7 +306,7 @@
 		if next != nil {
 			response.Close(false)
 			assignment.End(time.Now(), placement.Abandoned)
-			assignment, response, j.serverDeadline = next.ticket, next.response, next.deadline
+			assignment, response, j.serverDeadline = next.assignment, next.response, next.deadline
 			j.lastAttempt, j.endFramed = next.attempt, response.EndIsFramed()
 		}
 	}
--- a/daemon/gateway/reply.go
+++ b/daemon/gateway/reply.go
@@ -27,9 +27,9 @@
 
 // accept starts the attempt of a server. It fails if the server's response cannot
 // continue what the caller has received.
-func (r *reply) accept(answer Response) (*delivery.Run, error) {
-	run, err := r.progress.Accept(headerOf(answer))
-	return run, r.checkStep(err)
+func (r *reply) accept(response Response) (*delivery.Run, error) {
+	attempt, err := r.progress.Accept(headerOf(response))
+	return attempt, r.checkStep(err)
 }
 
 func headerOf(response Response) delivery.Head {
--- a/daemon/gateway/scripted_test.go
+++ b/daemon/gateway/scripted_test.go
@@ -91,9 +91,9 @@
 	script []outcome
 	sent   []outcome
 	state  map[netip.AddrPort]Liveness
-	// twice is true once a server got the call twice, illegal once a step was attempted
+	// sentTwice is true once a server got the call twice, illegalStep once a step was attempted
 	// that the stage of the response does not allow.
-	twice, illegal bool
+	sentTwice, illegalStep bool
 }
 
 func (b *scriptedBackend) Retain([]placement.Server) {}
@@ -109,7 +109,7 @@
 	}
 	b.sent = append(b.sent, o)
 	_, again := b.state[opts.Server.Addr]
-	b.twice = b.twice || again
+	b.sentTwice = b.sentTwice || again
 	b.state[opts.Server.Addr] = max(o.state, Alive)
 	if o.blocks {
 		<-ctx.Done()
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -170,8 +170,8 @@
 // ifAuthoritative returns the error response v if the configuration of this entry is
 // known to be current. An entry that is partitioned may lack a route or a key that
 // others have, so it must not tell the caller that there is none.
-func (j *job) ifAuthoritative(sure bool, v ErrorResponse) (ErrorResponse, bool) {
-	if !sure {
+func (j *job) ifAuthoritative(current bool, v ErrorResponse) (ErrorResponse, bool) {
+	if !current {
 		return ErrorResponse{Code: Unavailable, RetryAfter: noViewRetryAfter, Reason: "cut_off"}, false
 	}
 	return v, false
@@ -264,22 +264,22 @@
 	}
 	v := j.g.view.Load()
 	at, expected := v.nextEngineReady[j.service.Name]
-	comes := expected && at.Before(until) && !j.g.opts.Disabled.HoldForLoad
+	engineExpected := expected && at.Before(until) && !j.g.opts.Disabled.HoldForLoad
 	if isBusy && isLate {
-		return comes && v.isNew || !j.g.opts.Disabled.HoldLate && j.enterHold(now)
+		return engineExpected && v.isNew || !j.g.opts.Disabled.HoldLate && j.enterHold(now)
 	}
-	return comes
+	return engineExpected
 }
 
 // enterHold adds the call to those that wait for a free slot, unless it is among them
 // already. It reports whether the call may wait.
 func (j *job) enterHold(now time.Time) bool {
 	if j.holdLimiter == nil {
-		room := j.g.holdLimiter(j.service.Name)
-		if !room.Enter(now) {
+		limiter := j.g.holdLimiter(j.service.Name)
+		if !limiter.Enter(now) {
 			return false
 		}
-		j.holdLimiter = room
+		j.holdLimiter = limiter
 	}
 	return true
 }
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -72,7 +72,7 @@
 	holds := netip.MustParseAddr("10.0.1.1")
 	empty := netip.MustParseAddr("10.0.1.2")
 
-	tell := func(addr netip.Addr, r wire.Replica) {
+	report := func(addr netip.Addr, r wire.Replica) {
 		r.Addr, r.Incarnation = addr, 1
 		now := time.Now()
 		g.heard(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
@@ -93,8 +93,8 @@
 		s.Config.Routes[0].Aim = routeAim
 		s.Config.Routes[0].Timeout = timeout
 		g.adopt(time.Now(), s, "platform")
-		tell(holds, wire.Replica{Seq: 1, Loaded: 1})
-		tell(empty, wire.Replica{Seq: 1, Changing: true})
+		report(holds, wire.Replica{Seq: 1, Loaded: 1})
+		report(empty, wire.Replica{Seq: 1, Changing: true})
 	})
 
 	// occupy fills the engine that has weights loaded.
@@ -113,13 +113,13 @@
 		go g.Serve(context.Background(), call, caller)
 	}
 
-	isHeld := func() int { return lines.FilterMessage("held").Len() }
+	heldCalls := func() int { return lines.FilterMessage("held").Len() }
 
 	It("is refused immediately if no other engine is expected", func() {
 		occupy()
 		serve()
 		Eventually(caller).Should(Receive(HaveField("Reason", "full")))
-		Expect(isHeld()).To(BeZero())
+		Expect(heldCalls()).To(BeZero())
 	})
 
 	// After a power failure the engines finish loading within a few 100 ms of each
@@ -127,10 +127,10 @@
 	// second later and is answered late; held for the next engine, it is on time.
 	It("waits for an expected engine while it can still be on time", func() {
 		occupy()
-		tell(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 300})
+		report(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 300})
 		serve()
-		Eventually(isHeld).Should(Equal(1))
-		tell(empty, wire.Replica{Seq: 3, Loaded: 1})
+		Eventually(heldCalls).Should(Equal(1))
+		report(empty, wire.Replica{Seq: 3, Loaded: 1})
 		Eventually(backend.sent).Should(Receive(HaveField("Server.ID", fleet.InstanceID("i-2"))))
 	})
 
@@ -138,10 +138,10 @@
 	// first. Callers that waited for one of them would be refused late.
 	It("is refused immediately if the next engine is ready too late", func() {
 		occupy()
-		tell(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 2500})
+		report(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 2500})
 		serve()
 		Eventually(caller).Should(Receive(HaveField("Reason", "full")))
-		Expect(isHeld()).To(BeZero())
+		Expect(heldCalls()).To(BeZero())
 	})
 })
 
@@ -202,13 +202,13 @@
 
 // decliningBackend is a backend that declines each call while its caller disconnects.
 type decliningBackend struct {
-	leave func()
-	sent  int
+	disconnect func()
+	sent       int
 }
 
 func (b *decliningBackend) Send(context.Context, *Call, SendOptions) (Response, error) {
 	b.sent++
-	b.leave()
+	b.disconnect()
 	return declinedResponse{}, nil
 }
 
@@ -226,7 +226,7 @@
 	It("is not sent to another server once its caller has disconnected", func() {
 		g, _ := newGateway()
 		ctx, leave := context.WithCancel(context.Background())
-		backend := &decliningBackend{leave: leave}
+		backend := &decliningBackend{disconnect: leave}
 		g.opts.Backend = backend
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
--- a/daemon/gateway/starting.go
+++ b/daemon/gateway/starting.go
@@ -62,8 +62,8 @@
 	g.opts.Logger.Warn("registrations_doubted", zap.String("server", string(s.ID)))
 }
 
-// listsCatalogFirst reports whether an entry without a catalog lists the platform's, instead of
-// waiting for the compressed copy of a peer.
+// listsCatalogFirst reports whether an entry without a catalog lists the platform's,
+// instead of waiting for the compressed copy of a peer.
 //
 // If all entries listed a large configuration at the same time, it would fill the links
 // between regions for seconds and delay the messages by which agents and entries discover
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -67,9 +67,9 @@
 	return earlier(j.deadline, until.Add(2*networkDelay))
 }
 
-// startDeadline returns the deadline for the start of the response of a server that ends its
-// work at until. A newer version may be named while the call waits at an engine, which
-// was then sent with a deadline that does not allow for it.
+// startDeadline returns the deadline for the start of the response of a server that ends
+// its work at until. A newer version may be named while the call waits at an engine. The
+// deadline sent to the engine does not account for that, so this one does.
 func (j *job) startDeadline(now time.Time, server placement.Server, until time.Time) time.Time {
 	if j.service.Engine == nil || until.Before(j.deadline) {
 		return j.latestResponseTime(until)
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -34,7 +34,7 @@
 		ticket  *placement.Ticket
 		failed  time.Time
 	)
-	silence := failure.Timeout.New("no event before the deadline")
+	timeout := failure.Timeout.New("no event before the deadline")
 	closed := failure.Unavailable.New("use of closed connection")
 
 	// place puts a call at an engine of version 1. The call fails the given time after
@@ -67,9 +67,9 @@
 	}
 
 	line := func() map[string]any {
-		told := lines.FilterMessage("attempt_failed").All()
-		Expect(told).To(HaveLen(1))
-		return told[0].ContextMap()
+		logged := lines.FilterMessage("attempt_failed").All()
+		Expect(logged).To(HaveLen(1))
+		return logged[0].ContextMap()
 	}
 
 	withdrawn := func(reason string) int64 {
@@ -80,7 +80,7 @@
 		return counter.Value()
 	}
 
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 
 	DescribeTable("is logged with its reason and the time left of the version",
@@ -94,11 +94,11 @@
 			Expect(line()["version_left"]).To(left)
 			Expect(withdrawn(reason)).To(Equal(int64(1)))
 		},
-		Entry("silence on a version that is not outdated", time.Duration(0), context.Background(), silence, "silent", BeNil()),
-		Entry("silence on an outdated version", 2*time.Second, context.Background(), silence, "silent", Equal(versionTime-2*time.Second)),
-		Entry("the time of the version is nearly over", 7900*time.Millisecond, context.Background(), silence, "version_time", Equal(100*time.Millisecond)),
-		Entry("the time of the version is over", 8300*time.Millisecond, context.Background(), silence, "version_time", Equal(-300*time.Millisecond)),
-		Entry("the caller disconnected", 2*time.Second, gone, closed, "caller_left", Equal(versionTime-2*time.Second)),
+		Entry("silence on a version that is not outdated", time.Duration(0), context.Background(), timeout, "silent", BeNil()),
+		Entry("silence on an outdated version", 2*time.Second, context.Background(), timeout, "silent", Equal(versionTime-2*time.Second)),
+		Entry("the time of the version is nearly over", 7900*time.Millisecond, context.Background(), timeout, "version_time", Equal(100*time.Millisecond)),
+		Entry("the time of the version is over", 8300*time.Millisecond, context.Background(), timeout, "version_time", Equal(-300*time.Millisecond)),
+		Entry("the caller disconnected", 2*time.Second, canceled, closed, "caller_left", Equal(versionTime-2*time.Second)),
 		Entry("the response belonged to another call", 2*time.Second, context.Background(), failure.Corrupt.New("response to another call"), "other_answer",
 			Equal(versionTime-2*time.Second)),
 	)
@@ -106,7 +106,7 @@
 	It("is logged as closed at its deadline", func() {
 		place(0)
 		j.deadline = failed
-		j.endFailedAttempt(context.Background(), failed, ticket, silence)
+		j.endFailedAttempt(context.Background(), failed, ticket, timeout)
 		Expect(line()).To(HaveKeyWithValue("reason", "deadline"))
 	})
 
@@ -122,10 +122,10 @@
 				Expect(counter.Name()).NotTo(Equal("calls_withdrawn"))
 			}
 		},
-		Entry("when an event had been received", func() { ticket.Wrote(1) }, silence),
+		Entry("when an event had been received", func() { ticket.Wrote(1) }, timeout),
 		Entry("when it could not be sent", func() {}, failure.WithOutcome(failure.Timeout.New("connect"), failure.NotRun)),
 		Entry("when the connection broke by itself", func() {}, failure.Unavailable.New("connection reset by peer")),
-		Entry("when it was sent to a plain service", func() { j.service = g.table.Service("weights") }, silence),
+		Entry("when it was sent to a plain service", func() { j.service = g.table.Service("weights") }, timeout),
 	)
 
 	// Retries of a request have different request ids, and a connection may break though its
@@ -148,7 +148,7 @@
 	It("is counted even if the limit on log lines is reached", func() {
 		place(2 * time.Second)
 		g.log.limiter.windowStart, g.log.limiter.written = failed.Add(time.Hour), maxLinesPerSecond
-		j.endFailedAttempt(context.Background(), failed, ticket, silence)
+		j.endFailedAttempt(context.Background(), failed, ticket, timeout)
 		Expect(lines.FilterMessage("attempt_failed").Len()).To(BeZero())
 		Expect(withdrawn("silent")).To(Equal(int64(1)))
 	})
