--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -159,7 +159,7 @@
 	if a.Engine == nil || !a.Late || a.Expected == 0 || a.Left <= 0 {
 		return false
 	}
-	whole := first + a.Engine.Write(w, a.Expected)
+	whole := first + a.Engine.DecodeTime(w, a.Expected)
 	return float64(whole) > tooLong*float64(a.Left)
 }
 
@@ -168,7 +168,7 @@
 	if a.Engine == nil {
 		return 0
 	}
-	return a.Engine.Read(a.Prompt)
+	return a.Engine.PrefillTime(a.Prompt)
 }
 
 // fits bounds what waits at a plain service, whose times are not predicted
@@ -279,7 +279,7 @@
 		if b.off.Pace {
 			pace = 1
 		}
-		return time.Duration(pace * float64(ask.Engine.FirstEvent(b.work(now, st), ask.Prompt)))
+		return time.Duration(pace * float64(ask.Engine.TimeToFirstEvent(b.work(now, st), ask.Prompt)))
 	}
 }
 
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -23,11 +23,11 @@
 	service = fleet.ServiceName("spindle-pool")
 )
 
-func figures() *enginemodel.Figures {
-	return &enginemodel.Figures{
-		Slots: 16, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond,
-		ContextPer1000: 32 * time.Microsecond, ReadPerSecond: 20700, PairsPerMillion: 1180 * time.Microsecond,
-		Stride: 5, UsualPrompt: 979, UsualAnswer: 92, MemoryTokens: 317000,
+func figures() *enginemodel.Profile {
+	return &enginemodel.Profile{
+		Slots: 16, StepTime: 9270 * time.Microsecond, StepTimePerSequence: 23 * time.Microsecond,
+		StepTimePer1000Context: 32 * time.Microsecond, PrefillTokensPerSecond: 20700, PrefillTimePerMillionPairs: 1180 * time.Microsecond,
+		StepsPerPass: 5, MeanPromptTokens: 979, MeanOutputTokens: 92, MemoryTokens: 317000,
 	}
 }
 
@@ -91,7 +91,7 @@
 
 	It("counts what the other entries have there, as long as it is fresh", func() {
 		b := board(2)
-		b.Heard(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 16, Unread: 8000}}})
+		b.Heard(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 16, PendingPrefill: 8000}}})
 		for range 5 {
 			t, _ := b.Choose(start, small())
 			Expect(t.Server.ID).To(Equal(id(1)))
@@ -160,7 +160,7 @@
 		b := board(2)
 		t, _ := b.Choose(start, ask())
 		Expect(b.Loads()).To(ConsistOf(placement.Load{
-			Server: t.Server.ID, Work: enginemodel.Work{Running: 1, Unread: 979, Context: 979}}))
+			Server: t.Server.ID, Work: enginemodel.Work{Running: 1, PendingPrefill: 979, Context: 979}}))
 		t.Wrote(5)
 		Expect(b.Loads()[0].Work).To(Equal(enginemodel.Work{Running: 1, Context: 984}))
 		t.End(start, placement.Succeeded)
--- a/core/placement/freed_test.go
+++ b/core/placement/freed_test.go
@@ -26,7 +26,7 @@
 		if t == nil {
 			return false
 		}
-		isFree := t.Predicted < figures().FirstEvent(enginemodel.Work{Running: figures().Slots}, ask().Prompt)
+		isFree := t.Predicted < figures().TimeToFirstEvent(enginemodel.Work{Running: figures().Slots}, ask().Prompt)
 		t.End(now, placement.Abandoned)
 		return isFree
 	}
--- a/core/placement/others_test.go
+++ b/core/placement/others_test.go
@@ -20,7 +20,7 @@
 // in any order, fall silent, come back and go; servers start anew meanwhile.
 var _ = Describe("The work of the other entries", func() {
 	const other = fleet.InstanceID("other")
-	full := []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 60, Unread: 8000}}}
+	full := []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 60, PendingPrefill: 8000}}}
 
 	isPlaced := func(b *placement.Board, now time.Time) bool {
 		t, _ := b.Choose(now, small())
@@ -64,7 +64,7 @@
 			case 1:
 				b.Heard(start, entry, nil)
 			default:
-				load := placement.Load{Server: server, Work: enginemodel.Work{Running: r.IntN(4), Unread: r.IntN(900)}}
+				load := placement.Load{Server: server, Work: enginemodel.Work{Running: r.IntN(4), PendingPrefill: r.IntN(900)}}
 				b.Heard(start, entry, []placement.Load{load})
 				if said[entry] == nil {
 					said[entry] = map[fleet.InstanceID]enginemodel.Work{}
--- a/core/placement/outdated.go
+++ b/core/placement/outdated.go
@@ -27,7 +27,7 @@
 	if ask.Engine == nil || left >= ask.Left {
 		return true
 	}
-	write := max(1, st.Pace) * float64(ask.Engine.Write(b.work(now, st), ask.expected()))
+	write := max(1, st.Pace) * float64(ask.Engine.DecodeTime(b.work(now, st), ask.expected()))
 	whole := b.predict(now, st, ask) + time.Duration(write)
 	return longerThanExpected*float64(whole) <= float64(left)
 }
@@ -37,8 +37,8 @@
 	switch {
 	case a.Expected > 0:
 		return a.Expected
-	case a.Engine.UsualAnswer > 0:
-		return a.Engine.UsualAnswer
+	case a.Engine.MeanOutputTokens > 0:
+		return a.Engine.MeanOutputTokens
 	default:
 		return a.Answer
 	}
--- a/core/placement/outdated_test.go
+++ b/core/placement/outdated_test.go
@@ -51,7 +51,7 @@
 		e := &engine{}
 		var all []*request
 		for _, t := range tickets {
-			r := &request{prompt: ask().Prompt, left: ask().Answer / figures().Stride}
+			r := &request{prompt: ask().Prompt, left: ask().Answer / figures().StepsPerPass}
 			if tells {
 				r.until = t.Within
 			}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -67,7 +67,7 @@
 type Ask struct {
 	Service fleet.ServiceName
 	// Engine is set for a model engine.
-	Engine *enginemodel.Figures
+	Engine *enginemodel.Profile
 	// Prompt and Answer are token counts, 0 for a plain service.
 	Prompt, Answer int
 	// Expected is the caller's estimate of the answer's tokens; 0 if unknown.
@@ -314,7 +314,7 @@
 		w.Running++
 		w.Context += t.prompt + t.written
 		if !t.begun {
-			w.Unread += t.prompt
+			w.PendingPrefill += t.prompt
 		}
 	}
 	return w
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -118,6 +118,6 @@
 		}
 	}
 	for key, sum := range sums {
-		r.shares[key] = sum.Over(r.servers[key])
+		r.shares[key] = sum.DividedBy(r.servers[key])
 	}
 }
--- a/core/placement/replay_test.go
+++ b/core/placement/replay_test.go
@@ -83,11 +83,11 @@
 		if next.isOver(e.now) {
 			continue
 		}
-		read += f.Read(next.prompt)
+		read += f.PrefillTime(next.prompt)
 		e.running = append(e.running, next)
 	}
-	step := f.Step + time.Duration(len(e.running))*f.PerSequence
-	e.now += time.Duration(f.Stride)*step + read
+	step := f.StepTime + time.Duration(len(e.running))*f.StepTimePerSequence
+	e.now += time.Duration(f.StepsPerPass)*step + read
 	var done []*request
 	kept := e.running[:0]
 	for _, r := range e.running {
@@ -98,7 +98,7 @@
 			r.first = e.now
 		}
 		if r.ticket != nil {
-			r.ticket.Wrote(f.Stride)
+			r.ticket.Wrote(f.StepsPerPass)
 		}
 		if r.left--; r.left > 0 {
 			kept = append(kept, r)
@@ -164,7 +164,7 @@
 	}
 	for _, r := range load {
 		heap.Push(&todo, event{r.at, func() {
-			r.left = max(1, r.answer/figures().Stride)
+			r.left = max(1, r.answer/figures().StepsPerPass)
 			at := p.place(r.at, r)
 			if at < 0 {
 				return
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -94,7 +94,7 @@
 	MaxConnections int
 	// Engine holds the published figures of a model engine; nil for a plain
 	// service.
-	Engine *enginemodel.Figures
+	Engine *enginemodel.Profile
 	// Model is the model that the engines serve; empty for a plain service.
 	Model string
 	// Origin is set for the service that hands out weights.
--- a/daemon/gateway/delivery_test.go
+++ b/daemon/gateway/delivery_test.go
@@ -218,8 +218,8 @@
 		servers = append(servers, server(fleet.InstanceID(fmt.Sprintf("i-%d", i)), fmt.Sprintf("10.0.1.%d:80", i+1), catalog.Revision(i+2)))
 	}
 	snapshot := snapshot(20, servers...)
-	snapshot.Config.Services[0].Engine = &enginemodel.Figures{
-		Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 50}
+	snapshot.Config.Services[0].Engine = &enginemodel.Profile{
+		Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 50}
 	route := &snapshot.Config.Routes[0]
 	route.Kind, route.Resumable, route.MaxAttempts = s.kind, s.resumable, mostAttempts
 	route.Aim, route.PauseAim, route.Timeout = time.Second, time.Second, 10*time.Second
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -113,14 +113,14 @@
 	if j.moveTried || j.service.Engine == nil || !j.hasStarted() || !j.mayBeSentAgain() || j.attempts >= j.route.MaxAttempts {
 		return false
 	}
-	return j.service.Engine.Write(ticket.Work(), j.remainingTokens(ticket)) >= worthMoving
+	return j.service.Engine.DecodeTime(ticket.Work(), j.remainingTokens(ticket)) >= worthMoving
 }
 
 // remainingTokens is how many tokens the stream is expected to have yet.
 func (j *job) remainingTokens(ticket *placement.Ticket) int {
 	expected := j.call.Expected
 	if expected == 0 {
-		expected = j.service.Engine.UsualAnswer
+		expected = j.service.Engine.MeanOutputTokens
 	}
 	written := ticket.Written()
 	return max(expected-written, int(longerShare*float64(written)))
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -181,8 +181,8 @@
 			changes: make(map[fleet.InstanceID]func(*engineStream))}
 		g.opts.Backend = backend
 		s := snapshot(5, server(oneID, "10.0.1.1:80", 2), server(twoID, "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 400}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 400}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = kind, resumable, 2
 		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, 30*time.Second
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -341,7 +341,7 @@
 	if j.service.Engine == nil {
 		return 1
 	}
-	return max(1, j.service.Engine.Stride)
+	return max(1, j.service.Engine.StepsPerPass)
 }
 
 // eventBy is when the next event must be there.
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -20,7 +20,7 @@
 // missed the first second after it held the new version, when it is needed most.
 var _ = Describe("An engine that a call is taken off since its version is out of time", func() {
 	var g *Gateway
-	engine := &enginemodel.Figures{Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
+	engine := &enginemodel.Profile{Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
 
 	// draws is how many calls are placed; with that many, chance leaves out none of
 	// two servers that are both used.
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -88,8 +88,8 @@
 		g.opts.Backend = backend
 		caller = make(refusals, 1)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
 		s.Config.Routes[0].Aim = routeAim
 		s.Config.Routes[0].Timeout = timeout
 		g.adopt(time.Now(), s, "platform")
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -91,8 +91,8 @@
 	// version 2 was named.
 	serve := func(resumable bool, attempts int) []Order {
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 50}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 50}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = routing.Stream, resumable, attempts
 		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, timeout
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -46,8 +46,8 @@
 		metrics = tally.NewTestScope("", nil)
 		g.log = newRequestLog(start, zap.New(core), metrics)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
 		failed = time.Now()
 		if named > 0 {
 			s.Wanted = []catalog.Wanted{{Model: "m", Version: 2}}
