--- a/adapters/settings/mechanisms.go
+++ b/adapters/settings/mechanisms.go
@@ -21,8 +21,8 @@
 // LoadMechanisms reads which mechanisms are switched off from an INI file; all
 // are on with an empty path. The error is of the type ErrInvalid and lists all
 // faults.
-func LoadMechanisms(path string) (policy.Off, error) {
-	var off policy.Off
+func LoadMechanisms(path string) (policy.Disabled, error) {
+	var off policy.Disabled
 	if path == "" {
 		return off, nil
 	}
@@ -40,7 +40,7 @@
 
 // setMechanism sets one switch and returns the reason if it must be refused. A
 // key of a section that is none needs no second fault.
-func setMechanism(off *policy.Off, name, word string) string {
+func setMechanism(off *policy.Disabled, name, word string) string {
 	key, ours := strings.CutPrefix(name, mechanismSection+".")
 	switch {
 	case !ours:
--- a/cmd/chivespindled/platform.go
+++ b/cmd/chivespindled/platform.go
@@ -109,7 +109,7 @@
 type platformBase struct {
 	role        fleet.Role
 	settings    *platform.Settings
-	off         policy.Off
+	off         policy.Disabled
 	id          fleet.InstanceID
 	incarnation uint64
 	ctx         context.Context
@@ -128,7 +128,7 @@
 // lateHandler passes streams on to a handler that is made after the endpoint.
 type lateHandler struct{ peer.Handler }
 
-func newPlatformBase(role fleet.Role, s *platform.Settings, off policy.Off) (*platformBase, error) {
+func newPlatformBase(role fleet.Role, s *platform.Settings, off policy.Disabled) (*platformBase, error) {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
 	b := &platformBase{
 		role:        role,
--- a/core/loading/loading.go
+++ b/core/loading/loading.go
@@ -83,7 +83,7 @@
 type Plan struct {
 	instance fleet.InstanceID
 	within   time.Duration // for a whole change, of all engines
-	off      policy.Off
+	off      policy.Disabled
 
 	names     Names
 	staged    []uint64  // rising
@@ -98,7 +98,7 @@
 
 // NewPlan returns the plan of the engine on an instance. within is the time in
 // which a new version has to replace the one before everywhere.
-func NewPlan(instance fleet.InstanceID, within time.Duration, off policy.Off) *Plan {
+func NewPlan(instance fleet.InstanceID, within time.Duration, off policy.Disabled) *Plan {
 	return &Plan{instance: instance, within: within, off: off}
 }
 
--- a/core/loading/loading_test.go
+++ b/core/loading/loading_test.go
@@ -100,7 +100,7 @@
 	serving := loading.Engine{Loaded: 1}
 	empty := loading.Engine{}
 
-	BeforeEach(func() { p = loading.NewPlan("10.0.0.1", within, policy.Off{}) })
+	BeforeEach(func() { p = loading.NewPlan("10.0.0.1", within, policy.Disabled{}) })
 
 	It("rests while no version is wanted", func() {
 		Expect(p.Next(start, serving, loading.Far)).To(Equal(loading.Rest))
@@ -266,7 +266,7 @@
 		for _, members := range regions {
 			atOnceHere := 0
 			for _, id := range members {
-				plan := loading.NewPlan(id, within, policy.Off{})
+				plan := loading.NewPlan(id, within, policy.Disabled{})
 				plan.SetRegion(members)
 				if plan.ReadAfter(0) == 0 {
 					atOnceHere++
@@ -278,13 +278,13 @@
 		}
 		Expect(atOnce).To(Equal(6))
 		Expect(last).To(BeNumerically("<=", time.Second))
-		Expect(loading.NewPlan("i", within, policy.Off{}).ReadAfter(soon)).To(Equal(soon), "one that knows of no other waits for none")
+		Expect(loading.NewPlan("i", within, policy.Disabled{}).ReadAfter(soon)).To(Equal(soon), "one that knows of no other waits for none")
 	})
 
 	// The engine was ordered to load and its process was replaced before it had.
 	// The order is gone with it; waited for, the engine stood empty for a second.
 	It("orders at once again when the engine started anew", func() {
-		p := loading.NewPlan("i", within, policy.Off{})
+		p := loading.NewPlan("i", within, policy.Disabled{})
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Ordered(at(time.Second), 2)
@@ -307,7 +307,7 @@
 	}
 	turns := make([]time.Duration, engines)
 	for i, id := range members {
-		p := loading.NewPlan(id, within, policy.Off{})
+		p := loading.NewPlan(id, within, policy.Disabled{})
 		p.SetMembers(members)
 		p.Want(known(2, 0))
 		p.Staged(stagedAt, 2)
@@ -336,7 +336,7 @@
 	var plan *loading.Plan
 
 	BeforeEach(func() {
-		plan = loading.NewPlan("10.0.0.1", within, policy.Off{})
+		plan = loading.NewPlan("10.0.0.1", within, policy.Disabled{})
 		plan.Want(known(2, 0))
 		plan.Want(known(3, 2*time.Second))
 	})
--- a/core/placement/anew_test.go
+++ b/core/placement/anew_test.go
@@ -47,7 +47,7 @@
 	})
 
 	It("is not left out for what its predecessor failed", func() {
-		b := placement.New(chanceOfHalf{}, policy.Off{})
+		b := placement.New(chanceOfHalf{}, policy.Disabled{})
 		list := func(born fleet.Start) []placement.Server {
 			all := servers(2)
 			all[0].Born = born
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -46,7 +46,7 @@
 }
 
 func board(n int) *placement.Board {
-	b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+	b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 	b.SetServers(start, servers(n))
 	return b
 }
@@ -171,7 +171,7 @@
 		func(change func(*placement.Server), a placement.Ask) {
 			list := servers(2)
 			change(&list[0])
-			b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+			b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 			b.SetServers(start, list)
 			for range 10 {
 				t, _ := b.Choose(start, a)
@@ -193,7 +193,7 @@
 	It("prefers its own region while there is room", func() {
 		list := servers(2)
 		list[1].Place.Region = "far"
-		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 		b.SetServers(start, list)
 		for range 10 {
 			t, _ := b.Choose(start, ask())
@@ -205,7 +205,7 @@
 	It("takes a slow engine for as slow as it reports", func() {
 		list := servers(2)
 		list[0].Pace = 4
-		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 		b.SetServers(start, list)
 		t, _ := b.Choose(start, ask())
 		Expect(t.Server.ID).To(Equal(id(1)))
@@ -345,7 +345,7 @@
 	})
 
 	It("send callers away for as long as they wait when no server is there", func() {
-		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 		_, refusal := b.Choose(start, ask())
 		Expect(refusal.RetryAfter).To(Equal(2 * time.Second))
 	})
--- a/core/placement/others_test.go
+++ b/core/placement/others_test.go
@@ -92,7 +92,7 @@
 		b.Run(fmt.Sprintf("others=%d", others), func(b *testing.B) {
 			const engines = 265
 			r := rand.New(rand.NewPCG(1, 2))
-			board := placement.New(r, policy.Off{})
+			board := placement.New(r, policy.Disabled{})
 			board.SetSelf("self", fleet.Place{Zone: "a", Region: "r"})
 			board.SetServers(start, servers(engines))
 			for i := range others {
@@ -113,7 +113,7 @@
 func BenchmarkSetServers(b *testing.B) {
 	for _, engines := range []int{15, 265} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			board := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Off{})
+			board := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 			board.SetSelf("self", fleet.Place{Zone: "a", Region: "r"})
 			list := servers(engines)
 			for b.Loop() {
--- a/core/placement/outdated_test.go
+++ b/core/placement/outdated_test.go
@@ -27,7 +27,7 @@
 	place := func(a placement.Ask) []*placement.Ticket {
 		var all []*placement.Ticket
 		for i := range entries {
-			b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Off{})
+			b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Disabled{})
 			b.SetSelf(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), fleet.Place{Zone: "a", Region: "r"})
 			for other := range entries {
 				if other != i {
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -112,7 +112,7 @@
 type Board struct {
 	mu       sync.Mutex
 	rand     Rand
-	off      policy.Off
+	off      policy.Disabled
 	services map[fleet.ServiceName]*group
 	servers  map[fleet.InstanceID]*state
 	others   *others
@@ -155,7 +155,7 @@
 }
 
 // New returns a board without servers.
-func New(r Rand, off policy.Off) *Board {
+func New(r Rand, off policy.Disabled) *Board {
 	return &Board{
 		rand:     r,
 		off:      off,
--- a/core/placement/replay_test.go
+++ b/core/placement/replay_test.go
@@ -212,7 +212,7 @@
 }
 
 // byBoards places with one Board an entry.
-func (z size) byBoards(off policy.Off) strategy {
+func (z size) byBoards(off policy.Disabled) strategy {
 	boards := make([]*placement.Board, z.entries)
 	index := map[fleet.InstanceID]int{}
 	told := make([]uint64, z.entries)
@@ -301,7 +301,7 @@
 	const even, uneven = 0.25, 0.6
 
 	It("is served on time below the engines' capacity", func() {
-		o := fleet8.replay(fleet8.trace(60, even), fleet8.byBoards(policy.Off{}))
+		o := fleet8.replay(fleet8.trace(60, even), fleet8.byBoards(policy.Disabled{}))
 		report("boards", o)
 		Expect(o.onTime).To(BeNumerically(">", 0.97))
 	})
@@ -311,7 +311,7 @@
 	// can be here, where all entries get the same.
 	It("keeps its capacity on time under overload", func() {
 		const overload = 120
-		boards := fleet8.replay(fleet8.trace(overload, even), fleet8.byBoards(policy.Off{}))
+		boards := fleet8.replay(fleet8.trace(overload, even), fleet8.byBoards(policy.Disabled{}))
 		robin := fleet8.replay(fleet8.trace(overload, even), fleet8.byRoundRobin())
 		capped := fleet8.replay(fleet8.trace(overload, even), fleet8.byFixedCap(4))
 		report("boards", boards)
@@ -327,7 +327,7 @@
 	// wider one fills the engines as round robin does.
 	It("uses all places when one entry gets most of the requests, which no cap does", func() {
 		const nearCapacity = 80
-		boards := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byBoards(policy.Off{}))
+		boards := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byBoards(policy.Disabled{}))
 		narrow := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byFixedCap(4))
 		wide := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byFixedCap(12))
 		report("boards", boards)
@@ -343,8 +343,8 @@
 	It("fills each place that falls free once, where entries hear of it late", func() {
 		region := size{engines: 30, entries: 10, hear: 50 * ms}
 		const overload, even = 450, 0.1
-		left := region.replay(region.trace(overload, even), region.byBoards(policy.Off{}))
-		found := region.replay(region.trace(overload, even), region.byBoards(policy.Off{LeaveFreed: true}))
+		left := region.replay(region.trace(overload, even), region.byBoards(policy.Disabled{}))
+		found := region.replay(region.trace(overload, even), region.byBoards(policy.Disabled{LeaveFreed: true}))
 		report("left", left)
 		report("found", found)
 		Expect(left.late).To(BeNumerically("<", 0.1))
@@ -352,7 +352,7 @@
 	})
 
 	It("does not starve the largest requests under overload", func() {
-		o := fleet8.replay(fleet8.trace(120, even), fleet8.byBoards(policy.Off{}))
+		o := fleet8.replay(fleet8.trace(120, even), fleet8.byBoards(policy.Disabled{}))
 		report("boards", o)
 		Expect(o.largeOnTime).To(BeNumerically(">", o.onTime/2))
 	})
@@ -363,8 +363,8 @@
 	It("uses engines well that few entries prefer, where many hear each other late", func() {
 		many := size{engines: 24, entries: 24, hear: 150 * ms}
 		const nearCapacity, even = 210, 1.0 / 24
-		own := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Off{}))
-		all := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Off{OwnEngines: true}))
+		own := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Disabled{}))
+		all := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Disabled{OwnEngines: true}))
 		report("own", own)
 		report("all", all)
 		Expect(own.onTime).To(BeNumerically(">", all.onTime+0.02))
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -6,8 +6,8 @@
 
 import "slices"
 
-// Off tells what is switched off. With the zero value everything is on.
-type Off struct {
+// Disabled tells what is switched off. With the zero value everything is on.
+type Disabled struct {
 	Prediction   bool
 	HearLoads    bool
 	AssumeAlike  bool
@@ -43,7 +43,7 @@
 	Name string
 	// Doc says what the mechanism does and what happens without it.
 	Doc   string
-	field func(*Off) *bool
+	field func(*Disabled) *bool
 }
 
 // Mechanisms returns all mechanisms in the order of the tables.
@@ -51,7 +51,7 @@
 
 // Set switches a mechanism on or off and reports whether there is one of the
 // name.
-func (o *Off) Set(name string, off bool) bool {
+func (o *Disabled) Set(name string, off bool) bool {
 	at := slices.IndexFunc(mechanisms, func(m Mechanism) bool { return m.Name == name })
 	if at < 0 {
 		return false
@@ -61,7 +61,7 @@
 }
 
 // Names returns the names of what is switched off.
-func (o *Off) Names() []string {
+func (o *Disabled) Names() []string {
 	var names []string
 	for _, m := range mechanisms {
 		if *m.field(o) {
@@ -73,57 +73,57 @@
 
 var mechanisms = []Mechanism{
 	{"prediction", "A server's time to the first event is predicted from its published figures. Off: the server with the fewest requests for its places is taken.",
-		func(o *Off) *bool { return &o.Prediction }},
+		func(o *Disabled) *bool { return &o.Prediction }},
 	{"hear_loads", "Entries hear of each other's requests at each server. Off: each knows its own only.",
-		func(o *Off) *bool { return &o.HearLoads }},
+		func(o *Disabled) *bool { return &o.HearLoads }},
 	{"assume_alike", "At a server that has just become ready, the other entries are taken to place as much as this one until they are heard. Off: they count as heard.",
-		func(o *Off) *bool { return &o.AssumeAlike }},
+		func(o *Disabled) *bool { return &o.AssumeAlike }},
 	{"leave_freed", "A place that another entry's request has left at an engine counts as taken for a random while, in which that entry fills it. Off: all entries find it free at once.",
-		func(o *Off) *bool { return &o.LeaveFreed }},
+		func(o *Disabled) *bool { return &o.LeaveFreed }},
 	{"refuse_full", "A request that would begin too late is refused at once. Off: it is placed wherever it begins first.",
-		func(o *Off) *bool { return &o.RefuseFull }},
+		func(o *Disabled) *bool { return &o.RefuseFull }},
 	{"late_last", "Requests that are late already get only a part of an engine's places. Off: all requests are treated alike.",
-		func(o *Off) *bool { return &o.LateLast }},
+		func(o *Disabled) *bool { return &o.LateLast }},
 	{"refuse_long", "A late request whose answer cannot be whole in its caller's time is refused at once. Off: it is placed.",
-		func(o *Off) *bool { return &o.RefuseLong }},
+		func(o *Disabled) *bool { return &o.RefuseLong }},
 	{"near_servers", "Servers of the own region cost less than others. Off: distance does not count.",
-		func(o *Off) *bool { return &o.NearServers }},
+		func(o *Disabled) *bool { return &o.NearServers }},
 	{"jitter", "Chance decides among servers of nearly the same cost. Off: all entries choose the same.",
-		func(o *Off) *bool { return &o.Jitter }},
+		func(o *Disabled) *bool { return &o.Jitter }},
 	{"own_engines", "Each entry prefers some engines, so that few entries choose among the same. Off: all entries choose among all.",
-		func(o *Off) *bool { return &o.OwnEngines }},
+		func(o *Disabled) *bool { return &o.OwnEngines }},
 	{"ejection", "A server that is silent, or whose answers break, gets nothing for a while. Off: it is used on.",
-		func(o *Off) *bool { return &o.Ejection }},
+		func(o *Disabled) *bool { return &o.Ejection }},
 	{"failure_cost", "A server that fails more of its requests than its service does costs more. Off: failures do not count.",
-		func(o *Off) *bool { return &o.FailureCost }},
+		func(o *Disabled) *bool { return &o.FailureCost }},
 	{"pace", "The prediction of a slow engine is stretched by what it reports. Off: all are taken for sound.",
-		func(o *Off) *bool { return &o.Pace }},
+		func(o *Disabled) *bool { return &o.Pace }},
 	{"newer_first", "Engines with an outdated version cost more, so that few streams run there when they change. Off: the version does not count.",
-		func(o *Off) *bool { return &o.NewerFirst }},
+		func(o *Disabled) *bool { return &o.NewerFirst }},
 	{"tell_returned", "Callers that come back after a refusal are told from new ones and count as late. Off: nobody is.",
-		func(o *Off) *bool { return &o.TellReturned }},
+		func(o *Disabled) *bool { return &o.TellReturned }},
 	{"hold_for_load", "A call waits for an engine that is about to be ready. Off: it is refused.",
-		func(o *Off) *bool { return &o.HoldForLoad }},
+		func(o *Disabled) *bool { return &o.HoldForLoad }},
 	{"hold_late", "A late call waits for room. Off: it is refused.",
-		func(o *Off) *bool { return &o.HoldLate }},
+		func(o *Disabled) *bool { return &o.HoldLate }},
 	{"spread_return", "Refused callers are told different times to come back. Off: all are told the longest that callers honour.",
-		func(o *Off) *bool { return &o.SpreadReturn }},
+		func(o *Disabled) *bool { return &o.SpreadReturn }},
 	{"repeat", "What a server failed is sent to another where the route allows it. Off: the caller gets the failure.",
-		func(o *Off) *bool { return &o.Repeat }},
+		func(o *Disabled) *bool { return &o.Repeat }},
 	{"hand_over", "Streams of an engine that is about to load go on at others. Off: the load waits for their end.",
-		func(o *Off) *bool { return &o.HandOver }},
+		func(o *Disabled) *bool { return &o.HandOver }},
 	{"turns", "Engines change their version in turns. Off: each does when its bytes are there.",
-		func(o *Off) *bool { return &o.Turns }},
+		func(o *Disabled) *bool { return &o.Turns }},
 	{"load_between", "A version is loaded also if a newer one is named, when that does not come in time. Off: only the newest is.",
-		func(o *Off) *bool { return &o.LoadBetween }},
+		func(o *Disabled) *bool { return &o.LoadBetween }},
 	{"keep_lapsed", "Servers whose registration ends during an outage of the platform stay in use until they could be back. Off: they are dropped.",
-		func(o *Off) *bool { return &o.KeepLapsed }},
+		func(o *Disabled) *bool { return &o.KeepLapsed }},
 	{"shift_naming", "The time for a version named during an outage counts from when the platform is sound. Off: from its return.",
-		func(o *Off) *bool { return &o.ShiftNaming }},
+		func(o *Disabled) *bool { return &o.ShiftNaming }},
 	{"near_fetch", "One member of each region fetches a chunk from another region for all. Off: each fetches it where it is rarest.",
-		func(o *Off) *bool { return &o.NearFetch }},
+		func(o *Disabled) *bool { return &o.NearFetch }},
 	{"few_watchers", "Only the first entries of a region watch the platform closely, and read what the operator writes for the others. Off: all do.",
-		func(o *Off) *bool { return &o.FewWatchers }},
+		func(o *Disabled) *bool { return &o.FewWatchers }},
 	{"far_less", "Entries of other regions hear of loads less often. Off: as often as near ones.",
-		func(o *Off) *bool { return &o.FarLess }},
+		func(o *Disabled) *bool { return &o.FarLess }},
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestEveryFieldHasOneMechanism(t *testing.T) {
-	var off policy.Off
+	var off policy.Disabled
 	for _, m := range policy.Mechanisms() {
 		if !off.Set(m.Name, true) {
 			t.Errorf("%s cannot be switched off", m.Name)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -121,16 +121,16 @@
 	// Delivered: the client has a part of the response, which that of another
 	// attempt would not continue.
 	Delivered Reason = "delivered"
-	// HasRun: the request ran.
-	HasRun Reason = "ran"
+	// AlreadyRan: the request ran.
+	AlreadyRan Reason = "ran"
 	// MayHaveRun: the request may have run and must not run twice.
 	MayHaveRun Reason = "may_have_run"
-	// TooMany: the attempts are used up.
-	TooMany Reason = "attempts"
-	// TooLate: the deadline leaves no time for another.
-	TooLate Reason = "deadline"
-	// Spent: the budget is empty.
-	Spent Reason = "budget"
+	// AttemptsExhausted: the attempts are used up.
+	AttemptsExhausted Reason = "attempts"
+	// DeadlineTooClose: the deadline leaves no time for another.
+	DeadlineTooClose Reason = "deadline"
+	// BudgetExhausted: the budget is empty.
+	BudgetExhausted Reason = "budget"
 )
 
 // Decision is the answer of MayRetry.
@@ -152,9 +152,9 @@
 	// to BackoffBase doubled for each retry before; 20 ms and 500 ms.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// MinTime is the least time before the deadline that makes an attempt
+	// MinTimeLeft is the least time before the deadline that makes an attempt
 	// worth it; 50 ms.
-	MinTime time.Duration
+	MinTimeLeft time.Duration
 }
 
 // Policy decides on retries.
@@ -181,7 +181,7 @@
 		maxAttempts: defaults.Or(o.MaxAttempts, defaultMaxAttempts),
 		backoffBase: defaults.Or(o.BackoffBase, defaultBackoffBase),
 		backoffMax:  defaults.Or(o.BackoffMax, defaultBackoffMax),
-		minTime:     defaults.Or(o.MinTime, defaultMinTime),
+		minTime:     defaults.Or(o.MinTimeLeft, defaultMinTime),
 	}
 }
 
@@ -191,14 +191,14 @@
 		return Decision{Reason: reason}
 	}
 	if a.Number >= p.maxAttempts {
-		return Decision{Reason: TooMany}
+		return Decision{Reason: AttemptsExhausted}
 	}
 	pause := p.Backoff(a.Number)
 	if !a.Deadline.IsZero() && now.Add(pause+p.minTime).After(a.Deadline) {
-		return Decision{Reason: TooLate}
+		return Decision{Reason: DeadlineTooClose}
 	}
 	if !p.budget.Withdraw(now) {
-		return Decision{Reason: Spent}
+		return Decision{Reason: BudgetExhausted}
 	}
 	return Decision{Retry: true, Pause: pause, Reason: Granted}
 }
@@ -211,7 +211,7 @@
 	case a.Outcome == failure.NotRun:
 		return ""
 	case a.Outcome == failure.Ran:
-		return HasRun
+		return AlreadyRan
 	case !a.Idempotent:
 		return MayHaveRun
 	default:
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -37,8 +37,8 @@
 		Entry("not run, not idempotent", failure.NotRun, false, false, retry.Granted),
 		Entry("unknown, idempotent", failure.Unknown, true, false, retry.Granted),
 		Entry("unknown, not idempotent", failure.Unknown, false, false, retry.MayHaveRun),
-		Entry("ran, idempotent", failure.Ran, true, false, retry.HasRun),
-		Entry("ran, not idempotent", failure.Ran, false, false, retry.HasRun),
+		Entry("ran, idempotent", failure.Ran, true, false, retry.AlreadyRan),
+		Entry("ran, not idempotent", failure.Ran, false, false, retry.AlreadyRan),
 		Entry("not run, part delivered", failure.NotRun, true, true, retry.Delivered),
 		Entry("unknown, idempotent, part delivered", failure.Unknown, true, true, retry.Delivered),
 		Entry("ran, part delivered", failure.Ran, false, true, retry.Delivered),
@@ -55,10 +55,10 @@
 		},
 		Entry("first, no deadline", 1, time.Duration(0), retry.Granted),
 		Entry("second", 2, time.Minute, retry.Granted),
-		Entry("third and last", 3, time.Minute, retry.TooMany),
+		Entry("third and last", 3, time.Minute, retry.AttemptsExhausted),
 		Entry("time for another", 1, 100*time.Millisecond, retry.Granted),
-		Entry("no time for another", 1, 40*time.Millisecond, retry.TooLate),
-		Entry("deadline passed", 1, -time.Second, retry.TooLate),
+		Entry("no time for another", 1, 40*time.Millisecond, retry.DeadlineTooClose),
+		Entry("deadline passed", 1, -time.Second, retry.DeadlineTooClose),
 	)
 
 	It("takes no token for a retry it does not grant", func() {
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -37,17 +37,17 @@
 	w.slack = slack
 }
 
-// Request counts one new request.
-func (w *Window) Request(now time.Time) {
+// RecordRequest counts one new request.
+func (w *Window) RecordRequest(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turn(now)
 	w.requests[w.at]++
 }
 
-// Repeat counts one repeat and reports whether it is allowed; one that is not
+// TryRetry counts one repeat and reports whether it is allowed; one that is not
 // allowed does not count.
-func (w *Window) Repeat(now time.Time) bool {
+func (w *Window) TryRetry(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turn(now)
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -20,7 +20,7 @@
 	It("allows a share of the requests of the span besides", func() {
 		w := retry.NewWindow(start, span, 0.2, 0)
 		for range 50 {
-			w.Request(start)
+			w.RecordRequest(start)
 		}
 		Expect(allowed(w, start, 100)).To(Equal(10))
 	})
@@ -32,8 +32,8 @@
 		var repeats []time.Time
 		for tick := range 6000 {
 			now := start.Add(time.Duration(tick) * 10 * time.Millisecond)
-			w.Request(now)
-			if w.Repeat(now) {
+			w.RecordRequest(now)
+			if w.TryRetry(now) {
 				repeats = append(repeats, now)
 			}
 		}
@@ -66,7 +66,7 @@
 func allowed(w *retry.Window, now time.Time, tries int) int {
 	n := 0
 	for range tries {
-		if w.Repeat(now) {
+		if w.TryRetry(now) {
 			n++
 		}
 	}
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -57,11 +57,11 @@
 	Targets []Target
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Aim is the time to the whole answer, of a stream to the first event, that
+	// TargetLatency is the time to the whole answer, of a stream to the first event, that
 	// is still on time.
-	Aim time.Duration
-	// PauseAim is the longest pause between two events that is still on time.
-	PauseAim time.Duration
+	TargetLatency time.Duration
+	// TargetPause is the longest pause between two events that is still on time.
+	TargetPause time.Duration
 	// MaxAttempts is the number of servers that one request may be sent to.
 	MaxAttempts int
 	// Priority is the rank, 0 the highest.
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -61,8 +61,8 @@
 		if t.services[target.Service] == nil {
 			return failure.Invalid.New("route %q: names the unknown service %q", r.Name, target.Service)
 		}
-		if known, ok := t.aims[target.Service]; r.Aim > 0 && (!ok || r.Aim < known) {
-			t.aims[target.Service] = r.Aim
+		if known, ok := t.aims[target.Service]; r.TargetLatency > 0 && (!ok || r.TargetLatency < known) {
+			t.aims[target.Service] = r.TargetLatency
 		}
 	}
 	host := strings.ToLower(r.Host)
@@ -83,9 +83,9 @@
 // Service returns the named service, nil if there is none.
 func (t *Table) Service(name fleet.ServiceName) *Service { return t.services[name] }
 
-// ShortestAim returns the shortest aim of the routes to a service; 0 if none
+// ShortestTargetLatency returns the shortest aim of the routes to a service; 0 if none
 // has one.
-func (t *Table) ShortestAim(name fleet.ServiceName) time.Duration { return t.aims[name] }
+func (t *Table) ShortestTargetLatency(name fleet.ServiceName) time.Duration { return t.aims[name] }
 
 // Match returns the route of a request: of those of its host the one with the
 // longest prefix that begins the path. host may carry a port.
--- a/core/routing/table_test.go
+++ b/core/routing/table_test.go
@@ -24,9 +24,9 @@
 	return routing.Config{
 		Version: 7,
 		Routes: []routing.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Targets: to("plain"), Aim: time.Second},
-			{Name: "short", Host: "a.example", Prefix: "/x/", Targets: to("engine"), Aim: 400 * time.Millisecond},
-			{Name: "long", Host: "a.example", Prefix: "/x/y/", Targets: to("engine"), Aim: 500 * time.Millisecond, Public: true},
+			{Name: "all", Host: "a.example", Prefix: "/", Targets: to("plain"), TargetLatency: time.Second},
+			{Name: "short", Host: "a.example", Prefix: "/x/", Targets: to("engine"), TargetLatency: 400 * time.Millisecond},
+			{Name: "long", Host: "a.example", Prefix: "/x/y/", Targets: to("engine"), TargetLatency: 500 * time.Millisecond, Public: true},
 			{Name: "split", Host: "b.example", Prefix: "/", Targets: []routing.Target{{Service: "plain", Weight: 3}, {Service: "engine", Weight: 1}}},
 		},
 		Services:   []routing.Service{{Name: "plain"}, {Name: "engine"}},
@@ -87,7 +87,7 @@
 	)
 
 	It("tells the shortest aim of a service", func() {
-		Expect(table(config()).ShortestAim("engine")).To(Equal(400 * time.Millisecond))
+		Expect(table(config()).ShortestTargetLatency("engine")).To(Equal(400 * time.Millisecond))
 	})
 
 	DescribeTable("refuses a configuration that breaks a rule, so that the old one stays",
--- a/core/serverlimit/share_test.go
+++ b/core/serverlimit/share_test.go
@@ -37,7 +37,7 @@
 func newGreedy(perSecond float64, ids []fleet.InstanceID, othersOf func(i int) []fleet.InstanceID) *greedy {
 	g := &greedy{}
 	for i, self := range ids {
-		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Off{})
+		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Disabled{})
 		b.SetServers(start, []placement.Server{{ID: server, Service: "pool", Slots: 16}})
 		b.SetLimits(start, map[fleet.InstanceID]float64{server: serverlimit.Share(perSecond, server, self, othersOf(i))})
 		g.boards = append(g.boards, b)
--- a/daemon/gateway/account.go
+++ b/daemon/gateway/account.go
@@ -121,7 +121,7 @@
 	if j.route.Kind == routing.Stream && !j.firstAt.IsZero() {
 		first = j.firstAt
 	}
-	inAim := first.Sub(j.call.Arrived) <= j.route.Aim
+	inAim := first.Sub(j.call.Arrived) <= j.route.TargetLatency
 	switch {
 	case j.returned:
 		return resultLateReturned
@@ -131,7 +131,7 @@
 		return resultLateHeld
 	case !inAim:
 		return resultLateFirst
-	case j.route.PauseAim > 0 && j.longestPause > j.route.PauseAim:
+	case j.route.TargetPause > 0 && j.longestPause > j.route.TargetPause:
 		return resultLatePause
 	default:
 		return resultOnTime
--- a/daemon/gateway/contact.go
+++ b/daemon/gateway/contact.go
@@ -27,7 +27,7 @@
 // contact is what an entry knows of its contact with the platform. It belongs
 // to the control loop.
 type contact struct {
-	off   policy.Off
+	off   policy.Disabled
 	heard time.Time // last answer of the platform
 	// failing is true from a failed call until the next one that succeeds.
 	failing bool
--- a/daemon/gateway/delivery_test.go
+++ b/daemon/gateway/delivery_test.go
@@ -222,7 +222,7 @@
 		Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 50}
 	route := &snapshot.Config.Routes[0]
 	route.Kind, route.Resumable, route.MaxAttempts = s.kind, s.resumable, mostAttempts
-	route.Aim, route.PauseAim, route.Timeout = time.Second, time.Second, 10*time.Second
+	route.TargetLatency, route.TargetPause, route.Timeout = time.Second, time.Second, 10*time.Second
 	g.adopt(time.Now(), snapshot, fromPlatform)
 	g.publish(time.Now())
 	for s.isSpent && g.allowRepeat(time.Now(), "pool") {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -68,7 +68,7 @@
 	// SoundTime is how long the platform must have answered to count as sound.
 	SoundTime time.Duration
 	// Off is what is switched off.
-	Off     policy.Off
+	Off     policy.Disabled
 	Logger  *zap.Logger
 	Metrics tally.Scope
 }
@@ -360,7 +360,7 @@
 
 // allowRepeat takes a retry of a request from the budget of a service.
 func (g *Gateway) allowRepeat(now time.Time, service fleet.ServiceName) bool {
-	return g.budget(now, service).Repeat(now)
+	return g.budget(now, service).TryRetry(now)
 }
 
 func (g *Gateway) budget(now time.Time, service fleet.ServiceName) *retry.Window {
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -99,10 +99,10 @@
 }
 
 func (j *job) pauseAim() time.Duration {
-	if j.route.PauseAim > 0 {
-		return j.route.PauseAim
+	if j.route.TargetPause > 0 {
+		return j.route.TargetPause
 	}
-	return j.route.Aim
+	return j.route.TargetLatency
 }
 
 // mayMove reports whether the stream can go on elsewhere and is worth it.
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -185,7 +185,7 @@
 			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 400}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = kind, resumable, 2
-		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, 30*time.Second
+		route.TargetLatency, route.TargetPause, route.Timeout = 2*time.Second, time.Second, 30*time.Second
 		g.adopt(time.Now(), s, "platform")
 		tell(oneID, 1, false)
 		tell(twoID, 1, false)
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -94,7 +94,7 @@
 // is its failure: a hung server must be found out by requests that may not be
 // repeated too, and these wait for it until their time is up.
 func (j *job) isSilent(now time.Time) bool {
-	allowed := safeSilence * j.route.Aim
+	allowed := safeSilence * j.route.TargetLatency
 	if j.service.Engine != nil {
 		allowed = j.predicted + streamSilence
 	}
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -308,8 +308,8 @@
 		c.Routes = append(c.Routes, routing.Route{
 			Name: fmt.Sprintf("r-%08x", chance.Uint32()), Host: "relay.example",
 			Prefix: fmt.Sprintf("/%05x%d/%04x/", chance.Uint32()>>12, i, chance.Uint32()>>16),
-			Kind:   routing.Stream, Timeout: 6 * time.Second, Aim: 500 * time.Millisecond,
-			PauseAim: 400 * time.Millisecond, MaxAttempts: 2, Resumable: true,
+			Kind:   routing.Stream, Timeout: 6 * time.Second, TargetLatency: 500 * time.Millisecond,
+			TargetPause: 400 * time.Millisecond, MaxAttempts: 2, Resumable: true,
 			Targets: []routing.Target{{Service: "pool", Weight: 1}},
 		})
 	}
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
-	g.budget(call.Arrived, j.service.Name).Request(call.Arrived)
+	g.budget(call.Arrived, j.service.Name).RecordRequest(call.Arrived)
 	for j.attempt(ctx) {
 	}
 	j.leaveRoom(time.Now(), false)
@@ -257,7 +257,7 @@
 	isBusy := reason == placement.Full || reason == placement.NoPlace
 	isLate := j.isLate(now)
 	if isBusy && !isLate {
-		until = earlier(until, j.call.Arrived.Add(j.route.Aim))
+		until = earlier(until, j.call.Arrived.Add(j.route.TargetLatency))
 	}
 	v := j.g.view.Load()
 	at, expected := v.soonest[j.service.Name]
@@ -294,7 +294,7 @@
 		Prompt:   j.call.Prompt,
 		Answer:   j.call.Answer,
 		Expected: j.call.Expected,
-		Aim:      j.view.table.ShortestAim(j.service.Name),
+		Aim:      j.view.table.ShortestTargetLatency(j.service.Name),
 		Left:     j.deadline.Sub(now),
 		Late:     j.isLate(now),
 		Exclude:  j.exclude,
@@ -309,7 +309,7 @@
 
 // isLate reports whether the answer cannot be on time any more.
 func (j *job) isLate(now time.Time) bool {
-	return j.returned || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.Aim
+	return j.returned || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.TargetLatency
 }
 
 // order describes an attempt at the ticket's server.
@@ -348,7 +348,7 @@
 	case j.service.Engine != nil:
 		return earlier(by, now.Add(j.predicted+streamSilence))
 	default:
-		return earlier(by, now.Add(safeSilence*j.route.Aim))
+		return earlier(by, now.Add(safeSilence*j.route.TargetLatency))
 	}
 }
 
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -90,7 +90,7 @@
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = &enginemodel.Profile{
 			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
-		s.Config.Routes[0].Aim = routeAim
+		s.Config.Routes[0].TargetLatency = routeAim
 		s.Config.Routes[0].Timeout = timeout
 		g.adopt(time.Now(), s, "platform")
 		tell(holds, wire.Replica{Seq: 1, Loaded: 1})
@@ -154,7 +154,7 @@
 		g, _ = newGateway()
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = nil
-		s.Config.Routes[0].Aim = aim
+		s.Config.Routes[0].TargetLatency = aim
 		g.adopt(start, s, "platform")
 		g.publish(start)
 		caller = make(refusals, 1)
@@ -229,7 +229,7 @@
 		backend := &leaving{leave: leave}
 		g.opts.Backend = backend
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
+		s.Config.Routes[0].TargetLatency, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
 		caller := make(refusals, 1)
@@ -253,7 +253,7 @@
 		g.log = newRequestLog(start, zap.New(core), metrics)
 		g.opts.Backend = &panicking{}
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
-		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout = time.Second, time.Minute
+		s.Config.Routes[0].TargetLatency, s.Config.Routes[0].Timeout = time.Second, time.Minute
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
 		serve := func() {
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -95,7 +95,7 @@
 			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 50}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = routing.Stream, resumable, attempts
-		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, timeout
+		route.TargetLatency, route.TargetPause, route.Timeout = 2*time.Second, time.Second, timeout
 		s.Wanted = []catalog.Wanted{{Model: "m", Version: 2}}
 		now := time.Now()
 		g.adopt(now, s, "platform")
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -80,7 +80,7 @@
 	// LinkBytes is what the instance's link carries in a second.
 	LinkBytes int64
 	// Off is what is switched off.
-	Off     policy.Off
+	Off     policy.Disabled
 	Logger  *zap.Logger
 	Metrics tally.Scope
 }
--- a/daemon/loader/outdated_test.go
+++ b/daemon/loader/outdated_test.go
@@ -29,7 +29,7 @@
 	BeforeEach(func() {
 		core, logged := observer.New(zap.InfoLevel)
 		lines = logged
-		l = &Loader{opts: Options{Logger: zap.New(core)}, plan: loading.NewPlan("10.0.0.1", within, policy.Off{})}
+		l = &Loader{opts: Options{Logger: zap.New(core)}, plan: loading.NewPlan("10.0.0.1", within, policy.Disabled{})}
 		l.plan.Want(loading.Named{Version: 2, Since: start})
 	})
 
