--- a/core/placement/anew_test.go
+++ b/core/placement/anew_test.go
@@ -27,7 +27,7 @@
 	It("is free, whatever its predecessor had", func() {
 		b := board(1)
 		b.SetServers(start, bornAt(before))
-		b.Heard(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 9}}})
+		b.UpdateEntryLoads(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 9}}})
 		full := fill(b, small())
 		_, told := b.LoadsSince(0)
 		b.SetServers(start.Add(time.Second), bornAt(after))
@@ -58,7 +58,7 @@
 			t, _ := b.Choose(start, small())
 			Expect(t).NotTo(BeNil())
 			if t.Server.ID == id(0) {
-				t.End(start, placement.Silent)
+				t.End(start, placement.TimedOut)
 				break
 			}
 		}
@@ -72,7 +72,7 @@
 		old, _ := b.Choose(start, small())
 		b.SetServers(start, bornAt(after))
 		held, _ := b.Choose(start, small())
-		old.End(start, placement.Silent)
+		old.End(start, placement.TimedOut)
 		Expect(b.Loads()).To(HaveLen(1))
 		held.End(start, placement.Succeeded)
 		Expect(b.Loads()).To(BeEmpty())
@@ -93,7 +93,7 @@
 func (chanceOfHalf) Float64() float64 { return 0.5 }
 
 // placedAt places requests until one is refused and returns where.
-func placedAt(b *placement.Board) map[fleet.InstanceID]int {
+func placedAt(b *placement.Balancer) map[fleet.InstanceID]int {
 	counts := make(map[fleet.InstanceID]int)
 	for {
 		t, _ := b.Choose(start, small())
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -65,9 +65,9 @@
 	NoServer Reason = "no_server"
 	// Full: no server would answer in time.
 	Full Reason = "full"
-	// NoPlace: a server would begin in time, but has no place for this request: it
+	// NoSlot: a server would begin in time, but has no place for this request: it
 	// is late, and the places for such are taken, or it needs too much memory.
-	NoPlace Reason = "no_place"
+	NoSlot Reason = "no_place"
 	// Limited: the servers that could take the request have limits, and this entry has
 	// used its share of them.
 	Limited Reason = "limited"
@@ -81,36 +81,36 @@
 	RetryAfter time.Duration
 	// Predicted is the shortest time to an answer; 0 with NoServer.
 	Predicted time.Duration
-	// Usable is the number of servers that were looked at.
-	Usable int
+	// Candidates is the number of servers that were looked at.
+	Candidates int
 }
 
 // Choose places a request. The Ticket must be ended. A nil Ticket comes with a
 // Refusal.
-func (b *Board) Choose(now time.Time, ask Ask) (*Ticket, Refusal) {
+func (b *Balancer) Choose(now time.Time, ask Request) (*Assignment, Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.services[ask.Service]
 	if g == nil {
-		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.Left)}
+		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.TimeLeft)}
 	}
 	usable := b.candidates(now, g, ask)
 	if len(usable) == 0 && g.isLimited(now) {
 		return nil, Refusal{Reason: Limited, RetryAfter: b.comeBack(ask)}
 	}
 	if len(usable) == 0 {
-		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.Left)}
+		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.TimeLeft)}
 	}
 	if b.off.LateLast {
 		ask.Late = false
 	}
 	best, predicted := b.cheapest(now, usable, ask)
 	if reason := b.refusedFor(ask, predicted, b.work(now, best), best); reason != "" {
-		return nil, Refusal{Reason: reason, RetryAfter: b.comeBack(ask), Predicted: predicted, Usable: len(usable)}
+		return nil, Refusal{Reason: reason, RetryAfter: b.comeBack(ask), Predicted: predicted, Candidates: len(usable)}
 	}
-	t := &Ticket{
-		board: b, state: best, Server: best.Server, Predicted: predicted, Within: ask.within(best),
-		prompt: ask.Prompt, answer: ask.Answer, suspect: ask.Suspect, placed: now,
+	t := &Assignment{
+		board: b, state: best, Server: best.Server, Predicted: predicted, ServerTimeout: ask.within(best),
+		prompt: ask.PromptTokens, answer: ask.OutputTokens, suspect: ask.Suspect, placed: now,
 	}
 	best.limit.take()
 	if t.suspect {
@@ -122,14 +122,14 @@
 }
 
 // refusedFor returns why a request is not sent to the best server; empty if it is.
-func (b *Board) refusedFor(a Ask, predicted time.Duration, w enginemodel.Work, s *state) Reason {
+func (b *Balancer) refusedFor(a Request, predicted time.Duration, w enginemodel.Work, s *state) Reason {
 	switch {
 	case predicted-a.reading() > a.patience() && !b.off.RefuseFull:
 		return Full
-	case a.Pause > 0 && predicted > a.Pause:
+	case a.MaxPause > 0 && predicted > a.MaxPause:
 		return Full
 	case !a.fits(w, s):
-		return NoPlace
+		return NoSlot
 	case a.isTooLong(predicted, w) && !b.off.RefuseLong:
 		return TooLong
 	default:
@@ -142,10 +142,10 @@
 // In a burst each request that is placed too late to be on time takes a place
 // from one that would be, and soon all are late. Refused at once, its caller
 // comes back when the burst is over.
-func (a Ask) patience() time.Duration {
-	aim := a.Aim
+func (a Request) patience() time.Duration {
+	aim := a.TargetLatency
 	if aim <= 0 {
-		aim = a.Left
+		aim = a.TimeLeft
 	}
 	if a.Late {
 		return time.Duration(lateShare * float64(aim))
@@ -155,26 +155,26 @@
 
 // isTooLong reports whether the answer to a late request is expected to take
 // much longer than the caller waits.
-func (a Ask) isTooLong(first time.Duration, w enginemodel.Work) bool {
-	if a.Engine == nil || !a.Late || a.Expected == 0 || a.Left <= 0 {
+func (a Request) isTooLong(first time.Duration, w enginemodel.Work) bool {
+	if a.Engine == nil || !a.Late || a.ExpectedTokens == 0 || a.TimeLeft <= 0 {
 		return false
 	}
-	whole := first + a.Engine.DecodeTime(w, a.Expected)
-	return float64(whole) > tooLong*float64(a.Left)
+	whole := first + a.Engine.DecodeTime(w, a.ExpectedTokens)
+	return float64(whole) > tooLong*float64(a.TimeLeft)
 }
 
 // reading is the part of a prediction that is the request's own prompt.
-func (a Ask) reading() time.Duration {
+func (a Request) reading() time.Duration {
 	if a.Engine == nil {
 		return 0
 	}
-	return a.Engine.PrefillTime(a.Prompt)
+	return a.Engine.PrefillTime(a.PromptTokens)
 }
 
 // fits bounds what waits at a plain service, whose times are not predicted
 // well, and what an engine may hold in memory: beyond it, it drops a running
 // stream and reads it anew.
-func (a Ask) fits(w enginemodel.Work, s *state) bool {
+func (a Request) fits(w enginemodel.Work, s *state) bool {
 	if a.Engine == nil {
 		return w.Running < max(1, s.Slots)*plainQueue
 	}
@@ -184,18 +184,18 @@
 	if a.Engine.MemoryTokens == 0 {
 		return true
 	}
-	return w.Context+a.Prompt+a.Answer <= a.Engine.MemoryTokens
+	return w.Context+a.PromptTokens+a.OutputTokens <= a.Engine.MemoryTokens
 }
 
 // candidates are the servers that may take the request. Ejected ones are left
 // out unless no others are left: a wrong suspicion must not close the service.
-func (b *Board) candidates(now time.Time, g *group, ask Ask) []*state {
+func (b *Balancer) candidates(now time.Time, g *group, ask Request) []*state {
 	var sound, ejected []*state
 	for _, st := range g.states {
 		switch {
-		case st.Leaving, st.Changing, st.limit.isEmpty(now), slices.Contains(ask.Exclude, st.ID):
+		case st.Leaving, st.Reloading, st.limit.isEmpty(now), slices.Contains(ask.Exclude, st.ID):
 		case !b.versionFits(now, st, ask):
-		case st.Down, now.Before(st.health.until):
+		case st.Unreachable, now.Before(st.health.until):
 			ejected = append(ejected, st)
 		default:
 			sound = append(sound, st)
@@ -204,16 +204,16 @@
 	if len(sound) > 0 {
 		return sound
 	}
-	return slices.DeleteFunc(ejected, func(st *state) bool { return st.Down })
+	return slices.DeleteFunc(ejected, func(st *state) bool { return st.Unreachable })
 }
 
 // versionFits reports whether an engine may be used for a request by the version
 // that it holds.
-func (b *Board) versionFits(now time.Time, st *state, ask Ask) bool {
-	switch use, left := ask.use(st.Loaded); use {
-	case FullUse:
+func (b *Balancer) versionFits(now time.Time, st *state, ask Request) bool {
+	switch use, left := ask.use(st.LoadedVersion); use {
+	case Eligible:
 		return true
-	case UseOutdated:
+	case EligibleOutdated:
 		return b.endsWithin(now, st, ask, left)
 	default:
 		return false
@@ -221,7 +221,7 @@
 }
 
 // cheapest returns the server with the least cost and its predicted time.
-func (b *Board) cheapest(now time.Time, usable []*state, ask Ask) (*state, time.Duration) {
+func (b *Balancer) cheapest(now time.Time, usable []*state, ask Request) (*state, time.Duration) {
 	var best *state
 	var bestCost, bestTime time.Duration
 	for _, st := range usable {
@@ -235,7 +235,7 @@
 }
 
 // cost is the predicted time with what else speaks against a server.
-func (b *Board) cost(now time.Time, st *state, ask Ask, predicted time.Duration) time.Duration {
+func (b *Balancer) cost(now time.Time, st *state, ask Request, predicted time.Duration) time.Duration {
 	cost := predicted
 	if b.off.Prediction {
 		cost = time.Duration(b.rounds(now, st) * float64(st.group.duration))
@@ -249,46 +249,46 @@
 	if st.suspects > 0 {
 		cost += suspectCost
 	}
-	if st.Place.Region != ask.Near.Region && !b.off.NearServers {
+	if st.Place.Region != ask.EntryPlace.Region && !b.off.NearServers {
 		cost += otherRegion
 	}
 	if ask.Engine != nil {
 		cost += b.costOfOthers(st)
 	}
-	if use, _ := ask.use(st.Loaded); use == UseOutdated && !b.off.NewerFirst {
+	if use, _ := ask.use(st.LoadedVersion); use == EligibleOutdated && !b.off.NewerFirst {
 		cost += outdatedCost
 	}
 	return cost
 }
 
 // rounds is how often a server's places are taken.
-func (b *Board) rounds(now time.Time, st *state) float64 {
+func (b *Balancer) rounds(now time.Time, st *state) float64 {
 	return float64(b.work(now, st).Running) / float64(max(1, st.Slots))
 }
 
 // predict returns the time in which a server would begin to answer, for a
 // plain service to answer.
-func (b *Board) predict(now time.Time, st *state, ask Ask) time.Duration {
+func (b *Balancer) predict(now time.Time, st *state, ask Request) time.Duration {
 	switch {
 	case ask.Engine == nil:
 		return time.Duration(b.rounds(now, st) * float64(st.group.duration))
 	case b.off.Prediction:
 		return time.Duration(max(0, b.rounds(now, st)-1) * float64(st.group.duration))
 	default:
-		pace := max(1, st.Pace)
+		pace := max(1, st.Slowdown)
 		if b.off.Pace {
 			pace = 1
 		}
-		return time.Duration(pace * float64(ask.Engine.TimeToFirstEvent(b.work(now, st), ask.Prompt)))
+		return time.Duration(pace * float64(ask.Engine.TimeToFirstEvent(b.work(now, st), ask.PromptTokens)))
 	}
 }
 
 // comeBack is when a refused caller may come back.
-func (b *Board) comeBack(ask Ask) time.Duration {
+func (b *Balancer) comeBack(ask Request) time.Duration {
 	if b.off.SpreadReturn {
-		return comeBackLater(ask.Left)
+		return comeBackLater(ask.TimeLeft)
 	}
-	return comeBackSpread(ask.Left, b.rand.Float64())
+	return comeBackSpread(ask.TimeLeft, b.rand.Float64())
 }
 
 // comeBackLater is for a caller whom nobody can serve now: as late as callers
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -37,7 +37,7 @@
 	list := make([]placement.Server, n)
 	for i := range list {
 		list[i] = placement.Server{
-			ID: id(i), Service: service, Slots: 16, Loaded: 1,
+			ID: id(i), Service: service, Slots: 16, LoadedVersion: 1,
 			Addr:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
 			Place: fleet.Place{Zone: "a", Region: "r"},
 		}
@@ -45,29 +45,29 @@
 	return list
 }
 
-func board(n int) *placement.Board {
+func board(n int) *placement.Balancer {
 	b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 	b.SetServers(start, servers(n))
 	return b
 }
 
-func ask() placement.Ask {
-	return placement.Ask{
-		Service: service, Engine: figures(), Prompt: 979, Answer: 92, Aim: aim, Left: 6 * time.Second,
-		Near: fleet.Place{Zone: "a", Region: "r"},
+func ask() placement.Request {
+	return placement.Request{
+		Service: service, Engine: figures(), PromptTokens: 979, OutputTokens: 92, TargetLatency: aim, TimeLeft: 6 * time.Second,
+		EntryPlace: fleet.Place{Zone: "a", Region: "r"},
 	}
 }
 
 // small is a request whose prompt is read in a millisecond, so that engines
 // are found busy by their places alone.
-func small() placement.Ask {
+func small() placement.Request {
 	a := ask()
-	a.Prompt = 20
+	a.PromptTokens = 20
 	return a
 }
 
 // fill places requests until one is refused, and returns how many were placed.
-func fill(b *placement.Board, a placement.Ask) int {
+func fill(b *placement.Balancer, a placement.Request) int {
 	for n := 0; ; n++ {
 		if t, _ := b.Choose(start, a); t == nil {
 			return n
@@ -91,7 +91,7 @@
 
 	It("counts what the other entries have there, as long as it is fresh", func() {
 		b := board(2)
-		b.Heard(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 16, PendingPrefill: 8000}}})
+		b.UpdateEntryLoads(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 16, PendingPrefill: 8000}}})
 		for range 5 {
 			t, _ := b.Choose(start, small())
 			Expect(t.Server.ID).To(Equal(id(1)))
@@ -111,7 +111,7 @@
 		for range 4 {
 			b := board(1)
 			for _, other := range []fleet.InstanceID{"x", "y", "z"} {
-				b.Heard(start, other, nil)
+				b.UpdateEntryLoads(start, other, nil)
 			}
 			together += fill(b, small())
 		}
@@ -127,18 +127,18 @@
 		Expect(fill(board(1), outdatedFor(small(), whole+200*ms))).To(And(BeNumerically(">", 0), BeNumerically("<=", 12)))
 		Expect(fill(board(1), outdatedFor(small(), whole+400*ms))).To(BeNumerically("<=", 16))
 		long := outdatedFor(small(), 2*whole)
-		long.Expected = 250
+		long.ExpectedTokens = 250
 		Expect(fill(board(1), long)).To(BeZero())
 	})
 
 	// Guards against a request that only a later word of ours ends in time.
 	It("tells an engine with an outdated version when to end its work", func() {
 		t, _ := board(1).Choose(start, outdatedFor(small(), 3*time.Second))
-		Expect(t.Within).To(Equal(3 * time.Second))
+		Expect(t.ServerTimeout).To(Equal(3 * time.Second))
 		t, _ = board(1).Choose(start, small())
-		Expect(t.Within).To(BeZero())
+		Expect(t.ServerTimeout).To(BeZero())
 		t, _ = board(1).Choose(start, outdatedFor(small(), time.Hour))
-		Expect(t.Within).To(BeZero(), "its own time is shorter")
+		Expect(t.ServerTimeout).To(BeZero(), "its own time is shorter")
 	})
 
 	It("uses an engine with an outdated version like any other while no time is short", func() {
@@ -147,11 +147,11 @@
 
 	It("forgets the load of an entry that has gone", func() {
 		b := board(1)
-		b.Heard(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 60}}})
+		b.UpdateEntryLoads(start, "other", []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 60}}})
 		t, refusal := b.Choose(start, ask())
 		Expect(t).To(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.Full))
-		b.Forget("other")
+		b.RemoveEntry("other")
 		t, _ = b.Choose(start, ask())
 		Expect(t).NotTo(BeNil())
 	})
@@ -161,14 +161,14 @@
 		t, _ := b.Choose(start, ask())
 		Expect(b.Loads()).To(ConsistOf(placement.Load{
 			Server: t.Server.ID, Work: enginemodel.Work{Running: 1, PendingPrefill: 979, Context: 979}}))
-		t.Wrote(5)
+		t.AddTokens(5)
 		Expect(b.Loads()[0].Work).To(Equal(enginemodel.Work{Running: 1, Context: 984}))
 		t.End(start, placement.Succeeded)
 		Expect(b.Loads()).To(BeEmpty())
 	})
 
 	DescribeTable("leaves out servers that cannot take the request",
-		func(change func(*placement.Server), a placement.Ask) {
+		func(change func(*placement.Server), a placement.Request) {
 			list := servers(2)
 			change(&list[0])
 			b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
@@ -184,9 +184,9 @@
 			Expect(refusal.Reason).To(Equal(placement.NoServer))
 		},
 		Entry("one that leaves", func(s *placement.Server) { s.Leaving = true }, ask()),
-		Entry("one that loads weights", func(s *placement.Server) { s.Changing = true }, ask()),
-		Entry("one that its agent cannot reach", func(s *placement.Server) { s.Down = true }, ask()),
-		Entry("one with another version", func(s *placement.Server) { s.Loaded = 7 }, withVersions(ask())),
+		Entry("one that loads weights", func(s *placement.Server) { s.Reloading = true }, ask()),
+		Entry("one that its agent cannot reach", func(s *placement.Server) { s.Unreachable = true }, ask()),
+		Entry("one with another version", func(s *placement.Server) { s.LoadedVersion = 7 }, withVersions(ask())),
 		Entry("one that had the request before", func(*placement.Server) {}, excluding(ask())),
 	)
 
@@ -204,7 +204,7 @@
 
 	It("takes a slow engine for as slow as it reports", func() {
 		list := servers(2)
-		list[0].Pace = 4
+		list[0].Slowdown = 4
 		b := placement.New(rand.New(rand.NewPCG(1, 2)), policy.Disabled{})
 		b.SetServers(start, list)
 		t, _ := b.Choose(start, ask())
@@ -222,14 +222,14 @@
 		b := board(2)
 		a := ask()
 		a.Engine = nil
-		a.Prompt = 0
-		a.Aim = time.Hour
+		a.PromptTokens = 0
+		a.TargetLatency = time.Hour
 		Expect(fill(b, a)).To(Equal(2 * 16 * 3))
 	})
 
 	It("does with a route that has no aim", func() {
 		a := ask()
-		a.Aim = 0
+		a.TargetLatency = 0
 		t, _ := board(1).Choose(start, a)
 		Expect(t).NotTo(BeNil())
 	})
@@ -243,24 +243,26 @@
 	})
 })
 
-func withVersions(a placement.Ask) placement.Ask {
-	a.Versions = func(v placement.ModelVersion) (placement.Use, time.Duration) {
+func withVersions(a placement.Request) placement.Request {
+	a.Versions = func(v placement.ModelVersion) (placement.Eligibility, time.Duration) {
 		if v != 1 {
-			return placement.NoUse, 0
+			return placement.Ineligible, 0
 		}
-		return placement.FullUse, 0
+		return placement.Eligible, 0
 	}
 	return a
 }
 
 // outdatedFor is a request at a time at which all versions are outdated and may
 // answer for so long.
-func outdatedFor(a placement.Ask, left time.Duration) placement.Ask {
-	a.Versions = func(placement.ModelVersion) (placement.Use, time.Duration) { return placement.UseOutdated, left }
+func outdatedFor(a placement.Request, left time.Duration) placement.Request {
+	a.Versions = func(placement.ModelVersion) (placement.Eligibility, time.Duration) {
+		return placement.EligibleOutdated, left
+	}
 	return a
 }
 
-func excluding(a placement.Ask) placement.Ask {
+func excluding(a placement.Request) placement.Request {
 	a.Exclude = []fleet.InstanceID{id(0)}
 	return a
 }
@@ -272,7 +274,7 @@
 	// of 400 ms got four.
 	It("come at the same load for all kinds and sizes", func() {
 		short, long := ask(), ask()
-		short.Prompt, long.Prompt = 100, 4000
+		short.PromptTokens, long.PromptTokens = 100, 4000
 		const engines = 4 // one more each may be found by chance
 		b := board(engines)
 		fill(b, short)
@@ -298,13 +300,13 @@
 	It("come at once for late requests whose answers would not be whole in time", func() {
 		late := small()
 		late.Late = true
-		late.Left = time.Second
-		late.Expected = 250 // 50 passes of some 60 ms
+		late.TimeLeft = time.Second
+		late.ExpectedTokens = 250 // 50 passes of some 60 ms
 		ticket, refusal := board(4).Choose(start, late)
 		Expect(ticket).To(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.TooLong))
 
-		late.Expected = 50
+		late.ExpectedTokens = 50
 		ticket, _ = board(4).Choose(start, late)
 		Expect(ticket).NotTo(BeNil())
 	})
@@ -313,13 +315,13 @@
 	// chance, and so is one whose caller told no estimate.
 	It("do not come for an estimate alone", func() {
 		long := small()
-		long.Left = time.Second
-		long.Expected = 250
+		long.TimeLeft = time.Second
+		long.ExpectedTokens = 250
 		ticket, _ := board(4).Choose(start, long)
 		Expect(ticket).NotTo(BeNil())
 		unknown := long
 		unknown.Late = true
-		unknown.Expected = 0
+		unknown.ExpectedTokens = 0
 		ticket, _ = board(4).Choose(start, unknown)
 		Expect(ticket).NotTo(BeNil())
 	})
@@ -327,7 +329,7 @@
 	It("do not come while half of the places are free", func() {
 		b := board(4)
 		a := ask()
-		a.Prompt = 200
+		a.PromptTokens = 200
 		Expect(fill(b, a)).To(BeNumerically(">=", 4*8))
 	})
 
--- a/core/placement/freed_test.go
+++ b/core/placement/freed_test.go
@@ -15,9 +15,9 @@
 	const other = fleet.InstanceID("other")
 	const longest = time.Second // of the time for which it is left to that entry
 
-	var b *placement.Board
+	var b *placement.Balancer
 	report := func(now time.Time, running int) {
-		b.Heard(now, other, []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: running}}})
+		b.UpdateEntryLoads(now, other, []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: running}}})
 	}
 	isPlaced := func(now time.Time) bool {
 		report(now, figures().Slots)
@@ -26,7 +26,7 @@
 		if t == nil {
 			return false
 		}
-		isFree := t.Predicted < figures().TimeToFirstEvent(enginemodel.Work{Running: figures().Slots}, ask().Prompt)
+		isFree := t.Predicted < figures().TimeToFirstEvent(enginemodel.Work{Running: figures().Slots}, ask().PromptTokens)
 		t.End(now, placement.Abandoned)
 		return isFree
 	}
@@ -48,7 +48,7 @@
 	It("is free at an engine that has just become ready", func() {
 		report(start, figures().Slots)
 		changing := servers(1)
-		changing[0].Changing = true
+		changing[0].Reloading = true
 		b.SetServers(start, changing)
 		report(start, 0)
 		b.SetServers(start, servers(1))
--- a/core/placement/health.go
+++ b/core/placement/health.go
@@ -47,10 +47,10 @@
 	case Failed:
 		h.strikes = 0
 		h.sample(g, 1)
-	case Broken, Silent:
+	case Broken, TimedOut:
 		h.sample(g, 1)
 		h.strikes++
-		if (h.strikes >= strikesOut || result == Silent) && mayEject {
+		if (h.strikes >= strikesOut || result == TimedOut) && mayEject {
 			h.eject(now, g, r)
 		}
 	case Declined, Abandoned:
--- a/core/placement/health_test.go
+++ b/core/placement/health_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("Health", func() {
-	place := func(b *placement.Board, now time.Time) *placement.Ticket {
+	place := func(b *placement.Balancer, now time.Time) *placement.Assignment {
 		t, _ := b.Choose(now, small())
 		return t
 	}
@@ -21,7 +21,7 @@
 	It("leaves a server that was silent once, and tries it again", func() {
 		b := board(3)
 		silent := place(b, start)
-		silent.End(start, placement.Silent)
+		silent.End(start, placement.TimedOut)
 		for range 20 {
 			t := place(b, start)
 			Expect(t.Server.ID).NotTo(Equal(silent.Server.ID))
@@ -39,7 +39,7 @@
 		b := board(4)
 		for range 40 {
 			if t := place(b, start); t != nil {
-				t.End(start, placement.Silent)
+				t.End(start, placement.TimedOut)
 			}
 		}
 		seen := map[fleet.InstanceID]bool{}
@@ -52,7 +52,7 @@
 	It("uses a suspect server rather than none", func() {
 		b := board(1)
 		t := place(b, start)
-		t.End(start, placement.Silent)
+		t.End(start, placement.TimedOut)
 		Expect(place(b, start)).NotTo(BeNil())
 	})
 
@@ -76,7 +76,7 @@
 	It("does not leave a server for errors that all servers of a service have", func() {
 		b := board(4)
 		counts := map[fleet.InstanceID]int{}
-		var open []*placement.Ticket
+		var open []*placement.Assignment
 		for i := range 800 {
 			t := place(b, start)
 			counts[t.Server.ID]++
@@ -101,7 +101,7 @@
 		t := place(b, start)
 		other := place(b, start)
 		t.End(start, placement.Succeeded)
-		t.End(start, placement.Silent)
+		t.End(start, placement.TimedOut)
 		Expect(b.Loads()[0].Running).To(Equal(1))
 		other.End(start, placement.Succeeded)
 	})
--- a/core/placement/holdroom.go
+++ b/core/placement/holdroom.go
@@ -13,21 +13,21 @@
 	holdSpan = time.Second
 )
 
-// HoldRoom bounds how many late calls wait at an entry for room at the servers
+// HoldLimiter bounds how many late calls wait at an entry for room at the servers
 // of a service.
 //
 // After an outage room is found for hundreds of waiting calls in a second, and
 // each that is refused is lost to its caller. Under lasting overload none is
 // found, and waiting only delays the refusal. So as many may wait as room was
 // found for in the last second. It is safe for concurrent use.
-type HoldRoom struct {
+type HoldLimiter struct {
 	mu     sync.Mutex
 	held   int
 	placed []time.Time // of the last holdSpan
 }
 
-// Enter takes a call in and reports whether there was room.
-func (h *HoldRoom) Enter(now time.Time) bool {
+// TryAcquire takes a call in and reports whether there was room.
+func (h *HoldLimiter) TryAcquire(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.forget(now)
@@ -38,8 +38,8 @@
 	return true
 }
 
-// Leave takes a call out; placed tells that a server was found for it.
-func (h *HoldRoom) Leave(now time.Time, placed bool) {
+// Release takes a call out; placed tells that a server was found for it.
+func (h *HoldLimiter) Release(now time.Time, placed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.held--
@@ -49,7 +49,7 @@
 	}
 }
 
-func (h *HoldRoom) forget(now time.Time) {
+func (h *HoldLimiter) forget(now time.Time) {
 	old := 0
 	for old < len(h.placed) && now.Sub(h.placed[old]) > holdSpan {
 		old++
--- a/core/placement/limit.go
+++ b/core/placement/limit.go
@@ -51,7 +51,7 @@
 //
 // All entries return to a server at once when its limit ends, so it counts as one
 // that has just become ready.
-func (b *Board) SetLimits(now time.Time, shares map[fleet.InstanceID]float64) {
+func (b *Balancer) SetLimits(now time.Time, shares map[fleet.InstanceID]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, st := range b.servers {
@@ -74,7 +74,7 @@
 // allowed it.
 func (g *group) isLimited(now time.Time) bool {
 	for _, st := range g.states {
-		if !st.Leaving && !st.Changing && !st.Down && st.limit.isEmpty(now) {
+		if !st.Leaving && !st.Reloading && !st.Unreachable && st.limit.isEmpty(now) {
 			return true
 		}
 	}
--- a/core/placement/others_test.go
+++ b/core/placement/others_test.go
@@ -22,7 +22,7 @@
 	const other = fleet.InstanceID("other")
 	full := []placement.Load{{Server: id(0), Work: enginemodel.Work{Running: 60, PendingPrefill: 8000}}}
 
-	isPlaced := func(b *placement.Board, now time.Time) bool {
+	isPlaced := func(b *placement.Balancer, now time.Time) bool {
 		t, _ := b.Choose(now, small())
 		if t != nil {
 			t.End(now, placement.Abandoned)
@@ -32,21 +32,21 @@
 
 	It("counts again once an entry is heard that was silent", func() {
 		b := board(1)
-		b.Heard(start, other, full)
+		b.UpdateEntryLoads(start, other, full)
 		Expect(isPlaced(b, start)).To(BeFalse())
 		later := start.Add(3 * time.Second)
 		Expect(isPlaced(b, later)).To(BeTrue(), "it is silent")
-		b.Heard(later, other, nil)
+		b.UpdateEntryLoads(later, other, nil)
 		Expect(isPlaced(b, later)).To(BeFalse(), "what it said before holds")
 	})
 
 	It("stays out of the count when a silent entry goes", func() {
 		b := board(1)
-		b.Heard(start, other, full)
+		b.UpdateEntryLoads(start, other, full)
 		later := start.Add(3 * time.Second)
 		Expect(isPlaced(b, later)).To(BeTrue())
-		b.Forget(other)
-		b.Heard(later, "third", full)
+		b.RemoveEntry(other)
+		b.UpdateEntryLoads(later, "third", full)
 		Expect(isPlaced(b, later)).To(BeFalse(), "the third one's is all there")
 	})
 
@@ -59,19 +59,19 @@
 			server := id(r.IntN(3))
 			switch r.IntN(8) {
 			case 0:
-				b.Forget(entry)
+				b.RemoveEntry(entry)
 				delete(said, entry)
 			case 1:
-				b.Heard(start, entry, nil)
+				b.UpdateEntryLoads(start, entry, nil)
 			default:
 				load := placement.Load{Server: server, Work: enginemodel.Work{Running: r.IntN(4), PendingPrefill: r.IntN(900)}}
-				b.Heard(start, entry, []placement.Load{load})
+				b.UpdateEntryLoads(start, entry, []placement.Load{load})
 				if said[entry] == nil {
 					said[entry] = map[fleet.InstanceID]enginemodel.Work{}
 				}
 				said[entry][server] = load.Work
 			}
-			t, _ := b.Choose(start, placement.Ask{Service: "pool", Left: time.Minute})
+			t, _ := b.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Minute})
 			if t == nil {
 				continue // full
 			}
@@ -97,7 +97,7 @@
 			board.SetServers(start, servers(engines))
 			for i := range others {
 				loads := []placement.Load{{Server: id(r.IntN(engines)), Work: enginemodel.Work{Running: 1, Context: 900}}}
-				board.Heard(start, fleet.InstanceID(fmt.Sprintf("entry-%d", i)), loads)
+				board.UpdateEntryLoads(start, fleet.InstanceID(fmt.Sprintf("entry-%d", i)), loads)
 			}
 			for b.Loop() {
 				if t, _ := board.Choose(start, ask()); t != nil {
--- a/core/placement/outdated.go
+++ b/core/placement/outdated.go
@@ -13,9 +13,9 @@
 // version is over. What waits there begins nevertheless, unless a word of ours
 // reaches it before, and over a full link that word may be late. So the engine is
 // told when to end with the request, and gets only what it can end by then.
-func (a Ask) within(st *state) time.Duration {
-	use, left := a.use(st.Loaded)
-	if use != UseOutdated || left >= a.Left {
+func (a Request) within(st *state) time.Duration {
+	use, left := a.use(st.LoadedVersion)
+	if use != EligibleOutdated || left >= a.TimeLeft {
 		return 0
 	}
 	return left
@@ -23,32 +23,32 @@
 
 // endsWithin reports whether the whole answer is expected from an engine in so
 // much time.
-func (b *Board) endsWithin(now time.Time, st *state, ask Ask, left time.Duration) bool {
-	if ask.Engine == nil || left >= ask.Left {
+func (b *Balancer) endsWithin(now time.Time, st *state, ask Request, left time.Duration) bool {
+	if ask.Engine == nil || left >= ask.TimeLeft {
 		return true
 	}
-	write := max(1, st.Pace) * float64(ask.Engine.DecodeTime(b.work(now, st), ask.expected()))
+	write := max(1, st.Slowdown) * float64(ask.Engine.DecodeTime(b.work(now, st), ask.expected()))
 	whole := b.predict(now, st, ask) + time.Duration(write)
 	return longerThanExpected*float64(whole) <= float64(left)
 }
 
 // expected is the number of tokens that the answer is taken to have.
-func (a Ask) expected() int {
+func (a Request) expected() int {
 	switch {
-	case a.Expected > 0:
-		return a.Expected
+	case a.ExpectedTokens > 0:
+		return a.ExpectedTokens
 	case a.Engine.MeanOutputTokens > 0:
 		return a.Engine.MeanOutputTokens
 	default:
-		return a.Answer
+		return a.OutputTokens
 	}
 }
 
 // use tells how an engine may be used by its version and, if that is outdated, for
 // how long.
-func (a Ask) use(loaded ModelVersion) (Use, time.Duration) {
+func (a Request) use(loaded ModelVersion) (Eligibility, time.Duration) {
 	if a.Versions == nil {
-		return FullUse, 0
+		return Eligible, 0
 	}
 	return a.Versions(loaded)
 }
--- a/core/placement/outdated_test.go
+++ b/core/placement/outdated_test.go
@@ -24,14 +24,14 @@
 	)
 
 	// place has each entry place what waits there, without hearing of the others.
-	place := func(a placement.Ask) []*placement.Ticket {
-		var all []*placement.Ticket
+	place := func(a placement.Request) []*placement.Assignment {
+		var all []*placement.Assignment
 		for i := range entries {
 			b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Disabled{})
 			b.SetSelf(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), fleet.Place{Zone: "a", Region: "r"})
 			for other := range entries {
 				if other != i {
-					b.Heard(start, fleet.InstanceID(fmt.Sprintf("entry-%d", other)), nil)
+					b.UpdateEntryLoads(start, fleet.InstanceID(fmt.Sprintf("entry-%d", other)), nil)
 				}
 			}
 			b.SetServers(start, servers(1))
@@ -47,13 +47,13 @@
 	// begunLate runs the engine, which hears no close, and returns how many calls it
 	// begins after the time of its version. tells is false if it is not told when to
 	// end.
-	begunLate := func(tickets []*placement.Ticket, tells bool) int {
+	begunLate := func(tickets []*placement.Assignment, tells bool) int {
 		e := &engine{}
 		var all []*request
 		for _, t := range tickets {
-			r := &request{prompt: ask().Prompt, left: ask().Answer / figures().StepsPerPass}
+			r := &request{prompt: ask().PromptTokens, left: ask().OutputTokens / figures().StepsPerPass}
 			if tells {
-				r.until = t.Within
+				r.until = t.ServerTimeout
 			}
 			all = append(all, r)
 		}
--- a/core/placement/own.go
+++ b/core/placement/own.go
@@ -22,7 +22,7 @@
 )
 
 // SetSelf tells which entry the board is of. It is called before SetServers.
-func (b *Board) SetSelf(self fleet.InstanceID, place fleet.Place) {
+func (b *Balancer) SetSelf(self fleet.InstanceID, place fleet.Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.self = self
@@ -35,7 +35,7 @@
 // was taken by two or three: calls waited far longer than predicted. Each engine is
 // preferred by few entries, whose own requests are most of its work and are known
 // exactly.
-func (b *Board) costOfOthers(st *state) time.Duration {
+func (b *Balancer) costOfOthers(st *state) time.Duration {
 	entries := 1 + b.others.known()
 	share := (ownShare*len(st.group.states) + entries - 1) / entries
 	if b.self == "" || b.off.OwnEngines || st.rank < max(ownLeast, share) {
@@ -46,7 +46,7 @@
 
 // rankServers orders the servers of each service by how this entry prefers
 // them: the nearest first, then by a hash that differs by entry.
-func (b *Board) rankServers() {
+func (b *Balancer) rankServers() {
 	for _, g := range b.services {
 		ordered := slices.Clone(g.states)
 		slices.SortFunc(ordered, func(x, y *state) int {
--- a/core/placement/patience.go
+++ b/core/placement/patience.go
@@ -22,14 +22,14 @@
 	patienceRank    = 1
 )
 
-// Patience tells callers that come back after a refusal from new ones, by how
+// RetryDetector tells callers that come back after a refusal from new ones, by how
 // much of their time is left. It is safe for concurrent use.
 //
 // New callers need not all have the same time. Taken for clients' retries, those
 // whose time is a little shorter than others' would count as late and wait for the
 // places of late ones. Retries come on new connections only, so the times of new
 // callers are learned from calls on connections that were used before.
-type Patience struct {
+type RetryDetector struct {
 	mu     sync.Mutex
 	routes map[string]*patienceRecord
 }
@@ -42,10 +42,10 @@
 	least   time.Duration // 0 while no such call was seen
 }
 
-// IsReturned reports whether a caller on a route with so much time left came
+// IsClientRetry reports whether a caller on a route with so much time left came
 // back. isKept tells that the call came on a connection that had carried one
 // before. A time of 0 means that the caller did not say.
-func (p *Patience) IsReturned(route string, left time.Duration, isKept bool) bool {
+func (p *RetryDetector) IsClientRetry(route string, left time.Duration, isKept bool) bool {
 	if left <= 0 {
 		return false
 	}
@@ -63,7 +63,7 @@
 	return left < r.least-returnedAfter
 }
 
-func (p *Patience) record(route string) *patienceRecord {
+func (p *RetryDetector) record(route string) *patienceRecord {
 	if p.routes == nil {
 		p.routes = make(map[string]*patienceRecord)
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,7 +1,7 @@
 // Package placement decides which server a request goes to, and when it is
 // refused because no server would answer in time.
 //
-// A Board counts what this entry has at each server exactly, adds what the
+// A Balancer counts what this entry has at each server exactly, adds what the
 // other entries say that they have there, and predicts from both when a server
 // would begin to answer. It does no I/O and reads no clock. It is safe for
 // concurrent use: the control goroutine updates the servers, traffic
@@ -40,22 +40,24 @@
 	Slots int
 	// Connections is how many unused connections to it this entry may keep.
 	Connections int
-	// Loaded is the version that a model engine answers from.
-	Loaded ModelVersion
-	Born   fleet.Start
+	// LoadedVersion is the version that a model engine answers from.
+	LoadedVersion ModelVersion
+	Born          fleet.Start
 	// Leaving servers get no new requests.
 	Leaving bool
-	// Changing servers are loading weights, or are about to, and take nothing.
-	Changing bool
-	// Pace is by how much an engine's passes last longer than published; 0 if that
+	// Reloading servers are loading weights, or are about to, and take nothing.
+	Reloading bool
+	// Slowdown is by how much an engine's passes last longer than published; 0 if that
 	// is not known.
-	Pace float64
-	// Down is true while the agent beside the server cannot reach it.
-	Down bool
+	Slowdown float64
+	// Unreachable is true while the agent beside the server cannot reach it.
+	Unreachable bool
 }
 
 // takesWork reports whether an engine answers requests.
-func (s Server) takesWork() bool { return !s.Leaving && !s.Changing && !s.Down && s.Loaded != 0 }
+func (s Server) takesWork() bool {
+	return !s.Leaving && !s.Reloading && !s.Unreachable && s.LoadedVersion != 0
+}
 
 // Load is the work that one entry has at one server.
 type Load struct {
@@ -63,26 +65,26 @@
 	enginemodel.Work `cbor:"2,keyasint"`
 }
 
-// Ask describes a request that wants a server.
-type Ask struct {
+// Request describes a request that wants a server.
+type Request struct {
 	Service fleet.ServiceName
 	// Engine is set for a model engine.
 	Engine *enginemodel.Profile
-	// Prompt and Answer are token counts, 0 for a plain service.
-	Prompt, Answer int
-	// Expected is the caller's estimate of the answer's tokens; 0 if unknown.
-	Expected int
-	// Aim is the shortest time of all routes to the service in which an answer is
+	// PromptTokens and OutputTokens are token counts, 0 for a plain service.
+	PromptTokens, OutputTokens int
+	// ExpectedTokens is the caller's estimate of the answer's tokens; 0 if unknown.
+	ExpectedTokens int
+	// TargetLatency is the shortest time of all routes to the service in which an answer is
 	// on time.
-	Aim time.Duration
-	// Left is the time until the caller gives up.
-	Left time.Duration
+	TargetLatency time.Duration
+	// TimeLeft is the time until the caller gives up.
+	TimeLeft time.Duration
 	// Late requests cannot be on time any more: they come back after a refusal,
 	// have waited here, or were lost by a server.
 	Late bool
-	// Pause is the longest time to its next event that a stream bears which goes
+	// MaxPause is the longest time to its next event that a stream bears which goes
 	// on elsewhere; 0 for a request that has not begun.
-	Pause time.Duration
+	MaxPause time.Duration
 	// Exclude are servers that the request was sent to before.
 	Exclude []fleet.InstanceID
 	// Suspect requests were in flight at a server that crashed and may have been the
@@ -90,26 +92,26 @@
 	Suspect bool
 	// Versions tells which weights may answer and, if outdated, for how long; nil
 	// allows all.
-	Versions func(ModelVersion) (Use, time.Duration)
-	// Near is where this entry runs.
-	Near fleet.Place
+	Versions func(ModelVersion) (Eligibility, time.Duration)
+	// EntryPlace is where this entry runs.
+	EntryPlace fleet.Place
 }
 
-// Use is how an engine may be used for a request, by the version that it holds.
-type Use uint8
+// Eligibility is how an engine may be used for a request, by the version that it holds.
+type Eligibility uint8
 
 const (
-	// NoUse: not at all.
-	NoUse Use = iota
-	// UseOutdated: where no engine with the wanted version is as good, and only if
+	// Ineligible: not at all.
+	Ineligible Eligibility = iota
+	// EligibleOutdated: where no engine with the wanted version is as good, and only if
 	// the whole answer is expected within the time that is left.
-	UseOutdated
-	// FullUse: like any other.
-	FullUse
+	EligibleOutdated
+	// Eligible: like any other.
+	Eligible
 )
 
-// Board holds the servers of all services.
-type Board struct {
+// Balancer holds the servers of all services.
+type Balancer struct {
 	mu       sync.Mutex
 	rand     Rand
 	off      policy.Disabled
@@ -139,7 +141,7 @@
 type state struct {
 	Server
 	group *group
-	own   map[*Ticket]struct{}
+	own   map[*Assignment]struct{}
 	// suspects is the number of own requests that are suspect.
 	suspects int
 	change   uint64    // when own changed last
@@ -155,8 +157,8 @@
 }
 
 // New returns a board without servers.
-func New(r Rand, off policy.Disabled) *Board {
-	return &Board{
+func New(r Rand, off policy.Disabled) *Balancer {
+	return &Balancer{
 		rand:     r,
 		off:      off,
 		services: make(map[fleet.ServiceName]*group),
@@ -173,7 +175,7 @@
 // A server that started anew under its ID has nothing of before. With the load
 // of its predecessor, whose requests end only when their connections are found
 // dead, it stood idle for seconds; with its failures it stayed left out.
-func (b *Board) SetServers(now time.Time, list []Server) {
+func (b *Balancer) SetServers(now time.Time, list []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, g := range b.services {
@@ -223,8 +225,8 @@
 	b.regions.count(now, kept)
 }
 
-// HasUsable reports whether any server of a service takes work.
-func (b *Board) HasUsable(service fleet.ServiceName) bool {
+// HasAvailableEngine reports whether any server of a service takes work.
+func (b *Balancer) HasAvailableEngine(service fleet.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.services[service]
@@ -232,28 +234,28 @@
 }
 
 // IsLeaving reports whether a server leaves or is listed no more.
-func (b *Board) IsLeaving(id fleet.InstanceID) bool {
+func (b *Balancer) IsLeaving(id fleet.InstanceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	st := b.servers[id]
 	return st == nil || st.Leaving
 }
 
-func (b *Board) newState(id fleet.InstanceID) *state {
-	return &state{own: make(map[*Ticket]struct{}), hash: fleet.RankOf(b.self, id)}
+func (b *Balancer) newState(id fleet.InstanceID) *state {
+	return &state{own: make(map[*Assignment]struct{}), hash: fleet.RankOf(b.self, id)}
 }
 
-// Heard notes that another entry was heard, with the servers at which its load
+// UpdateEntryLoads notes that another entry was heard, with the servers at which its load
 // has changed. The loads that were told before hold on for as long as it is
 // heard.
-func (b *Board) Heard(now time.Time, entry fleet.InstanceID, changed []Load) {
+func (b *Balancer) UpdateEntryLoads(now time.Time, entry fleet.InstanceID, changed []Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others.note(now, entry, changed)
 }
 
-// Forget drops what an entry said, once it has gone.
-func (b *Board) Forget(entry fleet.InstanceID) {
+// RemoveEntry drops what an entry said, once it has gone.
+func (b *Balancer) RemoveEntry(entry fleet.InstanceID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others.forget(entry)
@@ -261,7 +263,7 @@
 
 // Loads returns what this entry has at each server, those without work left
 // out, ordered by server.
-func (b *Board) Loads() []Load {
+func (b *Balancer) Loads() []Load {
 	loads, _ := b.LoadsSince(0)
 	return loads
 }
@@ -269,7 +271,7 @@
 // LoadsSince returns the load of the servers at which it has changed since an
 // earlier call, which returned the number change, and the number for the next
 // one. With 0 it returns those of all servers with work.
-func (b *Board) LoadsSince(change uint64) ([]Load, uint64) {
+func (b *Balancer) LoadsSince(change uint64) ([]Load, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []Load
@@ -283,16 +285,16 @@
 	return loads, b.change
 }
 
-// Changed reports whether any own load has changed since a call of LoadsSince
+// HasChangedSince reports whether any own load has changed since a call of LoadsSince
 // that returned this number.
-func (b *Board) Changed(change uint64) bool {
+func (b *Balancer) HasChangedSince(change uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.change > change
 }
 
 // unlisted are servers that have left the list since; nothing counts there.
-func (b *Board) unlisted(change uint64) []Load {
+func (b *Balancer) unlisted(change uint64) []Load {
 	var loads []Load
 	for id, at := range b.gone {
 		if at > change && change != 0 {
@@ -303,7 +305,7 @@
 }
 
 // touch notes that the own load at a server has changed.
-func (b *Board) touch(st *state) {
+func (b *Balancer) touch(st *state) {
 	b.change++
 	st.change = b.change
 }
@@ -327,7 +329,7 @@
 // where others are full all that waits goes there: at four entries it had four
 // times what it holds before they heard of each other. Until they have, each
 // reckons that the others place as much there as it does itself.
-func (b *Board) work(now time.Time, st *state) enginemodel.Work {
+func (b *Balancer) work(now time.Time, st *state) enginemodel.Work {
 	own := st.ownWork()
 	if b.off.HearLoads {
 		return own
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// HeardGroup takes what a group of entries, other than this entry's, has
+// UpdateGroupLoads takes what a group of entries, other than this entry's, has
 // together, as of a moment.
-func (b *Board) HeardGroup(now, at time.Time, group string, loads []RegionLoad) {
+func (b *Balancer) UpdateGroupLoads(now, at time.Time, group string, loads []RegionLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known, ok := b.regions.groups[group]; ok && !at.After(known.at) {
@@ -67,7 +67,7 @@
 }
 
 // RegionLoads returns what this entry and those that it hears have together.
-func (b *Board) RegionLoads(now time.Time) []RegionLoad {
+func (b *Balancer) RegionLoads(now time.Time) []RegionLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others.endBeliefs(now)
--- a/core/placement/replay_test.go
+++ b/core/placement/replay_test.go
@@ -33,7 +33,7 @@
 	at             time.Duration
 	prompt, answer int
 	entry          int
-	ticket         *placement.Ticket
+	ticket         *placement.Assignment
 	first, last    time.Duration
 	left           int // passes
 	// until is when the engine ends its work on the request; 0 for never.
@@ -98,7 +98,7 @@
 			r.first = e.now
 		}
 		if r.ticket != nil {
-			r.ticket.Wrote(f.StepsPerPass)
+			r.ticket.AddTokens(f.StepsPerPass)
 		}
 		if r.left--; r.left > 0 {
 			kept = append(kept, r)
@@ -213,7 +213,7 @@
 
 // byBoards places with one Board an entry.
 func (z size) byBoards(off policy.Disabled) strategy {
-	boards := make([]*placement.Board, z.entries)
+	boards := make([]*placement.Balancer, z.entries)
 	index := map[fleet.InstanceID]int{}
 	told := make([]uint64, z.entries)
 	for i := range boards {
@@ -227,7 +227,7 @@
 	return strategy{
 		place: func(now time.Duration, r *request) int {
 			a := ask()
-			a.Prompt, a.Answer = r.prompt, r.answer
+			a.PromptTokens, a.OutputTokens = r.prompt, r.answer
 			t, _ := boards[r.entry].Choose(start.Add(now), a)
 			if t == nil {
 				return -1
@@ -242,7 +242,7 @@
 				changed, told[i] = from.LoadsSince(told[i])
 				for j, b := range boards {
 					if i != j {
-						b.Heard(start.Add(now), fleet.InstanceID(fmt.Sprintf("entry-%d", i)), changed)
+						b.UpdateEntryLoads(start.Add(now), fleet.InstanceID(fmt.Sprintf("entry-%d", i)), changed)
 					}
 				}
 			}
--- a/core/placement/suspect_test.go
+++ b/core/placement/suspect_test.go
@@ -8,14 +8,14 @@
 )
 
 var _ = Describe("Requests of a server that crashed", func() {
-	suspect := func() placement.Ask {
+	suspect := func() placement.Request {
 		a := ask()
 		a.Suspect = true
 		return a
 	}
 
 	// Guards against a request that crashes servers and takes those again that were lost with it before.
-	DescribeTable("are placed apart", func(next placement.Ask) {
+	DescribeTable("are placed apart", func(next placement.Request) {
 		const engines, busy = 4, 2
 		b := board(engines)
 		for range (engines - 1) * busy {
--- a/core/placement/ticket.go
+++ b/core/placement/ticket.go
@@ -6,19 +6,19 @@
 	"chivespindle.example/core/enginemodel"
 )
 
-// Ticket is a request at a server. Its methods may be called by one goroutine.
-type Ticket struct {
+// Assignment is a request at a server. Its methods may be called by one goroutine.
+type Assignment struct {
 	// Server is where the request goes.
 	Server Server
 	// Predicted is the time to the first event, or to the answer of a plain
 	// service, as it was predicted when the request was placed.
 	Predicted time.Duration
-	// Within is the time in which the server is to end its work, since the weights
+	// ServerTimeout is the time in which the server is to end its work, since the weights
 	// that it holds may not answer after that; 0 if nothing but the request's own
 	// time bounds it.
-	Within time.Duration
+	ServerTimeout time.Duration
 
-	board          *Board
+	board          *Balancer
 	state          *state
 	prompt, answer int
 	suspect        bool
@@ -38,17 +38,17 @@
 	Failed
 	// Broken: the connection failed or the answer was cut or spoilt.
 	Broken
-	// Silent: nothing came in the time in which something was due.
-	Silent
+	// TimedOut: nothing came in the time in which something was due.
+	TimedOut
 	// Declined: the server said that it did not run the request.
 	Declined
 	// Abandoned: the caller left; it tells nothing of the server.
 	Abandoned
 )
 
-// Wrote tells that the stream went on by so many tokens. The first call ends
+// AddTokens tells that the stream went on by so many tokens. The first call ends
 // the reading of the prompt.
-func (t *Ticket) Wrote(tokens int) {
+func (t *Assignment) AddTokens(tokens int) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
 	t.written += tokens
@@ -58,38 +58,38 @@
 	}
 }
 
-// IsDisplaced reports whether the request stands in the way of its server: that
+// IsServerReloading reports whether the request stands in the way of its server: that
 // is about to load weights and waits for what it runs.
-func (t *Ticket) IsDisplaced() bool {
+func (t *Assignment) IsServerReloading() bool {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
-	return t.state.Changing
+	return t.state.Reloading
 }
 
 // Work returns what is known to be at the request's server.
-func (t *Ticket) Work() enginemodel.Work {
+func (t *Assignment) Work() enginemodel.Work {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
 	return t.board.work(t.placed, t.state)
 }
 
-// Waited returns for how long the request has been at its server, and whether
+// Elapsed returns for how long the request has been at its server, and whether
 // nothing of its stream has come yet.
-func (t *Ticket) Waited(now time.Time) (time.Duration, bool) {
+func (t *Assignment) Elapsed(now time.Time) (time.Duration, bool) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
 	return now.Sub(t.placed), !t.begun
 }
 
-// Written returns how many tokens of the stream have come.
-func (t *Ticket) Written() int {
+// ReceivedTokens returns how many tokens of the stream have come.
+func (t *Assignment) ReceivedTokens() int {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
 	return t.written
 }
 
 // End takes the request off the server. Only the first call counts.
-func (t *Ticket) End(now time.Time, result Result) {
+func (t *Assignment) End(now time.Time, result Result) {
 	t.board.mu.Lock()
 	defer t.board.mu.Unlock()
 	if t.ended {
--- a/core/serverlimit/share_test.go
+++ b/core/serverlimit/share_test.go
@@ -30,7 +30,7 @@
 // greedy is entries that send to a limited server whatever they may, as if all their
 // requests wanted it.
 type greedy struct {
-	boards []*placement.Board
+	boards []*placement.Balancer
 	sent   []time.Duration
 }
 
@@ -49,7 +49,7 @@
 	for t := time.Duration(0); t < span; t += step {
 		for _, b := range g.boards {
 			for {
-				ticket, _ := b.Choose(at(t), placement.Ask{Service: "pool", Aim: time.Second, Left: time.Second})
+				ticket, _ := b.Choose(at(t), placement.Request{Service: "pool", TargetLatency: time.Second, TimeLeft: time.Second})
 				if ticket == nil {
 					break
 				}
--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -30,24 +30,24 @@
 	It("goes before the registration, which lags", func() {
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Changing: true})
 		listed(g, backend, start)
-		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(2)))
-		Expect(backend.listed[0].Changing).To(BeTrue())
+		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(2)))
+		Expect(backend.listed[0].Reloading).To(BeTrue())
 	})
 
 	It("counts no more once the agent is silent", func() {
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
 		listed(g, backend, at(5*time.Second))
-		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
+		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(1)))
 	})
 
 	It("does not go back to what was told before", func() {
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 5, Loaded: 3, AgeMS: 9000})
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 4, Loaded: 2, AgeMS: 8600})
 		listed(g, backend, start)
-		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(3)))
+		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(3)))
 		tell(start, wire.Replica{Addr: addr, Incarnation: 2, Seq: 1, AgeMS: 100})
 		listed(g, backend, start)
-		Expect(backend.listed[0].Loaded).To(BeZero())
+		Expect(backend.listed[0].LoadedVersion).To(BeZero())
 	})
 
 	// The agent's machine had its time of day set back, and the agent started
@@ -57,10 +57,10 @@
 		tell(start, wire.Replica{Addr: addr, Incarnation: 9000, Seq: 7, Loaded: 1, AgeMS: 20_000})
 		tell(at(time.Second), wire.Replica{Addr: addr, Incarnation: 7000, Seq: 1, AgeMS: 300})
 		listed(g, backend, at(time.Second))
-		Expect(backend.listed[0].Loaded).To(BeZero())
+		Expect(backend.listed[0].LoadedVersion).To(BeZero())
 		tell(at(1100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 9000, Seq: 8, Loaded: 1, AgeMS: 21_100})
 		listed(g, backend, at(1100*time.Millisecond))
-		Expect(backend.listed[0].Loaded).To(BeZero(), "its predecessor's word may come late, through another entry")
+		Expect(backend.listed[0].LoadedVersion).To(BeZero(), "its predecessor's word may come late, through another entry")
 	})
 
 	// The engine crashed and started again under its id; its agent is cut off, and
@@ -72,11 +72,11 @@
 		again.Born, again.Loaded = 5000, 0
 		g.apply(start, []catalog.Change{{Revision: 6, Server: &again}}, 6)
 		listed(g, backend, start)
-		Expect(backend.listed[0].Loaded).To(BeZero())
+		Expect(backend.listed[0].LoadedVersion).To(BeZero())
 		Expect(backend.listed[0].Born).To(Equal(fleet.Start(5000)))
 		tell(at(time.Second), wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1, Born: 5000})
 		listed(g, backend, at(time.Second))
-		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
+		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(1)))
 	})
 
 	// Guards against calls to the predecessor of a restarted server, which its successor
@@ -88,13 +88,13 @@
 		g.sourceAnswered(start)
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
 		listed(g, backend, start)
-		Expect(backend.listed[0].Changing).To(BeTrue())
+		Expect(backend.listed[0].Reloading).To(BeTrue())
 
 		again := server("i-9", "10.0.1.1:80", 7)
 		again.Born = 5000
 		g.apply(start, []catalog.Change{{Revision: 7, Server: &again}}, 7)
 		Expect(listed(g, backend, start)).To(ConsistOf(fleet.InstanceID("i-9")))
-		Expect(backend.listed[0].Changing).To(BeFalse())
+		Expect(backend.listed[0].Reloading).To(BeFalse())
 	})
 
 	// A server may also start again under its ID. Its registration does not change
@@ -107,7 +107,7 @@
 		now := at(sureFor)
 		tell(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
 		listed(g, backend, now)
-		Expect(backend.listed[0].Changing).To(BeFalse())
+		Expect(backend.listed[0].Reloading).To(BeFalse())
 	})
 
 	// Guards against calls to engines that lost their weights with the power, and are
@@ -116,14 +116,14 @@
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		listed(g, backend, start)
-		Expect(backend.listed[0].Changing).To(BeFalse(), "the engines may have lived on")
+		Expect(backend.listed[0].Reloading).To(BeFalse(), "the engines may have lived on")
 		g.noteDeclined(start, backend.listed[0])
 		listed(g, backend, start)
-		Expect(backend.listed[0].Changing).To(BeTrue())
+		Expect(backend.listed[0].Reloading).To(BeTrue())
 		Expect(g.soonest(start)).To(HaveKey(fleet.ServiceName("pool")), "calls wait for it")
 		tell(at(100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
 		listed(g, backend, at(100*time.Millisecond))
-		Expect(backend.listed[0].Changing).To(BeFalse())
+		Expect(backend.listed[0].Reloading).To(BeFalse())
 	})
 
 	It("is not waited for since an engine declines that its agent has reported", func() {
@@ -133,7 +133,7 @@
 		listed(g, backend, start)
 		g.noteDeclined(start, backend.listed[0])
 		listed(g, backend, start)
-		Expect(backend.listed[1].Changing).To(BeFalse())
+		Expect(backend.listed[1].Reloading).To(BeFalse())
 	})
 
 	// Guards against callers refused for want of any engine in the second in which all
@@ -159,7 +159,7 @@
 		g.noteDeclined(start, backend.listed[0])
 		listed(g, backend, start)
 		listed(g, backend, at(hearsAllWithin))
-		Expect(backend.listed[0].Changing).To(BeFalse())
+		Expect(backend.listed[0].Reloading).To(BeFalse())
 	})
 
 	// After a pause of the process the engines may all have changed.
@@ -167,7 +167,7 @@
 		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
 		g.woke(at(time.Second), 4*time.Second)
 		listed(g, backend, at(time.Second))
-		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
+		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(1)))
 		Expect(g.Ready()).To(BeFalse())
 		g.sourceAnswered(at(time.Second))
 		g.publish(at(time.Second))
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -99,7 +99,7 @@
 	broken := failure.WithOutcome(failure.Unavailable.New("unexpected EOF"), failure.Unknown)
 
 	// place has a call sent to a server.
-	place := func(id fleet.InstanceID) (*job, *placement.Ticket) {
+	place := func(id fleet.InstanceID) (*job, *placement.Assignment) {
 		now := time.Now()
 		call := &Call{ID: "c", Method: "POST", Target: target, Arrived: now}
 		j := &job{g: g, call: call, view: g.view.Load(), reply: newReply(g, call, make(refusals, 1)),
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -364,7 +364,7 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
 		Expect(g.compose(start, nearEntry, mesh.First).Loads).To(BeEmpty())
-		ticket, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+		ticket, _ := g.board.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(g.hasNews("10.0.0.2")).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).Loads).To(HaveLen(1))
 		Expect(g.hasNews("10.0.0.2")).To(BeFalse())
@@ -385,7 +385,7 @@
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
 		}}
 		isPlaced := func() bool {
-			t, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+			t, _ := g.board.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 			return t != nil
 		}
 
@@ -412,7 +412,7 @@
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
-		_, refusal := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+		_, refusal := g.board.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(refusal.Reason).To(BeEmpty())
 		Expect(g.compose(start, nearEntry, mesh.First).AllLoads).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).AllLoads).To(BeFalse())
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -80,7 +80,7 @@
 	ctx   context.Context
 	mesh  links
 	clock bootclock.Watch
-	board *placement.Board
+	board *placement.Balancer
 	log   *requestLog
 	view  atomic.Pointer[view]
 
@@ -156,11 +156,11 @@
 
 	callsMu  sync.Mutex
 	budgets  map[fleet.ServiceName]*retry.Window
-	rooms    map[fleet.ServiceName]*placement.HoldRoom
+	rooms    map[fleet.ServiceName]*placement.HoldLimiter
 	inFlight atomic.Int64
 	answerer *addressing.Answerer
 	// patience distinguishes the retries of clients from new calls.
-	patience placement.Patience
+	patience placement.RetryDetector
 }
 
 // replica is what an agent reported of its engine.
@@ -220,7 +220,7 @@
 		limits:      serverlimit.New(),
 		listed:      make(map[netip.AddrPort]placement.Server),
 		budgets:     make(map[fleet.ServiceName]*retry.Window),
-		rooms:       make(map[fleet.ServiceName]*placement.HoldRoom),
+		rooms:       make(map[fleet.ServiceName]*placement.HoldLimiter),
 		contact:     contact{heard: now, off: opts.Off},
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
@@ -255,7 +255,7 @@
 	g.crashReports.lost(id)
 	g.limitReports.lost(id)
 	g.manifests.lost(id)
-	g.board.Forget(id)
+	g.board.RemoveEntry(id)
 	g.changed = true // parts that depend on the number of entries
 }
 
@@ -376,12 +376,12 @@
 }
 
 // holdRoom returns where late calls wait for a service.
-func (g *Gateway) holdRoom(service fleet.ServiceName) *placement.HoldRoom {
+func (g *Gateway) holdRoom(service fleet.ServiceName) *placement.HoldLimiter {
 	g.callsMu.Lock()
 	defer g.callsMu.Unlock()
 	room := g.rooms[service]
 	if room == nil {
-		room = &placement.HoldRoom{}
+		room = &placement.HoldLimiter{}
 		g.rooms[service] = room
 	}
 	return room
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -24,7 +24,7 @@
 
 // successor is where a stream goes on.
 type successor struct {
-	ticket *placement.Ticket
+	ticket *placement.Assignment
 	answer Answer
 	run    *delivery.Run
 	until  time.Time // when the server ends its work on the call
@@ -40,8 +40,8 @@
 // The old server is left only once the next one returns events: a stream that left
 // before would be cut if the next one declined it. Events of the old one wait on its
 // connection meanwhile.
-func (j *job) handOver(ctx context.Context, ticket *placement.Ticket) *successor {
-	if j.g.opts.Off.HandOver || !ticket.IsDisplaced() || !j.mayMove(ticket) {
+func (j *job) handOver(ctx context.Context, ticket *placement.Assignment) *successor {
+	if j.g.opts.Off.HandOver || !ticket.IsServerReloading() || !j.mayMove(ticket) {
 		return nil
 	}
 	now := time.Now()
@@ -65,7 +65,7 @@
 
 // resumeOn sends the call to another server and returns that one once it has resumed the
 // stream, within the longest pause that the route allows.
-func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, order Order) (*successor, error) {
+func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Assignment, order Order) (*successor, error) {
 	order.FirstBy = earlier(j.latestResponseTime(order.Until), now.Add(j.pauseAim()))
 	j.attempts++
 	answer, err := j.g.opts.Backend.Send(ctx, j.call, order)
@@ -106,7 +106,7 @@
 }
 
 // mayMove reports whether the stream can go on elsewhere and is worth it.
-func (j *job) mayMove(ticket *placement.Ticket) bool {
+func (j *job) mayMove(ticket *placement.Assignment) bool {
 	if j.standing(time.Now()).IsQuarantined() {
 		return false
 	}
@@ -117,24 +117,24 @@
 }
 
 // remainingTokens is how many tokens the stream is expected to have yet.
-func (j *job) remainingTokens(ticket *placement.Ticket) int {
+func (j *job) remainingTokens(ticket *placement.Assignment) int {
 	expected := j.call.Expected
 	if expected == 0 {
 		expected = j.service.Engine.MeanOutputTokens
 	}
-	written := ticket.Written()
+	written := ticket.ReceivedTokens()
 	return max(expected-written, int(longerShare*float64(written)))
 }
 
 // askToResume describes the rest of a stream: what was written is read again.
-func (j *job) askToResume(now time.Time, ticket *placement.Ticket) placement.Ask {
+func (j *job) askToResume(now time.Time, ticket *placement.Assignment) placement.Request {
 	a := j.ask(now)
-	written := ticket.Written()
-	a.Prompt += written
-	a.Answer = max(0, a.Answer-written)
-	a.Expected = j.remainingTokens(ticket)
+	written := ticket.ReceivedTokens()
+	a.PromptTokens += written
+	a.OutputTokens = max(0, a.OutputTokens-written)
+	a.ExpectedTokens = j.remainingTokens(ticket)
 	a.Late = false
 	a.Exclude = placement.Exclude(j.exclude, ticket.Server.ID)
-	a.Pause = time.Duration(pauseShare * float64(j.pauseAim()))
+	a.MaxPause = time.Duration(pauseShare * float64(j.pauseAim()))
 	return a
 }
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -45,7 +45,7 @@
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
 	s := &engineStream{declined: e.declines[o.Server.ID], silent: e.silent[o.Server.ID],
-		next: o.LastEvent + 1, version: o.Server.Loaded, events: make(chan struct{}, 100), closed: make(chan struct{})}
+		next: o.LastEvent + 1, version: o.Server.LoadedVersion, events: make(chan struct{}, 100), closed: make(chan struct{})}
 	if change := e.changes[o.Server.ID]; change != nil {
 		change(s)
 	}
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -97,7 +97,7 @@
 		return
 	}
 	l.logger.Info("not_placed", inputs(j, zap.String("reason", string(r.Reason)), zap.Duration("predicted", r.Predicted),
-		zap.Int("usable", r.Usable), zap.Int("prompt", j.call.Prompt),
+		zap.Int("usable", r.Candidates), zap.Int("prompt", j.call.Prompt),
 		zap.Int("expected", j.call.Expected), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.returned))...)
 }
 
@@ -107,13 +107,13 @@
 		return
 	}
 	soonest := j.g.view.Load().soonest[j.service.Name]
-	l.logger.Info("held", inputs(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Usable),
+	l.logger.Info("held", inputs(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Candidates),
 		zap.Duration("engine_in", max(0, time.Until(soonest))), zap.Bool("returned", j.returned))...)
 }
 
 // attempt notes that no whole answer came, and that the call was withdrawn, if
 // it was.
-func (l *requestLog) attempt(j *job, t *placement.Ticket, err error, w *withdrawal, b *brokenAttempt) {
+func (l *requestLog) attempt(j *job, t *placement.Assignment, err error, w *withdrawal, b *brokenAttempt) {
 	l.metrics.Counter("attempts_failed").Inc(1)
 	l.countWithdrawn(w)
 	if !l.allowed() {
@@ -121,7 +121,7 @@
 	}
 	fields := inputs(j, zap.String("server", string(t.Server.ID)),
 		zap.Stringer("addr", t.Server.Addr),
-		zap.Uint64("loaded", uint64(t.Server.Loaded)), zap.Duration("predicted", t.Predicted),
+		zap.Uint64("loaded", uint64(t.Server.LoadedVersion)), zap.Duration("predicted", t.Predicted),
 		zap.Int64("last_event", j.reply.progress.LastEvent()), zap.Error(err))
 	fields = append(fields, w.fields()...)
 	l.logger.Info("attempt_failed", append(fields, b.fields()...)...)
@@ -135,7 +135,7 @@
 
 // handedOver notes that a stream goes on at another server, or that it was
 // withdrawn from that again.
-func (l *requestLog) handedOver(j *job, from, to *placement.Ticket, err error, w *withdrawal) {
+func (l *requestLog) handedOver(j *job, from, to *placement.Assignment, err error, w *withdrawal) {
 	l.metrics.Tagged(map[string]string{"taken": strconv.FormatBool(err == nil)}).Counter("streams_handed_over").Inc(1)
 	l.countWithdrawn(w)
 	if l.allowed() {
@@ -150,12 +150,12 @@
 	l.metrics.Counter("attempts_declined").Inc(1)
 	if l.allowed() {
 		l.logger.Info("attempt_declined", inputs(j, zap.String("server", string(server.ID)),
-			zap.Stringer("addr", server.Addr), zap.Uint64("loaded", uint64(server.Loaded)))...)
+			zap.Stringer("addr", server.Addr), zap.Uint64("loaded", uint64(server.LoadedVersion)))...)
 	}
 }
 
 // serverError notes a failure that a server answered itself.
-func (l *requestLog) serverError(j *job, t *placement.Ticket, status int) {
+func (l *requestLog) serverError(j *job, t *placement.Assignment, status int) {
 	l.metrics.Counter("server_errors").Inc(1)
 	if l.allowed() {
 		l.logger.Info("server_error", inputs(j, zap.String("server", string(t.Server.ID)),
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -24,7 +24,7 @@
 )
 
 // sendFailed follows a Send without an answer.
-func (j *job) sendFailed(ctx context.Context, ticket *placement.Ticket, err error) bool {
+func (j *job) sendFailed(ctx context.Context, ticket *placement.Assignment, err error) bool {
 	now := time.Now()
 	notRun := failure.OutcomeOf(err) == failure.NotRun
 	j.failed(ctx, now, ticket, err)
@@ -46,7 +46,7 @@
 
 // failed ends an attempt that brought no whole answer. Its server gets the
 // call no more.
-func (j *job) failed(ctx context.Context, now time.Time, ticket *placement.Ticket, err error) {
+func (j *job) failed(ctx context.Context, now time.Time, ticket *placement.Assignment, err error) {
 	j.exclude = placement.Exclude(j.exclude, ticket.Server.ID)
 	var broken *brokenAttempt
 	switch {
@@ -56,11 +56,11 @@
 	case j.isOver(ctx, now) && !j.isSilent(now):
 		ticket.End(now, placement.Abandoned)
 	case j.isOver(ctx, now):
-		ticket.End(now, placement.Silent)
+		ticket.End(now, placement.TimedOut)
 	case j.wasToEnd(now), !j.hasStarted() && errorx.IsOfType(err, failure.Timeout) && j.isOutOfTime(now, ticket.Server):
 		ticket.End(now, placement.Abandoned)
 	case errorx.IsOfType(err, failure.Timeout):
-		ticket.End(now, placement.Silent)
+		ticket.End(now, placement.TimedOut)
 	case errorx.IsOfType(err, delivery.OutOfOrder):
 		ticket.End(now, placement.Failed)
 	default:
@@ -178,7 +178,7 @@
 }
 
 // answered follows an answer of a server that has run the call.
-func (j *job) answered(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+func (j *job) answered(ctx context.Context, ticket *placement.Assignment, answer Answer) bool {
 	j.mayHaveRun = true
 	run, err := j.reply.accept(answer)
 	if err != nil {
@@ -192,7 +192,7 @@
 }
 
 // notContinued follows an answer that cannot go on with what the caller has.
-func (j *job) notContinued(ctx context.Context, ticket *placement.Ticket, answer Answer, err error) bool {
+func (j *job) notContinued(ctx context.Context, ticket *placement.Assignment, answer Answer, err error) bool {
 	answer.Close(false)
 	now := time.Now()
 	ticket.End(now, j.resultOf(answer))
@@ -221,7 +221,7 @@
 // Callers send a call again after a status that promises that it did not run. A server
 // that does not say so may have run it, so such an answer is not given where the call may
 // run only once.
-func (j *job) whole(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+func (j *job) whole(ctx context.Context, ticket *placement.Assignment, answer Answer) bool {
 	answer.SetDeadline(j.deadline)
 	body, err := answer.Body(heldBytes)
 	if err == nil {
@@ -256,7 +256,7 @@
 	return false
 }
 
-func (j *job) bodyFailed(ctx context.Context, ticket *placement.Ticket, err error) bool {
+func (j *job) bodyFailed(ctx context.Context, ticket *placement.Assignment, err error) bool {
 	now := time.Now()
 	j.failed(ctx, now, ticket, err)
 	if j.again(ctx, now) {
@@ -280,7 +280,7 @@
 // The header goes out with the first event, so that until then another server
 // can take over without the caller noticing. After that it can where the route
 // allows: the next server goes on after the last event that was given whole.
-func (j *job) stream(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+func (j *job) stream(ctx context.Context, ticket *placement.Assignment, answer Answer) bool {
 	for {
 		answer.SetDeadline(j.eventBy(time.Now(), ticket.Server))
 		event, err := answer.Next()
@@ -311,7 +311,7 @@
 }
 
 // streamLeft ends a stream whose caller is there no more.
-func (j *job) streamLeft(ticket *placement.Ticket, answer Answer) bool {
+func (j *job) streamLeft(ticket *placement.Assignment, answer Answer) bool {
 	answer.Close(false)
 	ticket.End(time.Now(), placement.Abandoned)
 	j.leftBehind(time.Now(), ticket.Server)
@@ -321,9 +321,9 @@
 
 // takeEvent passes on an event of a server, unless the caller has it already. It fails
 // if the event does not follow or the caller has left.
-func (j *job) takeEvent(ticket *placement.Ticket, answer Answer, run *delivery.Run, event eventstream.Event) error {
+func (j *job) takeEvent(ticket *placement.Assignment, answer Answer, run *delivery.Run, event eventstream.Event) error {
 	j.progressAt = time.Now()
-	ticket.Wrote(j.tokensOfEvent())
+	ticket.AddTokens(j.tokensOfEvent())
 	passed, err := j.reply.event(answer, run, event)
 	if err != nil || !passed {
 		return err
@@ -361,7 +361,7 @@
 }
 
 // streamEnded follows the end of a stream between two events.
-func (j *job) streamEnded(ctx context.Context, ticket *placement.Ticket, answer Answer) bool {
+func (j *job) streamEnded(ctx context.Context, ticket *placement.Assignment, answer Answer) bool {
 	err := j.reply.progress.CheckEnd(j.run)
 	if err == nil {
 		err = j.checkClose(ctx, ticket.Server, answer)
@@ -390,7 +390,7 @@
 	return failure.WithOutcome(failure.Unavailable.New("the server ended with its connection"), failure.Unknown)
 }
 
-func (j *job) streamBroke(ctx context.Context, ticket *placement.Ticket, answer Answer, err error) bool {
+func (j *job) streamBroke(ctx context.Context, ticket *placement.Assignment, answer Answer, err error) bool {
 	answer.Close(false)
 	now := time.Now()
 	j.failed(ctx, now, ticket, err)
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -26,8 +26,8 @@
 	// two servers that are both used.
 	const draws = 64
 
-	choose := func(now time.Time) *placement.Ticket {
-		t, _ := g.board.Choose(now, placement.Ask{Service: "pool", Engine: engine, Aim: time.Second, Left: time.Minute})
+	choose := func(now time.Time) *placement.Assignment {
+		t, _ := g.board.Choose(now, placement.Request{Service: "pool", Engine: engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(t).NotTo(BeNil())
 		return t
 	}
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -91,7 +91,7 @@
 }
 
 // hasNews reports whether the own loads have changed since an entry was told.
-func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.board.Changed(g.toldLoads[to]) }
+func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.board.HasChangedSince(g.toldLoads[to]) }
 
 func (g *Gateway) wantedNow(now time.Time) []wire.WantedVersion {
 	var all []wire.WantedVersion
@@ -157,10 +157,10 @@
 // more: those that it told last would stay, and engines with room pass for full.
 func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Beat) {
 	if !from.Near || b.AllLoads {
-		g.board.Forget(b.ID)
+		g.board.RemoveEntry(b.ID)
 	}
 	if from.Near {
-		g.board.Heard(now, b.ID, b.Loads)
+		g.board.UpdateEntryLoads(now, b.ID, b.Loads)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (g *Gateway) heardGroups(now time.Time, digests []wire.Digest) {
 	for _, d := range digests {
 		if d.Group != g.mesh.Group() {
-			g.board.HeardGroup(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
+			g.board.UpdateGroupLoads(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
 		}
 	}
 }
@@ -305,7 +305,7 @@
 		switch {
 		case !g.hearsAll(now):
 			note(s.Service, g.started.Add(hearsAllWithin))
-		case g.isNew(now) && !g.board.HasUsable(s.Service):
+		case g.isNew(now) && !g.board.HasAvailableEngine(s.Service):
 			note(s.Service, g.loadedAt(now))
 		}
 	}
@@ -371,11 +371,11 @@
 func (g *Gateway) server(now time.Time, s catalog.Server, entries int) placement.Server {
 	out := placement.Server{
 		ID: s.ID, Service: s.Service, Addr: s.Addr, Slots: s.Slots,
-		Connections: g.keptConnections(s.Service, entries),
-		Place:       fleet.Place{Zone: s.Zone, Region: g.opts.Regions[s.Zone]},
-		Loaded:      placement.ModelVersion(s.Loaded),
-		Leaving:     s.Draining,
-		Born:        s.Born,
+		Connections:   g.keptConnections(s.Service, entries),
+		Place:         fleet.Place{Zone: s.Zone, Region: g.opts.Regions[s.Zone]},
+		LoadedVersion: placement.ModelVersion(s.Loaded),
+		Leaving:       s.Draining,
+		Born:          s.Born,
 	}
 	if !g.isEngine(s.Service) {
 		return out
@@ -383,16 +383,16 @@
 	r, reported := g.replicas[s.Addr.Addr()]
 	switch {
 	case !reported:
-		out.Changing = g.doubtsRegistrations && !g.hearsAll(now)
+		out.Reloading = g.doubtsRegistrations && !g.hearsAll(now)
 	case isOfEarlierStart(r.Replica, s):
 	case g.isSuperseded(now, r.Replica, s):
-		out.Changing = true
+		out.Reloading = true
 	default:
 		out.Born = max(r.Born, s.Born)
-		out.Loaded = placement.ModelVersion(r.Loaded)
-		out.Changing = r.Changing
-		out.Down = r.Down
-		out.Pace = float64(r.Pace) / 100
+		out.LoadedVersion = placement.ModelVersion(r.Loaded)
+		out.Reloading = r.Changing
+		out.Unreachable = r.Down
+		out.Slowdown = float64(r.Pace) / 100
 	}
 	return out
 }
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -42,8 +42,8 @@
 	attempts int // sent
 	unsent   int // could not be sent
 	exclude  []fleet.InstanceID
-	room     *placement.HoldRoom // in which it waits; nil if it does not
-	waits    bool                // it waits here for a server
+	room     *placement.HoldLimiter // in which it waits; nil if it does not
+	waits    bool                   // it waits here for a server
 	// mayHaveRun is true once a server may have run the call.
 	mayHaveRun bool
 	// held is a server's failure, given to the caller if nothing better comes.
@@ -155,7 +155,7 @@
 		j.workspace = w.Name
 	}
 	j.service = v.table.Service(j.route.Target(rand.Float64()))
-	j.returned = !j.g.opts.Off.TellReturned && j.g.patience.IsReturned(j.route.Name, j.call.Patience, j.call.IsKept)
+	j.returned = !j.g.opts.Off.TellReturned && j.g.patience.IsClientRetry(j.route.Name, j.call.Patience, j.call.IsKept)
 	timeout := j.route.Timeout
 	if j.call.Patience > 0 {
 		timeout = min(timeout, j.call.Patience)
@@ -254,7 +254,7 @@
 	if !now.Before(until) || reason == placement.TooLong {
 		return false
 	}
-	isBusy := reason == placement.Full || reason == placement.NoPlace
+	isBusy := reason == placement.Full || reason == placement.NoSlot
 	isLate := j.isLate(now)
 	if isBusy && !isLate {
 		until = earlier(until, j.call.Arrived.Add(j.route.TargetLatency))
@@ -272,7 +272,7 @@
 func (j *job) enterRoom(now time.Time) bool {
 	if j.room == nil {
 		room := j.g.holdRoom(j.service.Name)
-		if !room.Enter(now) {
+		if !room.TryAcquire(now) {
 			return false
 		}
 		j.room = room
@@ -282,24 +282,24 @@
 
 func (j *job) leaveRoom(now time.Time, placed bool) {
 	if j.room != nil {
-		j.room.Leave(now, placed)
+		j.room.Release(now, placed)
 		j.room = nil
 	}
 }
 
-func (j *job) ask(now time.Time) placement.Ask {
-	a := placement.Ask{
-		Service:  j.service.Name,
-		Engine:   j.service.Engine,
-		Prompt:   j.call.Prompt,
-		Answer:   j.call.Answer,
-		Expected: j.call.Expected,
-		Aim:      j.view.table.ShortestTargetLatency(j.service.Name),
-		Left:     j.deadline.Sub(now),
-		Late:     j.isLate(now),
-		Exclude:  j.exclude,
-		Suspect:  j.standing(now).IsSuspect(),
-		Near:     j.g.opts.Place,
+func (j *job) ask(now time.Time) placement.Request {
+	a := placement.Request{
+		Service:        j.service.Name,
+		Engine:         j.service.Engine,
+		PromptTokens:   j.call.Prompt,
+		OutputTokens:   j.call.Answer,
+		ExpectedTokens: j.call.Expected,
+		TargetLatency:  j.view.table.ShortestTargetLatency(j.service.Name),
+		TimeLeft:       j.deadline.Sub(now),
+		Late:           j.isLate(now),
+		Exclude:        j.exclude,
+		Suspect:        j.standing(now).IsSuspect(),
+		EntryPlace:     j.g.opts.Place,
 	}
 	if j.service.Engine != nil {
 		a.Versions = j.versions(now)
@@ -313,18 +313,18 @@
 }
 
 // order describes an attempt at the ticket's server.
-func (j *job) order(now time.Time, ticket *placement.Ticket) Order {
+func (j *job) order(now time.Time, ticket *placement.Assignment) Order {
 	o := Order{
 		Server:    ticket.Server,
 		Workspace: j.workspace,
 		Until:     j.deadline,
 		LastEvent: j.reply.progress.LastEvent(),
 	}
-	if ticket.Within > 0 {
-		o.Until = earlier(j.deadline, now.Add(ticket.Within))
+	if ticket.ServerTimeout > 0 {
+		o.Until = earlier(j.deadline, now.Add(ticket.ServerTimeout))
 	}
 	if j.service.Engine != nil {
-		o.Require = ticket.Server.Loaded
+		o.Require = ticket.Server.LoadedVersion
 	}
 	return o
 }
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -100,8 +100,8 @@
 	// occupy fills the engine that holds weights.
 	occupy := func() {
 		for {
-			t, _ := g.board.Choose(time.Now(), placement.Ask{
-				Service: "pool", Engine: g.table.Service("pool").Engine, Aim: routeAim, Left: timeout})
+			t, _ := g.board.Choose(time.Now(), placement.Request{
+				Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: routeAim, TimeLeft: timeout})
 			if t == nil {
 				return
 			}
@@ -168,14 +168,14 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), mayHaveRun: true, view: g.view.Load(),
 			route: &g.snapshot.Config.Routes[0], service: g.table.Service("pool"), deadline: deadline, progressAt: progress}
 		for range 50 {
-			ticket, _ := g.board.Choose(start, placement.Ask{Service: "pool", Left: time.Second,
+			ticket, _ := g.board.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second,
 				Exclude: []fleet.InstanceID{"i-2"}})
 			j.failed(context.Background(), deadline, ticket, failure.Timeout.New("read the answer"))
 		}
 		j.ended(context.Background(), deadline, "stream_broken")
 		chosen := 0
 		for range 50 {
-			ticket, _ := g.board.Choose(deadline, placement.Ask{Service: "pool", Left: time.Second})
+			ticket, _ := g.board.Choose(deadline, placement.Request{Service: "pool", TimeLeft: time.Second})
 			if ticket.Server.ID == "i-1" {
 				chosen++
 			}
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -27,20 +27,20 @@
 //
 // A stream goes on only on the version that began it. Otherwise the wanted
 // version answers, or the one before for as long as its time lasts.
-func (j *job) versions(now time.Time) func(placement.ModelVersion) (placement.Use, time.Duration) {
+func (j *job) versions(now time.Time) func(placement.ModelVersion) (placement.Eligibility, time.Duration) {
 	names := j.g.view.Load().names[j.service.Model]
-	return func(v placement.ModelVersion) (placement.Use, time.Duration) {
+	return func(v placement.ModelVersion) (placement.Eligibility, time.Duration) {
 		if v == 0 || !j.mayContinueOn(v) {
-			return placement.NoUse, 0
+			return placement.Ineligible, 0
 		}
 		end, outdated := j.g.versionEnd(names, v)
 		switch left := end.Sub(now); {
 		case !outdated:
-			return placement.FullUse, 0
+			return placement.Eligible, 0
 		case left > 0:
-			return placement.UseOutdated, left
+			return placement.EligibleOutdated, left
 		default:
-			return placement.NoUse, 0
+			return placement.Ineligible, 0
 		}
 	}
 }
@@ -87,5 +87,5 @@
 
 // versionEndAt is versionEnd for the version that a server holds.
 func (j *job) versionEndAt(server placement.Server) (time.Time, bool) {
-	return j.g.versionEnd(j.g.view.Load().names[j.service.Model], server.Loaded)
+	return j.g.versionEnd(j.g.view.Load().names[j.service.Model], server.LoadedVersion)
 }
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -37,7 +37,7 @@
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
 	if len(e.sent) == 1 && e.gives > 0 {
-		return &brokenStream{left: e.gives, version: o.Server.Loaded}, nil
+		return &brokenStream{left: e.gives, version: o.Server.LoadedVersion}, nil
 	}
 	return nil, failure.WithOutcome(failure.Timeout.New("nothing came"), failure.Unknown)
 }
@@ -135,7 +135,7 @@
 			got := serve(c.resumable, c.attempts)
 			Expect(got).To(HaveLen(c.sent))
 			for _, o := range got {
-				Expect(o.Server.Loaded).To(Equal(placement.ModelVersion(1)))
+				Expect(o.Server.LoadedVersion).To(Equal(placement.ModelVersion(1)))
 				Expect(o.Until).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
 			}
 		}
@@ -163,7 +163,7 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), mayHaveRun: true,
 			deadline: time.Now().Add(time.Minute), serverUntil: time.Now()}
-		ticket, _ := g.board.Choose(time.Now(), placement.Ask{Service: "pool", Left: time.Minute})
+		ticket, _ := g.board.Choose(time.Now(), placement.Request{Service: "pool", TimeLeft: time.Minute})
 		var err error
 		j.run, err = j.reply.accept(emptyAnswer{})
 		Expect(err).NotTo(HaveOccurred())
--- a/daemon/gateway/withdrawn.go
+++ b/daemon/gateway/withdrawn.go
@@ -35,8 +35,8 @@
 
 // withdrawn returns what is to be told of an attempt that failed; nil if it was
 // no call that this entry closed at an engine before that had begun.
-func (j *job) withdrawn(ctx context.Context, now time.Time, ticket *placement.Ticket, err error) *withdrawal {
-	waited, waits := ticket.Waited(now)
+func (j *job) withdrawn(ctx context.Context, now time.Time, ticket *placement.Assignment, err error) *withdrawal {
+	waited, waits := ticket.Elapsed(now)
 	if j.service.Engine == nil || !waits || failure.OutcomeOf(err) == failure.NotRun {
 		return nil
 	}
@@ -45,7 +45,7 @@
 		return nil
 	}
 	w := &withdrawal{reason: reason, waited: waited}
-	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(ticket.Server.Loaded))
+	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(ticket.Server.LoadedVersion))
 	if outdated {
 		w.outdated = true
 		w.versionLeft = since.Add(j.g.opts.VersionTime).Sub(now)
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -31,7 +31,7 @@
 		lines   *observer.ObservedLogs
 		metrics tally.TestScope
 		j       *job
-		ticket  *placement.Ticket
+		ticket  *placement.Assignment
 		failed  time.Time
 	)
 	silence := failure.Timeout.New("nothing came")
@@ -58,8 +58,8 @@
 		}
 		g.publish(failed)
 		placed := failed.Add(-waited)
-		ticket, _ = g.board.Choose(placed, placement.Ask{
-			Service: "pool", Engine: g.table.Service("pool").Engine, Aim: time.Second, Left: time.Minute})
+		ticket, _ = g.board.Choose(placed, placement.Request{
+			Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(ticket).NotTo(BeNil())
 		call := &Call{ID: "c", Arrived: placed, LastEvent: -1}
 		j = &job{g: g, call: call, reply: newReply(g, call, nil), view: g.view.Load(), service: g.table.Service("pool"),
@@ -122,7 +122,7 @@
 				Expect(counter.Name()).NotTo(Equal("calls_withdrawn"))
 			}
 		},
-		Entry("when an event had come", func() { ticket.Wrote(1) }, silence),
+		Entry("when an event had come", func() { ticket.AddTokens(1) }, silence),
 		Entry("when it could not be sent", func() {}, failure.WithOutcome(failure.Timeout.New("connect"), failure.NotRun)),
 		Entry("when the connection broke by itself", func() {}, failure.Unavailable.New("connection reset by peer")),
 		Entry("when a plain service had it", func() { j.service = g.table.Service("weights") }, silence),
