--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -9,224 +9,233 @@
 )
 
 const (
-	// loadLife is how long the load that an entry told is believed: a few of
-	// its heartbeats.
-	loadLife = time.Second
-	// jitter is added at random to the cost of each server. Entries hear of each
-	// other's choices a heartbeat late; without it they would all choose the same
-	// server until then.
+	// loadTTL is how long the load reported by an entry is counted: a few
+	// heartbeats.
+	loadTTL = time.Second
+	// jitter is the upper bound of a random addition to the cost of each server.
+	// Entries learn of each other's choices one heartbeat late; without jitter all
+	// of them would choose the same server until then.
 	jitter = 12 * time.Millisecond
-	// otherRegion is the cost of a server in another region, where each event
-	// crosses the link between them.
-	otherRegion = 25 * time.Millisecond
+	// otherRegionCost is the cost of a server in another region, where each event
+	// crosses the link between the regions.
+	otherRegionCost = 25 * time.Millisecond
 	// outdatedCost is the cost of an engine whose version is about to be replaced.
-	// Streams that still run there when it changes are prefilled again elsewhere, or
-	// delay its load by several times what that takes.
+	// Streams that still run there at the change are prefilled again elsewhere, or
+	// delay the load of the new version by several times the duration of that
+	// prefill.
 	outdatedCost = 60 * time.Millisecond
-	// failureCost is the cost of a server whose answers all fail, next to one
-	// whose share of failures is usual.
+	// failureCost is the cost of a server whose responses all fail, relative to one
+	// whose failure rate is usual for the service.
 	failureCost = 2 * time.Second
-	// suspectCost is the cost of a server that runs a suspect request. A request that
-	// crashes its server ends all others there, and suspects on different servers are
-	// distinguished by the next crash.
+	// suspectCost is the cost of a server that runs a suspect request. A request
+	// that crashes its server also ends all others there; with suspects on
+	// different servers, the next crash shows which one was the cause.
 	suspectCost = 100 * time.Millisecond
-	// waitShare is the part of the shortest aim of a service for which a request
-	// may wait at an engine until its own prompt is read. It is the same for all
-	// kinds and sizes of request: by their own aims, those with the longer aim
-	// would keep the engines so busy that no other was ever placed.
-	waitShare = 0.45
-	// lateShare is the same for a request that is late already.
-	lateShare = 0.35
-	// lateSlots is the share of an engine's places up to which late requests are
-	// placed. The rest is left to those that can still be on time. Late requests
-	// wait for room, so under lasting overload they would else get every place
-	// that falls free, and after some seconds all requests would be late.
-	lateSlots = 0.85
-	// tooLong is by how much the expected time to the end of an answer must
-	// exceed the time left. Callers' estimates are off by more than 1.4 either
-	// way for half of the answers.
-	tooLong = 1.25
-	// hearWithin is the time in which entries have heard of each other's first
-	// requests at a server.
-	hearWithin = 150 * time.Millisecond
-	// plainQueue is the number of requests for each place of a plain service
-	// beyond which it is full.
-	plainQueue = 3
-	// firstDuration is what a request of a plain service is taken to last before
-	// one has ended.
-	firstDuration = 50 * time.Millisecond
+	// maxWaitShare is the share of the shortest target latency of a service that a
+	// request may wait at an engine, apart from its own prefill. It is the same for
+	// all kinds and sizes of requests: with individual limits, the requests with a
+	// longer target would keep the engines so busy that no others would ever be
+	// placed.
+	maxWaitShare = 0.45
+	// maxWaitShareLate is the same for requests that are already late.
+	maxWaitShareLate = 0.35
+	// lateSlotShare is the share of an engine's slots up to which late requests are
+	// placed. The remaining slots are reserved for requests that can still be on
+	// time. Late requests wait at the entry for a free slot, so under lasting
+	// overload they would otherwise take every slot that becomes free, and within
+	// seconds all requests would be late.
+	lateSlotShare = 0.85
+	// tooLongFactor is the factor by which the predicted time to the end of an
+	// response must exceed the time left for the request to be refused. For half of
+	// the responses, the callers' estimates are off by a factor of more than 1.4 in
+	// either direction.
+	tooLongFactor = 1.25
+	// reportDelay is the time within which the entries have received each other's
+	// reports of their first requests at a server.
+	reportDelay = 150 * time.Millisecond
+	// plainQueueFactor is the number of requests per slot at which a server of a
+	// plain service is full.
+	plainQueueFactor = 3
+	// initialDuration is the assumed duration of a request of a plain service
+	// before the first one has ended.
+	initialDuration = 50 * time.Millisecond
 )
 
-// Reason says why no server was chosen.
+// Reason is why no server was chosen.
 type Reason string
 
 const (
-	// NoServer: no server of the service can take requests.
+	// NoServer: no server of the service can accept requests.
 	NoServer Reason = "no_server"
 	// Full: no server would answer in time.
 	Full Reason = "full"
-	// NoSlot: a server would begin in time, but has no place for this request: it
-	// is late, and the places for such are taken, or it needs too much memory.
+	// NoSlot: a server would start in time but has no capacity for this request:
+	// the queue of the plain service is full, the request is late and the slots for
+	// late requests are taken, or it needs too much memory.
 	NoSlot Reason = "no_place"
-	// Limited: the servers that could take the request have limits, and this entry has
-	// used its share of them.
+	// Limited: the servers that could serve the request have rate limits, and this
+	// entry has used up its share of them.
 	Limited Reason = "limited"
-	// TooLong: the answer would not be whole before the caller gives up.
+	// TooLong: the response would not be complete before the caller's deadline.
 	TooLong Reason = "too_long"
 )
 
-// Refusal says that a request was not placed and when it may come back.
+// Refusal describes why a request was not placed and when the caller may retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	// Predicted is the shortest time to an answer; 0 with NoServer.
+	// Predicted is the predicted time to a response at the best server; 0 if there
+	// was none.
 	Predicted time.Duration
-	// Candidates is the number of servers that were looked at.
+	// Candidates is the number of servers that were considered.
 	Candidates int
 }
 
-// Choose places a request. The Ticket must be ended. A nil Ticket comes with a
-// Refusal.
-func (b *Balancer) Choose(now time.Time, ask Request) (*Assignment, Refusal) {
+// Choose assigns a request to a server. The caller must end the Assignment. If no
+// server is chosen, the Assignment is nil and the Refusal says why.
+func (b *Balancer) Choose(now time.Time, req Request) (*Assignment, Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g := b.services[ask.Service]
+	g := b.services[req.Service]
 	if g == nil {
-		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.TimeLeft)}
+		return nil, Refusal{Reason: NoServer, RetryAfter: maxRetryAfter(req.TimeLeft)}
 	}
-	usable := b.candidates(now, g, ask)
-	if len(usable) == 0 && g.isLimited(now) {
-		return nil, Refusal{Reason: Limited, RetryAfter: b.comeBack(ask)}
+	candidates := b.candidates(now, g, req)
+	if len(candidates) == 0 && g.isLimited(now) {
+		return nil, Refusal{Reason: Limited, RetryAfter: b.retryAfter(req)}
 	}
-	if len(usable) == 0 {
-		return nil, Refusal{Reason: NoServer, RetryAfter: comeBackLater(ask.TimeLeft)}
+	if len(candidates) == 0 {
+		return nil, Refusal{Reason: NoServer, RetryAfter: maxRetryAfter(req.TimeLeft)}
 	}
-	if b.off.LateLast {
-		ask.Late = false
+	if b.disabled.LateLast {
+		req.Late = false
 	}
-	best, predicted := b.cheapest(now, usable, ask)
-	if reason := b.refusedFor(ask, predicted, b.work(now, best), best); reason != "" {
-		return nil, Refusal{Reason: reason, RetryAfter: b.comeBack(ask), Predicted: predicted, Candidates: len(usable)}
+	best, predicted := b.cheapest(now, candidates, req)
+	if reason := b.refusalReason(req, predicted, b.work(now, best), best); reason != "" {
+		return nil, Refusal{Reason: reason, RetryAfter: b.retryAfter(req), Predicted: predicted, Candidates: len(candidates)}
 	}
-	t := &Assignment{
-		board: b, state: best, Server: best.Server, Predicted: predicted, ServerTimeout: ask.within(best),
-		prompt: ask.PromptTokens, answer: ask.OutputTokens, suspect: ask.Suspect, placed: now,
+	assignment := &Assignment{
+		balancer: b, state: best, Server: best.Server, Predicted: predicted, ServerTimeout: req.serverTimeout(best),
+		promptTokens: req.PromptTokens, outputTokens: req.OutputTokens, suspect: req.Suspect, placed: now,
 	}
 	best.limit.take()
-	if t.suspect {
+	if assignment.suspect {
 		best.suspects++
 	}
-	best.own[t] = struct{}{}
-	b.touch(best)
-	return t, Refusal{}
+	best.own[assignment] = struct{}{}
+	b.markChanged(best)
+	return assignment, Refusal{}
 }
 
-// refusedFor returns why a request is not sent to the best server; empty if it is.
-func (b *Balancer) refusedFor(a Request, predicted time.Duration, w enginemodel.Work, s *state) Reason {
+// refusalReason returns why a request is not sent to the best server; empty if it
+// is sent.
+func (b *Balancer) refusalReason(req Request, predicted time.Duration, w enginemodel.Work, s *serverState) Reason {
 	switch {
-	case predicted-a.reading() > a.patience() && !b.off.RefuseFull:
+	case predicted-req.prefillTime() > req.maxWait() && !b.disabled.RefuseFull:
 		return Full
-	case a.MaxPause > 0 && predicted > a.MaxPause:
+	case req.MaxPause > 0 && predicted > req.MaxPause:
 		return Full
-	case !a.fits(w, s):
+	case !req.fits(w, s):
 		return NoSlot
-	case a.isTooLong(predicted, w) && !b.off.RefuseLong:
+	case req.isTooLong(predicted, w) && !b.disabled.RefuseLong:
 		return TooLong
 	default:
 		return ""
 	}
 }
 
-// patience is the longest wait with which a request is still sent.
+// maxWait is the longest predicted wait with which a request is still sent.
 //
-// In a burst each request that is placed too late to be on time takes a place
-// from one that would be, and soon all are late. Refused at once, its caller
-// comes back when the burst is over.
-func (a Request) patience() time.Duration {
-	aim := a.TargetLatency
-	if aim <= 0 {
-		aim = a.TimeLeft
+// In a burst, each request that is placed too late to be on time takes a slot from
+// one that would be, and soon all are late. If it is refused at once, its caller
+// can retry after the burst.
+func (r Request) maxWait() time.Duration {
+	target := r.TargetLatency
+	if target <= 0 {
+		target = r.TimeLeft
 	}
-	if a.Late {
-		return time.Duration(lateShare * float64(aim))
+	if r.Late {
+		return time.Duration(maxWaitShareLate * float64(target))
 	}
-	return time.Duration(waitShare * float64(aim))
+	return time.Duration(maxWaitShare * float64(target))
 }
 
-// isTooLong reports whether the answer to a late request is expected to take
-// much longer than the caller waits.
-func (a Request) isTooLong(first time.Duration, w enginemodel.Work) bool {
-	if a.Engine == nil || !a.Late || a.ExpectedTokens == 0 || a.TimeLeft <= 0 {
+// isTooLong reports whether the response to a late request is predicted to take much
+// longer than the time left.
+func (r Request) isTooLong(first time.Duration, w enginemodel.Work) bool {
+	if r.Engine == nil || !r.Late || r.ExpectedTokens == 0 || r.TimeLeft <= 0 {
 		return false
 	}
-	whole := first + a.Engine.DecodeTime(w, a.ExpectedTokens)
-	return float64(whole) > tooLong*float64(a.TimeLeft)
+	total := first + r.Engine.DecodeTime(w, r.ExpectedTokens)
+	return float64(total) > tooLongFactor*float64(r.TimeLeft)
 }
 
-// reading is the part of a prediction that is the request's own prompt.
-func (a Request) reading() time.Duration {
-	if a.Engine == nil {
+// prefillTime is the part of a prediction that is spent on the request's own
+// prompt.
+func (r Request) prefillTime() time.Duration {
+	if r.Engine == nil {
 		return 0
 	}
-	return a.Engine.PrefillTime(a.PromptTokens)
+	return r.Engine.PrefillTime(r.PromptTokens)
 }
 
-// fits bounds what waits at a plain service, whose times are not predicted
-// well, and what an engine may hold in memory: beyond it, it drops a running
-// stream and reads it anew.
-func (a Request) fits(w enginemodel.Work, s *state) bool {
-	if a.Engine == nil {
-		return w.Running < max(1, s.Slots)*plainQueue
+// fits limits the queue of a plain service, whose latency is hard to predict, and
+// the memory use of an engine: an engine that runs out of memory drops a running
+// stream and prefills it again.
+func (r Request) fits(w enginemodel.Work, s *serverState) bool {
+	if r.Engine == nil {
+		return w.Running < max(1, s.Slots)*plainQueueFactor
 	}
-	if a.Late && float64(w.Running) >= lateSlots*float64(s.Slots) {
+	if r.Late && float64(w.Running) >= lateSlotShare*float64(s.Slots) {
 		return false
 	}
-	if a.Engine.MemoryTokens == 0 {
+	if r.Engine.MemoryTokens == 0 {
 		return true
 	}
-	return w.Context+a.PromptTokens+a.OutputTokens <= a.Engine.MemoryTokens
+	return w.Context+r.PromptTokens+r.OutputTokens <= r.Engine.MemoryTokens
 }
 
-// candidates are the servers that may take the request. Ejected ones are left
-// out unless no others are left: a wrong suspicion must not close the service.
-func (b *Balancer) candidates(now time.Time, g *group, ask Request) []*state {
-	var sound, ejected []*state
+// candidates returns the servers that may serve the request. Ejected servers are
+// left out unless there are no others: a false alarm must not make the service
+// unavailable.
+func (b *Balancer) candidates(now time.Time, g *serverGroup, req Request) []*serverState {
+	var healthy, ejected []*serverState
 	for _, st := range g.states {
 		switch {
-		case st.Leaving, st.Reloading, st.limit.isEmpty(now), slices.Contains(ask.Exclude, st.ID):
-		case !b.versionFits(now, st, ask):
-		case st.Unreachable, now.Before(st.health.until):
+		case st.Leaving, st.Reloading, st.limit.isEmpty(now), slices.Contains(req.Exclude, st.ID):
+		case !b.isVersionEligible(now, st, req):
+		case st.Unreachable, now.Before(st.health.ejectedUntil):
 			ejected = append(ejected, st)
 		default:
-			sound = append(sound, st)
+			healthy = append(healthy, st)
 		}
 	}
-	if len(sound) > 0 {
-		return sound
+	if len(healthy) > 0 {
+		return healthy
 	}
-	return slices.DeleteFunc(ejected, func(st *state) bool { return st.Unreachable })
+	return slices.DeleteFunc(ejected, func(st *serverState) bool { return st.Unreachable })
 }
 
-// versionFits reports whether an engine may be used for a request by the version
-// that it holds.
-func (b *Balancer) versionFits(now time.Time, st *state, ask Request) bool {
-	switch use, left := ask.use(st.LoadedVersion); use {
+// isVersionEligible reports whether the loaded version of an engine allows it to
+// serve the request.
+func (b *Balancer) isVersionEligible(now time.Time, st *serverState, req Request) bool {
+	switch eligibility, left := req.eligibility(st.LoadedVersion); eligibility {
 	case Eligible:
 		return true
 	case EligibleOutdated:
-		return b.endsWithin(now, st, ask, left)
+		return b.endsWithin(now, st, req, left)
 	default:
 		return false
 	}
 }
 
-// cheapest returns the server with the least cost and its predicted time.
-func (b *Balancer) cheapest(now time.Time, usable []*state, ask Request) (*state, time.Duration) {
-	var best *state
+// cheapest returns the server with the lowest cost and its predicted latency.
+func (b *Balancer) cheapest(now time.Time, candidates []*serverState, req Request) (*serverState, time.Duration) {
+	var best *serverState
 	var bestCost, bestTime time.Duration
-	for _, st := range usable {
-		predicted := b.predict(now, st, ask)
-		cost := b.cost(now, st, ask, predicted)
+	for _, st := range candidates {
+		predicted := b.predict(now, st, req)
+		cost := b.cost(now, st, req, predicted)
 		if best == nil || cost < bestCost {
 			best, bestCost, bestTime = st, cost, predicted
 		}
@@ -234,79 +243,80 @@
 	return best, bestTime
 }
 
-// cost is the predicted time with what else speaks against a server.
-func (b *Balancer) cost(now time.Time, st *state, ask Request, predicted time.Duration) time.Duration {
+// cost is the predicted latency of a server plus all penalties.
+func (b *Balancer) cost(now time.Time, st *serverState, req Request, predicted time.Duration) time.Duration {
 	cost := predicted
-	if b.off.Prediction {
-		cost = time.Duration(b.rounds(now, st) * float64(st.group.duration))
+	if b.disabled.Prediction {
+		cost = time.Duration(b.occupancy(now, st) * float64(st.group.duration))
 	}
-	if !b.off.FailureCost {
+	if !b.disabled.FailureCost {
 		cost += st.health.cost(st.group)
 	}
-	if !b.off.Jitter {
+	if !b.disabled.Jitter {
 		cost += time.Duration(b.rand.Float64() * float64(jitter))
 	}
 	if st.suspects > 0 {
 		cost += suspectCost
 	}
-	if st.Place.Region != ask.EntryPlace.Region && !b.off.NearServers {
-		cost += otherRegion
+	if st.Place.Region != req.EntryPlace.Region && !b.disabled.NearServers {
+		cost += otherRegionCost
 	}
-	if ask.Engine != nil {
-		cost += b.costOfOthers(st)
+	if req.Engine != nil {
+		cost += b.notPreferredPenalty(st)
 	}
-	if use, _ := ask.use(st.LoadedVersion); use == EligibleOutdated && !b.off.NewerFirst {
+	if eligibility, _ := req.eligibility(st.LoadedVersion); eligibility == EligibleOutdated && !b.disabled.NewerFirst {
 		cost += outdatedCost
 	}
 	return cost
 }
 
-// rounds is how often a server's places are taken.
-func (b *Balancer) rounds(now time.Time, st *state) float64 {
+// occupancy is the number of running requests per slot of a server.
+func (b *Balancer) occupancy(now time.Time, st *serverState) float64 {
 	return float64(b.work(now, st).Running) / float64(max(1, st.Slots))
 }
 
-// predict returns the time in which a server would begin to answer, for a
-// plain service to answer.
-func (b *Balancer) predict(now time.Time, st *state, ask Request) time.Duration {
+// predict returns the time after which a server would start to answer; for a plain
+// service, the time to its response.
+func (b *Balancer) predict(now time.Time, st *serverState, req Request) time.Duration {
 	switch {
-	case ask.Engine == nil:
-		return time.Duration(b.rounds(now, st) * float64(st.group.duration))
-	case b.off.Prediction:
-		return time.Duration(max(0, b.rounds(now, st)-1) * float64(st.group.duration))
+	case req.Engine == nil:
+		return time.Duration(b.occupancy(now, st) * float64(st.group.duration))
+	case b.disabled.Prediction:
+		return time.Duration(max(0, b.occupancy(now, st)-1) * float64(st.group.duration))
 	default:
-		pace := max(1, st.Slowdown)
-		if b.off.Pace {
-			pace = 1
+		slowdown := max(1, st.Slowdown)
+		if b.disabled.Pace {
+			slowdown = 1
 		}
-		return time.Duration(pace * float64(ask.Engine.TimeToFirstEvent(b.work(now, st), ask.PromptTokens)))
+		return time.Duration(slowdown * float64(req.Engine.TimeToFirstEvent(b.work(now, st), req.PromptTokens)))
 	}
 }
 
-// comeBack is when a refused caller may come back.
-func (b *Balancer) comeBack(ask Request) time.Duration {
-	if b.off.SpreadReturn {
-		return comeBackLater(ask.TimeLeft)
+// retryAfter is the delay after which a refused caller may retry.
+func (b *Balancer) retryAfter(req Request) time.Duration {
+	if b.disabled.SpreadReturn {
+		return maxRetryAfter(req.TimeLeft)
 	}
-	return comeBackSpread(ask.TimeLeft, b.rand.Float64())
+	return spreadRetryAfter(req.TimeLeft, b.rand.Float64())
 }
 
-// comeBackLater is for a caller whom nobody can serve now: as late as callers
-// honour, which is a third of the time that they have left, since servers
-// come back in seconds.
-func comeBackLater(left time.Duration) time.Duration { return left / honoured }
+// maxRetryAfter is the delay for a caller that no server can serve now: the longest
+// that callers honour, which is a third of the time left, since servers recover
+// within seconds.
+func maxRetryAfter(left time.Duration) time.Duration { return left / retryDivisor }
 
-// honoured is the part of the time left up to which callers wait as told.
-const honoured = 3
+// retryDivisor divides the time left: the quotient is the longest retry delay that
+// callers honour.
+const retryDivisor = 3
 
-// comeBackSpread spreads callers that a burst turned away, so that they do not
-// form the next burst.
-func comeBackSpread(left time.Duration, draw float64) time.Duration {
-	const least = 0.3
-	return time.Duration((least + (1-least)*draw) * float64(left/honoured))
+// spreadRetryAfter spreads the retries of callers that were refused in a burst, so
+// that they do not form the next burst. draw is a random number in [0, 1).
+func spreadRetryAfter(left time.Duration, draw float64) time.Duration {
+	const minShare = 0.3
+	return time.Duration((minShare + (1-minShare)*draw) * float64(left/retryDivisor))
 }
 
-// Exclude returns ids with one more.
+// Exclude returns a copy of ids with id appended.
 func Exclude(ids []fleet.InstanceID, id fleet.InstanceID) []fleet.InstanceID {
 	return append(slices.Clone(ids), id)
 }
--- a/core/placement/health.go
+++ b/core/placement/health.go
@@ -3,87 +3,90 @@
 import "time"
 
 const (
-	// strikesOut is the number of silences or broken answers in a row after
-	// which a server gets no requests for a while.
-	strikesOut = 2
-	// ejectMin doubles with each relapse up to ejectMax.
-	ejectMin = 700 * time.Millisecond
-	ejectMax = 6 * time.Second
-	// maxDoublings is enough to reach ejectMax.
+	// maxStrikes is the number of consecutive broken responses or time-outs after
+	// which a server is ejected. A single time-out ejects at once.
+	maxStrikes = 2
+	// minEjection is the least duration of the first ejection; it doubles with each
+	// further one, up to maxEjection.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 6 * time.Second
+	// maxDoublings bounds the shift; it is enough to reach maxEjection.
 	maxDoublings = 4
-	// rateWeight is the weight of the newest answer in a share of failures; about
-	// ten answers tell.
+	// rateWeight is the weight of the newest response in the failure rate of a
+	// server, which thus covers about ten responses.
 	rateWeight = 0.1
 	// groupRateWeight is the same for the whole service.
 	groupRateWeight = 0.01
-	// usualSpread is how far a server's share of failures may lie above that of
+	// usualSpread is by how much the failure rate of a server may exceed that of
 	// its service by chance.
 	usualSpread = 0.15
-	// ejectedShare is the most servers of a service that are left out for their
-	// failures: if more seem to fail, the fault is likelier on this side.
-	ejectedShare = 0.5
+	// maxEjectedShare is the largest share of the servers of a service that is
+	// ejected: if more seem to fail, the fault is more likely on this side.
+	maxEjectedShare = 0.5
 )
 
-// health is what a server's last answers tell of it.
+// health is the state of a server as shown by its latest responses.
 //
-// A health check passes while a server fails a part of its requests, so only
-// its answers show it. Errors that a kind of request has at every server are
-// no reason to leave one: what counts is a server's share against that of its
-// service.
+// A health check can pass while a server fails some of its requests, so only its
+// responses reveal the fault. Errors that a kind of request causes at every server
+// are no reason to avoid one: what counts is the failure rate of a server relative
+// to that of its service.
 type health struct {
-	strikes  int
-	relapses int
-	rate     float64
-	until    time.Time
+	consecutiveFailures int
+	ejections           int
+	failureRate         float64
+	ejectedUntil        time.Time
 }
 
-// note takes the end of a request. With mayEject false no server is left out.
-func (h *health) note(now time.Time, g *group, result Result, r Rand, mayEject bool) {
+// record updates the health with the result of a request. If mayEject is false, no
+// server is ejected.
+func (h *health) record(now time.Time, g *serverGroup, result Result, r Rand, mayEject bool) {
 	switch result {
 	case Succeeded:
-		h.strikes = 0
-		h.relapses = 0
-		h.sample(g, 0)
+		h.consecutiveFailures = 0
+		h.ejections = 0
+		h.addSample(g, 0)
 	case Failed:
-		h.strikes = 0
-		h.sample(g, 1)
+		h.consecutiveFailures = 0
+		h.addSample(g, 1)
 	case Broken, TimedOut:
-		h.sample(g, 1)
-		h.strikes++
-		if (h.strikes >= strikesOut || result == TimedOut) && mayEject {
+		h.addSample(g, 1)
+		h.consecutiveFailures++
+		if (h.consecutiveFailures >= maxStrikes || result == TimedOut) && mayEject {
 			h.eject(now, g, r)
 		}
 	case Declined, Abandoned:
 	}
 }
 
-func (h *health) sample(g *group, failed float64) {
-	h.rate += rateWeight * (failed - h.rate)
-	g.failRate += groupRateWeight * (failed - g.failRate)
+func (h *health) addSample(g *serverGroup, failed float64) {
+	h.failureRate += rateWeight * (failed - h.failureRate)
+	g.failureRate += groupRateWeight * (failed - g.failureRate)
 }
 
-// eject leaves the server out for a time that doubles with each relapse.
-func (h *health) eject(now time.Time, g *group, r Rand) {
-	out := 0
+// eject excludes the server for a random time of which the minimum doubles with
+// each repeated ejection.
+func (h *health) eject(now time.Time, g *serverGroup, r Rand) {
+	ejected := 0
 	for _, st := range g.states {
-		if now.Before(st.health.until) {
-			out++
+		if now.Before(st.health.ejectedUntil) {
+			ejected++
 		}
 	}
-	if float64(out+1) > ejectedShare*float64(len(g.states)) {
+	if float64(ejected+1) > maxEjectedShare*float64(len(g.states)) {
 		return
 	}
-	pause := min(ejectMax, ejectMin<<min(h.relapses, maxDoublings))
-	h.relapses++
-	h.strikes = 0
-	h.until = now.Add(pause + time.Duration(r.Float64()*float64(pause)/2))
+	pause := min(maxEjection, minEjection<<min(h.ejections, maxDoublings))
+	h.ejections++
+	h.consecutiveFailures = 0
+	h.ejectedUntil = now.Add(pause + time.Duration(r.Float64()*float64(pause)/2))
 }
 
-// cost is what the server's failures add to its predicted time.
-func (h *health) cost(g *group) time.Duration {
-	beyond := h.rate - g.failRate - usualSpread
-	if beyond <= 0 {
+// cost is the penalty for the server's failures.
+func (h *health) cost(g *serverGroup) time.Duration {
+	excess := h.failureRate - g.failureRate - usualSpread
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(beyond * float64(failureCost))
+	return time.Duration(excess * float64(failureCost))
 }
--- a/core/placement/health_test.go
+++ b/core/placement/health_test.go
@@ -12,14 +12,15 @@
 
 var _ = Describe("Health", func() {
 	place := func(b *placement.Balancer, now time.Time) *placement.Assignment {
-		t, _ := b.Choose(now, small())
+		t, _ := b.Choose(now, smallRequest())
 		return t
 	}
 
-	// A server goes silent without closing anything. Each request sent there
-	// costs its caller the whole wait, and an idle server looks best.
-	It("leaves a server that was silent once, and tries it again", func() {
-		b := board(3)
+	// A server stops responding without closing its connections. Each request sent
+	// there costs its caller the whole time-out, and an idle server has the lowest
+	// predicted latency.
+	It("ejects a server after one time-out, and tries it again later", func() {
+		b := newBalancer(3)
 		silent := place(b, start)
 		silent.End(start, placement.TimedOut)
 		for range 20 {
@@ -35,8 +36,8 @@
 		Expect(seen).To(HaveKey(silent.Server.ID))
 	})
 
-	It("never leaves more than half of a service", func() {
-		b := board(4)
+	It("never ejects more than half of a service", func() {
+		b := newBalancer(4)
 		for range 40 {
 			if t := place(b, start); t != nil {
 				t.End(start, placement.TimedOut)
@@ -49,17 +50,17 @@
 		Expect(len(seen)).To(BeNumerically(">=", 2))
 	})
 
-	It("uses a suspect server rather than none", func() {
-		b := board(1)
+	It("uses an ejected server if there is no other", func() {
+		b := newBalancer(1)
 		t := place(b, start)
 		t.End(start, placement.TimedOut)
 		Expect(place(b, start)).NotTo(BeNil())
 	})
 
-	// A server fails a part of its requests while its health check is good. Its
-	// answers are quick, so by load alone it would get the most.
+	// A server fails some of its requests while its health check passes. Its errors
+	// are quick, so by load alone it would receive the most requests.
 	It("sends less to a server that fails more than its service does", func() {
-		b := board(4)
+		b := newBalancer(4)
 		counts := map[fleet.InstanceID]int{}
 		for range 400 {
 			t := place(b, start)
@@ -73,8 +74,8 @@
 		Expect(counts[id(0)]).To(BeNumerically("<", 50))
 	})
 
-	It("does not leave a server for errors that all servers of a service have", func() {
-		b := board(4)
+	It("does not penalize a server for errors that all servers of the service return", func() {
+		b := newBalancer(4)
 		counts := map[fleet.InstanceID]int{}
 		var open []*placement.Assignment
 		for i := range 800 {
@@ -96,8 +97,8 @@
 		}
 	})
 
-	It("ends a ticket once", func() {
-		b := board(1)
+	It("ends an assignment once", func() {
+		b := newBalancer(1)
 		t := place(b, start)
 		other := place(b, start)
 		t.End(start, placement.Succeeded)
--- a/core/placement/limit_test.go
+++ b/core/placement/limit_test.go
@@ -10,7 +10,7 @@
 	"chivespindle.example/core/placement"
 )
 
-var _ = Describe("A server with a limit", func() {
+var _ = Describe("A server with a rate limit", func() {
 	limits := func(perSecond float64, servers ...int) map[fleet.InstanceID]float64 {
 		shares := make(map[fleet.InstanceID]float64)
 		for _, i := range servers {
@@ -19,13 +19,13 @@
 		return shares
 	}
 
-	It("is used as often as this entry's share allows, and the other servers beside it", func() {
-		b := board(2)
+	It("is used as often as this entry's share allows, and the other servers for the rest", func() {
+		b := newBalancer(2)
 		b.SetLimits(start, limits(1, 0))
 		taken := make(map[fleet.InstanceID]int)
 		for s := range 10 {
 			for range 3 {
-				t, _ := b.Choose(start.Add(time.Duration(s)*time.Second), ask())
+				t, _ := b.Choose(start.Add(time.Duration(s)*time.Second), newRequest())
 				taken[t.Server.ID]++
 				t.End(start, placement.Succeeded)
 			}
@@ -34,23 +34,24 @@
 		Expect(taken[id(1)]).To(Equal(30 - taken[id(0)]))
 	})
 
-	It("gets the request at once that no other server can take", func() {
-		b := board(1)
+	It("refuses a request that no other server can serve until its share allows it", func() {
+		b := newBalancer(1)
 		b.SetLimits(start, limits(2, 0))
-		t, refusal := b.Choose(start, ask())
+		t, refusal := b.Choose(start, newRequest())
 		Expect(t).To(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.Limited))
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
-		t, _ = b.Choose(start.Add(500*time.Millisecond), ask())
+		t, _ = b.Choose(start.Add(500*time.Millisecond), newRequest())
 		Expect(t).NotTo(BeNil())
 	})
 
-	// Guards against an entry that sends all of its share of a quiet time at once.
-	DescribeTable("is not made up for by a quiet time", func(perSecond float64, most int) {
-		b := board(1)
+	// Guards against an entry that saves up its share while idle and then uses it
+	// all at once.
+	DescribeTable("accrues no more than the burst while idle", func(perSecond float64, most int) {
+		b := newBalancer(1)
 		b.SetLimits(start, limits(perSecond, 0))
-		plain := ask()
-		plain.Engine = nil // never full
+		plain := newRequest()
+		plain.Engine = nil // a plain service, so that capacity does not refuse it
 		taken := 0
 		for {
 			t, _ := b.Choose(start.Add(time.Minute), plain)
@@ -62,21 +63,21 @@
 		}
 		Expect(taken).To(Equal(most))
 	},
-		Entry("of a low limit", 0.5, 1),
-		Entry("of 1 a second", 1.0, 1),
-		Entry("of a high limit", 4.0, 6),
+		Entry("low limit", 0.5, 1),
+		Entry("1 per second", 1.0, 1),
+		Entry("high limit", 4.0, 6),
 	)
 
-	It("keeps what this entry has used when its limit changes, and is used freely when it ends", func() {
-		b := board(1)
+	It("keeps its used share when the limit changes, and is unlimited when the limit ends", func() {
+		b := newBalancer(1)
 		b.SetLimits(start, limits(1, 0))
-		t, _ := b.Choose(start.Add(time.Second), ask())
+		t, _ := b.Choose(start.Add(time.Second), newRequest())
 		Expect(t).NotTo(BeNil())
 		b.SetLimits(start.Add(time.Second), limits(2, 0))
-		t, _ = b.Choose(start.Add(1400*time.Millisecond), ask())
+		t, _ = b.Choose(start.Add(1400*time.Millisecond), newRequest())
 		Expect(t).To(BeNil())
 		b.SetLimits(start.Add(1400*time.Millisecond), nil)
-		t, _ = b.Choose(start.Add(1400*time.Millisecond), ask())
+		t, _ = b.Choose(start.Add(1400*time.Millisecond), newRequest())
 		Expect(t).NotTo(BeNil())
 	})
 })
--- a/core/placement/outdated.go
+++ b/core/placement/outdated.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// longerThanExpected is by how much an answer is taken to last longer than
-// expected, where it is cut off at the end of a time.
-const longerThanExpected = 1.25
+// outdatedMargin is the safety factor on the predicted time of a response that is
+// cut off when the time of its version ends.
+const outdatedMargin = 1.25
 
-// within returns the time in which an engine is to end its work on a request; 0 if
-// the request's own time is all that bounds it.
+// serverTimeout returns the time within which an engine must end its work on a
+// request; 0 if only the request's own deadline limits it.
 //
-// An engine with an outdated version may begin nothing once the time of its
-// version is over. What waits there begins nevertheless, unless a word of ours
-// reaches it before, and over a full link that word may be late. So the engine is
-// told when to end with the request, and gets only what it can end by then.
-func (a Request) within(st *state) time.Duration {
-	use, left := a.use(st.LoadedVersion)
-	if use != EligibleOutdated || left >= a.TimeLeft {
+// An engine may not start requests on an outdated version once the time of that
+// version is over. A request that waits there would start nevertheless unless a
+// cancellation reaches the engine first, and over a congested link it may arrive
+// late. So the engine is given the time limit with the request, and only gets
+// requests that it can finish by then.
+func (r Request) serverTimeout(st *serverState) time.Duration {
+	eligibility, left := r.eligibility(st.LoadedVersion)
+	if eligibility != EligibleOutdated || left >= r.TimeLeft {
 		return 0
 	}
 	return left
 }
 
-// endsWithin reports whether the whole answer is expected from an engine in so
-// much time.
-func (b *Balancer) endsWithin(now time.Time, st *state, ask Request, left time.Duration) bool {
-	if ask.Engine == nil || left >= ask.TimeLeft {
+// endsWithin reports whether an engine is predicted to finish the whole response
+// within the given time.
+func (b *Balancer) endsWithin(now time.Time, st *serverState, req Request, left time.Duration) bool {
+	if req.Engine == nil || left >= req.TimeLeft {
 		return true
 	}
-	write := max(1, st.Slowdown) * float64(ask.Engine.DecodeTime(b.work(now, st), ask.expected()))
-	whole := b.predict(now, st, ask) + time.Duration(write)
-	return longerThanExpected*float64(whole) <= float64(left)
+	decode := max(1, st.Slowdown) * float64(req.Engine.DecodeTime(b.work(now, st), req.expectedTokens()))
+	total := b.predict(now, st, req) + time.Duration(decode)
+	return outdatedMargin*float64(total) <= float64(left)
 }
 
-// expected is the number of tokens that the answer is taken to have.
-func (a Request) expected() int {
+// expectedTokens is the assumed length of the response in tokens.
+func (r Request) expectedTokens() int {
 	switch {
-	case a.ExpectedTokens > 0:
-		return a.ExpectedTokens
-	case a.Engine.MeanOutputTokens > 0:
-		return a.Engine.MeanOutputTokens
+	case r.ExpectedTokens > 0:
+		return r.ExpectedTokens
+	case r.Engine.MeanOutputTokens > 0:
+		return r.Engine.MeanOutputTokens
 	default:
-		return a.OutputTokens
+		return r.OutputTokens
 	}
 }
 
-// use tells how an engine may be used by its version and, if that is outdated, for
-// how long.
-func (a Request) use(loaded ModelVersion) (Eligibility, time.Duration) {
-	if a.Versions == nil {
+// eligibility returns whether the loaded version of an engine allows it to serve
+// the request and, if that version is outdated, for how long.
+func (r Request) eligibility(version ModelVersion) (Eligibility, time.Duration) {
+	if r.Versions == nil {
 		return Eligible, 0
 	}
-	return a.Versions(loaded)
+	return r.Versions(version)
 }
--- a/core/placement/outdated_test.go
+++ b/core/placement/outdated_test.go
@@ -12,18 +12,19 @@
 	"chivespindle.example/core/policy"
 )
 
-// Calls wait at 44 entries for an engine, which is ready 2.3 s before the time of
-// its version ends. All entries find it at the same moment, and what they place
-// there is more than it can begin in that time.
-var _ = Describe("An engine that is ready shortly before its version is out of time", func() {
+// Calls wait at 44 entries for an engine, which becomes ready 2.3 s before the time
+// of its version ends. All entries find it at the same moment, and together they
+// place more requests than it can start in that time.
+var _ = Describe("An engine that becomes ready shortly before the time of its version ends", func() {
 	const (
 		entries   = 44
-		waiting   = 3 // calls at each entry
+		waiting   = 3 // calls per entry
 		untilOver = 2260 * ms
-		margin    = 400 * ms // that entries leave
+		margin    = 400 * ms // that entries leave before the end
 	)
 
-	// place has each entry place what waits there, without hearing of the others.
+	// place lets each entry place its waiting calls, without reports of the others'
+	// placements.
 	place := func(a placement.Request) []*placement.Assignment {
 		var all []*placement.Assignment
 		for i := range entries {
@@ -44,15 +45,15 @@
 		return all
 	}
 
-	// begunLate runs the engine, which hears no close, and returns how many calls it
-	// begins after the time of its version. tells is false if it is not told when to
-	// end.
-	begunLate := func(tickets []*placement.Assignment, tells bool) int {
+	// startedLate runs the engine without any cancellation and returns how many
+	// calls it starts after the time of its version. If setsTimeout is false, the
+	// requests carry no server timeout.
+	startedLate := func(assignments []*placement.Assignment, setsTimeout bool) int {
 		e := &engine{}
 		var all []*request
-		for _, t := range tickets {
-			r := &request{prompt: ask().PromptTokens, left: ask().OutputTokens / figures().StepsPerPass}
-			if tells {
+		for _, t := range assignments {
+			r := &request{promptTokens: newRequest().PromptTokens, passesLeft: newRequest().OutputTokens / profile().StepsPerPass}
+			if setsTimeout {
 				r.until = t.ServerTimeout
 			}
 			all = append(all, r)
@@ -70,12 +71,12 @@
 		return late
 	}
 
-	// Guards against calls that begin on outdated weights after a burst of all
-	// entries, if no word that takes them back arrives.
-	It("begins nothing after that time", func() {
-		tickets := place(outdatedFor(ask(), untilOver-margin))
-		Expect(tickets).NotTo(BeEmpty())
-		Expect(begunLate(tickets, false)).NotTo(BeZero(), "the burst is more than the engine can begin in time")
-		Expect(begunLate(tickets, true)).To(BeZero())
+	// Guards against calls that start on outdated weights after a burst from all
+	// entries, if no cancellation reaches the engine.
+	It("starts no request after that time", func() {
+		assignments := place(withOutdatedVersions(newRequest(), untilOver-margin))
+		Expect(assignments).NotTo(BeEmpty())
+		Expect(startedLate(assignments, false)).NotTo(BeZero(), "the burst must exceed what the engine can start in time")
+		Expect(startedLate(assignments, true)).To(BeZero())
 	})
 })
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,11 +1,11 @@
-// Package placement decides which server a request goes to, and when it is
-// refused because no server would answer in time.
+// Package placement chooses a server for each request, and refuses the request if
+// no server would answer in time.
 //
-// A Balancer counts what this entry has at each server exactly, adds what the
-// other entries say that they have there, and predicts from both when a server
-// would begin to answer. It does no I/O and reads no clock. It is safe for
-// concurrent use: the control goroutine updates the servers, traffic
-// goroutines choose among them.
+// A Balancer counts this entry's own requests at each server exactly, adds the
+// load that other entries report, and predicts from both when a server would start
+// to answer. It does no I/O and reads no clock. It is safe for concurrent use: the
+// control goroutine updates the list of servers while traffic goroutines choose
+// among them.
 package placement
 
 import (
@@ -20,172 +20,182 @@
 	"chivespindle.example/core/policy"
 )
 
-// Rand is the source of chance. A *rand.Rand of math/rand/v2 fits; the Board
-// guards it.
+// Rand is the source of randomness. A *rand.Rand of math/rand/v2 implements it;
+// calls are serialized by the Balancer's lock.
 type Rand interface {
 	// Float64 returns a number in [0, 1).
 	Float64() float64
 }
 
-// ModelVersion numbers the weights of a model; 0 means none.
+// ModelVersion identifies a version of a model's weights; 0 means none.
 type ModelVersion uint64
 
-// Server is what is known of a backend server, apart from its load.
+// Server describes a backend server, apart from its load.
 type Server struct {
 	ID      fleet.InstanceID
 	Service fleet.ServiceName
 	Addr    netip.AddrPort
 	Place   fleet.Place
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Connections is how many unused connections to it this entry may keep.
+	// Connections is the maximum number of idle connections that this entry may
+	// keep to the server.
 	Connections int
-	// LoadedVersion is the version that a model engine answers from.
+	// LoadedVersion is the version of the weights that a model engine serves; 0 if
+	// it serves none.
 	LoadedVersion ModelVersion
 	Born          fleet.Start
 	// Leaving servers get no new requests.
 	Leaving bool
-	// Reloading servers are loading weights, or are about to, and take nothing.
+	// Reloading is true while the server loads weights or is about to; it then
+	// accepts no requests.
 	Reloading bool
-	// Slowdown is by how much an engine's passes last longer than published; 0 if that
-	// is not known.
+	// Slowdown is the factor by which an engine's passes take longer than its
+	// published figures; 0 if unknown.
 	Slowdown float64
-	// Unreachable is true while the agent beside the server cannot reach it.
+	// Unreachable is true while the agent next to the server cannot reach it.
 	Unreachable bool
 }
 
-// takesWork reports whether an engine answers requests.
-func (s Server) takesWork() bool {
+// isAvailable reports whether a model engine can serve requests.
+func (s Server) isAvailable() bool {
 	return !s.Leaving && !s.Reloading && !s.Unreachable && s.LoadedVersion != 0
 }
 
-// Load is the work that one entry has at one server.
+// Load is the work of one entry at one server.
 type Load struct {
 	Server           fleet.InstanceID `cbor:"1,keyasint"`
 	enginemodel.Work `cbor:"2,keyasint"`
 }
 
-// Request describes a request that wants a server.
+// Request describes a request to be placed.
 type Request struct {
 	Service fleet.ServiceName
-	// Engine is set for a model engine.
+	// Engine is the profile of the service's model engines; nil for a plain
+	// service.
 	Engine *enginemodel.Profile
-	// PromptTokens and OutputTokens are token counts, 0 for a plain service.
+	// PromptTokens and OutputTokens are the token counts of the request; 0 for a
+	// plain service.
 	PromptTokens, OutputTokens int
-	// ExpectedTokens is the caller's estimate of the answer's tokens; 0 if unknown.
+	// ExpectedTokens is the caller's estimate of the length of the response; 0 if
+	// unknown.
 	ExpectedTokens int
-	// TargetLatency is the shortest time of all routes to the service in which an answer is
-	// on time.
+	// TargetLatency is the shortest target latency of all routes to the service.
 	TargetLatency time.Duration
-	// TimeLeft is the time until the caller gives up.
+	// TimeLeft is the time until the caller's deadline.
 	TimeLeft time.Duration
-	// Late requests cannot be on time any more: they come back after a refusal,
-	// have waited here, or were lost by a server.
+	// Late is true for a request that can no longer meet its target latency: it is
+	// a retry after a refusal, has waited at this entry, or was lost by a server.
 	Late bool
-	// MaxPause is the longest time to its next event that a stream bears which goes
-	// on elsewhere; 0 for a request that has not begun.
+	// MaxPause is the longest acceptable time to the next event of a stream that
+	// resumes at another server; 0 for a request that has not started.
 	MaxPause time.Duration
-	// Exclude are servers that the request was sent to before.
+	// Exclude lists the servers to which the request was sent before.
 	Exclude []fleet.InstanceID
-	// Suspect requests were in flight at a server that crashed and may have been the
-	// cause.
+	// Suspect is true for a request that was in flight at a server when it crashed,
+	// and may have caused the crash.
 	Suspect bool
-	// Versions tells which weights may answer and, if outdated, for how long; nil
-	// allows all.
+	// Versions returns whether an engine with this version of the weights may
+	// answer and, if the version is outdated, for how long; nil allows all
+	// versions.
 	Versions func(ModelVersion) (Eligibility, time.Duration)
-	// EntryPlace is where this entry runs.
+	// EntryPlace is the location of this entry.
 	EntryPlace fleet.Place
 }
 
-// Eligibility is how an engine may be used for a request, by the version that it holds.
+// Eligibility is whether an engine may serve a request, given its loaded version.
 type Eligibility uint8
 
 const (
-	// Ineligible: not at all.
+	// Ineligible: it may not.
 	Ineligible Eligibility = iota
-	// EligibleOutdated: where no engine with the wanted version is as good, and only if
-	// the whole answer is expected within the time that is left.
+	// EligibleOutdated: only if no engine with the wanted version is as good, and
+	// only if the whole response is expected within the time left for the outdated
+	// version.
 	EligibleOutdated
-	// Eligible: like any other.
+	// Eligible: without restriction.
 	Eligible
 )
 
-// Balancer holds the servers of all services.
+// Balancer assigns requests to the servers of all services.
 type Balancer struct {
 	mu       sync.Mutex
 	rand     Rand
-	off      policy.Disabled
-	services map[fleet.ServiceName]*group
-	servers  map[fleet.InstanceID]*state
-	others   *others
-	regions  *regions
-	// self and place are this entry's; empty before SetSelf.
+	disabled policy.Disabled
+	services map[fleet.ServiceName]*serverGroup
+	servers  map[fleet.InstanceID]*serverState
+	remote   *remoteLoads
+	regions  *regionLoads
+	// self and place identify and locate this entry; empty before SetSelf.
 	self  fleet.InstanceID
 	place fleet.Place
-	// change counts the changes of own loads; gone holds when servers left the
-	// list.
-	change uint64
-	gone   map[fleet.InstanceID]uint64
+	// revision counts the changes of this entry's own loads. removed holds, for
+	// each server that left the list with own requests, the revision at which it
+	// did.
+	revision uint64
+	removed  map[fleet.InstanceID]uint64
 }
 
-// group is the servers of one service.
-type group struct {
-	states []*state
-	// failRate is the moving share of failed answers, duration the moving mean
-	// of how long a request of a plain service takes.
-	failRate float64
-	duration time.Duration
+// serverGroup is the set of servers of one service.
+type serverGroup struct {
+	states []*serverState
+	// failureRate is the moving average of the share of failed responses. duration
+	// is the moving average of the duration of a request of a plain service.
+	failureRate float64
+	duration    time.Duration
 }
 
-// state is a server with its load and its record.
-type state struct {
+// serverState is a server with its load and its health.
+type serverState struct {
 	Server
-	group *group
+	group *serverGroup
 	own   map[*Assignment]struct{}
 	// suspects is the number of own requests that are suspect.
-	suspects int
-	change   uint64    // when own changed last
-	ready    time.Time // since when it takes work
-	health   health
-	// limit is this entry's share of the server's limit; nil if it has none.
-	limit *bucket
-	// rank is the server's place, from 0, in the order in which this entry
-	// prefers those of the service: by distance, then by hash.
+	suspects       int
+	revision       uint64    // of the last change of own
+	availableSince time.Time // when it became available
+	health         health
+	// limit is this entry's share of the server's rate limit; nil if the server has
+	// none.
+	limit *tokenBucket
+	// rank is the position of the server, from 0, in this entry's order of
+	// preference among the servers of the service: by distance, then by hash.
 	rank     int
 	distance fleet.Distance
 	hash     uint64
 }
 
-// New returns a board without servers.
-func New(r Rand, off policy.Disabled) *Balancer {
+// New returns a Balancer without servers.
+func New(r Rand, disabled policy.Disabled) *Balancer {
 	return &Balancer{
 		rand:     r,
-		off:      off,
-		services: make(map[fleet.ServiceName]*group),
-		servers:  make(map[fleet.InstanceID]*state),
-		others:   newOthers(newFreedPlaces(r, off.LeaveFreed)),
-		regions:  newRegions(),
-		gone:     make(map[fleet.InstanceID]uint64),
+		disabled: disabled,
+		services: make(map[fleet.ServiceName]*serverGroup),
+		servers:  make(map[fleet.InstanceID]*serverState),
+		remote:   newRemoteLoads(newFreedSlots(r, disabled.LeaveFreed)),
+		regions:  newRegionLoads(),
+		removed:  make(map[fleet.InstanceID]uint64),
 	}
 }
 
-// SetServers replaces the list of servers. Load and record of those that stay
-// are kept. Requests at a server that is listed no more go on.
+// SetServers replaces the list of servers. Servers that remain keep their load and
+// health. Requests at a server that is no longer listed continue.
 //
-// A server that started anew under its ID has nothing of before. With the load
-// of its predecessor, whose requests end only when their connections are found
-// dead, it stood idle for seconds; with its failures it stayed left out.
+// The state of a server that restarted under the same ID is reset. The requests of
+// its predecessor end only when their connections are found to be dead, so with
+// their load counted the restarted server would stay idle for seconds, and with the
+// old failures counted it would stay ejected.
 func (b *Balancer) SetServers(now time.Time, list []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, g := range b.services {
 		g.states = g.states[:0]
 	}
-	kept := make(map[fleet.InstanceID]*state, len(list))
+	kept := make(map[fleet.InstanceID]*serverState, len(list))
 	for _, s := range list {
 		g := b.services[s.Service]
 		if g == nil {
-			g = &group{duration: firstDuration}
+			g = &serverGroup{duration: initialDuration}
 			b.services[s.Service] = g
 		}
 		st := b.servers[s.ID]
@@ -194,12 +204,12 @@
 			st = b.newState(s.ID)
 		case s.Born.Replaces(st.Born):
 			st = b.newState(s.ID)
-			b.others.forgetServer(s.ID)
-			b.touch(st)
+			b.remote.removeServer(s.ID)
+			b.markChanged(st)
 		}
-		if s.takesWork() && !st.takesWork() {
-			st.ready = now
-			b.others.freed.forget(s.ID)
+		if s.isAvailable() && !st.isAvailable() {
+			st.availableSince = now
+			b.remote.freed.remove(s.ID)
 		}
 		st.Server = s
 		st.distance = b.place.DistanceTo(s.Place)
@@ -212,28 +222,29 @@
 		if kept[id] != nil {
 			continue
 		}
-		b.others.freed.forget(id)
+		b.remote.freed.remove(id)
 		if len(st.own) > 0 {
-			b.change++
-			b.gone[id] = b.change
+			b.revision++
+			b.removed[id] = b.revision
 		}
 	}
 	for id := range kept {
-		delete(b.gone, id)
+		delete(b.removed, id)
 	}
 	b.servers = kept
-	b.regions.count(now, kept)
+	b.regions.recount(now, kept)
 }
 
-// HasAvailableEngine reports whether any server of a service takes work.
+// HasAvailableEngine reports whether any model engine of a service can serve
+// requests.
 func (b *Balancer) HasAvailableEngine(service fleet.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.services[service]
-	return g != nil && slices.ContainsFunc(g.states, func(st *state) bool { return st.takesWork() })
+	return g != nil && slices.ContainsFunc(g.states, func(st *serverState) bool { return st.isAvailable() })
 }
 
-// IsLeaving reports whether a server leaves or is listed no more.
+// IsLeaving reports whether a server is leaving or is no longer listed.
 func (b *Balancer) IsLeaving(id fleet.InstanceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -241,104 +252,106 @@
 	return st == nil || st.Leaving
 }
 
-func (b *Balancer) newState(id fleet.InstanceID) *state {
-	return &state{own: make(map[*Assignment]struct{}), hash: fleet.RankOf(b.self, id)}
+func (b *Balancer) newState(id fleet.InstanceID) *serverState {
+	return &serverState{own: make(map[*Assignment]struct{}), hash: fleet.RankOf(b.self, id)}
 }
 
-// UpdateEntryLoads notes that another entry was heard, with the servers at which its load
-// has changed. The loads that were told before hold on for as long as it is
-// heard.
+// UpdateEntryLoads records a report of another entry, with the servers at which its
+// load has changed. Loads that it reported before remain valid as long as its
+// reports keep arriving.
 func (b *Balancer) UpdateEntryLoads(now time.Time, entry fleet.InstanceID, changed []Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others.note(now, entry, changed)
+	b.remote.update(now, entry, changed)
 }
 
-// RemoveEntry drops what an entry said, once it has gone.
+// RemoveEntry removes the loads reported by an entry that has gone.
 func (b *Balancer) RemoveEntry(entry fleet.InstanceID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others.forget(entry)
+	b.remote.remove(entry)
 }
 
-// Loads returns what this entry has at each server, those without work left
-// out, ordered by server.
+// Loads returns the load of this entry at each server at which it has work, ordered
+// by server.
 func (b *Balancer) Loads() []Load {
 	loads, _ := b.LoadsSince(0)
 	return loads
 }
 
-// LoadsSince returns the load of the servers at which it has changed since an
-// earlier call, which returned the number change, and the number for the next
-// one. With 0 it returns those of all servers with work.
-func (b *Balancer) LoadsSince(change uint64) ([]Load, uint64) {
+// LoadsSince returns the loads that have changed since an earlier call that
+// returned this revision, and the revision to pass to the next call. With revision
+// 0 it returns the loads of all servers with work.
+func (b *Balancer) LoadsSince(revision uint64) ([]Load, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var loads []Load
 	for id, st := range b.servers {
-		if change == 0 && len(st.own) > 0 || change != 0 && st.change > change {
+		if revision == 0 && len(st.own) > 0 || revision != 0 && st.revision > revision {
 			loads = append(loads, Load{Server: id, Work: st.ownWork()})
 		}
 	}
-	loads = append(loads, b.unlisted(change)...)
+	loads = append(loads, b.removedSince(revision)...)
 	slices.SortFunc(loads, func(x, y Load) int { return cmp.Compare(x.Server, y.Server) })
-	return loads, b.change
+	return loads, b.revision
 }
 
-// HasChangedSince reports whether any own load has changed since a call of LoadsSince
-// that returned this number.
-func (b *Balancer) HasChangedSince(change uint64) bool {
+// HasChangedSince reports whether any own load has changed since the call of
+// LoadsSince that returned this revision.
+func (b *Balancer) HasChangedSince(revision uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.change > change
+	return b.revision > revision
 }
 
-// unlisted are servers that have left the list since; nothing counts there.
-func (b *Balancer) unlisted(change uint64) []Load {
+// removedSince returns an empty load for each server that has left the list since
+// the revision.
+func (b *Balancer) removedSince(revision uint64) []Load {
 	var loads []Load
-	for id, at := range b.gone {
-		if at > change && change != 0 {
+	for id, removedAt := range b.removed {
+		if removedAt > revision && revision != 0 {
 			loads = append(loads, Load{Server: id})
 		}
 	}
 	return loads
 }
 
-// touch notes that the own load at a server has changed.
-func (b *Balancer) touch(st *state) {
-	b.change++
-	st.change = b.change
+// markChanged records that the own load at a server has changed.
+func (b *Balancer) markChanged(st *serverState) {
+	b.revision++
+	st.revision = b.revision
 }
 
-func (st *state) ownWork() enginemodel.Work {
+func (st *serverState) ownWork() enginemodel.Work {
 	var w enginemodel.Work
-	for t := range st.own {
+	for a := range st.own {
 		w.Running++
-		w.Context += t.prompt + t.written
-		if !t.begun {
-			w.PendingPrefill += t.prompt
+		w.Context += a.promptTokens + a.received
+		if !a.started {
+			w.PendingPrefill += a.promptTokens
 		}
 	}
 	return w
 }
 
-// work is everything known to be at a server. What an entry said is believed
-// for loadLife: requests of one that was killed have ended with it.
+// work returns all known work at a server. The load reported by an entry expires
+// after loadTTL: if the entry was killed, its requests ended with it.
 //
-// An engine that has just become ready is found by all entries at once, and
-// where others are full all that waits goes there: at four entries it had four
-// times what it holds before they heard of each other. Until they have, each
-// reckons that the others place as much there as it does itself.
-func (b *Balancer) work(now time.Time, st *state) enginemodel.Work {
+// All entries discover an engine that has just become ready at the same moment, and
+// while other engines are full they send all waiting requests there: with four
+// entries it received four times its capacity before the load reports arrived.
+// Until reportDelay has passed, each entry therefore assumes that the others place
+// as many requests there as it does itself.
+func (b *Balancer) work(now time.Time, st *serverState) enginemodel.Work {
 	own := st.ownWork()
-	if b.off.HearLoads {
+	if b.disabled.HearLoads {
 		return own
 	}
-	b.others.endBeliefs(now)
-	all := own.Add(b.others.at(now, st.ID)).Add(b.regions.shares[st.regionKey()])
-	same := own.Times(1 + b.others.believed)
-	if now.Sub(st.ready) < hearWithin && !b.off.AssumeAlike && same.Running > all.Running {
-		return same
+	b.remote.expire(now)
+	all := own.Add(b.remote.at(now, st.ID)).Add(b.regions.shares[st.regionKey()])
+	assumed := own.Times(1 + b.remote.current)
+	if now.Sub(st.availableSince) < reportDelay && !b.disabled.AssumeAlike && assumed.Running > all.Running {
+		return assumed
 	}
 	return all
 }
--- a/core/placement/regions.go
+++ b/core/placement/regions.go
@@ -9,71 +9,73 @@
 	"chivespindle.example/core/fleet"
 )
 
-// groupLife is how long the loads of a group of entries are believed: several
-// of its digests, and the time until a lost one is replaced.
-const groupLife = 4 * time.Second
+// groupLoadTTL is how long the loads of a group of entries are counted: several
+// digest intervals, plus the time until a lost digest is replaced.
+const groupLoadTTL = 4 * time.Second
 
-// RegionLoad is the work that a group of entries has at all servers of a service
-// in a region.
+// RegionLoad is the total work of a group of entries at all servers of a service in
+// a region.
 type RegionLoad struct {
 	Service          fleet.ServiceName `cbor:"1,keyasint"`
 	Region           fleet.Region      `cbor:"2,keyasint"`
 	enginemodel.Work `cbor:"3,keyasint"`
 }
 
-// regionKey names the servers of a service in a region.
+// regionKey identifies the servers of a service in a region.
 type regionKey struct {
 	service fleet.ServiceName
 	region  fleet.Region
 }
 
-// regions holds what other groups of entries have in each region.
+// regionLoads holds the load of other groups of entries in each region.
 //
-// Told server by server, loads would grow with the fleet, and cross the links
-// between regions many times a second. A group uses the servers of its own
-// region, where it knows every load, and those of others only when its own are
-// full; there the sum is enough to tell a region with room from one without.
-type regions struct {
+// If loads were reported for each server, the reports would grow with the fleet and
+// cross the links between regions many times a second. A group mostly uses the
+// servers of its own region, where it knows every load, and those of other regions
+// only when its own are full; for these the sum is enough to tell a region with
+// free capacity from one without.
+type regionLoads struct {
 	groups map[string]groupLoads
-	// servers counts those of a region, and shares is the work that the other
-	// groups have at each of them on average.
+	// servers is the number of servers of a region that are not leaving. shares is
+	// the average work of the other groups at each of them.
 	servers map[regionKey]int
 	shares  map[regionKey]enginemodel.Work
 }
 
 type groupLoads struct {
-	at    time.Time
-	loads []RegionLoad
+	reportedAt time.Time
+	loads      []RegionLoad
 }
 
-func newRegions() *regions {
-	return &regions{
+func newRegionLoads() *regionLoads {
+	return &regionLoads{
 		groups:  make(map[string]groupLoads),
 		servers: make(map[regionKey]int),
 		shares:  make(map[regionKey]enginemodel.Work),
 	}
 }
 
-// UpdateGroupLoads takes what a group of entries, other than this entry's, has
-// together, as of a moment.
+// UpdateGroupLoads records the total load of another group of entries, as of a
+// point in time. Reports that are not newer than the last one are ignored.
 func (b *Balancer) UpdateGroupLoads(now, at time.Time, group string, loads []RegionLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if known, ok := b.regions.groups[group]; ok && !at.After(known.at) {
+	if known, ok := b.regions.groups[group]; ok && !at.After(known.reportedAt) {
 		return
 	}
 	b.regions.groups[group] = groupLoads{at, loads}
-	b.regions.share(now)
+	b.regions.distribute(now)
 }
 
-// RegionLoads returns what this entry and those that it hears have together.
+// RegionLoads returns the total load of this entry and of the entries whose reports
+// it receives.
 func (b *Balancer) RegionLoads(now time.Time) []RegionLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others.endBeliefs(now)
+	b.remote.expire(now)
 	sums := make(map[regionKey]enginemodel.Work)
 	for id, st := range b.servers {
-		work := st.ownWork().Add(b.others.sums[id])
+		work := st.ownWork().Add(b.remote.sums[id])
 		if work != (enginemodel.Work{}) {
 			key := st.regionKey()
 			sums[key] = sums[key].Add(work)
@@ -89,26 +91,26 @@
 	return loads
 }
 
-func (st *state) regionKey() regionKey { return regionKey{st.Service, st.Place.Region} }
+func (st *serverState) regionKey() regionKey { return regionKey{st.Service, st.Place.Region} }
 
-// count takes the servers anew.
-func (r *regions) count(now time.Time, servers map[fleet.InstanceID]*state) {
+// recount recounts the servers of each region.
+func (r *regionLoads) recount(now time.Time, servers map[fleet.InstanceID]*serverState) {
 	clear(r.servers)
 	for _, st := range servers {
 		if !st.Leaving {
 			r.servers[st.regionKey()]++
 		}
 	}
-	r.share(now)
+	r.distribute(now)
 }
 
-// share spreads what is believed of the groups evenly over the servers of each
-// region.
-func (r *regions) share(now time.Time) {
+// distribute divides the current load of the groups evenly among the servers of
+// each region.
+func (r *regionLoads) distribute(now time.Time) {
 	clear(r.shares)
 	sums := make(map[regionKey]enginemodel.Work)
 	for name, g := range r.groups {
-		if now.Sub(g.at) >= groupLife {
+		if now.Sub(g.reportedAt) >= groupLoadTTL {
 			delete(r.groups, name)
 			continue
 		}
--- a/core/placement/replay_test.go
+++ b/core/placement/replay_test.go
@@ -14,51 +14,52 @@
 	"chivespindle.example/core/policy"
 )
 
-// These tests replay a load on engines that follow their published figures, in
-// virtual time, with several entries that hear of each other's requests 100 ms
-// late. They compare what callers get with ways of placing that know less.
+// These tests replay a load in virtual time on engines that follow their published
+// figures, with several entries that report their loads to each other every 30 to
+// 150 ms. They compare the results with strategies that use less information.
 
-const replayFor = 20 * time.Second
+const replayDuration = 20 * time.Second
 
-// size is the fleet of a replay. Entries hear of each other every hear.
-type size struct {
+// fleetSize is the size of the fleet in a replay, and the interval between the
+// reports of the entries.
+type fleetSize struct {
 	engines, entries int
-	hear             time.Duration
+	reportInterval   time.Duration
 }
 
-var fleet8 = size{engines: 8, entries: 4, hear: 30 * ms}
+var fleet8 = fleetSize{engines: 8, entries: 4, reportInterval: 30 * ms}
 
 // request is one stream of the replayed load.
 type request struct {
-	at             time.Duration
-	prompt, answer int
-	entry          int
-	ticket         *placement.Assignment
-	first, last    time.Duration
-	left           int // passes
-	// until is when the engine ends its work on the request; 0 for never.
+	at                         time.Duration
+	promptTokens, outputTokens int
+	entry                      int
+	assignment                 *placement.Assignment
+	first, last                time.Duration
+	passesLeft                 int
+	// until is when the engine stops working on the request; 0 for never.
 	until time.Duration
 }
 
-// trace makes a load of so many requests a second, with the spread of sizes of
-// the users' sheets. The first entry gets the share of the requests, the others
-// the rest evenly.
-func (z size) trace(perSecond, firstShare float64) []*request {
+// trace generates a load with a mean rate of perSecond and a distribution of sizes
+// like that of the users' sheets. The first entry receives firstShare of
+// the requests; the others share the rest evenly.
+func (z fleetSize) trace(perSecond, firstShare float64) []*request {
 	r := rand.New(rand.NewPCG(3, 4))
 	var all []*request
-	for at := time.Duration(0); at < replayFor; {
+	for at := time.Duration(0); at < replayDuration; {
 		at += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 		all = append(all, &request{
-			at:     at,
-			prompt: min(3880, 100+int(r.ExpFloat64()*900)),
-			answer: min(250, 10+int(r.ExpFloat64()*90)),
-			entry:  z.entryFor(r, firstShare),
+			at:           at,
+			promptTokens: min(3880, 100+int(r.ExpFloat64()*900)),
+			outputTokens: min(250, 10+int(r.ExpFloat64()*90)),
+			entry:        z.entryFor(r, firstShare),
 		})
 	}
 	return all
 }
 
-func (z size) entryFor(r *rand.Rand, firstShare float64) int {
+func (z fleetSize) entryFor(r *rand.Rand, firstShare float64) int {
 	if r.Float64() < firstShare {
 		return 0
 	}
@@ -67,27 +68,27 @@
 
 func (r *request) isOver(now time.Duration) bool { return r.until > 0 && now >= r.until }
 
-// engine runs passes as the published figures say.
+// engine simulates the passes of an engine with the published figures.
 type engine struct {
 	running, queued []*request
 	now             time.Duration
 }
 
-// pass runs one pass that begins at e.now and returns what it finished.
+// pass runs one pass from e.now and returns the requests that it completed.
 func (e *engine) pass() []*request {
-	f := figures()
-	var read time.Duration
-	for len(e.running) < f.Slots && len(e.queued) > 0 {
+	p := profile()
+	var prefill time.Duration
+	for len(e.running) < p.Slots && len(e.queued) > 0 {
 		next := e.queued[0]
 		e.queued = e.queued[1:]
 		if next.isOver(e.now) {
 			continue
 		}
-		read += f.PrefillTime(next.prompt)
+		prefill += p.PrefillTime(next.promptTokens)
 		e.running = append(e.running, next)
 	}
-	step := f.StepTime + time.Duration(len(e.running))*f.StepTimePerSequence
-	e.now += time.Duration(f.StepsPerPass)*step + read
+	step := p.StepTime + time.Duration(len(e.running))*p.StepTimePerSequence
+	e.now += time.Duration(p.StepsPerPass)*step + prefill
 	var done []*request
 	kept := e.running[:0]
 	for _, r := range e.running {
@@ -97,10 +98,10 @@
 		if r.first == 0 {
 			r.first = e.now
 		}
-		if r.ticket != nil {
-			r.ticket.AddTokens(f.StepsPerPass)
+		if r.assignment != nil {
+			r.assignment.AddTokens(p.StepsPerPass)
 		}
-		if r.left--; r.left > 0 {
+		if r.passesLeft--; r.passesLeft > 0 {
 			kept = append(kept, r)
 			continue
 		}
@@ -111,7 +112,7 @@
 	return done
 }
 
-// event is something that happens at a time.
+// event is an action scheduled at a time.
 type event struct {
 	at    time.Duration
 	apply func()
@@ -129,29 +130,30 @@
 	return last
 }
 
-// strategy returns the engine for a request, -1 to refuse it, and is told when
-// one ended.
+// strategy is a method of placing requests. place returns the index of the engine
+// for a request, or -1 to refuse it; ended is called when a request has completed,
+// and tick at each report interval.
 type strategy struct {
 	place func(now time.Duration, r *request) int
 	ended func(now time.Duration, r *request)
 	tick  func(now time.Duration)
 }
 
-// outcome is what callers got.
+// outcome is the result of a replay.
 type outcome struct {
-	onTime, late, refused float64 // shares
-	largeOnTime           float64 // of the largest tenth
+	onTime, late, refused float64 // shares of all requests
+	largeOnTime           float64 // share of the largest tenth that is on time
 }
 
-func (z size) replay(load []*request, p strategy) outcome {
-	var todo events
+func (z fleetSize) replay(load []*request, p strategy) outcome {
+	var pending events
 	engines := make([]*engine, z.engines)
 	var run func(e *engine)
 	run = func(e *engine) {
 		for _, r := range e.pass() {
-			heap.Push(&todo, event{e.now, func() { p.ended(r.last, r) }})
+			heap.Push(&pending, event{e.now, func() { p.ended(r.last, r) }})
 		}
-		heap.Push(&todo, event{e.now, func() {
+		heap.Push(&pending, event{e.now, func() {
 			if len(e.running)+len(e.queued) > 0 {
 				run(e)
 			} else {
@@ -163,8 +165,8 @@
 		engines[i] = &engine{now: -1}
 	}
 	for _, r := range load {
-		heap.Push(&todo, event{r.at, func() {
-			r.left = max(1, r.answer/figures().StepsPerPass)
+		heap.Push(&pending, event{r.at, func() {
+			r.passesLeft = max(1, r.outputTokens/profile().StepsPerPass)
 			at := p.place(r.at, r)
 			if at < 0 {
 				return
@@ -177,21 +179,21 @@
 			}
 		}})
 	}
-	for t := time.Duration(0); t < replayFor; t += z.hear {
-		heap.Push(&todo, event{t, func() { p.tick(t) }})
+	for t := time.Duration(0); t < replayDuration; t += z.reportInterval {
+		heap.Push(&pending, event{t, func() { p.tick(t) }})
 	}
-	for todo.Len() > 0 {
-		heap.Pop(&todo).(event).apply()
+	for pending.Len() > 0 {
+		heap.Pop(&pending).(event).apply()
 	}
-	return judge(load)
+	return evaluate(load)
 }
 
-func judge(load []*request) outcome {
+func evaluate(load []*request) outcome {
 	var o outcome
 	const large = 2200 // prompt tokens, about the largest tenth
 	var larges, largesOnTime float64
 	for _, r := range load {
-		onTime := r.first > 0 && r.first-r.at <= aim
+		onTime := r.first > 0 && r.first-r.at <= targetLatency
 		switch {
 		case r.first == 0:
 			o.refused++
@@ -200,7 +202,7 @@
 		default:
 			o.late++
 		}
-		if r.prompt > large {
+		if r.promptTokens > large {
 			larges++
 			if onTime {
 				largesOnTime++
@@ -211,36 +213,36 @@
 	return outcome{o.onTime / n, o.late / n, o.refused / n, largesOnTime / larges}
 }
 
-// byBoards places with one Board an entry.
-func (z size) byBoards(off policy.Disabled) strategy {
-	boards := make([]*placement.Balancer, z.entries)
+// byBalancer places requests with one Balancer per entry.
+func (z fleetSize) byBalancer(disabled policy.Disabled) strategy {
+	balancers := make([]*placement.Balancer, z.entries)
 	index := map[fleet.InstanceID]int{}
-	told := make([]uint64, z.entries)
-	for i := range boards {
-		boards[i] = placement.New(rand.New(rand.NewPCG(uint64(i), 9)), off)
-		boards[i].SetSelf(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), fleet.Place{Zone: "a", Region: "r"})
-		boards[i].SetServers(start, servers(z.engines))
+	reported := make([]uint64, z.entries)
+	for i := range balancers {
+		balancers[i] = placement.New(rand.New(rand.NewPCG(uint64(i), 9)), disabled)
+		balancers[i].SetSelf(fleet.InstanceID(fmt.Sprintf("entry-%d", i)), fleet.Place{Zone: "a", Region: "r"})
+		balancers[i].SetServers(start, servers(z.engines))
 	}
 	for i := range z.engines {
 		index[id(i)] = i
 	}
 	return strategy{
 		place: func(now time.Duration, r *request) int {
-			a := ask()
-			a.PromptTokens, a.OutputTokens = r.prompt, r.answer
-			t, _ := boards[r.entry].Choose(start.Add(now), a)
+			a := newRequest()
+			a.PromptTokens, a.OutputTokens = r.promptTokens, r.outputTokens
+			t, _ := balancers[r.entry].Choose(start.Add(now), a)
 			if t == nil {
 				return -1
 			}
-			r.ticket = t
+			r.assignment = t
 			return index[t.Server.ID]
 		},
-		ended: func(now time.Duration, r *request) { r.ticket.End(start.Add(now), placement.Succeeded) },
+		ended: func(now time.Duration, r *request) { r.assignment.End(start.Add(now), placement.Succeeded) },
 		tick: func(now time.Duration) {
-			for i, from := range boards {
+			for i, from := range balancers {
 				var changed []placement.Load
-				changed, told[i] = from.LoadsSince(told[i])
-				for j, b := range boards {
+				changed, reported[i] = from.LoadsSince(reported[i])
+				for j, b := range balancers {
 					if i != j {
 						b.UpdateEntryLoads(start.Add(now), fleet.InstanceID(fmt.Sprintf("entry-%d", i)), changed)
 					}
@@ -251,7 +253,7 @@
 }
 
 // byRoundRobin sends the requests of each entry to the engines in turn.
-func (z size) byRoundRobin() strategy {
+func (z fleetSize) byRoundRobin() strategy {
 	next := make([]int, z.entries)
 	return strategy{
 		place: func(_ time.Duration, r *request) int {
@@ -263,13 +265,14 @@
 	}
 }
 
-// byFixedCap sends to the engine with the fewest own requests, at most so many.
-func (z size) byFixedCap(most int) strategy {
+// byFixedCap sends each request to the engine with the fewest own requests, and
+// refuses it if that engine has reached the cap.
+func (z fleetSize) byFixedCap(limit int) strategy {
 	own := make([][]int, z.entries)
 	for i := range own {
 		own[i] = make([]int, z.engines)
 	}
-	where := map[*request]int{}
+	placedAt := map[*request]int{}
 	return strategy{
 		place: func(_ time.Duration, r *request) int {
 			best := 0
@@ -278,21 +281,21 @@
 					best = i
 				}
 			}
-			if own[r.entry][best] >= most {
+			if own[r.entry][best] >= limit {
 				return -1
 			}
 			own[r.entry][best]++
-			where[r] = best
+			placedAt[r] = best
 			return best
 		},
-		ended: func(_ time.Duration, r *request) { own[r.entry][where[r]]-- },
+		ended: func(_ time.Duration, r *request) { own[r.entry][placedAt[r]]-- },
 		tick:  func(time.Duration) {},
 	}
 }
 
 var _ = Describe("Replayed load", func() {
-	// Eight engines serve about 85 requests a second of this mix.
-	// slots / entries is 4: the cap that fits a fair share of the places.
+	// Eight engines serve about 85 requests per second of this mix. A cap of slots
+	// / entries = 4 gives each entry a fair share of the slots.
 	report := func(name string, o outcome) {
 		GinkgoWriter.Printf("%-12s on time %.3f late %.3f refused %.3f large on time %.3f\n",
 			name, o.onTime, o.late, o.refused, o.largeOnTime)
@@ -300,73 +303,75 @@
 
 	const even, uneven = 0.25, 0.6
 
-	It("is served on time below the engines' capacity", func() {
-		o := fleet8.replay(fleet8.trace(60, even), fleet8.byBoards(policy.Disabled{}))
-		report("boards", o)
+	It("is served on time below the capacity of the engines", func() {
+		o := fleet8.replay(fleet8.trace(60, even), fleet8.byBalancer(policy.Disabled{}))
+		report("balancers", o)
 		Expect(o.onTime).To(BeNumerically(">", 0.97))
 	})
 
-	// A burst beyond capacity lasts. Round robin queues everything, and soon all
-	// of it is late. A cap at the fair share of the places is the best that a cap
-	// can be here, where all entries get the same.
-	It("keeps its capacity on time under overload", func() {
+	// Guards against queues that grow under a lasting overload. Round robin queues
+	// every request, so that soon all are late. A cap at the fair share of the
+	// slots is the best possible fixed cap here, where all entries receive the same
+	// load.
+	It("is served on time up to capacity under overload", func() {
 		const overload = 120
-		boards := fleet8.replay(fleet8.trace(overload, even), fleet8.byBoards(policy.Disabled{}))
+		balancers := fleet8.replay(fleet8.trace(overload, even), fleet8.byBalancer(policy.Disabled{}))
 		robin := fleet8.replay(fleet8.trace(overload, even), fleet8.byRoundRobin())
 		capped := fleet8.replay(fleet8.trace(overload, even), fleet8.byFixedCap(4))
-		report("boards", boards)
+		report("balancers", balancers)
 		report("round robin", robin)
 		report("cap of 4", capped)
-		Expect(boards.late).To(BeNumerically("<", 0.1))
-		Expect(boards.onTime).To(BeNumerically(">", 5*robin.onTime))
-		Expect(boards.onTime).To(BeNumerically(">", 0.95*capped.onTime))
+		Expect(balancers.late).To(BeNumerically("<", 0.1))
+		Expect(balancers.onTime).To(BeNumerically(">", 5*robin.onTime))
+		Expect(balancers.onTime).To(BeNumerically(">", 0.95*capped.onTime))
 	})
 
-	// Callers choose entries at random, and one gets more than half of them. The
-	// cap that was right for even shares then refuses while places are free; a
-	// wider one fills the engines as round robin does.
-	It("uses all places when one entry gets most of the requests, which no cap does", func() {
+	// Callers choose entries at random, and one entry may receive more than half of
+	// the requests. The cap that fits even shares then refuses requests while slots
+	// are free, and a higher cap overfills the engines as round robin does.
+	It("uses all slots when one entry gets most of the requests, which no fixed cap does", func() {
 		const nearCapacity = 80
-		boards := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byBoards(policy.Disabled{}))
+		balancers := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byBalancer(policy.Disabled{}))
 		narrow := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byFixedCap(4))
 		wide := fleet8.replay(fleet8.trace(nearCapacity, uneven), fleet8.byFixedCap(12))
-		report("boards", boards)
+		report("balancers", balancers)
 		report("cap of 4", narrow)
 		report("cap of 12", wide)
-		Expect(boards.onTime).To(BeNumerically(">", narrow.onTime+0.1))
-		Expect(boards.onTime).To(BeNumerically(">", wide.onTime))
+		Expect(balancers.onTime).To(BeNumerically(">", narrow.onTime+0.1))
+		Expect(balancers.onTime).To(BeNumerically(">", wide.onTime))
 		Expect(fleet8.replay(fleet8.trace(120, even), fleet8.byFixedCap(12)).onTime).To(BeNumerically("<", 0.5))
 	})
 
-	// Ten entries before 30 engines, at 1.4 times what these can serve. Each place that
-	// falls free was taken by several entries, and calls waited behind one another.
-	It("fills each place that falls free once, where entries hear of it late", func() {
-		region := size{engines: 30, entries: 10, hear: 50 * ms}
+	// Ten entries use 30 engines at 1.4 times their capacity. Guards against freed
+	// slots that several entries take at once, so that calls queue behind one
+	// another.
+	It("fills each freed slot once when reports between entries are late", func() {
+		region := fleetSize{engines: 30, entries: 10, reportInterval: 50 * ms}
 		const overload, even = 450, 0.1
-		left := region.replay(region.trace(overload, even), region.byBoards(policy.Disabled{}))
-		found := region.replay(region.trace(overload, even), region.byBoards(policy.Disabled{LeaveFreed: true}))
-		report("left", left)
-		report("found", found)
-		Expect(left.late).To(BeNumerically("<", 0.1))
-		Expect(left.onTime).To(BeNumerically(">", found.onTime+0.15))
+		reserved := region.replay(region.trace(overload, even), region.byBalancer(policy.Disabled{}))
+		unreserved := region.replay(region.trace(overload, even), region.byBalancer(policy.Disabled{LeaveFreed: true}))
+		report("reserved", reserved)
+		report("unreserved", unreserved)
+		Expect(reserved.late).To(BeNumerically("<", 0.1))
+		Expect(reserved.onTime).To(BeNumerically(">", unreserved.onTime+0.15))
 	})
 
 	It("does not starve the largest requests under overload", func() {
-		o := fleet8.replay(fleet8.trace(120, even), fleet8.byBoards(policy.Disabled{}))
-		report("boards", o)
+		o := fleet8.replay(fleet8.trace(120, even), fleet8.byBalancer(policy.Disabled{}))
+		report("balancers", o)
 		Expect(o.largeOnTime).To(BeNumerically(">", o.onTime/2))
 	})
 
-	// 24 entries before 24 engines that are nearly full. They hear of each other's
-	// choices every 150 ms; until then each free place is found by all of them, and
-	// what is placed there too many waits for longer than was predicted.
-	It("uses engines well that few entries prefer, where many hear each other late", func() {
-		many := size{engines: 24, entries: 24, hear: 150 * ms}
+	// 24 entries use 24 engines that are nearly full, and receive each other's
+	// reports every 150 ms. Guards against all entries taking the same free slot in
+	// between, so that the surplus requests wait longer than predicted.
+	It("is served better with preferred engines when many entries receive reports late", func() {
+		many := fleetSize{engines: 24, entries: 24, reportInterval: 150 * ms}
 		const nearCapacity, even = 210, 1.0 / 24
-		own := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Disabled{}))
-		all := many.replay(many.trace(nearCapacity, even), many.byBoards(policy.Disabled{OwnEngines: true}))
-		report("own", own)
+		preferred := many.replay(many.trace(nearCapacity, even), many.byBalancer(policy.Disabled{}))
+		all := many.replay(many.trace(nearCapacity, even), many.byBalancer(policy.Disabled{OwnEngines: true}))
+		report("preferred", preferred)
 		report("all", all)
-		Expect(own.onTime).To(BeNumerically(">", all.onTime+0.02))
+		Expect(preferred.onTime).To(BeNumerically(">", all.onTime+0.02))
 	})
 })
--- a/core/placement/suspect_test.go
+++ b/core/placement/suspect_test.go
@@ -7,19 +7,20 @@
 	"chivespindle.example/core/placement"
 )
 
-var _ = Describe("Requests of a server that crashed", func() {
+var _ = Describe("Requests that were in flight at a server that crashed", func() {
 	suspect := func() placement.Request {
-		a := ask()
+		a := newRequest()
 		a.Suspect = true
 		return a
 	}
 
-	// Guards against a request that crashes servers and takes those again that were lost with it before.
-	DescribeTable("are placed apart", func(next placement.Request) {
+	// Guards against a request that crashes one server after another, each time
+	// together with the requests that it crashed before.
+	DescribeTable("are isolated", func(next placement.Request) {
 		const engines, busy = 4, 2
-		b := board(engines)
+		b := newBalancer(engines)
 		for range (engines - 1) * busy {
-			occupied := ask()
+			occupied := newRequest()
 			occupied.Exclude = append(occupied.Exclude, id(0))
 			t, _ := b.Choose(start, occupied)
 			Expect(t).NotTo(BeNil())
@@ -30,24 +31,24 @@
 		Expect(second.Server.ID).NotTo(Equal(id(0)))
 	},
 		Entry("from each other", suspect()),
-		Entry("from others", ask()),
+		Entry("from other requests", newRequest()),
 	)
 
-	It("free their server for others when they end", func() {
+	It("no longer keep other requests away when they end", func() {
 		const engines = 2
-		b := board(engines)
-		occupied := ask()
+		b := newBalancer(engines)
+		occupied := newRequest()
 		occupied.Exclude = append(occupied.Exclude, id(0))
 		_, _ = b.Choose(start, occupied)
 		t, _ := b.Choose(start, suspect())
 		Expect(t.Server.ID).To(Equal(id(0)))
 		t.End(start, placement.Abandoned)
-		next, _ := b.Choose(start, ask())
+		next, _ := b.Choose(start, newRequest())
 		Expect(next.Server.ID).To(Equal(id(0)))
 	})
 
-	It("are placed together where there is no other server", func() {
-		b := board(1)
+	It("share a server when there is no other", func() {
+		b := newBalancer(1)
 		for range 2 {
 			t, _ := b.Choose(start, suspect())
 			Expect(t).NotTo(BeNil())
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,12 +1,13 @@
-// Package policy names the mechanisms that decide how calls are served, each of
-// which can be switched off, so that what it is worth can be measured under the
-// load and the faults of a fleet. What keeps a promise to callers, and not only
-// serves them better, has no switch.
+// Package policy lists the mechanisms that decide how calls are served. Each can be
+// disabled, so that its benefit can be measured under the load and the faults of a
+// fleet. Mechanisms that uphold a guarantee to callers, rather than just serve them
+// better, cannot be disabled.
 package policy
 
 import "slices"
 
-// Disabled tells what is switched off. With the zero value everything is on.
+// Disabled is the set of disabled mechanisms. In the zero value, all mechanisms are
+// enabled. The names of the fields follow the keys in settings.
 type Disabled struct {
 	Prediction   bool
 	HearLoads    bool
@@ -37,34 +38,33 @@
 	FewWatchers  bool
 }
 
-// Mechanism is one thing that can be switched off.
+// Mechanism is a mechanism that can be disabled.
 type Mechanism struct {
-	// Name is the key in settings and tables.
+	// Name is the key in settings and in tables of results.
 	Name string
-	// Doc says what the mechanism does and what happens without it.
+	// Doc describes the mechanism and what happens without it.
 	Doc   string
 	field func(*Disabled) *bool
 }
 
-// Mechanisms returns all mechanisms in the order of the tables.
+// Mechanisms returns all mechanisms in the order used in tables.
 func Mechanisms() []Mechanism { return slices.Clone(mechanisms) }
 
-// Set switches a mechanism on or off and reports whether there is one of the
-// name.
-func (o *Disabled) Set(name string, off bool) bool {
+// Set disables or enables the named mechanism and reports whether it exists.
+func (d *Disabled) Set(name string, off bool) bool {
 	at := slices.IndexFunc(mechanisms, func(m Mechanism) bool { return m.Name == name })
 	if at < 0 {
 		return false
 	}
-	*mechanisms[at].field(o) = off
+	*mechanisms[at].field(d) = off
 	return true
 }
 
-// Names returns the names of what is switched off.
-func (o *Disabled) Names() []string {
+// Names returns the names of the disabled mechanisms.
+func (d *Disabled) Names() []string {
 	var names []string
 	for _, m := range mechanisms {
-		if *m.field(o) {
+		if *m.field(d) {
 			names = append(names, m.Name)
 		}
 	}
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -11,7 +11,7 @@
 	var off policy.Disabled
 	for _, m := range policy.Mechanisms() {
 		if !off.Set(m.Name, true) {
-			t.Errorf("%s cannot be switched off", m.Name)
+			t.Errorf("%s cannot be disabled", m.Name)
 		}
 	}
 	all := reflect.ValueOf(off)
@@ -24,6 +24,6 @@
 		t.Errorf("%d names for %d fields", len(off.Names()), all.NumField())
 	}
 	if off.Set("no_such", true) {
-		t.Error("an unknown name was taken")
+		t.Error("an unknown name was accepted")
 	}
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,10 +1,10 @@
 // Package retry decides whether a failed attempt of a request is retried.
 //
-// Retries are paid from a budget that requests fill, so that an outage does
-// not multiply the load on what is left.
+// Retries are paid from a budget that grows with the number of requests, so that an
+// outage does not multiply the load on the remaining servers.
 //
-// Safe for concurrent use: every method of Budget, and of Policy if its Rand
-// is; a *rand.Rand is not.
+// All methods of Budget are safe for concurrent use, and those of Policy if its
+// Rand is; a *rand.Rand is not.
 package retry
 
 import (
@@ -16,14 +16,14 @@
 	"chivespindle.example/core/failure"
 )
 
-// Rand is the source of chance. A *rand.Rand of math/rand/v2 fits.
+// Rand is the source of randomness. A *rand.Rand of math/rand/v2 implements it.
 type Rand interface {
 	// Float64 returns a number in [0, 1).
 	Float64() float64
 }
 
-// Budget is a token bucket. Every request puts in a part of a token, time a
-// few more, and every retry takes one out.
+// Budget is a token bucket. Every request adds a fraction of a token, tokens also
+// accrue with time, and every retry takes one.
 type Budget struct {
 	ratio     float64
 	perSecond float64
@@ -34,14 +34,15 @@
 	last   time.Time
 }
 
-// BudgetOptions make a Budget. Zero fields take the default.
+// BudgetOptions configures a Budget. Zero fields take the default.
 type BudgetOptions struct {
-	// Ratio is the number of retries that each request pays for; 0.1.
+	// Ratio is the number of retries that each request pays for; default 0.1.
 	Ratio float64
-	// PerSecond is the number of retries a second that are free, for callers
-	// of little traffic; 1.
+	// PerSecond is the number of tokens that accrue per second, for callers with
+	// little traffic; default 1.
 	PerSecond float64
-	// Burst is the most tokens kept, and those at the start; 20.
+	// Burst is the capacity of the bucket and its initial number of tokens; default
+	// 20.
 	Burst float64
 }
 
@@ -62,7 +63,7 @@
 	return b
 }
 
-// Deposit counts one new request; not a retry.
+// Deposit counts one new request, but not a retry.
 func (b *Budget) Deposit(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +71,7 @@
 	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
-// Withdraw pays for one retry and reports whether there was enough.
+// Withdraw pays for one retry and reports whether the budget sufficed.
 func (b *Budget) Withdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +91,8 @@
 	return b.tokens
 }
 
-// refill adds what time brought. A time that goes back brings nothing.
+// refill adds the tokens accrued since the last call. A clock that is set back adds
+// none.
 func (b *Budget) refill(now time.Time) {
 	passed := now.Sub(b.last)
 	if passed <= 0 {
@@ -102,14 +104,14 @@
 
 // Attempt is a failed attempt of a request.
 type Attempt struct {
-	// Outcome is that of the failure; see failure.OutcomeOf.
+	// Outcome is the outcome of the failure; see failure.OutcomeOf.
 	Outcome    failure.Outcome
 	Idempotent bool
 	// Delivered is true once any part of a response was sent to the client.
 	Delivered bool
-	// Number counts the attempts made, this one included; 1 for the first.
+	// Number is the number of attempts made, including this one; 1 for the first.
 	Number   int
-	Deadline time.Time // of the request; zero: none
+	Deadline time.Time // of the request; zero if it has none
 }
 
 // Reason is why an attempt is or is not retried.
@@ -118,53 +120,56 @@
 const (
 	// Granted: the attempt is retried.
 	Granted Reason = "granted"
-	// Delivered: the client has a part of the response, which that of another
-	// attempt would not continue.
+	// Delivered: the client has received a part of the response, which the response
+	// to another attempt would not continue.
 	Delivered Reason = "delivered"
 	// AlreadyRan: the request ran.
 	AlreadyRan Reason = "ran"
 	// MayHaveRun: the request may have run and must not run twice.
 	MayHaveRun Reason = "may_have_run"
-	// AttemptsExhausted: the attempts are used up.
+	// AttemptsExhausted: the maximum number of attempts was made.
 	AttemptsExhausted Reason = "attempts"
-	// DeadlineTooClose: the deadline leaves no time for another.
+	// DeadlineTooClose: the time before the deadline is too short for another
+	// attempt.
 	DeadlineTooClose Reason = "deadline"
 	// BudgetExhausted: the budget is empty.
 	BudgetExhausted Reason = "budget"
 )
 
-// Decision is the answer of MayRetry.
+// Decision is the result of MayRetry.
 type Decision struct {
 	Retry  bool
 	Pause  time.Duration // before the next attempt
 	Reason Reason
 }
 
-// Options make a Policy. Zero fields take the default.
+// Options configures a Policy. Zero fields take the default.
 type Options struct {
 	// Budget pays for retries; required.
 	Budget *Budget
 	// Rand is required.
 	Rand Rand
-	// MaxAttempts counts the first one too; 3.
+	// MaxAttempts is the maximum number of attempts, including the first; default
+	// 3.
 	MaxAttempts int
-	// BackoffBase and BackoffMax bound the pause before a retry, drawn from 0
-	// to BackoffBase doubled for each retry before; 20 ms and 500 ms.
+	// BackoffBase and BackoffMax bound the pause before a retry, which is drawn
+	// from 0 to a bound of BackoffBase, doubled for each earlier retry, but at most
+	// BackoffMax; default 20 ms and 500 ms.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// MinTimeLeft is the least time before the deadline that makes an attempt
-	// worth it; 50 ms.
+	// MinTimeLeft is the minimum time before the deadline for another attempt; default
+	// 50 ms.
 	MinTimeLeft time.Duration
 }
 
-// Policy decides on retries.
+// Policy decides whether failed attempts are retried.
 type Policy struct {
 	budget      *Budget
 	rnd         Rand
 	maxAttempts int
 	backoffBase time.Duration
 	backoffMax  time.Duration
-	minTime     time.Duration
+	minTimeLeft time.Duration
 }
 
 // New returns a Policy.
@@ -173,7 +178,7 @@
 		defaultMaxAttempts = 3
 		defaultBackoffBase = 20 * time.Millisecond
 		defaultBackoffMax  = 500 * time.Millisecond
-		defaultMinTime     = 50 * time.Millisecond
+		defaultMinTimeLeft = 50 * time.Millisecond
 	)
 	return &Policy{
 		budget:      o.Budget,
@@ -181,11 +186,11 @@
 		maxAttempts: defaults.Or(o.MaxAttempts, defaultMaxAttempts),
 		backoffBase: defaults.Or(o.BackoffBase, defaultBackoffBase),
 		backoffMax:  defaults.Or(o.BackoffMax, defaultBackoffMax),
-		minTime:     defaults.Or(o.MinTimeLeft, defaultMinTime),
+		minTimeLeft: defaults.Or(o.MinTimeLeft, defaultMinTimeLeft),
 	}
 }
 
-// MayRetry decides on a failed attempt and takes a token if it grants one.
+// MayRetry decides on a failed attempt and takes a token if it grants a retry.
 func (p *Policy) MayRetry(now time.Time, a Attempt) Decision {
 	if reason := forbidden(a); reason != "" {
 		return Decision{Reason: reason}
@@ -194,7 +199,7 @@
 		return Decision{Reason: AttemptsExhausted}
 	}
 	pause := p.Backoff(a.Number)
-	if !a.Deadline.IsZero() && now.Add(pause+p.minTime).After(a.Deadline) {
+	if !a.Deadline.IsZero() && now.Add(pause+p.minTimeLeft).After(a.Deadline) {
 		return Decision{Reason: DeadlineTooClose}
 	}
 	if !p.budget.Withdraw(now) {
@@ -203,7 +208,7 @@
 	return Decision{Retry: true, Pause: pause, Reason: Granted}
 }
 
-// forbidden returns why the attempt must never be repeated, "" if it may be.
+// forbidden returns why the attempt must not be retried, or "" if it may be.
 func forbidden(a Attempt) Reason {
 	switch {
 	case a.Delivered:
@@ -219,9 +224,9 @@
 	}
 }
 
-// Backoff returns a pause drawn evenly from 0 to the bound after attempt
-// number (full jitter), so that requests which failed together do not come
-// back together.
+// Backoff returns the pause after the given attempt, drawn uniformly from 0 to the
+// bound (full jitter), so that requests that failed together are not retried
+// together.
 func (p *Policy) Backoff(number int) time.Duration {
 	bound := float64(p.backoffBase) * math.Pow(2, float64(max(0, number-1)))
 	bound = min(bound, float64(p.backoffMax))
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -22,10 +22,10 @@
 }
 
 var _ = Describe("MayRetry", func() {
-	// A technician orders a mast chain. An attempt fails; sending it again
-	// after it may have run would order a second one, and after a part of an
-	// answer was shown would show the begin of another answer.
-	DescribeTable("by what is known of the attempt",
+	// Guards against retries that repeat an effect or corrupt a response: a retry
+	// of a request that has run could order a part twice, and a retry after a part
+	// of the response was delivered would append the beginning of another response.
+	DescribeTable("by the outcome of the attempt",
 		func(outcome failure.Outcome, idempotent, delivered bool, want retry.Reason) {
 			d := newPolicy(retry.NewBudget(start, retry.BudgetOptions{})).MayRetry(start, retry.Attempt{
 				Outcome: outcome, Idempotent: idempotent, Delivered: delivered, Number: 1,
@@ -44,7 +44,7 @@
 		Entry("ran, part delivered", failure.Ran, false, true, retry.Delivered),
 	)
 
-	DescribeTable("by attempts and time",
+	DescribeTable("by the number of attempts and the time left",
 		func(number int, left time.Duration, want retry.Reason) {
 			attempt := retry.Attempt{Outcome: failure.NotRun, Number: number}
 			if left != 0 {
@@ -70,10 +70,10 @@
 		Expect(budget.Tokens(start)).To(BeNumerically("==", 20))
 	})
 
-	// Every server fails for a minute. Without a budget each request would be
-	// sent three times, and the servers that come back meet three times the
-	// load, fail again, and callers see an outage that does not end.
-	It("keeps the load of an outage near that of the requests", func() {
+	// Every server fails for a minute. Without a budget, each request would be sent
+	// three times, so that returning servers meet three times the normal load and
+	// fail again, and the outage never ends.
+	It("limits the number of attempts during an outage", func() {
 		const perSecond, seconds = 100, 60
 		budget := retry.NewBudget(start, retry.BudgetOptions{})
 		p := newPolicy(budget)
@@ -94,8 +94,8 @@
 		Expect(sent).To(BeNumerically(">=", requests*105/100))
 	})
 
-	// The requests that failed together would come back together.
-	It("draws pauses from the whole range, which doubles", func() {
+	// Guards against requests that failed together being retried together.
+	It("draws pauses from the whole range, which doubles with each attempt", func() {
 		p := newPolicy(retry.NewBudget(start, retry.BudgetOptions{}))
 		for number, bound := range map[int]time.Duration{1: 20, 2: 40, 3: 80, 6: 500, 60: 500} {
 			low, high := time.Hour, time.Duration(0)
@@ -111,7 +111,7 @@
 })
 
 var _ = Describe("Budget", func() {
-	It("gives a caller of little traffic a retry a second", func() {
+	It("allows a caller with little traffic one retry per second", func() {
 		budget := retry.NewBudget(start, retry.BudgetOptions{Burst: 2})
 		Expect(budget.Withdraw(start)).To(BeTrue())
 		Expect(budget.Withdraw(start)).To(BeTrue())
@@ -120,15 +120,16 @@
 		Expect(budget.Withdraw(start.Add(time.Second))).To(BeFalse())
 	})
 
-	// A clock set back and on again would fill the bucket from nothing.
-	It("gains nothing from a clock that goes back", func() {
+	// Guards against a clock that is set back and forward again, which could fill
+	// the bucket for free.
+	It("accrues nothing when the clock is set back", func() {
 		budget := retry.NewBudget(start, retry.BudgetOptions{Burst: 1})
 		Expect(budget.Withdraw(start)).To(BeTrue())
 		Expect(budget.Withdraw(start.Add(-time.Hour))).To(BeFalse())
 		Expect(budget.Withdraw(start)).To(BeFalse())
 	})
 
-	It("pays each token once over goroutines", func() {
+	It("spends each token once with concurrent callers", func() {
 		budget := retry.NewBudget(start, retry.BudgetOptions{Burst: 50})
 		var paid atomic.Int64
 		var workers sync.WaitGroup
@@ -146,8 +147,8 @@
 	})
 })
 
-// Over any run of requests and failures, retries never exceed what the
-// requests, the time and the first burst paid for.
+// For any sequence of requests and failures, retries never exceed what the
+// requests, the elapsed time and the initial burst pay for.
 func TestBudgetBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := retry.BudgetOptions{
@@ -171,7 +172,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		paid := o.Burst + o.Ratio*requests + o.PerSecond*now.Sub(start).Seconds()
-		NewWithT(t).Expect(retries).To(BeNumerically("<=", paid+1e-6))
+		allowance := o.Burst + o.Ratio*requests + o.PerSecond*now.Sub(start).Seconds()
+		NewWithT(t).Expect(retries).To(BeNumerically("<=", allowance+1e-6))
 	})
 }
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// windowBuckets is how finely a Window forgets: in tenths of its span.
+// windowBuckets is the number of buckets into which the span of a Window is
+// divided.
 const windowBuckets = 10
 
-// Window bounds repeats to a share of the requests of a sliding span and a
-// fixed part. A Budget fills with time and may pay for a burst that a window
-// over all entries does not allow; a Window never does.
+// Window limits retries to a share of the requests of a sliding time span, plus a
+// fixed allowance. A Budget accrues tokens with time and may pay for a burst that
+// exceeds a limit over all entries in some span; a Window never does.
 type Window struct {
-	ratio float64
-	every time.Duration
+	ratio      float64
+	bucketSpan time.Duration
 
 	mu       sync.Mutex
 	slack    float64
 	start    time.Time
 	requests [windowBuckets]float64
-	repeats  [windowBuckets]float64
-	at       int
+	retries  [windowBuckets]float64
+	current  int
 }
 
-// NewWindow returns an empty window. ratio is the number of repeats that each
-// request allows, slack what is allowed besides in every span.
+// NewWindow returns an empty window. ratio is the number of retries that each
+// request allows, slack the number allowed in every span in addition.
 func NewWindow(now time.Time, span time.Duration, ratio, slack float64) *Window {
-	return &Window{ratio: ratio, slack: slack, every: span / windowBuckets, start: now}
+	return &Window{ratio: ratio, slack: slack, bucketSpan: span / windowBuckets, start: now}
 }
 
-// SetSlack changes the fixed part, which the entries share out among those
-// that live.
+// SetSlack sets the fixed allowance, which is divided among the live entries.
 func (w *Window) SetSlack(slack float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -41,34 +41,33 @@
 func (w *Window) RecordRequest(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn(now)
-	w.requests[w.at]++
+	w.advance(now)
+	w.requests[w.current]++
 }
 
-// TryRetry counts one repeat and reports whether it is allowed; one that is not
-// allowed does not count.
+// TryRetry reports whether a retry is allowed, and counts it if so.
 func (w *Window) TryRetry(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn(now)
-	if sum(w.repeats)+1 > w.ratio*sum(w.requests)+w.slack {
+	w.advance(now)
+	if sum(w.retries)+1 > w.ratio*sum(w.requests)+w.slack {
 		return false
 	}
-	w.repeats[w.at]++
+	w.retries[w.current]++
 	return true
 }
 
-// turn empties the buckets that the span has left behind.
-func (w *Window) turn(now time.Time) {
-	passed := int(now.Sub(w.start) / w.every)
+// advance clears the buckets that are older than the span.
+func (w *Window) advance(now time.Time) {
+	passed := int(now.Sub(w.start) / w.bucketSpan)
 	if passed <= 0 {
 		return
 	}
-	w.start = w.start.Add(time.Duration(passed) * w.every)
+	w.start = w.start.Add(time.Duration(passed) * w.bucketSpan)
 	for range min(passed, windowBuckets) {
-		w.at = (w.at + 1) % windowBuckets
-		w.requests[w.at] = 0
-		w.repeats[w.at] = 0
+		w.current = (w.current + 1) % windowBuckets
+		w.requests[w.current] = 0
+		w.retries[w.current] = 0
 	}
 }
 
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -12,12 +12,12 @@
 var _ = Describe("Window", func() {
 	const span = 10 * time.Second
 
-	It("allows the fixed part without any request", func() {
+	It("allows the fixed allowance without any request", func() {
 		w := retry.NewWindow(start, span, 0.2, 3)
 		Expect(allowed(w, start, 10)).To(Equal(3))
 	})
 
-	It("allows a share of the requests of the span besides", func() {
+	It("allows a share of the requests in the span", func() {
 		w := retry.NewWindow(start, span, 0.2, 0)
 		for range 50 {
 			w.RecordRequest(start)
@@ -25,9 +25,10 @@
 		Expect(allowed(w, start, 100)).To(Equal(10))
 	})
 
-	// All servers of a service fail for a minute. Whatever span is looked at, the
-	// repeats that arrive are no more than the share of the requests in it.
-	It("keeps the bound in every sliding span of an outage", func() {
+	// All servers of a service fail for a minute. Within any sliding span, the
+	// number of retries sent must not exceed the share of its requests plus the
+	// allowance.
+	It("keeps the limit in every sliding span of an outage", func() {
 		w := retry.NewWindow(start, span, 0.2, 5)
 		var repeats []time.Time
 		for tick := range 6000 {
@@ -50,22 +51,22 @@
 		Expect(len(repeats)).To(BeNumerically(">", 1000))
 	})
 
-	It("forgets what the span has left behind", func() {
+	It("drops requests and retries older than the span", func() {
 		w := retry.NewWindow(start, span, 0, 2)
 		Expect(allowed(w, start, 5)).To(Equal(2))
 		Expect(allowed(w, start.Add(span+span/10), 5)).To(Equal(2))
 	})
 
-	It("takes a smaller fixed part when more entries share it", func() {
+	It("applies a reduced fixed allowance", func() {
 		w := retry.NewWindow(start, span, 0, 10)
 		w.SetSlack(1)
 		Expect(allowed(w, start, 5)).To(Equal(1))
 	})
 })
 
-func allowed(w *retry.Window, now time.Time, tries int) int {
+func allowed(w *retry.Window, now time.Time, attempts int) int {
 	n := 0
-	for range tries {
+	for range attempts {
 		if w.TryRetry(now) {
 			n++
 		}
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,9 +1,9 @@
-// Package routing holds the operator's configuration of live requests as the
-// entries use it: which service a request goes to, what may be repeated, and
-// which workspace a key belongs to.
+// Package routing holds the operator's configuration for the serving of requests:
+// which service a request goes to, what may be retried, and which workspace a key
+// belongs to.
 //
-// A Table is built whole from one Config and is never changed, so that a
-// request sees one version of the configuration from its begin to its end.
+// A Table is built completely from one Config and never changes, so that a request
+// sees a single version of the configuration from start to end.
 package routing
 
 import (
@@ -14,21 +14,21 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Kind says what may be repeated of a request.
+// Kind is the kind of a request, which decides whether it may be retried.
 type Kind uint8
 
 const (
-	// Unsafe requests run at most once. It is the zero value, so that a kind
-	// that nobody knows is never repeated.
+	// Unsafe requests run at most once. It is the zero value, so that requests of
+	// an unknown kind are never retried.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Stream is answered by a series of events. It counts as unsafe unless the
-	// route says that it can be resumed.
+	// Stream requests are answered by a series of events. They count as unsafe
+	// unless the route allows them to be resumed.
 	Stream
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -40,14 +40,14 @@
 	}
 }
 
-// Target is one of the services that a route sends its requests to.
+// Target is one of the services among which a route distributes its requests.
 type Target struct {
 	Service fleet.ServiceName
-	// Weight is the share of the requests, relative to the other targets.
+	// Weight is the share of the requests relative to the other targets.
 	Weight float64
 }
 
-// Route sends the requests of a host and a path prefix to services.
+// Route sends the requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
@@ -57,51 +57,52 @@
 	Targets []Target
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// TargetLatency is the time to the whole answer, of a stream to the first event, that
-	// is still on time.
+	// TargetLatency is the longest time to the complete response, or to the first
+	// event of a stream, that still counts as on time.
 	TargetLatency time.Duration
-	// TargetPause is the longest pause between two events that is still on time.
+	// TargetPause is the longest pause between two events that still counts as on
+	// time.
 	TargetPause time.Duration
-	// MaxAttempts is the number of servers that one request may be sent to.
+	// MaxAttempts is the maximum number of servers that a request is sent to.
 	MaxAttempts int
-	// Priority is the rank, 0 the highest.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
 	// Resumable streams may be continued by another server after an event.
 	Resumable bool
 }
 
-// Idempotent reports whether a request may be sent again once a server may
-// have run it.
+// Idempotent reports whether a request may be sent again after a server may have
+// run it.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.MayResume() }
 
-// MayResume reports whether another server may resume an answer that has started.
+// MayResume reports whether another server may continue a response that has started.
 func (r *Route) MayResume() bool { return r.Kind == Stream && r.Resumable }
 
-// Origin is where whole copies of weights come from.
+// Origin is the server that holds complete copies of the weights.
 type Origin struct {
 	Addr netip.AddrPort
 	Zone fleet.Zone
-	// BytesPerSecond is what its link carries.
+	// BytesPerSecond is the bandwidth of its link.
 	BytesPerSecond int64
 }
 
-// Service is a set of servers that answer alike.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name fleet.ServiceName
-	// MaxConnections is what each server accepts from all callers together.
+	// MaxConnections is the number of connections that each server accepts from all
+	// callers together.
 	MaxConnections int
-	// Engine holds the published figures of a model engine; nil for a plain
-	// service.
+	// Engine is the published profile of a model engine; nil for a plain service.
 	Engine *enginemodel.Profile
 	// Model is the model that the engines serve; empty for a plain service.
 	Model string
-	// Origin is set for the service that hands out weights.
+	// Origin is set for the service that distributes weights.
 	Origin *Origin
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size and the timing of callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -109,17 +110,17 @@
 	IdleTimeout   time.Duration
 }
 
-// Workspace is a customer with the keys that name it.
+// Workspace is a customer and the keys that identify it.
 type Workspace struct {
 	Name fleet.Workspace
 	Keys []string
-	// Priority takes precedence over that of the route.
+	// Priority overrides the priority of the route.
 	Priority int
 }
 
 // Config is one version of the operator's configuration.
 type Config struct {
-	// Version is the operator's own number; it rises.
+	// Version is assigned by the operator and increases.
 	Version    int64
 	Routes     []Route
 	Services   []Service
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -10,25 +10,25 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Table answers for one Config. It is safe for concurrent use.
+// Table provides lookups in one Config. It is safe for concurrent use.
 type Table struct {
-	config   Config
-	hosts    map[string][]*Route // longest prefix first
-	services map[fleet.ServiceName]*Service
-	keys     map[string]*Workspace
-	aims     map[fleet.ServiceName]time.Duration
+	config          Config
+	hosts           map[string][]*Route // longest prefix first
+	services        map[fleet.ServiceName]*Service
+	keys            map[string]*Workspace
+	targetLatencies map[fleet.ServiceName]time.Duration
 }
 
-// NewTable checks a configuration and builds its table. A configuration that
-// breaks a rule is refused whole with failure.Invalid, so that the one in
-// force stays.
+// NewTable validates a configuration and builds its table. An invalid configuration
+// is rejected as a whole with failure.Invalid, so that the current one stays in
+// force.
 func NewTable(c Config) (*Table, error) {
 	t := &Table{
-		config:   c,
-		hosts:    make(map[string][]*Route),
-		services: make(map[fleet.ServiceName]*Service, len(c.Services)),
-		keys:     make(map[string]*Workspace),
-		aims:     make(map[fleet.ServiceName]time.Duration),
+		config:          c,
+		hosts:           make(map[string][]*Route),
+		services:        make(map[fleet.ServiceName]*Service, len(c.Services)),
+		keys:            make(map[string]*Workspace),
+		targetLatencies: make(map[fleet.ServiceName]time.Duration),
 	}
 	for i := range c.Services {
 		t.services[c.Services[i].Name] = &t.config.Services[i]
@@ -55,14 +55,14 @@
 		return failure.Invalid.New("route %q: prefix %q must begin and end with a slash", r.Name, r.Prefix)
 	}
 	if len(r.Targets) == 0 {
-		return failure.Invalid.New("route %q: names no service", r.Name)
+		return failure.Invalid.New("route %q: has no target service", r.Name)
 	}
 	for _, target := range r.Targets {
 		if t.services[target.Service] == nil {
-			return failure.Invalid.New("route %q: names the unknown service %q", r.Name, target.Service)
+			return failure.Invalid.New("route %q: unknown service %q", r.Name, target.Service)
 		}
-		if known, ok := t.aims[target.Service]; r.TargetLatency > 0 && (!ok || r.TargetLatency < known) {
-			t.aims[target.Service] = r.TargetLatency
+		if known, ok := t.targetLatencies[target.Service]; r.TargetLatency > 0 && (!ok || r.TargetLatency < known) {
+			t.targetLatencies[target.Service] = r.TargetLatency
 		}
 	}
 	host := strings.ToLower(r.Host)
@@ -70,25 +70,27 @@
 	return nil
 }
 
-// Version returns the operator's number of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Services returns all services, in the operator's order. The caller only
-// reads them.
+// Services returns all services in the operator's order. The caller must not modify
+// them.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// Service returns the named service, nil if there is none.
+// Service returns the named service, or nil if there is none.
 func (t *Table) Service(name fleet.ServiceName) *Service { return t.services[name] }
 
-// ShortestTargetLatency returns the shortest aim of the routes to a service; 0 if none
-// has one.
-func (t *Table) ShortestTargetLatency(name fleet.ServiceName) time.Duration { return t.aims[name] }
+// ShortestTargetLatency returns the shortest target latency of the routes to a
+// service; 0 if none has one.
+func (t *Table) ShortestTargetLatency(name fleet.ServiceName) time.Duration {
+	return t.targetLatencies[name]
+}
 
-// Match returns the route of a request: of those of its host the one with the
-// longest prefix that begins the path. host may carry a port.
+// Match returns the route of a request: among the routes of its host, the one with
+// the longest prefix of the path. host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range t.hosts[strings.ToLower(name)] {
@@ -99,14 +101,15 @@
 	return nil
 }
 
-// Workspace returns who holds a key, nil if nobody does.
+// Workspace returns the workspace that a key belongs to, or nil if the key is
+// unknown.
 func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
 
 // NeedsKey reports whether requests on the route must carry a key.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.config.Workspaces) > 0 && !r.Public }
 
-// Target returns the service for a request on the route. draw is a random
-// number in [0, 1).
+// Target selects the service for a request on the route. draw is a random number in
+// [0, 1).
 func (r *Route) Target(draw float64) fleet.ServiceName {
 	var sum float64
 	for _, target := range r.Targets {
--- a/core/routing/table_test.go
+++ b/core/routing/table_test.go
@@ -12,21 +12,21 @@
 	"github.com/joomcode/errorx"
 )
 
-func to(services ...fleet.ServiceName) []routing.Target {
-	var targets []routing.Target
+func targets(services ...fleet.ServiceName) []routing.Target {
+	var list []routing.Target
 	for _, s := range services {
-		targets = append(targets, routing.Target{Service: s, Weight: 1})
+		list = append(list, routing.Target{Service: s, Weight: 1})
 	}
-	return targets
+	return list
 }
 
 func config() routing.Config {
 	return routing.Config{
 		Version: 7,
 		Routes: []routing.Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Targets: to("plain"), TargetLatency: time.Second},
-			{Name: "short", Host: "a.example", Prefix: "/x/", Targets: to("engine"), TargetLatency: 400 * time.Millisecond},
-			{Name: "long", Host: "a.example", Prefix: "/x/y/", Targets: to("engine"), TargetLatency: 500 * time.Millisecond, Public: true},
+			{Name: "all", Host: "a.example", Prefix: "/", Targets: targets("plain"), TargetLatency: time.Second},
+			{Name: "short", Host: "a.example", Prefix: "/x/", Targets: targets("engine"), TargetLatency: 400 * time.Millisecond},
+			{Name: "long", Host: "a.example", Prefix: "/x/y/", Targets: targets("engine"), TargetLatency: 500 * time.Millisecond, Public: true},
 			{Name: "split", Host: "b.example", Prefix: "/", Targets: []routing.Target{{Service: "plain", Weight: 3}, {Service: "engine", Weight: 1}}},
 		},
 		Services:   []routing.Service{{Name: "plain"}, {Name: "engine"}},
@@ -51,8 +51,8 @@
 			Expect(r).NotTo(BeNil())
 			Expect(r.Name).To(Equal(want))
 		},
-		Entry("the longest", "a.example", "/x/y/z", "long"),
-		Entry("a shorter one", "a.example", "/x/z", "short"),
+		Entry("the longest prefix", "a.example", "/x/y/z", "long"),
+		Entry("a shorter prefix", "a.example", "/x/z", "short"),
 		Entry("no slash after the prefix", "a.example", "/x", "all"),
 		Entry("the prefix itself", "a.example", "/x/y/", "long"),
 		Entry("a port", "a.example:8080", "/x/1", "short"),
@@ -61,7 +61,7 @@
 		Entry("no host", "", "/x/1", ""),
 	)
 
-	It("knows the workspace of each key, and what needs one", func() {
+	It("looks up the workspace of each key and whether a route needs one", func() {
 		t := table(config())
 		Expect(t.Workspace("k2").Name).To(Equal(fleet.Workspace("dock")))
 		Expect(t.Workspace("k3")).To(BeNil())
@@ -69,14 +69,14 @@
 		Expect(t.NeedsKey(t.Match("a.example", "/x/y/1"))).To(BeFalse())
 	})
 
-	It("needs no key where there are no workspaces", func() {
+	It("needs no key without workspaces", func() {
 		c := config()
 		c.Workspaces = nil
 		t := table(c)
 		Expect(t.NeedsKey(t.Match("a.example", "/x/1"))).To(BeFalse())
 	})
 
-	DescribeTable("shares requests out by weight",
+	DescribeTable("distributes requests by weight",
 		func(draw float64, want fleet.ServiceName) {
 			Expect(table(config()).Match("b.example", "/").Target(draw)).To(Equal(want))
 		},
@@ -86,34 +86,34 @@
 		Entry("the last draw", 0.999999, fleet.ServiceName("engine")),
 	)
 
-	It("tells the shortest aim of a service", func() {
+	It("returns the shortest target latency of a service", func() {
 		Expect(table(config()).ShortestTargetLatency("engine")).To(Equal(400 * time.Millisecond))
 	})
 
-	DescribeTable("refuses a configuration that breaks a rule, so that the old one stays",
-		func(breakIt func(*routing.Config), reason string) {
+	DescribeTable("rejects an invalid configuration",
+		func(invalidate func(*routing.Config), reason string) {
 			c := config()
-			breakIt(&c)
+			invalidate(&c)
 			_, err := routing.NewTable(c)
 			Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("no slash at the begin", func(c *routing.Config) { c.Routes[1].Prefix = "x/" }, `prefix "x/"`),
-		Entry("no slash at the end", func(c *routing.Config) { c.Routes[1].Prefix = "/x" }, `prefix "/x"`),
-		Entry("no target", func(c *routing.Config) { c.Routes[1].Targets = nil }, "names no service"),
-		Entry("an unknown service", func(c *routing.Config) { c.Routes[1].Targets = to("gone") }, `unknown service "gone"`),
+		Entry("no leading slash", func(c *routing.Config) { c.Routes[1].Prefix = "x/" }, `prefix "x/"`),
+		Entry("no trailing slash", func(c *routing.Config) { c.Routes[1].Prefix = "/x" }, `prefix "/x"`),
+		Entry("no target", func(c *routing.Config) { c.Routes[1].Targets = nil }, "has no target service"),
+		Entry("an unknown service", func(c *routing.Config) { c.Routes[1].Targets = targets("gone") }, `unknown service "gone"`),
 	)
 
-	DescribeTable("says what may be repeated by the kind alone",
+	DescribeTable("allows retries by the kind and the resumability of a route",
 		func(kind routing.Kind, resumable, want bool) {
 			r := routing.Route{Kind: kind, Resumable: resumable}
 			Expect(r.Idempotent()).To(Equal(want))
 		},
 		Entry("safe", routing.Safe, false, true),
 		Entry("unsafe", routing.Unsafe, false, false),
-		Entry("unsafe, though it says that it can be resumed", routing.Unsafe, true, false),
+		Entry("unsafe, although marked as resumable", routing.Unsafe, true, false),
 		Entry("a stream", routing.Stream, false, false),
-		Entry("a stream that can be resumed", routing.Stream, true, true),
-		Entry("a kind that nobody knows", routing.Kind(99), false, false),
+		Entry("a resumable stream", routing.Stream, true, true),
+		Entry("an unknown kind", routing.Kind(99), false, false),
 	)
 })
