--- a/core/serverlimit/share_test.go
+++ b/core/serverlimit/share_test.go
@@ -30,14 +30,14 @@
 // greedy is entries that send to a limited server whatever they may, as if all their
 // requests wanted it.
 type greedy struct {
-	boards []*placement.Board
+	boards []*placement.Balancer
 	sent   []time.Duration
 }
 
 func newGreedy(perSecond float64, ids []fleet.InstanceID, othersOf func(i int) []fleet.InstanceID) *greedy {
 	g := &greedy{}
 	for i, self := range ids {
-		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Off{})
+		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Disabled{})
 		b.SetServers(start, []placement.Server{{ID: server, Service: "pool", Slots: 16}})
 		b.SetLimits(start, map[fleet.InstanceID]float64{server: serverlimit.Share(perSecond, server, self, othersOf(i))})
 		g.boards = append(g.boards, b)
@@ -49,7 +49,7 @@
 	for t := time.Duration(0); t < span; t += step {
 		for _, b := range g.boards {
 			for {
-				ticket, _ := b.Choose(at(t), placement.Ask{Service: "pool", Aim: time.Second, Left: time.Second})
+				ticket, _ := b.Choose(at(t), placement.Request{Service: "pool", TargetLatency: time.Second, TimeLeft: time.Second})
 				if ticket == nil {
 					break
 				}
--- a/daemon/gateway/callresults.go
+++ b/daemon/gateway/callresults.go
@@ -122,7 +122,7 @@
 	if j.route.Kind == routing.Stream && !j.firstEventAt.IsZero() {
 		first = j.firstEventAt
 	}
-	onTime := first.Sub(j.call.Arrived) <= j.route.Aim
+	onTime := first.Sub(j.call.Arrived) <= j.route.TargetLatency
 	switch {
 	case j.refusedBefore:
 		return resultLateReturned
@@ -132,7 +132,7 @@
 		return resultLateHeld
 	case !onTime:
 		return resultLateFirst
-	case j.route.PauseAim > 0 && j.longestPause > j.route.PauseAim:
+	case j.route.TargetPause > 0 && j.longestPause > j.route.TargetPause:
 		return resultLatePause
 	default:
 		return resultOnTime
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -70,7 +70,7 @@
 	// as healthy.
 	SoundTime time.Duration
 	// Disabled holds the mechanisms that are switched off.
-	Disabled policy.Off
+	Disabled policy.Disabled
 	Logger   *zap.Logger
 	Metrics  tally.Scope
 }
@@ -82,7 +82,7 @@
 	ctx       context.Context
 	mesh      links
 	clock     bootclock.Watch
-	scheduler *placement.Board
+	scheduler *placement.Balancer
 	log       *requestLog
 	view      atomic.Pointer[view]
 
@@ -161,11 +161,11 @@
 
 	callsMu      sync.Mutex
 	budgets      map[fleet.ServiceName]*retry.Window
-	holdLimiters map[fleet.ServiceName]*placement.HoldRoom
+	holdLimiters map[fleet.ServiceName]*placement.HoldLimiter
 	inFlight     atomic.Int64
 	answerer     *addressing.Answerer
 	// retryDetector distinguishes the retries of callers from new calls.
-	retryDetector placement.Patience
+	retryDetector placement.RetryDetector
 }
 
 // replica is an agent's report on its engine.
@@ -224,7 +224,7 @@
 		limits:            serverlimit.New(),
 		listed:            make(map[netip.AddrPort]placement.Server),
 		budgets:           make(map[fleet.ServiceName]*retry.Window),
-		holdLimiters:      make(map[fleet.ServiceName]*placement.HoldRoom),
+		holdLimiters:      make(map[fleet.ServiceName]*placement.HoldLimiter),
 		contact:           contact{heard: now, off: opts.Disabled},
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
@@ -259,7 +259,7 @@
 	g.crashReports.lost(id)
 	g.limitReports.lost(id)
 	g.manifests.lost(id)
-	g.scheduler.Forget(id)
+	g.scheduler.RemoveEntry(id)
 	g.changed = true // shares depend on the number of entries
 }
 
@@ -366,7 +366,7 @@
 // allowRetry takes one retry from the budget of a service and reports whether the budget
 // allowed it.
 func (g *Gateway) allowRetry(now time.Time, service fleet.ServiceName) bool {
-	return g.budget(now, service).Repeat(now)
+	return g.budget(now, service).TryRetry(now)
 }
 
 func (g *Gateway) budget(now time.Time, service fleet.ServiceName) *retry.Window {
@@ -382,12 +382,12 @@
 }
 
 // holdLimiter returns the limiter of the late calls that are held for a service.
-func (g *Gateway) holdLimiter(service fleet.ServiceName) *placement.HoldRoom {
+func (g *Gateway) holdLimiter(service fleet.ServiceName) *placement.HoldLimiter {
 	g.callsMu.Lock()
 	defer g.callsMu.Unlock()
 	limiter := g.holdLimiters[service]
 	if limiter == nil {
-		limiter = &placement.HoldRoom{}
+		limiter = &placement.HoldLimiter{}
 		g.holdLimiters[service] = limiter
 	}
 	return limiter
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -24,7 +24,7 @@
 
 // successor is the server on which a stream continues.
 type successor struct {
-	assignment *placement.Ticket
+	assignment *placement.Assignment
 	response   Response
 	attempt    *delivery.Run
 	deadline   time.Time // the server's own deadline for the call
@@ -40,8 +40,8 @@
 // The connection to the old server is kept until the next one returns an event:
 // otherwise the stream would be aborted if the next one declined it. Events of the old
 // server are buffered by its connection meanwhile.
-func (j *job) handOver(ctx context.Context, assignment *placement.Ticket) *successor {
-	if j.g.opts.Disabled.HandOver || !assignment.IsDisplaced() || !j.mayHandOver(assignment) {
+func (j *job) handOver(ctx context.Context, assignment *placement.Assignment) *successor {
+	if j.g.opts.Disabled.HandOver || !assignment.IsServerReloading() || !j.mayHandOver(assignment) {
 		return nil
 	}
 	now := time.Now()
@@ -65,7 +65,7 @@
 
 // resumeOn sends the call to another server and returns that server once it has resumed
 // the stream. It fails if that takes longer than the longest pause that the route allows.
-func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Ticket, opts SendOptions) (*successor, error) {
+func (j *job) resumeOn(ctx context.Context, now time.Time, next *placement.Assignment, opts SendOptions) (*successor, error) {
 	opts.StartDeadline = earlier(j.latestResponseTime(opts.Deadline), now.Add(j.targetPause()))
 	j.attempts++
 	response, err := j.g.opts.Backend.Send(ctx, j.call, opts)
@@ -99,44 +99,44 @@
 }
 
 func (j *job) targetPause() time.Duration {
-	if j.route.PauseAim > 0 {
-		return j.route.PauseAim
+	if j.route.TargetPause > 0 {
+		return j.route.TargetPause
 	}
-	return j.route.Aim
+	return j.route.TargetLatency
 }
 
 // mayHandOver reports whether the stream can be resumed on another server and has enough
 // left to be worth it.
-func (j *job) mayHandOver(assignment *placement.Ticket) bool {
+func (j *job) mayHandOver(assignment *placement.Assignment) bool {
 	if j.standing(time.Now()).IsQuarantined() {
 		return false
 	}
 	if j.handoverTried || j.service.Engine == nil || !j.hasStarted() || !j.isRetryable() || j.attempts >= j.route.MaxAttempts {
 		return false
 	}
-	return j.service.Engine.Write(assignment.Work(), j.remainingTokens(assignment)) >= minRemainingTime
+	return j.service.Engine.DecodeTime(assignment.Work(), j.remainingTokens(assignment)) >= minRemainingTime
 }
 
 // remainingTokens estimates how many tokens the stream has left.
-func (j *job) remainingTokens(assignment *placement.Ticket) int {
+func (j *job) remainingTokens(assignment *placement.Assignment) int {
 	expected := j.call.ExpectedTokens
 	if expected == 0 {
-		expected = j.service.Engine.UsualAnswer
+		expected = j.service.Engine.MeanOutputTokens
 	}
-	written := assignment.Written()
+	written := assignment.ReceivedTokens()
 	return max(expected-written, int(overrunShare*float64(written)))
 }
 
 // resumeRequest returns the placement request for the rest of a stream. The tokens written
 // so far count as prompt, since the next engine has to read them.
-func (j *job) resumeRequest(now time.Time, assignment *placement.Ticket) placement.Ask {
+func (j *job) resumeRequest(now time.Time, assignment *placement.Assignment) placement.Request {
 	a := j.placementRequest(now)
-	written := assignment.Written()
-	a.Prompt += written
-	a.Answer = max(0, a.Answer-written)
-	a.Expected = j.remainingTokens(assignment)
+	written := assignment.ReceivedTokens()
+	a.PromptTokens += written
+	a.OutputTokens = max(0, a.OutputTokens-written)
+	a.ExpectedTokens = j.remainingTokens(assignment)
 	a.Late = false
 	a.Exclude = placement.Exclude(j.exclude, assignment.Server.ID)
-	a.Pause = time.Duration(predictedPauseShare * float64(j.targetPause()))
+	a.MaxPause = time.Duration(predictedPauseShare * float64(j.targetPause()))
 	return a
 }
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -46,7 +46,7 @@
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
 	s := &engineStream{declined: e.declines[o.Server.ID], silent: e.silent[o.Server.ID],
-		next: o.LastEvent + 1, version: o.Server.Loaded, events: make(chan struct{}, 100), closed: make(chan struct{})}
+		next: o.LastEvent + 1, version: o.Server.LoadedVersion, events: make(chan struct{}, 100), closed: make(chan struct{})}
 	if change := e.changes[o.Server.ID]; change != nil {
 		change(s)
 	}
@@ -182,11 +182,11 @@
 			changes: make(map[fleet.InstanceID]func(*engineStream))}
 		g.opts.Backend = backend
 		s := snapshot(5, server(oneID, "10.0.1.1:80", 2), server(twoID, "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 400}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 400}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = kind, resumable, 2
-		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, 30*time.Second
+		route.TargetLatency, route.TargetPause, route.Timeout = 2*time.Second, time.Second, 30*time.Second
 		g.adopt(time.Now(), s, "platform")
 		report(oneID, 1, false)
 		report(twoID, 1, false)
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -98,7 +98,7 @@
 		return
 	}
 	l.logger.Info("not_placed", callFields(j, zap.String("reason", string(r.Reason)), zap.Duration("predicted", r.Predicted),
-		zap.Int("usable", r.Usable), zap.Int("prompt", j.call.PromptTokens),
+		zap.Int("usable", r.Candidates), zap.Int("prompt", j.call.PromptTokens),
 		zap.Int("expected", j.call.ExpectedTokens), zap.Duration("left", time.Until(j.deadline)), zap.Bool("returned", j.refusedBefore))...)
 }
 
@@ -108,13 +108,13 @@
 		return
 	}
 	soonest := j.g.view.Load().nextEngineReady[j.service.Name]
-	l.logger.Info("held", callFields(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Usable),
+	l.logger.Info("held", callFields(j, zap.String("reason", string(r.Reason)), zap.Int("usable", r.Candidates),
 		zap.Duration("engine_in", max(0, time.Until(soonest))), zap.Bool("returned", j.refusedBefore))...)
 }
 
 // attemptFailed records an attempt without a complete response, and its withdrawal if there
 // was one.
-func (l *requestLog) attemptFailed(j *job, t *placement.Ticket, err error, w *withdrawal, b *brokenAttempt) {
+func (l *requestLog) attemptFailed(j *job, t *placement.Assignment, err error, w *withdrawal, b *brokenAttempt) {
 	l.metrics.Counter("attempts_failed").Inc(1)
 	l.countWithdrawn(w)
 	if !l.allowed() {
@@ -122,7 +122,7 @@
 	}
 	fields := callFields(j, zap.String("server", string(t.Server.ID)),
 		zap.Stringer("addr", t.Server.Addr),
-		zap.Uint64("loaded", uint64(t.Server.Loaded)), zap.Duration("predicted", t.Predicted),
+		zap.Uint64("loaded", uint64(t.Server.LoadedVersion)), zap.Duration("predicted", t.Predicted),
 		zap.Int64("last_event", j.reply.progress.LastEvent()), zap.Error(err))
 	fields = append(fields, w.fields()...)
 	l.logger.Info("attempt_failed", append(fields, b.fields()...)...)
@@ -136,7 +136,7 @@
 
 // handedOver records that a stream continues on another server, or that the handover
 // failed.
-func (l *requestLog) handedOver(j *job, from, to *placement.Ticket, err error, w *withdrawal) {
+func (l *requestLog) handedOver(j *job, from, to *placement.Assignment, err error, w *withdrawal) {
 	l.metrics.Tagged(map[string]string{"taken": strconv.FormatBool(err == nil)}).Counter("streams_handed_over").Inc(1)
 	l.countWithdrawn(w)
 	if l.allowed() {
@@ -151,12 +151,12 @@
 	l.metrics.Counter("attempts_declined").Inc(1)
 	if l.allowed() {
 		l.logger.Info("attempt_declined", callFields(j, zap.String("server", string(server.ID)),
-			zap.Stringer("addr", server.Addr), zap.Uint64("loaded", uint64(server.Loaded)))...)
+			zap.Stringer("addr", server.Addr), zap.Uint64("loaded", uint64(server.LoadedVersion)))...)
 	}
 }
 
 // serverError records an error response of a server.
-func (l *requestLog) serverError(j *job, t *placement.Ticket, status int) {
+func (l *requestLog) serverError(j *job, t *placement.Assignment, status int) {
 	l.metrics.Counter("server_errors").Inc(1)
 	if l.allowed() {
 		l.logger.Info("server_error", callFields(j, zap.String("server", string(t.Server.ID)),
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -24,7 +24,7 @@
 )
 
 // handleSendError handles an error of Send and reports whether to make another attempt.
-func (j *job) handleSendError(ctx context.Context, assignment *placement.Ticket, err error) bool {
+func (j *job) handleSendError(ctx context.Context, assignment *placement.Assignment, err error) bool {
 	now := time.Now()
 	notRun := failure.OutcomeOf(err) == failure.NotRun
 	j.endFailedAttempt(ctx, now, assignment, err)
@@ -46,7 +46,7 @@
 
 // endFailedAttempt ends an attempt without a complete response and excludes its server
 // from further attempts of the call.
-func (j *job) endFailedAttempt(ctx context.Context, now time.Time, assignment *placement.Ticket, err error) {
+func (j *job) endFailedAttempt(ctx context.Context, now time.Time, assignment *placement.Assignment, err error) {
 	j.exclude = placement.Exclude(j.exclude, assignment.Server.ID)
 	var broken *brokenAttempt
 	switch {
@@ -56,11 +56,11 @@
 	case j.isCallOver(ctx, now) && !j.isSilent(now):
 		assignment.End(now, placement.Abandoned)
 	case j.isCallOver(ctx, now):
-		assignment.End(now, placement.Silent)
+		assignment.End(now, placement.TimedOut)
 	case j.isServerDeadlineOver(now), !j.hasStarted() && errorx.IsOfType(err, failure.Timeout) && j.isVersionExpired(now, assignment.Server):
 		assignment.End(now, placement.Abandoned)
 	case errorx.IsOfType(err, failure.Timeout):
-		assignment.End(now, placement.Silent)
+		assignment.End(now, placement.TimedOut)
 	case errorx.IsOfType(err, delivery.OutOfOrder):
 		assignment.End(now, placement.Failed)
 	default:
@@ -94,7 +94,7 @@
 // as its failure. Calls that may not be retried wait until their deadline, and a hung
 // server must be detected by these too.
 func (j *job) isSilent(now time.Time) bool {
-	allowed := plainStallFactor * j.route.Aim
+	allowed := plainStallFactor * j.route.TargetLatency
 	if j.service.Engine != nil {
 		allowed = j.predicted + streamStallTimeout
 	}
@@ -180,7 +180,7 @@
 }
 
 // handleResponse handles the response of a server that has run the call.
-func (j *job) handleResponse(ctx context.Context, assignment *placement.Ticket, response Response) bool {
+func (j *job) handleResponse(ctx context.Context, assignment *placement.Assignment, response Response) bool {
 	j.mayHaveRun = true
 	attempt, err := j.reply.accept(response)
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 // handleMismatch handles a response that cannot continue what the caller has received.
-func (j *job) handleMismatch(ctx context.Context, assignment *placement.Ticket, response Response, err error) bool {
+func (j *job) handleMismatch(ctx context.Context, assignment *placement.Assignment, response Response, err error) bool {
 	response.Close(false)
 	now := time.Now()
 	assignment.End(now, j.resultOf(response))
@@ -223,7 +223,7 @@
 // Callers retry after a status which implies that the call did not run. A server that
 // does not also say so explicitly may have run it, so such a response is not forwarded
 // if the call must not run twice.
-func (j *job) forwardWhole(ctx context.Context, assignment *placement.Ticket, response Response) bool {
+func (j *job) forwardWhole(ctx context.Context, assignment *placement.Assignment, response Response) bool {
 	response.SetDeadline(j.deadline)
 	body, err := response.Body(maxBufferedBody)
 	if err == nil {
@@ -258,7 +258,7 @@
 	return false
 }
 
-func (j *job) handleBodyError(ctx context.Context, assignment *placement.Ticket, err error) bool {
+func (j *job) handleBodyError(ctx context.Context, assignment *placement.Assignment, err error) bool {
 	now := time.Now()
 	j.endFailedAttempt(ctx, now, assignment, err)
 	if j.shouldRetry(ctx, now) {
@@ -282,7 +282,7 @@
 // The header is sent with the first event, so that until then another server can
 // take over without the caller noticing. After that it can if the route allows
 // resumption: the next server continues after the last complete event.
-func (j *job) forwardStream(ctx context.Context, assignment *placement.Ticket, response Response) bool {
+func (j *job) forwardStream(ctx context.Context, assignment *placement.Assignment, response Response) bool {
 	for {
 		response.SetDeadline(j.nextEventDeadline(time.Now(), assignment.Server))
 		event, err := response.Next()
@@ -313,7 +313,7 @@
 }
 
 // endAbandonedStream ends a stream whose caller has disconnected.
-func (j *job) endAbandonedStream(assignment *placement.Ticket, response Response) bool {
+func (j *job) endAbandonedStream(assignment *placement.Assignment, response Response) bool {
 	response.Close(false)
 	assignment.End(time.Now(), placement.Abandoned)
 	j.leftBehind(time.Now(), assignment.Server)
@@ -323,9 +323,9 @@
 
 // forwardEvent forwards an event of a server, unless the caller has it already. It fails
 // if the event is out of order or the caller has disconnected.
-func (j *job) forwardEvent(assignment *placement.Ticket, response Response, attempt *delivery.Run, event eventstream.Event) error {
+func (j *job) forwardEvent(assignment *placement.Assignment, response Response, attempt *delivery.Run, event eventstream.Event) error {
 	j.progressAt = time.Now()
-	assignment.Wrote(j.tokensPerEvent())
+	assignment.AddTokens(j.tokensPerEvent())
 	passed, err := j.reply.event(response, attempt, event)
 	if err != nil || !passed {
 		return err
@@ -343,7 +343,7 @@
 	if j.service.Engine == nil {
 		return 1
 	}
-	return max(1, j.service.Engine.Stride)
+	return max(1, j.service.Engine.StepsPerPass)
 }
 
 // nextEventDeadline returns the deadline for the next event.
@@ -363,7 +363,7 @@
 }
 
 // handleStreamEnd handles the end of a server's stream after a complete event.
-func (j *job) handleStreamEnd(ctx context.Context, assignment *placement.Ticket, response Response) bool {
+func (j *job) handleStreamEnd(ctx context.Context, assignment *placement.Assignment, response Response) bool {
 	err := j.reply.progress.CheckEnd(j.lastAttempt)
 	if err == nil {
 		err = j.checkServerAlive(ctx, assignment.Server, response)
@@ -393,7 +393,7 @@
 	return failure.WithOutcome(failure.Unavailable.New("connection closed and server down: response may be truncated"), failure.Unknown)
 }
 
-func (j *job) handleStreamError(ctx context.Context, assignment *placement.Ticket, response Response, err error) bool {
+func (j *job) handleStreamError(ctx context.Context, assignment *placement.Assignment, response Response, err error) bool {
 	response.Close(false)
 	now := time.Now()
 	j.endFailedAttempt(ctx, now, assignment, err)
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -20,14 +20,14 @@
 // second after it has loaded the new version, when it is needed most.
 var _ = Describe("An engine from which a call is withdrawn because its version expires", func() {
 	var g *Gateway
-	engine := &enginemodel.Figures{Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
+	engine := &enginemodel.Profile{Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
 
 	// draws is the number of calls placed. With that many, both of two usable servers are
 	// certain in practice to get a call.
 	const draws = 64
 
-	choose := func(now time.Time) *placement.Ticket {
-		t, _ := g.scheduler.Choose(now, placement.Ask{Service: "pool", Engine: engine, Aim: time.Second, Left: time.Minute})
+	choose := func(now time.Time) *placement.Assignment {
+		t, _ := g.scheduler.Choose(now, placement.Request{Service: "pool", Engine: engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(t).NotTo(BeNil())
 		return t
 	}
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -91,7 +91,9 @@
 }
 
 // hasNews reports whether the own loads have changed since an entry was told.
-func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.scheduler.Changed(g.sentLoads[to]) }
+func (g *Gateway) hasNews(to fleet.InstanceID) bool {
+	return g.scheduler.HasChangedSince(g.sentLoads[to])
+}
 
 func (g *Gateway) wantedNow(now time.Time) []wire.WantedVersion {
 	var all []wire.WantedVersion
@@ -157,10 +159,10 @@
 // more: those that it told last would stay, and engines with room pass for full.
 func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Beat) {
 	if !from.Near || b.AllLoads {
-		g.scheduler.Forget(b.ID)
+		g.scheduler.RemoveEntry(b.ID)
 	}
 	if from.Near {
-		g.scheduler.Heard(now, b.ID, b.Loads)
+		g.scheduler.UpdateEntryLoads(now, b.ID, b.Loads)
 	}
 }
 
@@ -168,7 +170,7 @@
 func (g *Gateway) heardGroups(now time.Time, digests []wire.Digest) {
 	for _, d := range digests {
 		if d.Group != g.mesh.Group() {
-			g.scheduler.HeardGroup(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
+			g.scheduler.UpdateGroupLoads(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
 		}
 	}
 }
@@ -305,7 +307,7 @@
 		switch {
 		case !g.knowsAllAgents(now):
 			note(s.Service, g.started.Add(allAgentsReportWithin))
-		case g.isNew(now) && !g.scheduler.HasUsable(s.Service):
+		case g.isNew(now) && !g.scheduler.HasAvailableEngine(s.Service):
 			note(s.Service, g.expectedLoadTime(now))
 		}
 	}
@@ -371,11 +373,11 @@
 func (g *Gateway) server(now time.Time, s catalog.Server, entries int) placement.Server {
 	out := placement.Server{
 		ID: s.ID, Service: s.Service, Addr: s.Addr, Slots: s.Slots,
-		Connections: g.keptConnections(s.Service, entries),
-		Place:       fleet.Place{Zone: s.Zone, Region: g.opts.Regions[s.Zone]},
-		Loaded:      placement.ModelVersion(s.Loaded),
-		Leaving:     s.Draining,
-		Born:        s.Born,
+		Connections:   g.keptConnections(s.Service, entries),
+		Place:         fleet.Place{Zone: s.Zone, Region: g.opts.Regions[s.Zone]},
+		LoadedVersion: placement.ModelVersion(s.Loaded),
+		Leaving:       s.Draining,
+		Born:          s.Born,
 	}
 	if !g.isEngine(s.Service) {
 		return out
@@ -383,16 +385,16 @@
 	r, reported := g.replicas[s.Addr.Addr()]
 	switch {
 	case !reported:
-		out.Changing = g.suspectsRegistrations && !g.knowsAllAgents(now)
+		out.Reloading = g.suspectsRegistrations && !g.knowsAllAgents(now)
 	case isOfEarlierStart(r.Replica, s):
 	case g.isSuperseded(now, r.Replica, s):
-		out.Changing = true
+		out.Reloading = true
 	default:
 		out.Born = max(r.Born, s.Born)
-		out.Loaded = placement.ModelVersion(r.Loaded)
-		out.Changing = r.Changing
-		out.Down = r.Down
-		out.Pace = float64(r.Pace) / 100
+		out.LoadedVersion = placement.ModelVersion(r.Loaded)
+		out.Reloading = r.Changing
+		out.Unreachable = r.Down
+		out.Slowdown = float64(r.Pace) / 100
 	}
 	return out
 }
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -42,8 +42,8 @@
 	attempts      int // sent
 	unsent        int // could not be sent
 	exclude       []fleet.InstanceID
-	holdLimiter   *placement.HoldRoom // where the call waits, nil if it does not
-	wasHeld       bool                // the call was held until a server could take it
+	holdLimiter   *placement.HoldLimiter // where the call waits, nil if it does not
+	wasHeld       bool                   // the call was held until a server could take it
 	// mayHaveRun is true once a server may have run the call.
 	mayHaveRun bool
 	// heldResponse is a server's error response. The caller gets it if all further attempts
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
-	g.budget(call.Arrived, j.service.Name).Request(call.Arrived)
+	g.budget(call.Arrived, j.service.Name).RecordRequest(call.Arrived)
 	for j.tryServer(ctx) {
 	}
 	j.leaveHold(time.Now(), false)
@@ -158,7 +158,7 @@
 		j.workspace = w.Name
 	}
 	j.service = v.table.Service(j.route.Target(rand.Float64()))
-	j.refusedBefore = !j.g.opts.Disabled.TellReturned && j.g.retryDetector.IsReturned(j.route.Name, j.call.Timeout, j.call.IsReusedConn)
+	j.refusedBefore = !j.g.opts.Disabled.TellReturned && j.g.retryDetector.IsClientRetry(j.route.Name, j.call.Timeout, j.call.IsReusedConn)
 	timeout := j.route.Timeout
 	if j.call.Timeout > 0 {
 		timeout = min(timeout, j.call.Timeout)
@@ -257,10 +257,10 @@
 	if !now.Before(until) || reason == placement.TooLong {
 		return false
 	}
-	isBusy := reason == placement.Full || reason == placement.NoPlace
+	isBusy := reason == placement.Full || reason == placement.NoSlot
 	isLate := j.isLate(now)
 	if isBusy && !isLate {
-		until = earlier(until, j.call.Arrived.Add(j.route.Aim))
+		until = earlier(until, j.call.Arrived.Add(j.route.TargetLatency))
 	}
 	v := j.g.view.Load()
 	at, expected := v.nextEngineReady[j.service.Name]
@@ -276,7 +276,7 @@
 func (j *job) enterHold(now time.Time) bool {
 	if j.holdLimiter == nil {
 		limiter := j.g.holdLimiter(j.service.Name)
-		if !limiter.Enter(now) {
+		if !limiter.TryAcquire(now) {
 			return false
 		}
 		j.holdLimiter = limiter
@@ -286,24 +286,24 @@
 
 func (j *job) leaveHold(now time.Time, placed bool) {
 	if j.holdLimiter != nil {
-		j.holdLimiter.Leave(now, placed)
+		j.holdLimiter.Release(now, placed)
 		j.holdLimiter = nil
 	}
 }
 
-func (j *job) placementRequest(now time.Time) placement.Ask {
-	a := placement.Ask{
-		Service:  j.service.Name,
-		Engine:   j.service.Engine,
-		Prompt:   j.call.PromptTokens,
-		Answer:   j.call.MaxTokens,
-		Expected: j.call.ExpectedTokens,
-		Aim:      j.view.table.ShortestAim(j.service.Name),
-		Left:     j.deadline.Sub(now),
-		Late:     j.isLate(now),
-		Exclude:  j.exclude,
-		Suspect:  j.standing(now).IsSuspect(),
-		Near:     j.g.opts.Place,
+func (j *job) placementRequest(now time.Time) placement.Request {
+	a := placement.Request{
+		Service:        j.service.Name,
+		Engine:         j.service.Engine,
+		PromptTokens:   j.call.PromptTokens,
+		OutputTokens:   j.call.MaxTokens,
+		ExpectedTokens: j.call.ExpectedTokens,
+		TargetLatency:  j.view.table.ShortestTargetLatency(j.service.Name),
+		TimeLeft:       j.deadline.Sub(now),
+		Late:           j.isLate(now),
+		Exclude:        j.exclude,
+		Suspect:        j.standing(now).IsSuspect(),
+		EntryPlace:     j.g.opts.Place,
 	}
 	if j.service.Engine != nil {
 		a.Versions = j.usableVersions(now)
@@ -313,22 +313,22 @@
 
 // isLate reports whether the response can no longer meet the route's target latency.
 func (j *job) isLate(now time.Time) bool {
-	return j.refusedBefore || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.Aim
+	return j.refusedBefore || j.hasStarted() || now.Sub(j.call.Arrived) >= j.route.TargetLatency
 }
 
 // sendOptions returns the options of an attempt at the assigned server.
-func (j *job) sendOptions(now time.Time, assignment *placement.Ticket) SendOptions {
+func (j *job) sendOptions(now time.Time, assignment *placement.Assignment) SendOptions {
 	o := SendOptions{
 		Server:    assignment.Server,
 		Workspace: j.workspace,
 		Deadline:  j.deadline,
 		LastEvent: j.reply.progress.LastEvent(),
 	}
-	if assignment.Within > 0 {
-		o.Deadline = earlier(j.deadline, now.Add(assignment.Within))
+	if assignment.ServerTimeout > 0 {
+		o.Deadline = earlier(j.deadline, now.Add(assignment.ServerTimeout))
 	}
 	if j.service.Engine != nil {
-		o.RequiredVersion = assignment.Server.Loaded
+		o.RequiredVersion = assignment.Server.LoadedVersion
 	}
 	return o
 }
@@ -353,7 +353,7 @@
 	case j.service.Engine != nil:
 		return earlier(by, now.Add(j.predicted+streamStallTimeout))
 	default:
-		return earlier(by, now.Add(plainStallFactor*j.route.Aim))
+		return earlier(by, now.Add(plainStallFactor*j.route.TargetLatency))
 	}
 }
 
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -88,9 +88,9 @@
 		g.opts.Backend = backend
 		caller = make(refusalRecorder, 1)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
-		s.Config.Routes[0].Aim = routeAim
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
+		s.Config.Routes[0].TargetLatency = routeAim
 		s.Config.Routes[0].Timeout = timeout
 		g.adopt(time.Now(), s, "platform")
 		report(holds, wire.Replica{Seq: 1, Loaded: 1})
@@ -100,8 +100,8 @@
 	// occupy fills the engine that has weights loaded.
 	occupy := func() {
 		for {
-			t, _ := g.scheduler.Choose(time.Now(), placement.Ask{
-				Service: "pool", Engine: g.table.Service("pool").Engine, Aim: routeAim, Left: timeout})
+			t, _ := g.scheduler.Choose(time.Now(), placement.Request{
+				Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: routeAim, TimeLeft: timeout})
 			if t == nil {
 				return
 			}
@@ -154,7 +154,7 @@
 		g, _ = newGateway()
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
 		s.Config.Services[0].Engine = nil
-		s.Config.Routes[0].Aim = aim
+		s.Config.Routes[0].TargetLatency = aim
 		g.adopt(start, s, "platform")
 		g.publish(start)
 		caller = make(refusalRecorder, 1)
@@ -168,14 +168,14 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), mayHaveRun: true, view: g.view.Load(),
 			route: &g.snapshot.Config.Routes[0], service: g.table.Service("pool"), deadline: deadline, progressAt: progress}
 		for range 50 {
-			ticket, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second,
+			ticket, _ := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second,
 				Exclude: []fleet.InstanceID{"i-2"}})
 			j.endFailedAttempt(context.Background(), deadline, ticket, failure.Timeout.New("read the answer"))
 		}
 		j.endCall(context.Background(), deadline, "stream_broken")
 		chosen := 0
 		for range 50 {
-			ticket, _ := g.scheduler.Choose(deadline, placement.Ask{Service: "pool", Left: time.Second})
+			ticket, _ := g.scheduler.Choose(deadline, placement.Request{Service: "pool", TimeLeft: time.Second})
 			if ticket.Server.ID == "i-1" {
 				chosen++
 			}
@@ -229,7 +229,7 @@
 		backend := &decliningBackend{disconnect: leave}
 		g.opts.Backend = backend
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
+		s.Config.Routes[0].TargetLatency, s.Config.Routes[0].Timeout, s.Config.Routes[0].MaxAttempts = time.Second, time.Minute, 2
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
 		caller := make(refusalRecorder, 1)
@@ -255,7 +255,7 @@
 		g.log = newRequestLog(start, zap.New(core), metrics)
 		g.opts.Backend = &panickingBackend{}
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
-		s.Config.Routes[0].Aim, s.Config.Routes[0].Timeout = time.Second, time.Minute
+		s.Config.Routes[0].TargetLatency, s.Config.Routes[0].Timeout = time.Second, time.Minute
 		g.adopt(time.Now(), s, "platform")
 		g.publish(time.Now())
 		serve := func() {
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -29,20 +29,20 @@
 //
 // A stream continues only on the version that began it. Otherwise any version may
 // answer, an outdated one until its time is over.
-func (j *job) usableVersions(now time.Time) func(placement.ModelVersion) (placement.Use, time.Duration) {
+func (j *job) usableVersions(now time.Time) func(placement.ModelVersion) (placement.Eligibility, time.Duration) {
 	names := j.g.view.Load().names[j.service.Model]
-	return func(v placement.ModelVersion) (placement.Use, time.Duration) {
+	return func(v placement.ModelVersion) (placement.Eligibility, time.Duration) {
 		if v == 0 || !j.mayContinueOn(v) {
-			return placement.NoUse, 0
+			return placement.Ineligible, 0
 		}
 		end, outdated := j.g.versionEnd(names, v)
 		switch left := end.Sub(now); {
 		case !outdated:
-			return placement.FullUse, 0
+			return placement.Eligible, 0
 		case left > 0:
-			return placement.UseOutdated, left
+			return placement.EligibleOutdated, left
 		default:
-			return placement.NoUse, 0
+			return placement.Ineligible, 0
 		}
 	}
 }
@@ -90,5 +90,5 @@
 
 // versionEndAt is versionEnd for the version that a server has loaded.
 func (j *job) versionEndAt(server placement.Server) (time.Time, bool) {
-	return j.g.versionEnd(j.g.view.Load().names[j.service.Model], server.Loaded)
+	return j.g.versionEnd(j.g.view.Load().names[j.service.Model], server.LoadedVersion)
 }
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -37,7 +37,7 @@
 	defer e.mu.Unlock()
 	e.sent = append(e.sent, o)
 	if len(e.sent) == 1 && e.eventsBeforeFailure > 0 {
-		return &brokenStream{left: e.eventsBeforeFailure, version: o.Server.Loaded}, nil
+		return &brokenStream{left: e.eventsBeforeFailure, version: o.Server.LoadedVersion}, nil
 	}
 	return nil, failure.WithOutcome(failure.Timeout.New("no response before the deadline"), failure.Unknown)
 }
@@ -90,11 +90,11 @@
 	// named, and returns the attempts.
 	serve := func(resumable bool, attempts int) []SendOptions {
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 50}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 50}
 		route := &s.Config.Routes[0]
 		route.Kind, route.Resumable, route.MaxAttempts = routing.Stream, resumable, attempts
-		route.Aim, route.PauseAim, route.Timeout = 2*time.Second, time.Second, timeout
+		route.TargetLatency, route.TargetPause, route.Timeout = 2*time.Second, time.Second, timeout
 		s.Wanted = []catalog.Wanted{{Model: "m", Version: 2}}
 		now := time.Now()
 		g.adopt(now, s, "platform")
@@ -134,7 +134,7 @@
 			got := serve(c.resumable, c.attempts)
 			Expect(got).To(HaveLen(c.sent))
 			for _, o := range got {
-				Expect(o.Server.Loaded).To(Equal(placement.ModelVersion(1)))
+				Expect(o.Server.LoadedVersion).To(Equal(placement.ModelVersion(1)))
 				Expect(o.Deadline).To(BeTemporally("<", named.Add(g.opts.VersionTime)))
 			}
 		}
@@ -162,7 +162,7 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), mayHaveRun: true,
 			deadline: time.Now().Add(time.Minute), serverDeadline: time.Now()}
-		ticket, _ := g.scheduler.Choose(time.Now(), placement.Ask{Service: "pool", Left: time.Minute})
+		ticket, _ := g.scheduler.Choose(time.Now(), placement.Request{Service: "pool", TimeLeft: time.Minute})
 		var err error
 		j.lastAttempt, err = j.reply.accept(emptyResponse{})
 		Expect(err).NotTo(HaveOccurred())
--- a/daemon/gateway/withdrawn.go
+++ b/daemon/gateway/withdrawn.go
@@ -35,8 +35,8 @@
 
 // withdrawn returns the withdrawal to log for a failed attempt. It is nil unless this
 // entry closed the call at an engine before any event came.
-func (j *job) withdrawn(ctx context.Context, now time.Time, assignment *placement.Ticket, err error) *withdrawal {
-	waited, waits := assignment.Waited(now)
+func (j *job) withdrawn(ctx context.Context, now time.Time, assignment *placement.Assignment, err error) *withdrawal {
+	waited, waits := assignment.Elapsed(now)
 	if j.service.Engine == nil || !waits || failure.OutcomeOf(err) == failure.NotRun {
 		return nil
 	}
@@ -45,7 +45,7 @@
 		return nil
 	}
 	w := &withdrawal{reason: reason, waited: waited}
-	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(assignment.Server.Loaded))
+	since, outdated := j.g.view.Load().names[j.service.Model].OutdatedSince(uint64(assignment.Server.LoadedVersion))
 	if outdated {
 		w.outdated = true
 		w.versionLeft = since.Add(j.g.opts.VersionTime).Sub(now)
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -31,7 +31,7 @@
 		lines   *observer.ObservedLogs
 		metrics tally.TestScope
 		j       *job
-		ticket  *placement.Ticket
+		ticket  *placement.Assignment
 		failed  time.Time
 	)
 	timeout := failure.Timeout.New("no event before the deadline")
@@ -46,8 +46,8 @@
 		metrics = tally.NewTestScope("", nil)
 		g.log = newRequestLog(start, zap.New(core), metrics)
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
-		s.Config.Services[0].Engine = &enginemodel.Figures{
-			Slots: 16, Layers: 4, Step: 10 * time.Millisecond, Stride: 5, UsualAnswer: 90}
+		s.Config.Services[0].Engine = &enginemodel.Profile{
+			Slots: 16, Layers: 4, StepTime: 10 * time.Millisecond, StepsPerPass: 5, MeanOutputTokens: 90}
 		failed = time.Now()
 		if named > 0 {
 			s.Wanted = []catalog.Wanted{{Model: "m", Version: 2}}
@@ -58,8 +58,8 @@
 		}
 		g.publish(failed)
 		placed := failed.Add(-waited)
-		ticket, _ = g.scheduler.Choose(placed, placement.Ask{
-			Service: "pool", Engine: g.table.Service("pool").Engine, Aim: time.Second, Left: time.Minute})
+		ticket, _ = g.scheduler.Choose(placed, placement.Request{
+			Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(ticket).NotTo(BeNil())
 		call := &Call{ID: "c", Arrived: placed, LastEvent: -1}
 		j = &job{g: g, call: call, reply: newReply(g, call, nil), view: g.view.Load(), service: g.table.Service("pool"),
@@ -122,7 +122,7 @@
 				Expect(counter.Name()).NotTo(Equal("calls_withdrawn"))
 			}
 		},
-		Entry("when an event had been received", func() { ticket.Wrote(1) }, timeout),
+		Entry("when an event had been received", func() { ticket.AddTokens(1) }, timeout),
 		Entry("when it could not be sent", func() {}, failure.WithOutcome(failure.Timeout.New("connect"), failure.NotRun)),
 		Entry("when the connection broke by itself", func() {}, failure.Unavailable.New("connection reset by peer")),
 		Entry("when it was sent to a plain service", func() { j.service = g.table.Service("weights") }, timeout),
