--- a/core/once/key.go
+++ b/core/once/key.go
@@ -14,24 +14,24 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Kind says who made a key and what it tells.
+// Kind is the origin of a key and determines what it contains.
 type Kind uint8
 
 const (
-	// Plain: any text of the caller's own. Tells nothing.
+	// Plain: arbitrary text chosen by the client. Contains no further information.
 	Plain Kind = iota
-	// Dated: a version 7 UUID of the caller's own. Tells when it was made.
+	// Dated: a version 7 UUID chosen by the client. Contains its creation time.
 	Dated
-	// Issued: made by the system. Tells its home, the life of the home's
-	// process and when it was made.
+	// Issued: created by the system. Contains its home, the incarnation of the home's
+	// process and its creation time.
 	Issued
 )
 
-// MaxKeyLength is the longest key text in bytes.
+// MaxKeyLength is the maximum length of a key text in bytes.
 const MaxKeyLength = 255
 
-// Key names one piece of work of one workspace. Keys of two workspaces are
-// never equal, so that no caller gets another's answer. The zero Key is
+// Key is the idempotency key of one request of one workspace. Keys of two workspaces
+// are never equal, so that no client gets the response of another. The zero Key is
 // invalid; use ParseKey or Issue.
 type Key struct {
 	Workspace fleet.Workspace
@@ -40,37 +40,38 @@
 	// Home and Incarnation are set for an Issued key.
 	Home        fleet.InstanceID
 	Incarnation Incarnation
-	// Made is when the key was made, to the millisecond; zero for a Plain key.
+	// Made is the creation time of the key with millisecond precision; zero for a Plain
+	// key.
 	Made time.Time
 }
 
-// Incarnation names one life of a process. Its text is 16 hex digits.
+// Incarnation identifies one run of a process. Its text form has 16 hex digits.
 type Incarnation uint64
 
 // String returns the text form.
 func (i Incarnation) String() string { return fmt.Sprintf("%016x", uint64(i)) }
 
 const (
-	hexDigits    = 16 // of an incarnation and of the random part
+	hexDigits    = 16 // of the incarnation and of the random part
 	issuedFields = 4
 )
 
-// Issue makes a key that only home in its present life will run. made is the
-// time at home as far as the issuer knows it; random must not repeat.
-func Issue(workspace fleet.Workspace, home fleet.InstanceID, life Incarnation, made time.Time, random uint64) Key {
-	text := fmt.Sprintf("%s.%s.%d.%016x", home, life, made.UnixMilli(), random)
+// Issue creates a key that only the current incarnation of home will run. made is the
+// issuer's estimate of the time at home; random must be unique.
+func Issue(workspace fleet.Workspace, home fleet.InstanceID, incarnation Incarnation, made time.Time, random uint64) Key {
+	text := fmt.Sprintf("%s.%s.%d.%016x", home, incarnation, made.UnixMilli(), random)
 	return Key{
 		Workspace:   workspace,
 		Text:        text,
 		Kind:        Issued,
 		Home:        home,
-		Incarnation: life,
+		Incarnation: incarnation,
 		Made:        time.UnixMilli(made.UnixMilli()),
 	}
 }
 
-// ParseKey reads a key as a caller sent it. It fails with failure.Invalid if
-// the text is empty, too long or not of visible ASCII characters.
+// ParseKey parses a key sent by a client. It returns failure.Invalid if the text is
+// empty, too long or contains characters other than visible ASCII.
 func ParseKey(workspace fleet.Workspace, text string) (Key, error) {
 	if text == "" || len(text) > MaxKeyLength {
 		return Key{}, failure.Invalid.New("idempotency key must have 1 to %d characters, has %d", MaxKeyLength, len(text))
@@ -88,8 +89,8 @@
 	return key, nil
 }
 
-// readIssued fills in the fields if the text has the issued form. The home's
-// id may hold dots, so the fields are taken from the end.
+// readIssued sets the fields of an issued key if the text has that form. The ID of the
+// home may contain dots, so the fields are counted from the end.
 func (k *Key) readIssued() {
 	fields := strings.Split(k.Text, ".")
 	if len(fields) < issuedFields {
@@ -97,15 +98,15 @@
 	}
 	home := strings.Join(fields[:len(fields)-issuedFields+1], ".")
 	rest := fields[len(fields)-issuedFields+1:]
-	life, lifeOK := readHex(rest[0])
+	incarnation, incarnationOK := readHex(rest[0])
 	millis, err := strconv.ParseInt(rest[1], 10, 64)
 	_, randomOK := readHex(rest[2])
-	if home == "" || !lifeOK || err != nil || millis <= 0 || !randomOK {
+	if home == "" || !incarnationOK || err != nil || millis <= 0 || !randomOK {
 		return
 	}
 	k.Kind = Issued
 	k.Home = fleet.InstanceID(home)
-	k.Incarnation = Incarnation(life)
+	k.Incarnation = Incarnation(incarnation)
 	k.Made = time.UnixMilli(millis)
 }
 
@@ -127,14 +128,15 @@
 	k.Made = time.Unix(id.Time().UnixTime()).Truncate(time.Millisecond)
 }
 
-// id is the key's name in a register.
+// id returns the key under which a register stores the record, unique across
+// workspaces.
 func (k Key) id() string { return string(k.Workspace) + "\x00" + k.Text }
 
-// Home returns the instance that alone may run the key: the one it names, or
-// the one of members that ranks first for it. members are the listed servers
-// of the service that are not leaving, whether they are heard of or not: a
-// silent home may have run the key, so it stays the home until the platform
-// takes it off the list. False if there are no members.
+// Home returns the only instance that may run the key: the one named by the key, or the
+// member that ranks first for it. members are the listed servers of the service that
+// are not leaving, whether they are reachable or not: an unreachable home may have run
+// the key, so it stays the home until the platform removes it from the list. It returns
+// false if there are no members.
 func Home(key Key, members []fleet.InstanceID) (fleet.InstanceID, bool) {
 	if key.Kind == Issued {
 		return key.Home, true
@@ -152,7 +154,7 @@
 	return best, true
 }
 
-// outranks reports whether a comes before b for a key of the given hash.
+// outranks reports whether a ranks before b for a key with the given hash.
 func outranks(hash uint64, a, b fleet.InstanceID) bool {
 	order := cmp.Or(
 		cmp.Compare(rank(hash, a), rank(hash, b)),
@@ -163,7 +165,7 @@
 
 func rank(hash uint64, member fleet.InstanceID) uint64 {
 	digest := xxhash.NewWithSeed(hash)
-	// A Digest never fails to write.
+	// Digest.WriteString never returns an error.
 	_, _ = digest.WriteString(string(member))
 	return digest.Sum64()
 }
--- a/core/once/key_test.go
+++ b/core/once/key_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("Key", func() {
-	DescribeTable("is read as",
+	DescribeTable("is parsed as",
 		func(text string, want once.Kind) {
 			key, err := once.ParseKey("workshop-7", text)
 			Expect(err).NotTo(HaveOccurred())
@@ -24,22 +24,22 @@
 		},
 		Entry("any text", "job-card-17", once.Plain),
 		Entry("a random UUID", "0b6aa4c8-67fd-4c1b-a9a3-3a1f2c7f6d11", once.Plain),
-		Entry("a UUID with a date", "01c2b7b9-c7a8-7000-8000-000000000003", once.Dated),
+		Entry("a version 7 UUID", "01c2b7b9-c7a8-7000-8000-000000000003", once.Dated),
 		Entry("an issued key", "apapa-s3.00000000000000aa.1935817689000.00000000000000ff", once.Issued),
-		Entry("an issued key of a home with dots", "a.b.c.00000000000000aa.1935817689000.00000000000000ff", once.Issued),
+		Entry("an issued key whose home contains dots", "a.b.c.00000000000000aa.1935817689000.00000000000000ff", once.Issued),
 		Entry("a version number", "release.1.2.3", once.Plain),
 		Entry("an issued key without a home", ".00000000000000aa.1935817689000.00000000000000ff", once.Plain),
-		Entry("an issued key cut short", "apapa-s3.00000000000000aa.1935817689000.00ff", once.Plain),
+		Entry("a truncated issued key", "apapa-s3.00000000000000aa.1935817689000.00ff", once.Plain),
 	)
 
-	It("survives the way to the caller and back", func() {
+	It("parses to the issued key", func() {
 		key := once.Issue("workshop-7", "apapa.s3", 0xaa, start, 0xff)
 		read, err := once.ParseKey("workshop-7", key.Text)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(Equal(key))
 	})
 
-	DescribeTable("is refused",
+	DescribeTable("is rejected",
 		func(text, want string) {
 			_, err := once.ParseKey("workshop-7", text)
 			Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
@@ -74,7 +74,7 @@
 		Expect(homes([]fleet.InstanceID{"s4", "s2", "s0", "s1", "s3"})).To(Equal(homes(members)))
 	})
 
-	It("moves only the keys of a member that goes", func() {
+	It("moves only the keys of a removed member", func() {
 		before, after := homes(members), homes(members[1:])
 		for text, home := range before {
 			if home != "s0" {
@@ -83,23 +83,23 @@
 		}
 	})
 
-	It("is the one that an issued key names, listed or not", func() {
+	It("is the instance that an issued key names, listed or not", func() {
 		home, ok := once.Home(issuedKey(1, start), members[1:])
 		Expect(ok).To(BeTrue())
 		Expect(home).To(Equal(fleet.InstanceID("s0")))
 	})
 
-	It("is none without members", func() {
+	It("does not exist without members", func() {
 		_, ok := once.Home(plainKey("job-card-1"), nil)
 		Expect(ok).To(BeFalse())
 	})
 
-	// Two workspaces number their job cards alike. Were the number alone the
-	// key, one would get the other's answer.
-	It("tells the keys of workspaces apart", func() {
-		r := once.New(optionsOf("s0", life))
-		one := once.Issue("workshop-7", "s0", life, start, 1)
-		two := once.Issue("workshop-8", "s0", life, start, 1)
+	// Two workspaces use the same numbers as keys. If the number alone were the key,
+	// one workspace would get the response of the other.
+	It("separates the keys of workspaces", func() {
+		r := once.New(optionsOf("s0", testIncarnation))
+		one := once.Issue("workshop-7", "s0", testIncarnation, start, 1)
+		two := once.Issue("workshop-8", "s0", testIncarnation, start, 1)
 		Expect(r.Begin(start, one, bodyOf("order"), once.Facts{}).Action).To(Equal(once.Run))
 		Expect(r.Passed(one)).To(BeTrue())
 		r.Finish(start, one, once.Result{Outcome: failure.Ran, Body: []byte("card 1"), BodyKept: true})
--- a/core/once/model_test.go
+++ b/core/once/model_test.go
@@ -15,23 +15,23 @@
 	"chivespindle.example/core/once"
 )
 
-// world is a fleet of homes and everything that is on its way to them. Asks
-// are delivered late, twice, in any order and to any home, which covers what
-// entries, links and callers can do wrong; homes crash and come back empty.
+// world simulates homes and the requests on their way to them. Requests are delivered
+// late, twice, in any order and to any home, which covers the faults of entries, links
+// and clients; homes crash and restart without records.
 type world struct {
-	t     *rapid.T
-	now   time.Time
-	names []fleet.InstanceID
-	homes map[fleet.InstanceID]*home
-	lives map[fleet.InstanceID]once.Incarnation
-	// lists is the platform's list after each change, the latest last.
+	t            *rapid.T
+	now          time.Time
+	names        []fleet.InstanceID
+	homes        map[fleet.InstanceID]*home
+	incarnations map[fleet.InstanceID]once.Incarnation
+	// lists holds the platform's list after each change, the latest last.
 	lists []listing
 
-	keys []once.Key
-	asks []*ask
-	ran  map[string]int    // executions of each key's text
-	done map[ask]bool      // key and body that ran
-	told map[ask]time.Time // when a caller of key and body was told "not run" last
+	keys       []once.Key
+	requests   []*request
+	ran        map[string]int        // number of executions by key text
+	done       map[request]bool      // keys and bodies that ran
+	toldNotRun map[request]time.Time // when a client of key and body was last told "not run"
 }
 
 type listing struct {
@@ -40,44 +40,44 @@
 }
 
 type home struct {
-	register *once.Register
-	skew     time.Duration // of its clock
-	life     once.Incarnation
-	working  []*ask // let run, not ended
-	cut      bool   // off from the platform
+	register    *once.Register
+	skew        time.Duration // offset of its clock
+	incarnation once.Incarnation
+	running     []*request // Begin returned Run, not ended
+	partitioned bool       // cannot read the list from the platform
 }
 
-// ask is one request of a caller as an entry sends it.
-type ask struct {
-	key     once.Key
-	body    string
-	arrived time.Time // at the entry
-	passed  bool
-	runs    bool // what the backend server will do with it
+// request is one request of a client as an entry sends it.
+type request struct {
+	key       once.Key
+	body      string
+	arrived   time.Time // at the entry
+	forwarded bool
+	runs      bool // whether the backend server runs it
 }
 
-// same names the key and body of an ask.
-func (a ask) same() ask { return ask{key: a.key, body: a.body} }
+// identity returns a request with only the key and body of a, for use as a map key.
+func (a request) identity() request { return request{key: a.key, body: a.body} }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
 		t: t, now: start,
 		names: []fleet.InstanceID{"s0", "s1", "s2"},
-		homes: map[fleet.InstanceID]*home{}, lives: map[fleet.InstanceID]once.Incarnation{},
-		ran: map[string]int{}, done: map[ask]bool{}, told: map[ask]time.Time{},
+		homes: map[fleet.InstanceID]*home{}, incarnations: map[fleet.InstanceID]once.Incarnation{},
+		ran: map[string]int{}, done: map[request]bool{}, toldNotRun: map[request]time.Time{},
 	}
 	w.lists = []listing{{at: start.Add(-time.Hour), members: slices.Clone(w.names)}}
 	for _, name := range w.names {
-		w.boot(name)
+		w.startHome(name)
 	}
 	return w
 }
 
-func (w *world) intn(label string, n int) int { return evenly(n).Draw(w.t, label) }
+func (w *world) intn(label string, n int) int { return uniform(n).Draw(w.t, label) }
 
-// evenly draws from [0, n). rapid's own numbers prefer small ones, so that
-// most steps of a run would be the first few in the list.
-func evenly(n int) *rapid.Generator[int] {
+// uniform draws uniformly from [0, n). rapid's integers favour small values, so most
+// steps of a run would be the first few of the list.
+func uniform(n int) *rapid.Generator[int] {
 	return rapid.Custom(func(t *rapid.T) int {
 		drawn := 0
 		for range bits.Len(uint(n-1)) + 2 {
@@ -92,13 +92,13 @@
 
 func (w *world) name() fleet.InstanceID { return w.names[w.intn("server", len(w.names))] }
 
-func (w *world) boot(name fleet.InstanceID) {
-	w.lives[name]++
+func (w *world) startHome(name fleet.InstanceID) {
+	w.incarnations[name]++
 	skew := time.Duration(w.intn("skew", 3)-1) * clockSkew / 2
 	w.homes[name] = &home{
-		register: once.New(optionsOf(name, w.lives[name])),
-		skew:     skew,
-		life:     w.lives[name],
+		register:    once.New(optionsOf(name, w.incarnations[name])),
+		skew:        skew,
+		incarnation: w.incarnations[name],
 	}
 }
 
@@ -107,25 +107,25 @@
 	return h, h != nil
 }
 
-// step is something that may happen, and how often relative to the others.
+// step is a possible event and its relative frequency.
 type step struct {
 	often int
 	do    func()
 }
 
-// run takes many steps drawn from the shared ones and from own, and checks
-// the promises after each.
+// run executes many steps drawn from the common ones and from own, and checks the
+// guarantees after each.
 func (w *world) run(own ...step) {
 	steps := slices.Concat(own, []step{
-		{8, w.ask},
+		{8, w.sendRequest},
 		{8, w.deliver},
-		{8, w.pass},
+		{8, w.forward},
 		{4, w.finish},
 		{2, w.abandon},
 		{1, func() { delete(w.homes, w.name()) }},
 		{2, func() {
 			if name := w.name(); w.homes[name] == nil {
-				w.boot(name)
+				w.startHome(name)
 			}
 		}},
 	})
@@ -139,102 +139,103 @@
 	}
 }
 
-// wait lets time go on, by little or by about one of the time limits.
+// wait advances the clock, by a little or by about one of the time limits.
 func (w *world) wait() {
 	limits := []time.Duration{time.Second, 3 * time.Second, settle, keep + settle}
 	limit := limits[w.intn("scale", len(limits))]
 	w.now = w.now.Add(time.Duration(w.intn("ms", int(limit.Milliseconds()))) * time.Millisecond)
 }
 
-func (w *world) ask() {
+func (w *world) sendRequest() {
 	if len(w.keys) == 0 {
 		return
 	}
-	w.asks = append(w.asks, &ask{key: w.recentKey(), body: bodies[w.intn("body", len(bodies))], arrived: w.now})
+	w.requests = append(w.requests, &request{key: w.recentKey(), body: bodies[w.intn("body", len(bodies))], arrived: w.now})
 	w.deliver()
 }
 
-// recentKey returns one of the six newest keys; older ones are delivered
-// again from their asks.
+// recentKey returns one of the six newest keys. Older keys recur only through repeated
+// delivery of their requests.
 func (w *world) recentKey() once.Key {
 	return w.keys[len(w.keys)-1-w.intn("key", min(6, len(w.keys)))]
 }
 
-// deliver hands any ask, also one delivered before, to any live home.
+// deliver delivers any request, even one delivered before, to any live home.
 func (w *world) deliver() {
 	h, ok := w.home()
-	if !ok || len(w.asks) == 0 {
+	if !ok || len(w.requests) == 0 {
 		return
 	}
-	sent := w.asks[len(w.asks)-1-w.intn("ask", len(w.asks))]
+	sent := w.requests[len(w.requests)-1-w.intn("ask", len(w.requests))]
 	slack := time.Duration(w.intn("slack", 3)) * time.Second
 	facts := once.Facts{Asked: sent.arrived.Add(h.skew - slack)}
 	verdict := h.register.Begin(w.now.Add(h.skew), sent.key, bodyOf(sent.body), facts)
 	switch verdict.Action {
 	case once.Run:
 		delivered := *sent
-		h.working = append(h.working, &delivered)
+		h.running = append(h.running, &delivered)
 	case once.Refuse:
-		w.tell(*sent, verdict.Outcome)
+		w.recordResponse(*sent, verdict.Outcome)
 	}
 }
 
-// bodies are mostly the same one: the caller asks again.
+// bodies contains mostly the same body, since most requests are retries.
 var bodies = []string{"order", "order", "order", "another order"}
 
-func (w *world) tell(a ask, outcome failure.Outcome) {
+func (w *world) recordResponse(a request, outcome failure.Outcome) {
 	if outcome != failure.NotRun {
 		return
 	}
-	if w.done[a.same()] {
-		w.t.Fatalf("caller told that %s was not run after it ran", a.key.Text)
+	if w.done[a.identity()] {
+		w.t.Fatalf("client told that %s was not run after it ran", a.key.Text)
 	}
-	w.told[a.same()] = w.now
+	w.toldNotRun[a.identity()] = w.now
 }
 
-// work returns a home and one of the asks it was let run.
-func (w *world) work(passed bool) (*home, *ask) {
+// pickRequest returns a home and one of its requests that may run, either forwarded or
+// not.
+func (w *world) pickRequest(forwarded bool) (*home, *request) {
 	h, ok := w.home()
 	if !ok {
 		return nil, nil
 	}
-	for _, a := range h.working {
-		if a.passed == passed {
+	for _, a := range h.running {
+		if a.forwarded == forwarded {
 			return h, a
 		}
 	}
 	return nil, nil
 }
 
-func (w *world) pass() {
-	h, a := w.work(false)
+func (w *world) forward() {
+	h, a := w.pickRequest(false)
 	if h == nil || !h.register.Passed(a.key) {
 		return
 	}
-	a.passed = true
+	a.forwarded = true
 	a.runs = w.intn("runs", 4) > 0
 	if !a.runs {
 		return
 	}
 	w.ran[a.key.Text]++
-	w.done[a.same()] = true
-	if told, ok := w.told[a.same()]; ok && !a.arrived.After(told) {
-		w.t.Fatalf("%s ran for an ask from before the caller was told that it was not run", a.key.Text)
+	w.done[a.identity()] = true
+	if told, ok := w.toldNotRun[a.identity()]; ok && !a.arrived.After(told) {
+		w.t.Fatalf("%s ran for a request received before the client was told that it was not run", a.key.Text)
 	}
 }
 
 func (w *world) abandon() {
-	h, a := w.work(false)
+	h, a := w.pickRequest(false)
 	if h == nil {
 		return
 	}
 	h.register.Abandon(w.now.Add(h.skew), a.key)
 	h.drop(a)
-	w.tell(*a, failure.NotRun)
+	w.recordResponse(*a, failure.NotRun)
 }
 
 func (w *world) finish() {
-	h, a := w.work(true)
+	h, a := w.pickRequest(true)
 	if h == nil {
 		return
 	}
@@ -247,11 +248,11 @@
 	}
 	h.register.Finish(w.now.Add(h.skew), a.key, result)
 	h.drop(a)
-	w.tell(*a, result.Outcome)
+	w.recordResponse(*a, result.Outcome)
 }
 
-func (h *home) drop(a *ask) {
-	h.working = slices.DeleteFunc(h.working, func(other *ask) bool { return other == a })
+func (h *home) drop(a *request) {
+	h.running = slices.DeleteFunc(h.running, func(other *request) bool { return other == a })
 }
 
 func (w *world) check() {
@@ -264,10 +265,10 @@
 	}
 }
 
-// A workshop pays for two mast chains: its order is asked again, held up,
-// delivered twice and to the wrong homes, while homes crash, come back empty,
-// and hold whatever lists. A key that the system issued runs at most once all
-// the same, and a caller told "not run" is told the truth.
+// Guards against a request with an issued key that runs twice, and against a client
+// that is wrongly told "not run". The request is retried, delayed, delivered twice and
+// to the wrong homes, while homes crash, restart without records and hold arbitrary
+// lists.
 func TestIssuedKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -278,7 +279,7 @@
 			}
 			entrySkew := time.Duration(w.intn("entry skew", 20)-10) * time.Second
 			made := w.now.Add(entrySkew)
-			w.keys = append(w.keys, once.Issue("workshop-7", name, w.homes[name].life, made, uint64(len(w.keys))))
+			w.keys = append(w.keys, once.Issue("workshop-7", name, w.homes[name].incarnation, made, uint64(len(w.keys))))
 		}
 		readAnyList := func() {
 			if h, ok := w.home(); ok {
@@ -289,10 +290,10 @@
 	})
 }
 
-// The same for keys that callers chose, under the weaker promise: every list
-// in use is at most ListLag older than its reading, the clocks of homes agree
-// within ClockSkew, and a key without a date is not asked again later than
-// Keep after it was first asked. The dates of keys may be wrong at will.
+// The same for keys chosen by clients, under a weaker guarantee: every list in use is
+// at most ListLag older than its reading, the clocks of homes agree within ClockSkew,
+// and a key without a date is not retried later than Keep after its first request. The
+// dates of keys may be arbitrarily wrong.
 func TestChosenKeyRunsAtMostOnceWhileListsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -313,22 +314,22 @@
 		}
 		cut := func() {
 			if h, ok := w.home(); ok {
-				h.cut = !h.cut
+				h.partitioned = !h.partitioned
 			}
 		}
 		w.run(step{4, choose}, step{2, w.change}, step{1, cut}, step{6, func() {
 			w.wait()
 			w.readAll(w.now, int(listLag.Seconds()))
-			w.asks = slices.DeleteFunc(w.asks, func(a *ask) bool { return expired(a.key) })
+			w.requests = slices.DeleteFunc(w.requests, func(a *request) bool { return expired(a.key) })
 			w.keys = slices.DeleteFunc(w.keys, expired)
 		}})
 	})
 }
 
-// callerSkews are how wrong the date of a caller's key may be.
+// callerSkews are the possible errors of the date of a client's key.
 var callerSkews = []time.Duration{0, 0, 0, 0, -settle, clockSkew, settle, 2 * settle}
 
-// change adds or removes one member of the platform's list.
+// change adds one member to the platform's list or removes one.
 func (w *world) change() {
 	members := slices.Clone(w.lists[len(w.lists)-1].members)
 	name := w.name()
@@ -340,12 +341,12 @@
 	w.lists = append(w.lists, listing{at: w.now, members: members})
 }
 
-// readAll gives every home that is not cut off the list as it was at some time
-// within maxLag seconds of now.
+// readAll gives every home that can read the platform the list as it was at a random
+// time within maxLag seconds before now.
 func (w *world) readAll(now time.Time, maxLag int) {
 	for _, name := range w.names {
 		h := w.homes[name]
-		if h == nil || h.cut {
+		if h == nil || h.partitioned {
 			continue
 		}
 		lag := time.Duration(w.intn("lag", maxLag+1)) * time.Second
--- a/core/once/once_suite_test.go
+++ b/core/once/once_suite_test.go
@@ -19,18 +19,18 @@
 }
 
 const (
-	keep       = 100 * time.Second
-	maxListAge = 10 * time.Second
-	listLag    = 10 * time.Second
-	maxKeys    = 3
-	clockSkew  = 2 * time.Second
-	settle     = listLag + maxListAge + 2*clockSkew
-	life       = once.Incarnation(0x11)
+	keep            = 100 * time.Second
+	maxListAge      = 10 * time.Second
+	listLag         = 10 * time.Second
+	maxKeys         = 3
+	clockSkew       = 2 * time.Second
+	settle          = listLag + maxListAge + 2*clockSkew
+	testIncarnation = once.Incarnation(0x11)
 )
 
 var start = time.Date(2031, 5, 6, 7, 8, 9, 0, time.UTC)
 
-// optionsOf are small enough that a test meets every bound.
+// optionsOf returns options with limits small enough that tests reach each of them.
 func optionsOf(self fleet.InstanceID, incarnation once.Incarnation) once.Options {
 	return once.Options{
 		Self:        self,
@@ -48,7 +48,7 @@
 func bodyOf(text string) fleet.Digest { return fleet.DigestOf([]byte(text)) }
 
 func issuedKey(n uint64, made time.Time) once.Key {
-	return once.Issue("workshop-7", "s0", life, made, n)
+	return once.Issue("workshop-7", "s0", testIncarnation, made, n)
 }
 
 func plainKey(text string) once.Key {
@@ -59,8 +59,8 @@
 	return key
 }
 
-// datedKey returns a key of the caller's own made at the given time, number n
-// of that millisecond.
+// datedKey returns a client key created at the given time, number n of that
+// millisecond.
 func datedKey(made time.Time, n uint8) once.Key {
 	id := uuid.UUID{6: 0x70, 8: 0x80, 15: n}
 	millis := made.UnixMilli()
@@ -80,7 +80,7 @@
 	}
 }
 
-// datedKeyOfHome does the same for a key with a date.
+// datedKeyOfHome returns a dated key whose home among members is home.
 func datedKeyOfHome(made time.Time, home fleet.InstanceID, members ...fleet.InstanceID) once.Key {
 	for n := uint8(0); ; n++ {
 		key := datedKey(made, n)
--- a/core/once/register_test.go
+++ b/core/once/register_test.go
@@ -13,12 +13,12 @@
 	"chivespindle.example/core/once"
 )
 
-// begin asks at now, as an ask that has just reached an entry.
+// begin calls Begin for a request that reaches an entry at now.
 func begin(r *once.Register, now time.Time, key once.Key) once.Verdict {
 	return r.Begin(now, key, bodyOf("order"), once.Facts{Asked: now})
 }
 
-// runTo lets a key run and end with outcome.
+// runTo runs a key with the given outcome.
 func runTo(r *once.Register, now time.Time, key once.Key, outcome failure.Outcome, body string) {
 	Expect(begin(r, now, key).Action).To(Equal(once.Run))
 	Expect(r.Passed(key)).To(BeTrue())
@@ -29,51 +29,51 @@
 	var r *once.Register
 	key := issuedKey(1, start)
 
-	BeforeEach(func() { r = once.New(optionsOf("s0", life)) })
+	BeforeEach(func() { r = once.New(optionsOf("s0", testIncarnation)) })
 
-	// The caller's connection broke and it asks again, through another entry,
-	// while the first ask is at one of these stages.
-	DescribeTable("a second ask",
+	// The client's connection broke and it retries through another entry while the
+	// first request is in one of these phases.
+	DescribeTable("a second request",
 		func(first func(), want once.Verdict) {
 			first()
 			Expect(begin(r, start.Add(time.Second), key)).To(Equal(want))
 		},
 		Entry("runs if there was no first", func() {}, once.Verdict{Action: once.Run}),
-		Entry("waits for one that has begun", func() { begin(r, start, key) }, once.Verdict{Action: once.Running}),
-		Entry("waits for one that was passed on", func() {
+		Entry("waits for a first that has begun", func() { begin(r, start, key) }, once.Verdict{Action: once.Running}),
+		Entry("waits for a first that was forwarded", func() {
 			begin(r, start, key)
 			r.Passed(key)
 		}, once.Verdict{Action: once.Running}),
-		Entry("gets the answer of one that is done", func() { runTo(r, start, key, failure.Ran, "card 1") },
+		Entry("gets the response of a first that is done", func() { runTo(r, start, key, failure.Ran, "card 1") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{
 				Outcome: failure.Ran, Status: 200, Body: []byte("card 1"), BodyKept: true,
 			}}),
-		Entry("gets the status alone if the answer was large", func() { runTo(r, start, key, failure.Ran, "a long job card") },
+		Entry("gets only the status if the response was large", func() { runTo(r, start, key, failure.Ran, "a long job card") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{Outcome: failure.Ran, Status: 200}}),
-		// Guards against an empty answer in place of one that the agent did not keep.
-		Entry("gets the status alone if no body was handed in", func() {
+		// Guards against an empty response in place of one that the agent did not keep.
+		Entry("gets only the status if no body was recorded", func() {
 			begin(r, start, key)
 			r.Passed(key)
 			r.Finish(start, key, once.Result{Outcome: failure.Ran, Status: 200})
 		}, once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{Outcome: failure.Ran, Status: 200}}),
-		Entry("gets an answer that was empty", func() { runTo(r, start, key, failure.Ran, "") },
+		Entry("gets an empty response", func() { runTo(r, start, key, failure.Ran, "") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{
 				Outcome: failure.Ran, Status: 200, Body: []byte{}, BodyKept: true,
 			}}),
-		Entry("is told that the end of the first was not seen", func() { runTo(r, start, key, failure.Unknown, "") },
+		Entry("is refused if the outcome of the first is unknown", func() { runTo(r, start, key, failure.Unknown, "") },
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Lost}),
-		Entry("runs if the server did not run the first", func() { runTo(r, start, key, failure.NotRun, "") },
+		Entry("runs if the backend server did not run the first", func() { runTo(r, start, key, failure.NotRun, "") },
 			once.Verdict{Action: once.Run}),
-		Entry("runs if the first was not passed on", func() {
+		Entry("runs if the first was not forwarded", func() {
 			begin(r, start, key)
 			r.Abandon(start, key)
 		}, once.Verdict{Action: once.Run}),
 	)
 
-	// The entry was paused with the order in hand. The caller asked again
-	// through another, was told "not run" for want of room, and ordered
-	// elsewhere. Now the first entry wakes up and sends.
-	It("refuses an ask from before the caller was told that it was not run", func() {
+	// The entry was paused before it sent the request. The client retried through
+	// another entry, was told "not run" for lack of capacity, and sent the request
+	// elsewhere. Then the first entry resumes and sends it.
+	It("refuses a request received before the client was told that it was not run", func() {
 		asked := start
 		told := start.Add(5 * time.Second)
 		Expect(r.Close(told, key, bodyOf("order"), once.Facts{Asked: told})).
@@ -83,21 +83,21 @@
 		Expect(begin(r, start.Add(7*time.Second), key).Action).To(Equal(once.Run))
 	})
 
-	It("lets exactly one of many concurrent asks be passed on", func() {
+	It("lets exactly one of many concurrent requests be forwarded", func() {
 		var passed atomic.Int64
-		var asks sync.WaitGroup
+		var requests sync.WaitGroup
 		for range 20 {
-			asks.Go(func() {
+			requests.Go(func() {
 				if begin(r, start, key).Action == once.Run && r.Passed(key) {
 					passed.Add(1)
 				}
 			})
 		}
-		asks.Wait()
+		requests.Wait()
 		Expect(passed.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("lets one ask be passed on once", func() {
+	It("lets one request be forwarded only once", func() {
 		begin(r, start, key)
 		Expect(r.Passed(key)).To(BeTrue())
 		Expect(r.Passed(key)).To(BeFalse())
@@ -105,9 +105,9 @@
 		Expect(begin(r, start, key).Action).To(Equal(once.Running))
 	})
 
-	// A caller's program uses one key for two orders. The second would get
-	// the first one's answer.
-	It("refuses a second body under one key", func() {
+	// A client uses one key for two requests. The second would get the response of the
+	// first.
+	It("refuses a second body for the same key", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
 		other := r.Begin(start, key, bodyOf("another order"), once.Facts{Asked: start})
 		Expect(other).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.OtherBody}))
@@ -115,19 +115,19 @@
 
 	DescribeTable("an issued key",
 		func(key once.Key, want once.Verdict) { Expect(begin(r, start, key)).To(Equal(want)) },
-		Entry("runs at its home whatever the lists say", issuedKey(1, start), once.Verdict{Action: once.Run}),
-		Entry("runs long after it was made", issuedKey(1, start.Add(-time.Hour)), once.Verdict{Action: once.Run}),
-		Entry("of another home does not run", once.Issue("workshop-7", "s1", life, start, 1),
+		Entry("runs at its home regardless of the lists", issuedKey(1, start), once.Verdict{Action: once.Run}),
+		Entry("runs long after it was created", issuedKey(1, start.Add(-time.Hour)), once.Verdict{Action: once.Run}),
+		Entry("of another home does not run", once.Issue("workshop-7", "s1", testIncarnation, start, 1),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.WrongHome}),
-		Entry("of an earlier life does not run", once.Issue("workshop-7", "s0", life-1, start, 1),
+		Entry("of an earlier incarnation does not run", once.Issue("workshop-7", "s0", testIncarnation-1, start, 1),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.EarlierLife}),
-		Entry("from the future does not run", issuedKey(1, start.Add(time.Minute)),
+		Entry("with a date in the future does not run", issuedKey(1, start.Add(time.Minute)),
 			once.Verdict{Outcome: failure.NotRun, Reason: once.Premature}),
 	)
 
-	// The record of an order has been dropped, and the caller asks once more:
-	// running it would order twice, and saying "not run" would be a lie.
-	It("does not run a key whose record has been dropped", func() {
+	// The record of a request has been deleted, and the client retries: running it
+	// could run it twice, and "not run" could be false.
+	It("does not run a key whose record has been deleted", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
 		later := start.Add(keep + time.Second)
 		begin(r, later, issuedKey(2, later))
@@ -136,14 +136,14 @@
 		Expect(begin(r, later, issuedKey(3, later)).Action).To(Equal(once.Run))
 	})
 
-	It("keeps a record as long as it is asked for", func() {
+	It("keeps a record as long as requests for it arrive", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
 		for i := range 10 {
 			Expect(begin(r, start.Add(time.Duration(i)*keep), key).Action).To(Equal(once.Done))
 		}
 	})
 
-	It("keeps the record of work that still runs", func() {
+	It("keeps the record of a request that is still running", func() {
 		chosen := keyOfHome("s0", "s0")
 		r.SetMembers(start, []fleet.InstanceID{"s0"})
 		now := start.Add(settle + keep + time.Second)
@@ -155,10 +155,10 @@
 		Expect(begin(r, now, chosen).Action).To(Equal(once.Running))
 	})
 
-	// A burst of new keys must neither grow the process past its memory nor
-	// push out the record of an order that runs. The key refused for want of
-	// room stays refused for asks from before, also when there is room again.
-	It("refuses new keys when the record is full, and means it", func() {
+	// A burst of new keys must neither exceed the memory limit nor evict the record of
+	// a running request. A key refused for lack of capacity stays refused for requests
+	// received before, even when there is capacity again.
+	It("refuses new keys when the register is full, and keeps refusing delayed requests", func() {
 		refusedKey := issuedKey(9, start.Add(time.Second))
 		for n := range uint64(maxKeys) {
 			begin(r, start, issuedKey(n, start))
@@ -174,7 +174,7 @@
 		Expect(begin(r, later.Add(time.Second), refusedKey).Action).To(Equal(once.Run))
 	})
 
-	It("bounds the bytes of kept answers and drops the oldest", func() {
+	It("bounds the bytes of kept responses and deletes the oldest", func() {
 		for n := range uint64(3) {
 			runTo(r, start, issuedKey(n, start), failure.Ran, "12345")
 		}
@@ -184,49 +184,49 @@
 	})
 })
 
-var _ = Describe("a key that a caller chose", func() {
+var _ = Describe("a key chosen by the client", func() {
 	both := []fleet.InstanceID{"s0", "s1"}
 	settled := start.Add(settle + time.Second)
 	plain := keyOfHome("s0", both...)
 	dated := datedKeyOfHome(settled, "s0", both...)
 
-	// register returns that of s0, which read both members at start and again
-	// at the time of the ask.
+	// register returns the register of s0, which read a list with both members at start
+	// and again at now.
 	register := func(now time.Time) *once.Register {
-		r := once.New(optionsOf("s0", life))
+		r := once.New(optionsOf("s0", testIncarnation))
 		r.SetMembers(start, both)
 		r.SetMembers(now, both)
 		return r
 	}
 
-	DescribeTable("runs only where and when no other home can have run it",
+	DescribeTable("runs only if no other home can have run it",
 		func(now time.Time, key once.Key, want once.Verdict) {
 			Expect(begin(register(now), now, key)).To(Equal(want))
 		},
-		Entry("plain, home for long", settled.Add(keep), plain, once.Verdict{Action: once.Run}),
-		Entry("plain, home for less than a caller may ask again", settled.Add(keep/2), plain,
+		Entry("plain, home for long enough", settled.Add(keep), plain, once.Verdict{Action: once.Run}),
+		Entry("plain, home for less than the retry period", settled.Add(keep/2), plain,
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Moved}),
-		Entry("plain, another's", settled.Add(keep), keyOfHome("s1", both...),
+		Entry("plain, another home", settled.Add(keep), keyOfHome("s1", both...),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.NotHome}),
 		Entry("dated after the home settled", settled, dated, once.Verdict{Action: once.Run}),
-		Entry("dated before", settled, datedKeyOfHome(start, "s0", both...),
+		Entry("dated before the home settled", settled, datedKeyOfHome(start, "s0", both...),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Moved}),
-		Entry("dated ahead", settled, datedKeyOfHome(settled.Add(time.Minute), "s0", both...),
+		Entry("dated in the future", settled, datedKeyOfHome(settled.Add(time.Minute), "s0", both...),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Premature}),
-		Entry("dated longer ago than a caller may ask again", settled.Add(2*keep), dated,
+		Entry("dated longer ago than the retry period", settled.Add(2*keep), dated,
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Forgotten}),
 	)
 
-	It("does not run at a home whose list is old", func() {
+	It("does not run at a home whose list is stale", func() {
 		r := register(settled)
 		now := settled.Add(maxListAge + time.Second)
 		Expect(begin(r, now, datedKeyOfHome(now, "s0", both...))).
 			To(Equal(once.Verdict{Outcome: failure.Unknown, Reason: once.StaleList}))
 	})
 
-	// The home ran an order and died, its answer was lost, and the caller
-	// asks again. The next home cannot know.
-	It("is unknown to the next home after its home has gone", func() {
+	// The home ran a request and crashed, its response was lost, and the client
+	// retries. The next home cannot know whether it ran.
+	It("has an unknown outcome at the next home after its home is removed", func() {
 		key := datedKeyOfHome(settled, "s1", both...)
 		r := register(settled)
 		gone := settled.Add(time.Second)
@@ -238,14 +238,13 @@
 		Expect(begin(r, fresh, datedKey(fresh, 1)).Action).To(Equal(once.Run))
 	})
 
-	// What cannot be promised without storage. The platform shows two homes
-	// different lists for longer than ListLag. The order runs at one, its
-	// answer is lost, the caller asks again and reaches the other, which has
-	// long been the home by its own list: it runs twice. The issued key of
-	// the test above cannot.
-	It("may run twice while lists differ for longer than promised", func() {
+	// A known limit without persistent storage: the platform shows two homes different
+	// lists for longer than ListLag. The request runs at one, its response is lost, the
+	// client retries and reaches the other, which has long been the home by its own
+	// list: it runs twice. An issued key cannot run twice.
+	It("may run twice if lists differ for longer than ListLag", func() {
 		now := settled.Add(keep)
-		one, two := once.New(optionsOf("s0", life)), once.New(optionsOf("s1", life))
+		one, two := once.New(optionsOf("s0", testIncarnation)), once.New(optionsOf("s1", testIncarnation))
 		for _, at := range []time.Time{start, now} {
 			one.SetMembers(at, []fleet.InstanceID{"s0"})
 			two.SetMembers(at, []fleet.InstanceID{"s1"})
--- a/core/once/verdict.go
+++ b/core/once/verdict.go
@@ -7,84 +7,87 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Action is what the agent does with an ask.
+// Action is what the agent does with a request.
 type Action uint8
 
 const (
-	// Refuse: the ask is not passed on. See Verdict.Reason. The zero value.
+	// Refuse: the request is not forwarded; Verdict.Reason gives the cause. The zero
+	// value.
 	Refuse Action = iota
-	// Run: this ask, and no other, may be passed on. The agent calls Passed
-	// just before its first byte, and then Finish, or else Abandon.
+	// Run: this request, and no other with the key, may be forwarded. The agent calls
+	// Passed just before it sends the first byte, and then Finish; otherwise Abandon.
 	Run
-	// Running: an earlier ask with the key runs now; whether it will end in
-	// an answer is not known. The caller asks again later.
+	// Running: an earlier request with the key is running; its outcome is not known
+	// yet. The client retries later.
 	Running
-	// Done: the work has run; Verdict.Result tells how it ended.
+	// Done: the request has run; Verdict.Result holds its result.
 	Done
 )
 
-// Reason says why an ask was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 const (
 	// WrongHome: the key names another instance.
 	WrongHome Reason = "wrong_home"
-	// EarlierLife: the key names an earlier life of this process, whose
-	// record is gone.
+	// EarlierLife: the key names an earlier incarnation of this process, whose records
+	// are lost.
 	EarlierLife Reason = "earlier_life"
-	// NotHome: in this instance's list another one is the key's home.
+	// NotHome: according to this instance's list, another instance is the home of the
+	// key.
 	NotHome Reason = "not_home"
-	// Moved: this instance became the key's home after the key may have been
-	// asked elsewhere.
+	// Moved: this instance became the home of the key after another one may have
+	// received it.
 	Moved Reason = "home_moved"
-	// StaleList: this instance's list of servers is too old to tell whether
-	// it is still the key's home.
+	// StaleList: this instance's list of servers is too old to determine whether it is
+	// still the home of the key.
 	StaleList Reason = "stale_list"
-	// Forgotten: the key is as old as keys whose record has been dropped.
+	// Forgotten: the key is no newer than keys whose records have been deleted, or
+	// older than Keep.
 	Forgotten Reason = "forgotten"
-	// Premature: the key claims to have been made in the future.
+	// Premature: the creation time of the key is in the future.
 	Premature Reason = "premature"
-	// OtherBody: the key was used for another request.
+	// OtherBody: the key was used with another request body.
 	OtherBody Reason = "other_body"
-	// Closed: the key was answered as not run after this ask had come to an
-	// entry. The caller may ask again.
+	// Closed: the client was told that the key was not run after this request had
+	// reached an entry. The client may retry.
 	Closed Reason = "closed"
-	// Busy: the record is full.
+	// Busy: the register is full.
 	Busy Reason = "record_full"
-	// Lost: the work was passed on and its end was not seen.
+	// Lost: the request was forwarded and its outcome is unknown.
 	Lost Reason = "lost"
 )
 
-// Verdict is the answer to an ask.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Action Action
-	// Outcome is what the caller may be told about the key, not only about
-	// this ask: failure.NotRun means that no ask that has reached an entry by
-	// now has run or ever will. Whatever it is, a refused ask itself was not
-	// passed on, so that an entry may try the home that it learns of next.
+	// Outcome is what the client may be told about the key, not only about this
+	// request: failure.NotRun means that no request with the key that has reached an
+	// entry by now has run or will ever run. Whatever it is, a refused request itself
+	// was not forwarded, so an entry may try the next home that it learns of.
 	Outcome failure.Outcome
 	Reason  Reason
-	Result  Result // of a Done key
+	Result  Result // only if Action is Done
 }
 
-// Result is how work ended.
+// Result is the outcome of a forwarded request.
 type Result struct {
-	// Outcome is failure.Ran if the whole answer came, failure.NotRun if the
-	// backend server certainly did not run the work, else failure.Unknown.
+	// Outcome is failure.Ran if the complete response was received, failure.NotRun if
+	// the backend server certainly did not run the request, otherwise failure.Unknown.
 	Outcome failure.Outcome
 	Status  int // HTTP status of the backend server
 	Version fleet.Version
-	// Body is the whole answer if BodyKept is true; it may be empty. A register
-	// keeps small ones that are handed in so.
+	// Body is the complete response body if BodyKept is true; it may be empty. A
+	// register keeps small bodies that Finish receives with BodyKept set.
 	Body     []byte
 	BodyKept bool
 }
 
-// Facts are what the agent knows of an ask beside key and body.
+// Facts are what the agent knows about a request besides key and body.
 type Facts struct {
-	// Asked is when the caller's ask reached an entry, by this instance's
-	// clock and rather too early than too late; see admission.Echo. Zero if
-	// not known, which counts as long ago. A retry by the entry keeps it.
+	// Asked is when the client's request reached an entry, by this instance's clock. The
+	// estimate errs towards too early; see admission.RemoteClock. Zero if unknown, which
+	// counts as long ago. Retries by the entry keep it.
 	Asked time.Time
 }
 
--- a/core/once/view.go
+++ b/core/once/view.go
@@ -8,51 +8,52 @@
 	"chivespindle.example/core/fleet"
 )
 
-// view is what the register knows of the service's servers over time.
+// view is the history of the service's server list, as far as it matters to the
+// register.
 //
-// Whether this instance has been the home of a key for some time needs no
-// history of lists: it was not, as long as a member that outranks it for the
-// key was listed. So the last time that each member was listed is enough.
+// To determine since when this instance has been the home of a key, no history of lists
+// is needed: it was not the home as long as a member that outranks it for the key was
+// listed. The last time that each member was listed is sufficient.
 type view struct {
-	self     fleet.InstanceID
-	keep     time.Duration
-	read     time.Time // when the list was read last
-	listed   time.Time // since when self has been listed without a break
-	lastSeen map[fleet.InstanceID]time.Time
-	current  map[fleet.InstanceID]bool
+	self        fleet.InstanceID
+	keep        time.Duration
+	readAt      time.Time // when the list was last read
+	listedSince time.Time // since when self has been listed without interruption
+	lastListed  map[fleet.InstanceID]time.Time
+	current     map[fleet.InstanceID]bool
 }
 
 func newView(self fleet.InstanceID, keep time.Duration) view {
-	return view{self: self, keep: keep, lastSeen: map[fleet.InstanceID]time.Time{}}
+	return view{self: self, keep: keep, lastListed: map[fleet.InstanceID]time.Time{}}
 }
 
-// update takes in a list read at now.
+// update applies a list read at now.
 func (v *view) update(now time.Time, members []fleet.InstanceID) {
 	current := make(map[fleet.InstanceID]bool, len(members))
 	for _, member := range members {
 		current[member] = true
 	}
-	// One that is gone from the list was in it until this moment, as far as
-	// is known here.
+	// A member that is no longer listed counts as listed until now, since its removal
+	// may have happened at any time since the last read.
 	for member := range v.current {
-		v.lastSeen[member] = now
+		v.lastListed[member] = now
 	}
 	for member := range current {
-		v.lastSeen[member] = now
+		v.lastListed[member] = now
 	}
-	for member, seen := range v.lastSeen {
+	for member, seen := range v.lastListed {
 		if !current[member] && now.Sub(seen) > v.keep {
-			delete(v.lastSeen, member)
+			delete(v.lastListed, member)
 		}
 	}
 	if current[v.self] && !v.current[v.self] {
-		v.listed = now
+		v.listedSince = now
 	}
 	v.current = current
-	v.read = now
+	v.readAt = now
 }
 
-// isHome reports whether self is the home of the key in the present list.
+// isHome reports whether self is the home of the key in the current list.
 func (v *view) isHome(key Key) bool {
 	if !v.current[v.self] {
 		return false
@@ -66,12 +67,12 @@
 	return true
 }
 
-// homeSince returns since when self has been the home of the key in every
-// list that it read.
+// homeSince returns since when self has been the home of the key in every list that it
+// read.
 func (v *view) homeSince(key Key) time.Time {
-	since := v.listed
+	since := v.listedSince
 	hash := xxhash.Sum64String(key.id())
-	for member, seen := range v.lastSeen {
+	for member, seen := range v.lastListed {
 		if member != v.self && seen.After(since) && outranks(hash, member, v.self) {
 			since = seen
 		}
--- a/core/spread/bench_test.go
+++ b/core/spread/bench_test.go
@@ -9,41 +9,41 @@
 	"chivespindle.example/core/weights"
 )
 
-// BenchmarkSpread gives the time to the last replica over the bound and the
-// copies drawn from the origin, mean and worst over its iterations.
+// BenchmarkSpread reports the time to the last replica relative to the lower bound and
+// the copies fetched from the origin, mean and worst over the iterations.
 func BenchmarkSpread(b *testing.B) {
 	for _, policy := range []spread.Policy{spread.PolicyTime, spread.PolicyOrigin} {
 		for _, n := range []int{16, 32, 64} {
 			for _, chunks := range []int{64, 256} {
 				b.Run(fmt.Sprintf("policy=%s/members=%d/chunks=%d", policy, n, chunks), func(b *testing.B) {
-					spreadAll(b, n, chunks, spread.Settings{Policy: policy})
+					benchmarkPolicy(b, n, chunks, spread.Settings{Policy: policy})
 				})
 			}
 		}
 	}
 }
 
-func spreadAll(b *testing.B, n, chunks int, s spread.Settings) {
-	var time1, copies, worstTime, worstCopies float64
+func benchmarkPolicy(b *testing.B, n, chunks int, s spread.Settings) {
+	var totalTime, copies, worstTime, worstCopies float64
 	for seed := range b.N {
 		d := newDriver(n, chunks, 10*time.Second, s, uint64(seed))
 		d.startAll()
 		if !d.run(10 * time.Minute) {
 			b.Fatal("not complete")
 		}
-		time1 += d.overBound()
+		totalTime += d.overBound()
 		copies += d.copies()
 		worstTime, worstCopies = max(worstTime, d.overBound()), max(worstCopies, d.copies())
 	}
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(time1/float64(b.N), "time/bound")
+	b.ReportMetric(totalTime/float64(b.N), "time/bound")
 	b.ReportMetric(worstTime, "worst_time/bound")
 	b.ReportMetric(copies/float64(b.N), "copies")
 	b.ReportMetric(worstCopies, "worst_copies")
 }
 
-// BenchmarkNext gives the cost of one event and the decisions it leads to, in
-// the middle of the spread of a large version among many neighbours.
+// BenchmarkNext measures one event and the decisions that follow it, in the middle of
+// the distribution of a large version among many neighbours.
 func BenchmarkNext(b *testing.B) {
 	const chunks, peers = 25_000, 16
 	d := newDriver(peers+1, chunks, time.Minute, spread.Settings{}, 1)
@@ -76,7 +76,8 @@
 	}
 }
 
-// BenchmarkSetMembers gives the cost of the first list of a large fleet.
+// BenchmarkSetMembers measures the processing of the first member list of a large
+// fleet.
 func BenchmarkSetMembers(b *testing.B) {
 	d := newDriver(390, 25_000, time.Minute, spread.Settings{}, 1)
 	for b.Loop() {
@@ -84,7 +85,7 @@
 	}
 }
 
-// BenchmarkNeighbours gives the cost of one choice in a large fleet.
+// BenchmarkNeighbours measures one choice of neighbours in a large fleet.
 func BenchmarkNeighbours(b *testing.B) {
 	d := newDriver(390, 1, time.Minute, spread.Settings{}, 1)
 	plan := newPlan(d.list[0], d.list, 1, spread.Settings{})
--- a/core/spread/driver_test.go
+++ b/core/spread/driver_test.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	chunkBytes = 1 << 20
-	stallTime  = time.Second
-	tendTime   = 250 * time.Millisecond // between looks at the neighbours
-	// arrived stands for a fetch that does not fail.
-	arrived = spread.Reason(255)
+	chunkBytes       = 1 << 20
+	stallTimeout     = time.Second
+	maintainInterval = 250 * time.Millisecond // interval of connecting to neighbours
+	// noFailure marks a successful fetch.
+	noFailure = spread.Reason(255)
 )
 
-// begin is when each trial starts.
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the start time of each simulation.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// charged are the reasons of failed draws that count against the quota.
-var charged = []spread.Reason{spread.ReasonStalled, spread.ReasonCorrupt, spread.ReasonGone, spread.ReasonLocal}
+// chargedReasons are the failure reasons for which a fetch from the origin counts
+// against the quota.
+var chargedReasons = []spread.Reason{spread.ReasonStalled, spread.ReasonCorrupt, spread.ReasonGone, spread.ReasonLocal}
 
-// driver steps the plans of a few agents by a table of messages. A transfer
-// takes one chunk time for each transfer on the busier of its two links when
-// it starts, which is what a link does that sends one after the other.
+// driver simulates a fleet by stepping the plans of its agents through a queue of timed
+// events. A transfer takes one chunk time for each transfer on the busier of its two
+// links when it starts, as on a link that sends one after the other.
 type driver struct {
 	now       time.Time
-	todo      []event // sorted by time
+	events    []event // sorted by time
 	rand      *rand.Rand
 	manifest  weights.Manifest
 	digest    fleet.Digest
@@ -48,25 +49,25 @@
 	origin, store  func(chunk int) (spread.Reason, bool)
 	originFactor   time.Duration // how much slower the origin is than its setting
 
-	crossed   func(a, b *agent) bool // a transfer that crosses between regions
-	crossings int
+	crossesRegion func(a, b *agent) bool // whether a transfer between a and b crosses regions
+	crossings     int
 
-	drawing, drawn, stored int // origin draws that run; draws that moved bytes
-	refused                int // failures that the origin and the store gave
-	bad                    int // corrupt and stalled transfers between peers
-	doubled                int // times a chunk ran twice outside the end game
-	overSlots              int // uploads beyond the slots
+	originFetches, fromOrigin, fromStore int // running fetches from the origin; fetches from origin and store that transferred bytes
+	refused                              int // failures returned by the origin and the store
+	failedTransfers                      int // corrupt and stalled transfers between peers
+	duplicateFetches                     int // times a chunk ran twice outside the end game
+	excessUploads                        int // uploads in excess of the upload slots
 }
 
 type agent struct {
 	spread.Member
-	plan    *spread.Plan
-	links   map[*agent]bool
-	running map[int]int // fetches by chunk
-	told    int         // size of the last Seen sent
-	down    bool
-	ready   time.Duration
-	wake    time.Time
+	plan         *spread.Plan
+	links        map[*agent]bool
+	running      map[int]int // fetches by chunk
+	reportedSize int         // sizes of Seen and Have, summed, at the last report
+	down         bool
+	ready        time.Duration
+	wake         time.Time
 }
 
 type event struct {
@@ -74,14 +75,14 @@
 	do func()
 }
 
-// newDriver makes n agents in 3 regions of 3 zones and a model of some chunks,
-// of which a machine's link carries two copies in copiesTime and the origin's
-// four.
+// newDriver returns a fleet of n agents in 3 regions of 3 availability zones and a
+// model of the given number of chunks. A machine's link carries two copies in
+// copiesTime, the origin's link four.
 func newDriver(n, chunks int, copiesTime time.Duration, s spread.Settings, seed uint64) *driver {
 	s.OriginRate = int64(4 * float64(chunks*chunkBytes) / copiesTime.Seconds())
 	s.MaxFetches, s.MaxUploads = 4, 4
 	d := &driver{
-		now: begin, rand: rand.New(rand.NewPCG(seed, 1)), settings: s,
+		now: startTime, rand: rand.New(rand.NewPCG(seed, 1)), settings: s,
 		digest:    fleet.DigestOf(fmt.Append(nil, seed)),
 		chunkTime: copiesTime / time.Duration(2*chunks), latency: time.Millisecond, originFactor: 1,
 		up: map[*spread.Plan]int{}, down: map[*spread.Plan]int{},
@@ -101,26 +102,26 @@
 
 func (d *driver) at(after time.Duration, do func()) {
 	e := event{d.now.Add(after), do}
-	i, _ := slices.BinarySearchFunc(d.todo, e.at.Add(1), func(e event, t time.Time) int { return e.at.Compare(t) })
-	d.todo = slices.Insert(d.todo, i, e)
+	i, _ := slices.BinarySearchFunc(d.events, e.at.Add(1), func(e event, t time.Time) int { return e.at.Compare(t) })
+	d.events = slices.Insert(d.events, i, e)
 }
 
-// start begins an agent anew, with chunks that its stage has kept.
+// start starts or restarts an agent with the chunks that its stage has kept.
 func (d *driver) start(a *agent, held ...int) {
 	plan := spread.New(spread.Options{Self: a.Member, Manifest: d.manifest, ManifestDigest: d.digest,
 		Settings: d.settings, Rand: rand.New(rand.NewPCG(d.rand.Uint64(), 1)), Start: d.now})
 	*a = agent{Member: a.Member, plan: plan, links: map[*agent]bool{}, running: map[int]int{}}
 	plan.Held(d.now, held)
 	plan.SetMembers(d.now, d.list)
-	var tend func()
-	tend = func() {
+	var maintain func()
+	maintain = func() {
 		if a.plan == plan && !a.down {
 			d.connect(a)
 			d.step(a)
-			d.at(tendTime, tend)
+			d.at(maintainInterval, maintain)
 		}
 	}
-	d.at(time.Duration(d.rand.IntN(20))*time.Millisecond, tend)
+	d.at(time.Duration(d.rand.IntN(20))*time.Millisecond, maintain)
 }
 
 func (d *driver) startAll() {
@@ -129,16 +130,16 @@
 	}
 }
 
-// kill ends an agent's process; its links close.
+// kill stops the process of an agent and closes its links.
 func (d *driver) kill(a *agent) {
 	a.down = true
 	d.unlink(a)
 }
 
-// unlink closes an agent's links to agents that it cannot reach.
+// unlink closes the links of an agent to agents that it cannot reach.
 func (d *driver) unlink(a *agent) {
 	for _, b := range d.agents {
-		if a.links[b] && d.apart(a, b) {
+		if a.links[b] && d.disconnected(a, b) {
 			delete(a.links, b)
 			delete(b.links, a)
 			a.plan.PeerDown(d.now, b.ID)
@@ -147,7 +148,9 @@
 	}
 }
 
-func (d *driver) apart(a, b *agent) bool { return a.down || b.down || d.cut != nil && d.cut(a, b) }
+func (d *driver) disconnected(a, b *agent) bool {
+	return a.down || b.down || d.cut != nil && d.cut(a, b)
+}
 
 func (d *driver) find(id fleet.InstanceID) *agent {
 	return d.agents[slices.IndexFunc(d.agents, func(a *agent) bool { return a.ID == id })]
@@ -158,23 +161,24 @@
 	for _, m := range a.plan.Neighbours() {
 		b := d.find(m.ID)
 		switch {
-		case d.apart(a, b):
+		case d.disconnected(a, b):
 			a.plan.PeerDown(d.now, m.ID)
 		case !a.links[b] && b.plan != nil && b.plan.Admit(a.Member):
 			a.links[b], b.links[a] = true, true
 			a.plan.PeerUp(d.now, b.Member)
 			b.plan.PeerUp(d.now, a.Member)
-			d.tell(a, b, true)
-			d.tell(b, a, true)
+			d.sendReport(a, b, true)
+			d.sendReport(b, a, true)
 		}
 	}
 }
 
-// tell sends what a holds and has seen, as a bitmap first and then as news.
-func (d *driver) tell(a, b *agent, first bool) {
+// sendReport sends the chunks that a holds and has seen to b: as a bitmap in the first
+// report, as additions in later ones.
+func (d *driver) sendReport(a, b *agent, first bool) {
 	seen, have, plan := a.plan.Seen().Clone(), a.plan.Have().Clone(), b.plan
 	d.at(d.latency, func() {
-		if b.plan != plan || !b.links[a] || d.apart(a, b) {
+		if b.plan != plan || !b.links[a] || d.disconnected(a, b) {
 			return
 		}
 		plan.PeerSeen(d.now, seen)
@@ -187,7 +191,7 @@
 	})
 }
 
-// step starts what the plan asks for and tells the neighbours what is new.
+// step starts the fetches that the plan returns and reports changes to the neighbours.
 func (d *driver) step(a *agent) {
 	if a.down {
 		return
@@ -195,23 +199,23 @@
 	for _, f := range a.plan.Next(d.now) {
 		a.running[f.Chunk]++
 		if a.running[f.Chunk] > 1 && a.missing() > d.settings.MaxFetches {
-			d.doubled++
+			d.duplicateFetches++
 		}
 		if f.Source == spread.SourcePeer {
-			d.copyFrom(a, d.find(f.Peer), f)
+			d.fetchFromPeer(a, d.find(f.Peer), f)
 		} else {
-			d.draw(a, f)
+			d.fetchUpstream(a, f)
 		}
 	}
 	if a.plan.Complete() && a.ready == 0 {
-		a.ready = d.now.Sub(begin)
+		a.ready = d.now.Sub(startTime)
 	}
 	d.wake(a)
-	if seen := a.plan.Seen().Count() + a.plan.Have().Count(); seen > a.told {
-		a.told = seen
+	if seen := a.plan.Seen().Count() + a.plan.Have().Count(); seen > a.reportedSize {
+		a.reportedSize = seen
 		for _, b := range d.agents {
 			if a.links[b] {
-				d.tell(a, b, false)
+				d.sendReport(a, b, false)
 			}
 		}
 	}
@@ -219,8 +223,8 @@
 
 func (a *agent) missing() int { return a.plan.Have().Len() - a.plan.Have().Count() }
 
-// wake steps the agent when its plan asks for it, so that a plan that asks too
-// late does not end.
+// wake steps the agent at the time that its plan requests, so that a plan that requests
+// it too late fails to complete.
 func (d *driver) wake(a *agent) {
 	plan, at := a.plan, a.plan.Wake(d.now)
 	if at.IsZero() || (a.wake.After(d.now) && !at.Before(a.wake)) {
@@ -234,23 +238,23 @@
 	})
 }
 
-func (d *driver) copyFrom(a, b *agent, f spread.Fetch) {
+func (d *driver) fetchFromPeer(a, b *agent, f spread.Fetch) {
 	switch {
-	case !a.links[b] || d.apart(a, b):
+	case !a.links[b] || d.disconnected(a, b):
 		d.end(a, f, d.latency, spread.ReasonGone)
 		return
 	case !b.plan.Accept(d.now, a.ID, f.Chunk):
 		d.end(a, f, 2*d.latency, spread.ReasonBusy)
 		return
 	}
-	if d.crossed != nil && d.crossed(a, b) {
+	if d.crossesRegion != nil && d.crossesRegion(a, b) {
 		d.crossings++
 	}
 	to, from := a.plan, b.plan
 	d.down[to]++
 	d.up[from]++
 	if d.up[from] > d.settings.MaxUploads {
-		d.overSlots++
+		d.excessUploads++
 	}
 	took := d.chunkTime * time.Duration(max(d.down[to], d.up[from]))
 	if d.slow != nil {
@@ -262,34 +266,34 @@
 		from.Released(a.ID)
 		switch {
 		case a.plan != to:
-		case b.plan != from || d.apart(a, b):
+		case b.plan != from || d.disconnected(a, b):
 			d.end(a, f, 0, spread.ReasonGone)
 		case d.stall != nil && d.stall(b, f.Chunk):
-			d.bad++
-			d.end(a, f, stallTime, spread.ReasonStalled)
+			d.failedTransfers++
+			d.end(a, f, stallTimeout, spread.ReasonStalled)
 		case d.corrupt != nil && d.corrupt(b, f.Chunk):
-			d.bad++
+			d.failedTransfers++
 			d.end(a, f, 0, spread.ReasonCorrupt)
 		default:
-			d.end(a, f, 0, arrived)
+			d.end(a, f, 0, noFailure)
 		}
 	})
 }
 
-func (d *driver) draw(a *agent, f spread.Fetch) {
-	fault, moved, running := d.store, &d.stored, new(int)
+func (d *driver) fetchUpstream(a *agent, f spread.Fetch) {
+	fault, moved, running := d.store, &d.fromStore, new(int)
 	if f.Source == spread.SourceOrigin {
-		fault, moved, running = d.origin, &d.drawn, &d.drawing
+		fault, moved, running = d.origin, &d.fromOrigin, &d.originFetches
 	}
 	if fault != nil {
 		if reason, failed := fault(f.Chunk); failed {
 			d.refused++
-			if slices.Contains(charged, reason) {
+			if slices.Contains(chargedReasons, reason) {
 				*moved++
 			}
 			after := d.latency
 			if reason == spread.ReasonStalled {
-				after = stallTime
+				after = stallTimeout
 			}
 			d.end(a, f, after, reason)
 			return
@@ -304,12 +308,12 @@
 		*running--
 		d.down[plan]--
 		if a.plan == plan {
-			d.end(a, f, 0, arrived)
+			d.end(a, f, 0, noFailure)
 		}
 	})
 }
 
-// end reports a fetch to the plan that asked for it.
+// end reports the outcome of a fetch to the plan that requested it.
 func (d *driver) end(a *agent, f spread.Fetch, after time.Duration, reason spread.Reason) {
 	plan := a.plan
 	d.at(after, func() {
@@ -317,7 +321,7 @@
 			return
 		}
 		a.running[f.Chunk]--
-		if reason == arrived {
+		if reason == noFailure {
 			plan.Done(d.now, f.ID)
 		} else {
 			plan.Failed(d.now, f.ID, reason, 0)
@@ -326,12 +330,12 @@
 	})
 }
 
-// run steps until all agents that are up are complete, and reports whether
-// they are before the limit.
+// run processes events until all running agents are complete, and reports whether this
+// happens within the limit.
 func (d *driver) run(limit time.Duration) bool {
-	for len(d.todo) > 0 && d.now.Sub(begin) < limit && !d.complete() {
-		next := d.todo[0]
-		d.todo = d.todo[1:]
+	for len(d.events) > 0 && d.now.Sub(startTime) < limit && !d.complete() {
+		next := d.events[0]
+		d.events = d.events[1:]
 		d.now = next.at
 		next.do()
 	}
@@ -344,16 +348,16 @@
 	})
 }
 
-// copies returns the copies drawn from the origin.
-func (d *driver) copies() float64 { return float64(d.drawn) / float64(len(d.manifest.Chunks)) }
+// copies returns the number of copies fetched from the origin.
+func (d *driver) copies() float64 { return float64(d.fromOrigin) / float64(len(d.manifest.Chunks)) }
 
-// firstReady returns when the first replica is whole.
+// firstReady returns when the first replica is complete.
 func (d *driver) firstReady() time.Duration {
 	return slices.MinFunc(d.agents, func(a, b *agent) int { return int(a.ready - b.ready) }).ready
 }
 
-// overBound returns the time to the last replica over the least possible, one
-// copy at the rate of a machine's link.
+// overBound returns the time to the last replica divided by the lower bound, one copy
+// at the rate of a machine's link.
 func (d *driver) overBound() float64 {
 	last := slices.MaxFunc(d.agents, func(a, b *agent) int { return int(a.ready - b.ready) })
 	return float64(last.ready) / float64(d.chunkTime) / float64(len(d.manifest.Chunks))
--- a/core/spread/neighbours.go
+++ b/core/spread/neighbours.go
@@ -16,43 +16,42 @@
 	maxShift = 16
 )
 
-// suspect is a member that could not be reached or was lost.
+// suspect is a member that could not be reached or whose connection was lost.
 type suspect struct {
 	until time.Time
 	times int
 }
 
-// SetMembers takes the agents that want this manifest, self included or not,
-// from the lagging instance list.
+// SetMembers sets the agents that want this manifest, with or without self, from the
+// instance list, which may be stale.
 func (p *Plan) SetMembers(now time.Time, members []Member) {
 	p.clock = now
-	changed := p.roster.set(members)
-	p.draws.listed = true
-	if changed && p.draws.isOpen() {
-		p.schedule()
+	changed := p.roster.setMembers(members)
+	p.upstream.hasMembers = true
+	if changed && p.upstream.isOpen() {
+		p.buildTimeline()
 	}
 }
 
-// Neighbours returns the members to keep a connection to, at most
-// MaxNeighbours of them.
+// Neighbours returns the members to keep a connection to, at most MaxNeighbours.
 //
-// All members of a list are placed on rings by hash, and a member chooses its
-// successors: one on the ring of the whole fleet, which alone connects the
-// graph, one on that of each other region, one on that of its own region, and
-// the rest on rings of its own availability zone. The union of random rings is
-// a random regular graph, so few hops lead from any member to any other. A
-// change of the list moves only the edges next to it. A member that is down is
-// passed over for a while, so that a stale list does not thin out the graph.
+// All listed members are placed on rings by hash, and a member chooses its successors:
+// one on the ring of the whole fleet, which alone keeps the graph connected, one on the
+// ring of each other region, one on the ring of its own region, and the rest on rings
+// of its own availability zone. The union of random rings is a random regular graph, so
+// any two members are few hops apart. A change of the list affects only the adjacent
+// edges. Unreachable members are skipped for a while, so that a stale list does not
+// reduce the degree of the graph.
 func (p *Plan) Neighbours() []Member {
 	usable := slices.DeleteFunc(slices.Clone(p.roster.members), func(m Member) bool {
 		return p.clock.Before(p.suspects[m.ID].until)
 	})
-	return p.roster.choose(p.self, usable, p.settings.MaxNeighbours)
+	return p.roster.chooseNeighbours(p.self, usable, p.settings.MaxNeighbours)
 }
 
-// Admit reports whether to accept a connection that m asks for. It accepts
-// twice MaxNeighbours connections in all, and always the member that precedes
-// this one on the ring of the fleet, since that edge keeps the graph whole.
+// Admit reports whether to accept a connection that m requests. It accepts up to twice
+// MaxNeighbours connections in total, and always accepts the member that precedes this
+// one on the ring of the fleet, since that edge keeps the graph connected.
 func (p *Plan) Admit(m Member) bool {
 	if len(p.peers) < 2*p.settings.MaxNeighbours || p.peer(m.ID) != nil {
 		return true
@@ -61,8 +60,9 @@
 	return ok && next.ID == p.self.ID
 }
 
-// suspect passes over a member that is down, longer each time.
-func (p *Plan) suspect(now time.Time, id fleet.InstanceID) {
+// markSuspect excludes an unreachable member from the choice of neighbours, longer after
+// each failure.
+func (p *Plan) markSuspect(now time.Time, id fleet.InstanceID) {
 	p.clock = now
 	s := p.suspects[id]
 	s.times++
@@ -72,8 +72,8 @@
 
 const fleetRing = "ring fleet"
 
-// choose returns the neighbours of a member among the usable members.
-func (r *roster) choose(from Member, usable []Member, limit int) []Member {
+// chooseNeighbours returns the neighbours of a member among the usable members.
+func (r *roster) chooseNeighbours(from Member, usable []Member, limit int) []Member {
 	var chosen []Member
 	add := func(ring string, among []Member) bool {
 		if len(chosen) >= limit {
@@ -99,8 +99,7 @@
 	return chosen
 }
 
-// successor returns the first of the members after id on a ring that is not in
-// skip.
+// successor returns the first of members after id on a ring that is not in skip.
 func (r *roster) successor(ring string, id fleet.InstanceID, members, skip []Member) (Member, bool) {
 	own := r.seed(ring, id)
 	nearest := uint64(math.MaxUint64)
@@ -117,7 +116,7 @@
 	return next, next.ID != ""
 }
 
-// otherRegions returns the regions of members but for own, sorted.
+// otherRegions returns the regions of members except own, sorted.
 func (r *roster) otherRegions(own fleet.Region, members []Member) []fleet.Region {
 	var regions []fleet.Region
 	for _, m := range members {
@@ -137,7 +136,7 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != zone })
 }
 
-// doubling returns first doubled for each time after the first, at most limit.
+// doubling returns first, doubled for each failure after the first, up to limit.
 func doubling(first time.Duration, times int, limit time.Duration) time.Duration {
 	return min(limit, first<<min(maxShift, max(0, times-1)))
 }
--- a/core/spread/next.go
+++ b/core/spread/next.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// pollTime is the longest time between two looks while a plan is
+	// pollInterval is the maximum time between two calls of Next while a plan is
 	// incomplete.
-	pollTime = time.Second
-	// minWake keeps a wake-up that is due from spinning.
-	minWake = time.Millisecond
-	// slowFactor is how many usual fetch times a fetch of the end game runs
-	// before its chunk is asked from a second peer.
+	pollInterval = time.Second
+	// minWakeDelay is the minimum delay before a wake-up, which prevents a busy loop when
+	// one is already due.
+	minWakeDelay = time.Millisecond
+	// slowFactor is the multiple of the average fetch time after which an end-game
+	// fetch is repeated from a second peer.
 	slowFactor = 2
 )
 
-// Next returns the fetches to start now. The agent reports each of them by one
-// Done or Failed, but for those that Done returns as superseded.
+// Next returns the fetches to start now. The agent reports each of them by one call of
+// Done or Failed, except those that Done returns as superseded.
 func (p *Plan) Next(now time.Time) []Fetch {
 	p.clock = now
 	if p.Complete() {
 		return nil
 	}
 	p.endAvoidance(now)
-	p.openDraws(now)
-	if p.draws.isOpen() {
+	p.openSchedule(now)
+	if p.upstream.isOpen() {
 		p.queueDue(now)
-		p.ageOrphans(now)
+		p.queueOrphans(now)
 	}
-	if now.Before(p.heldBack) {
+	if now.Before(p.noFetchUntil) {
 		return nil
 	}
 	var started []Fetch
@@ -43,26 +44,27 @@
 	}
 }
 
-// nextFetch prefers a draw, since nobody can copy a chunk that is nowhere.
+// nextFetch prefers an upstream fetch, since a chunk that no member holds cannot be
+// copied from a peer.
 func (p *Plan) nextFetch(now time.Time) (Fetch, bool) {
 	if len(p.fetches) >= p.settings.MaxFetches {
 		return Fetch{}, false
 	}
-	if f, ok := p.nextDraw(now); ok {
+	if f, ok := p.nextUpstreamFetch(now); ok {
 		return f, true
 	}
 	if f, ok := p.pickFromPeers(now); ok {
 		return f, true
 	}
-	return p.pickSecond(now)
+	return p.pickEndGame(now)
 }
 
-// pickFromPeers takes the rarest chunk that a free peer holds, at random among
-// equals, from the nearest peer that holds it.
+// pickFromPeers picks the rarest chunk that an available peer holds, at random among
+// equally rare chunks, and the nearest peer that holds it.
 //
-// With NearFirst the chunks of its own region come first. Otherwise members of
-// one region fetch the same new chunks from another one each, over a link that
-// all of them share.
+// With NearFirst, chunks held in this member's region are picked first. Otherwise each
+// member of a region would fetch the same new chunks from another region over their
+// shared link.
 func (p *Plan) pickFromPeers(now time.Time) (Fetch, bool) {
 	if p.settings.NearFirst {
 		if f, ok := p.pickRarest(now, fleet.SameRegion); ok {
@@ -72,11 +74,11 @@
 	return p.pickRarest(now, fleet.OtherRegion)
 }
 
-// pickRarest takes the rarest chunk that a free peer within a distance holds.
+// pickRarest picks the rarest chunk that an available peer within a distance holds.
 func (p *Plan) pickRarest(now time.Time, within fleet.Distance) (Fetch, bool) {
 	p.wanted.Clear()
 	for _, from := range p.peers {
-		if from.distance <= within && p.free(now, from) {
+		if from.distance <= within && p.isAvailable(now, from) {
 			p.wanted.Union(from.have)
 		}
 	}
@@ -86,7 +88,7 @@
 	p.wanted.Subtract(p.have)
 	p.wanted.Subtract(p.inFlight)
 	if within == fleet.OtherRegion && p.settings.NearFirst {
-		p.leaveToRegion(now)
+		p.deferToRegion(now)
 	}
 	for _, held := range p.rarity.byHolders[1:] {
 		equals := held.CountBoth(p.wanted)
@@ -100,16 +102,16 @@
 	return Fetch{}, false
 }
 
-// pickSecond asks a second peer for one of the last chunks, when the first
-// peer is slow. Without it the slowest sender of the last chunk decides when
-// the whole is ready.
-func (p *Plan) pickSecond(now time.Time) (Fetch, bool) {
+// pickEndGame requests one of the last chunks from a second peer when the first peer is
+// slow. Without it, the slowest sender of the last chunk determines the completion
+// time.
+func (p *Plan) pickEndGame(now time.Time) (Fetch, bool) {
 	if p.have.Len()-p.have.Count() > p.settings.MaxFetches {
 		return Fetch{}, false
 	}
 	slow := now.Add(-slowFactor * p.fetchTime)
 	for _, r := range p.fetches {
-		if r.Source != SourcePeer || r.started.After(slow) || p.runs(r.Chunk) > 1 {
+		if r.Source != SourcePeer || r.started.After(slow) || p.fetchCount(r.Chunk) > 1 {
 			continue
 		}
 		if from := p.nearest(now, r.Chunk); from != nil && from.ID != r.Peer {
@@ -119,13 +121,13 @@
 	return Fetch{}, false
 }
 
-// nearest returns a free peer that holds the chunk, at random among the
-// nearest; nil if there is none.
+// nearest returns an available peer that holds the chunk, at random among the nearest
+// ones; nil if there is none.
 func (p *Plan) nearest(now time.Time, chunk int) *peer {
 	var best *peer
 	equals := 0
 	for _, from := range p.peers {
-		if !from.have.Has(chunk) || !p.free(now, from) {
+		if !from.have.Has(chunk) || !p.isAvailable(now, from) {
 			continue
 		}
 		if best == nil || from.distance < best.distance {
@@ -144,38 +146,38 @@
 	return best
 }
 
-func (p *Plan) free(now time.Time, from *peer) bool {
+func (p *Plan) isAvailable(now time.Time, from *peer) bool {
 	return from.running < p.settings.PerPeer && !now.Before(from.pausedUntil)
 }
 
-// Wake returns when Next may return something though nothing was told to the
-// plan in between; zero once it is complete.
+// Wake returns the latest time at which to call Next again if no other event occurs
+// before; zero once the plan is complete.
 func (p *Plan) Wake(now time.Time) time.Time {
 	if p.Complete() {
 		return time.Time{}
 	}
-	wake := now.Add(pollTime)
+	wake := now.Add(pollInterval)
 	at := func(change time.Time) {
 		if change.After(now) {
 			wake = earlier(wake, change)
 		}
 	}
-	at(p.heldBack)
+	at(p.noFetchUntil)
 	for _, from := range p.peers {
 		at(from.pausedUntil)
 	}
 	for _, r := range p.fetches {
 		at(r.started.Add(slowFactor * p.fetchTime))
 	}
-	d := &p.draws
+	d := &p.upstream
 	if !d.isOpen() {
 		at(d.started.Add(p.settings.ListenTime))
-		return later(wake, now.Add(minWake))
+		return later(wake, now.Add(minWakeDelay))
 	}
-	at(d.nextLook)
-	at(d.ageAt)
+	at(d.nextCheck)
+	at(d.nextOrphanTick)
 	if d.next < len(d.timeline) {
 		at(d.dueAt(d.timeline[d.next]))
 	}
-	return later(wake, now.Add(minWake))
+	return later(wake, now.Add(minWakeDelay))
 }
--- a/core/spread/peers.go
+++ b/core/spread/peers.go
@@ -16,7 +16,7 @@
 	stallPauseMax   = time.Minute
 	localPause      = time.Second
 
-	fetchTimeWeight = 8 // the newest fetch counts one eighth
+	fetchTimeWeight = 8 // weight of the newest fetch in the average is 1/8
 	fetchTimeMin    = 20 * time.Millisecond
 	fetchTimeMax    = 2 * time.Second
 	busyPauseMin    = 2 * time.Millisecond
@@ -26,68 +26,68 @@
 // peer is a connected neighbour.
 type peer struct {
 	Member
-	// distance orders sources of a chunk: the nearest that has it is asked.
+	// distance orders the peers that hold a chunk; the nearest is asked first.
 	distance fleet.Distance
-	// have is what the peer announced, without the chunks in bad.
+	// have is the set of chunks that the peer announced, without those in bad.
 	have *weights.Set
-	// bad holds chunks that came corrupt from the peer.
-	bad *weights.Set
-	// heard is true once the peer has sent its first bitmap.
-	heard bool
-	// avoided is true while the peer rests after a fault. Its chunks do not
-	// count as obtainable then.
+	// corrupt is the set of chunks that the peer sent corrupt.
+	corrupt *weights.Set
+	// hasReported is true once the peer has sent its first bitmap.
+	hasReported bool
+	// avoided is true while the peer is paused after a fault. Its chunks do not count
+	// as available during that time.
 	avoided bool
-	// pausedUntil is when the peer may be asked again, after a fault or a
-	// busy answer.
-	pausedUntil      time.Time
-	stalls, corrupts int
-	running          int
+	// pausedUntil is when the next fetch from the peer may start, after a fault or a
+	// busy response.
+	pausedUntil              time.Time
+	stallCount, corruptCount int
+	running                  int
 }
 
-// PeerUp tells that a connection to a member stands.
+// PeerUp records that a connection to a member is established.
 func (p *Plan) PeerUp(_ time.Time, m Member) {
 	at, found := p.findPeer(m.ID)
 	if found {
 		return
 	}
 	delete(p.suspects, m.ID)
-	added := &peer{Member: m, distance: p.self.DistanceTo(m.Place), have: p.emptySet(), bad: p.emptySet()}
+	added := &peer{Member: m, distance: p.self.DistanceTo(m.Place), have: p.emptySet(), corrupt: p.emptySet()}
 	p.peers = slices.Insert(p.peers, at, added)
 }
 
-// PeerDown tells that the connection to a member is lost or could not be made.
-// Its running fetches stay until the agent reports each of them.
+// PeerDown records that the connection to a member was lost or could not be
+// established. Its running fetches stay until the agent reports each of them.
 func (p *Plan) PeerDown(now time.Time, id fleet.InstanceID) {
-	p.suspect(now, id)
+	p.markSuspect(now, id)
 	at, found := p.findPeer(id)
 	if !found {
 		return
 	}
-	p.uncount(p.peers[at])
+	p.uncountHolder(p.peers[at])
 	p.peers = slices.Delete(p.peers, at, at+1)
 }
 
-// PeerHas takes the whole bitmap of a peer. The first one after PeerUp counts
-// as its first report: call PeerSeen with what the peer sent along before it.
-// A bitmap of another length is ignored.
+// PeerHas replaces the set of chunks that a peer holds. The first call after PeerUp
+// counts as the first report of the peer: call PeerSeen with the set that the peer sent
+// in the same message before it. A bitmap of another length is ignored.
 func (p *Plan) PeerHas(now time.Time, id fleet.InstanceID, have *weights.Set) {
 	from := p.peer(id)
 	if from == nil || have.Len() != p.have.Len() {
 		return
 	}
-	p.uncount(from)
-	from.heard = true
+	p.uncountHolder(from)
+	from.hasReported = true
 	from.have = have.Clone()
-	from.have.Subtract(from.bad)
+	from.have.Subtract(from.corrupt)
 	if !from.avoided {
-		p.count(from)
+		p.countHolder(from)
 	}
 	for chunk := range have.Minus(p.seen) {
 		p.markSeen(now, chunk)
 	}
 }
 
-// PeerGot takes the chunks that a peer has got since it last told.
+// PeerGot adds the chunks that a peer has obtained since its last report.
 func (p *Plan) PeerGot(now time.Time, id fleet.InstanceID, chunks []int) {
 	from := p.peer(id)
 	if from == nil {
@@ -98,13 +98,13 @@
 			continue
 		}
 		p.markSeen(now, chunk)
-		if !from.bad.Has(chunk) && from.have.Add(chunk) && !from.avoided {
+		if !from.corrupt.Has(chunk) && from.have.Add(chunk) && !from.avoided {
 			p.rarity.add(chunk)
 		}
 	}
 }
 
-// PeerSeen takes the chunks that a neighbour knows to exist whole somewhere. A
+// PeerSeen merges the chunks that a neighbour knows to exist somewhere in the fleet. A
 // set of another length is ignored.
 func (p *Plan) PeerSeen(now time.Time, seen *weights.Set) {
 	if seen.Len() != p.seen.Len() {
@@ -115,12 +115,12 @@
 	}
 }
 
-// peerFailed pauses a peer as its failure deserves.
+// peerFailed pauses a peer according to its failure.
 //
-// A stalled link does not close and a sender of bad chunks does not know it,
-// so the symptom of asking again at once is a plan that never ends. Each fault
-// doubles the pause, and the chunks of a resting peer count as obtainable from
-// nowhere, so that the plan goes elsewhere for them in bounded time.
+// A stalled link does not close, and a sender of corrupt chunks does not know that they
+// are corrupt, so a plan that retries at once may never complete. Each fault doubles
+// the pause, and the chunks of a paused peer count as unavailable from it, so that the
+// plan turns to other sources within a bounded time.
 func (p *Plan) peerFailed(now time.Time, failed running, reason Reason, retryAfter time.Duration) {
 	from := p.peer(failed.Peer)
 	if from == nil {
@@ -134,41 +134,42 @@
 			p.rarity.remove(failed.Chunk)
 		}
 	case ReasonCorrupt:
-		from.corrupts++
-		p.avoid(now, from, doubling(corruptPauseMin, from.corrupts, corruptPauseMax))
+		from.corruptCount++
+		p.avoid(now, from, doubling(corruptPauseMin, from.corruptCount, corruptPauseMax))
 		from.have.Remove(failed.Chunk)
-		from.bad.Add(failed.Chunk)
+		from.corrupt.Add(failed.Chunk)
 	case ReasonLocal:
 	default:
-		from.stalls++
-		p.avoid(now, from, doubling(stallPauseMin, from.stalls, stallPauseMax))
+		from.stallCount++
+		p.avoid(now, from, doubling(stallPauseMin, from.stallCount, stallPauseMax))
 	}
 }
 
-// avoid rests a peer and takes its chunks out of the count.
+// avoid pauses a peer after a fault and excludes its chunks from the rarity counts.
 func (p *Plan) avoid(now time.Time, from *peer, pause time.Duration) {
-	p.uncount(from)
+	p.uncountHolder(from)
 	from.avoided = true
 	if until := now.Add(p.jitter(pause)); until.After(from.pausedUntil) {
 		from.pausedUntil = until
 	}
 }
 
-// endAvoidance counts the chunks of peers whose rest is over.
+// endAvoidance includes the chunks of peers whose pause is over in the rarity counts
+// again.
 func (p *Plan) endAvoidance(now time.Time) {
 	for _, from := range p.peers {
 		if from.avoided && !now.Before(from.pausedUntil) {
 			from.avoided = false
-			p.count(from)
+			p.countHolder(from)
 		}
 	}
 }
 
-// forgive lets peers that sent a chunk corrupt be asked for it again. It is
+// clearCorruptMark makes a chunk available again from peers that sent it corrupt. It is
 // the last resort for a chunk that has no other source.
-func (p *Plan) forgive(chunk int) {
+func (p *Plan) clearCorruptMark(chunk int) {
 	for _, from := range p.peers {
-		if from.avoided || !from.bad.Remove(chunk) {
+		if from.avoided || !from.corrupt.Remove(chunk) {
 			continue
 		}
 		from.have.Add(chunk)
@@ -176,13 +177,13 @@
 	}
 }
 
-func (p *Plan) count(from *peer) {
+func (p *Plan) countHolder(from *peer) {
 	for chunk := range from.have.All() {
 		p.rarity.add(chunk)
 	}
 }
 
-func (p *Plan) uncount(from *peer) {
+func (p *Plan) uncountHolder(from *peer) {
 	if from.avoided {
 		return
 	}
@@ -191,7 +192,8 @@
 	}
 }
 
-// busyPause is about the time in which a busy peer ends one of its uploads.
+// busyPause returns roughly the time in which a busy peer completes one of its uploads,
+// randomized.
 func (p *Plan) busyPause() time.Duration {
 	mean := min(busyPauseMax, max(busyPauseMin, p.fetchTime/time.Duration(p.settings.MaxUploads)))
 	return mean/2 + time.Duration(p.rand.Int64N(int64(mean)))
--- a/core/spread/plan_test.go
+++ b/core/spread/plan_test.go
@@ -10,7 +10,7 @@
 	"chivespindle.example/core/weights"
 )
 
-var _ = ginkgo.Describe("one plan", func() {
+var _ = ginkgo.Describe("Plan", func() {
 	const chunks = 1
 	var (
 		now  time.Time
@@ -19,7 +19,7 @@
 		far  = spread.Member{ID: "far"}
 	)
 
-	// connect brings up a peer that holds everything.
+	// connect connects a peer that holds every chunk.
 	connect := func(m spread.Member) {
 		plan.PeerUp(now, m)
 		plan.PeerHas(now, m.ID, weights.SetOf(chunks, 0))
@@ -31,17 +31,17 @@
 	}
 
 	ginkgo.BeforeEach(func() {
-		now = begin
+		now = startTime
 		far.Region, far.Zone = "elsewhere", "elsewhere-1"
-		// No chunk may be drawn, so that only peers count.
+		// The quota is zero, so no fetch from the origin can start.
 		plan = newPlan(spread.Member{ID: "self"}, []spread.Member{near, far}, chunks, spread.Settings{OriginCopies: 0.1})
 	})
 
-	// The near peer sends a chunk corrupt and its rest ends before the chunk is
-	// there. The far one holds it too, so it is asked, though the near one
-	// would be first choice for any other chunk. Seen without the mark: the near
-	// one is asked again.
-	ginkgo.It("never asks the same bad source again first", func() {
+	// The near peer sends a chunk corrupt, and its pause ends before the chunk is held.
+	// The far peer also holds it and is preferred for this chunk, although the near one
+	// would be first for any other. If the corrupt chunk is not marked, the near peer
+	// is asked again.
+	ginkgo.It("prefers another peer after a corrupt chunk", func() {
 		connect(near)
 		connect(far)
 		first := only(plan.Next(now))
@@ -55,10 +55,10 @@
 		gomega.Expect(only(plan.Next(now)).Peer).To(gomega.Equal(far.ID))
 	})
 
-	// The only holder sent the chunk corrupt once, origin and store give
-	// nothing. After its rest, and once the chunk counts as an orphan, the peer
-	// is asked again: else the plan would never end.
-	ginkgo.It("asks a bad source again when there is no other", func() {
+	// The only holder sent the chunk corrupt once, and the origin and the store fail.
+	// After its pause, and once the chunk is an orphan, the peer is asked again;
+	// otherwise the plan would never complete.
+	ginkgo.It("retries a peer that sent a corrupt chunk when there is no other source", func() {
 		connect(near)
 		plan.Failed(now, only(plan.Next(now)).ID, spread.ReasonCorrupt, 0)
 		for end := now.Add(10 * time.Minute); now.Before(end) && !plan.Complete(); now = plan.Wake(now) {
@@ -70,12 +70,11 @@
 				plan.Failed(now, f.ID, spread.ReasonUnavailable, 0)
 			}
 		}
-		ginkgo.Fail("the peer is not asked again")
+		ginkgo.Fail("the peer is not retried")
 	})
 
-	// The last chunk comes slowly. A second peer is asked, whichever ends first
-	// counts, and the agent is told to cancel the other. Seen without: no second
-	// fetch.
+	// The last chunk is slow. A second peer is asked, the first result counts, and the
+	// agent is told to cancel the other fetch. Without it there is no second fetch.
 	ginkgo.It("asks a second peer for the last chunk when the first is slow", func() {
 		connect(near)
 		first := only(plan.Next(now))
@@ -91,9 +90,9 @@
 		gomega.Expect(plan.Progress()).To(gomega.Equal(spread.Progress{Have: 1, Total: 1, PeerBytes: chunkBytes}))
 	})
 
-	// A peer is of another version or broken: its bitmap is of another length,
-	// and it names chunks that do not exist. Nothing of it is taken.
-	ginkgo.It("ignores bitmaps and chunks that do not fit", func() {
+	// A peer of another version or with a fault sends a bitmap of another length and
+	// chunk indexes out of range. Both are ignored.
+	ginkgo.It("ignores bitmaps of another length and chunks out of range", func() {
 		plan.PeerUp(now, near)
 		plan.PeerHas(now, near.ID, weights.SetOf(9, 0))
 		plan.PeerSeen(now, weights.SetOf(9, 0))
@@ -104,10 +103,10 @@
 		gomega.Expect(plan.Progress().Waiting).To(gomega.Equal("neighbours' first report"))
 	})
 
-	// One chunk is corrupt at the origin and in the store while all others come
-	// well, so neither source is at fault as a whole. The chunk is tried ever
-	// less often. Seen without a pause of its own: 78 tries.
-	ginkgo.It("spends little on one corrupt chunk", func() {
+	// One chunk is corrupt at the origin and in the store while all others are valid,
+	// so neither source as a whole counts as failing. The chunk is retried with
+	// increasing pauses. Without a pause per chunk: 78 attempts.
+	ginkgo.It("limits the attempts for one corrupt chunk", func() {
 		const many, tries = 100, 10
 		s := spread.Settings{OriginCopies: 4, OriginRate: 5 * chunkBytes}
 		plan = newPlan(spread.Member{ID: "self"}, nil, many, s)
@@ -125,9 +124,9 @@
 		gomega.Expect(tried).To(gomega.BeNumerically("<=", tries))
 	})
 
-	// The stage is full for a moment. The chunk is not the peer's fault: it is
-	// asked again from it, after a pause.
-	ginkgo.It("does not blame a peer for a local failure", func() {
+	// The stage is full for a short time. This is not a fault of the peer: the chunk is
+	// requested from it again after a pause.
+	ginkgo.It("does not pause a peer after a local failure", func() {
 		connect(near)
 		plan.Failed(now, only(plan.Next(now)).ID, spread.ReasonLocal, 0)
 		gomega.Expect(plan.Next(now)).To(gomega.BeEmpty())
--- a/core/spread/properties_test.go
+++ b/core/spread/properties_test.go
@@ -13,7 +13,7 @@
 	"chivespindle.example/core/spread"
 )
 
-// drawDriver makes a small random fleet.
+// drawDriver returns a small random fleet.
 func drawDriver(t *rapid.T, policies ...spread.Policy) *driver {
 	members := rapid.IntRange(1, 12).Draw(t, "members")
 	chunks := rapid.IntRange(1, 24).Draw(t, "chunks")
@@ -25,7 +25,7 @@
 	return newDriver(members, chunks, 4*time.Second, s, rapid.Uint64().Draw(t, "seed"))
 }
 
-// split cuts the fleet into random parts.
+// split partitions the fleet at random.
 func (d *driver) split(t *rapid.T, label string) []int {
 	part := rapid.SliceOfN(rapid.IntRange(0, 3), len(d.agents), len(d.agents)).Draw(t, label)
 	index := map[*agent]int{}
@@ -36,11 +36,10 @@
 	return part
 }
 
-// The origin's link must stay usable whatever happens: parts that cannot see
-// each other each draw chunks anew, draws stall or arrive corrupt and are
-// tried again, members die. The sum of all quotas is the limit, so no sequence
-// can pass it. Seen without the quota, or when failed draws were all given
-// back: more than the limit within four tries.
+// Guards against more bytes from the origin than the limit: partitions each fetch
+// chunks anew, fetches stall or return corrupt bytes and are retried, members crash.
+// The sum of all quotas is the limit, so no sequence may exceed it. Without the quota,
+// or when every failed fetch was refunded, the limit was exceeded within four runs.
 func TestOriginBytesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDriver(t, spread.PolicyTime, spread.PolicyOrigin)
@@ -59,28 +58,28 @@
 		for _, a := range d.agents {
 			bytes += a.plan.Progress().OriginBytes
 		}
-		if d.drawn > limit || bytes > int64(limit)*chunkBytes {
-			t.Fatalf("drew %d chunks, charged %d bytes, limit %d chunks", d.drawn, bytes, limit)
+		if d.fromOrigin > limit || bytes > int64(limit)*chunkBytes {
+			t.Fatalf("fetched %d chunks, charged %d bytes, limit %d chunks", d.fromOrigin, bytes, limit)
 		}
 		d.checkInvariants(t)
 	})
 }
 
-// checkInvariants checks what holds for every fleet at every time.
+// checkInvariants checks the invariants of every fleet.
 func (d *driver) checkInvariants(t *rapid.T) {
-	if d.doubled > 0 {
-		t.Fatalf("%d times a chunk ran twice outside the end game", d.doubled)
+	if d.duplicateFetches > 0 {
+		t.Fatalf("%d times a chunk ran twice outside the end game", d.duplicateFetches)
 	}
-	if d.overSlots > 0 {
-		t.Fatalf("%d uploads beyond the slots", d.overSlots)
+	if d.excessUploads > 0 {
+		t.Fatalf("%d uploads in excess of the slots", d.excessUploads)
 	}
 }
 
-// Every member is alone from the start and the store is down. Each draws its
-// quota and no more; together they draw the limit to the chunk. Later the
-// list shrinks to the member itself: those that left it may have drawn their
-// part, so it must not take that over. Seen with shares of the current list
-// alone: two chunks drawn, limit one, at the first try.
+// Every member is isolated from the start and the store is down. Each uses its quota
+// and no more; together they fetch exactly the limit. Later the list shrinks to the
+// member itself: members that left it may have used their share, so the member must not
+// take it over. With shares of the current list alone: two chunks fetched with a limit
+// of one, in the first run.
 func TestQuotasAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDriver(t, spread.PolicyTime)
@@ -94,17 +93,17 @@
 			}
 		})
 		d.run(100 * time.Second)
-		if limit := int(d.settings.OriginCopies * float64(len(d.manifest.Chunks))); d.drawn != limit {
-			t.Fatalf("drew %d chunks, limit %d", d.drawn, limit)
+		if limit := int(d.settings.OriginCopies * float64(len(d.manifest.Chunks))); d.fromOrigin != limit {
+			t.Fatalf("fetched %d chunks, limit %d", d.fromOrigin, limit)
 		}
 	})
 }
 
-// Parts of the fleet lose each other while the origin is down. A part in which
-// one member holds everything becomes complete from it alone, though every
-// sender now and then stalls; any part does if the store answers. Seen without
-// the store for used-up quotas, the takeover, the back-off of sources, or with
-// lost neighbours chosen again: incomplete after at most 17 tries.
+// The fleet is partitioned while the origin is down. A part in which one member holds
+// every chunk completes from this member, although senders stall occasionally; every
+// part completes if the store answers. Without the store for used-up quotas, without
+// takeover, without the back-off of sources, or when lost neighbours are chosen again:
+// incomplete after at most 17 runs.
 func TestEveryPartWithASourceCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDriver(t, spread.PolicyTime, spread.PolicyOrigin)
@@ -133,10 +132,10 @@
 	})
 }
 
-// Chunks and what is known of them pass only between neighbours, so a graph in
-// two pieces would draw a second copy. It must be whole for any placement,
-// though members that are full refuse to be chosen by more. Without the ring
-// of the fleet, small limits left it in pieces after a few tries.
+// Chunks and reports pass only between neighbours, so a disconnected graph would fetch
+// a second copy from the origin. The graph must be connected for any placement,
+// although members at their connection limit refuse to be chosen by more. Without the
+// ring of the fleet, small limits left it disconnected after a few runs.
 func TestNeighboursConnectTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -155,8 +154,8 @@
 				if !plans[other.ID].Admit(m) {
 					continue
 				}
-				plans[m.ID].PeerUp(begin, other)
-				plans[other.ID].PeerUp(begin, m)
+				plans[m.ID].PeerUp(startTime, other)
+				plans[other.ID].PeerUp(startTime, m)
 				links[m.ID] = append(links[m.ID], other.ID)
 				links[other.ID] = append(links[other.ID], m.ID)
 			}
@@ -167,7 +166,7 @@
 	})
 }
 
-// reachable returns the number of members that links join to one.
+// reachable returns the number of members connected to a member, itself included.
 func reachable(links map[fleet.InstanceID][]fleet.InstanceID, from fleet.InstanceID) int {
 	reached := map[fleet.InstanceID]bool{from: true}
 	for todo := []fleet.InstanceID{from}; len(todo) > 0; todo = todo[1:] {
@@ -201,7 +200,7 @@
 	return plan
 }
 
-// One member leaves the list. Its neighbours choose others; a fleet that
+// One member leaves the list. Only its neighbours choose others; a fleet that
 // reconnected as a whole at each change would lose its running transfers.
 func TestNeighboursAreStable(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -219,9 +218,9 @@
 	g.Expect(changed).To(gomega.BeNumerically("<", 30), "of 8 times 99 edges")
 }
 
-// Each member keeps to its own availability zone for the most part, and has a
-// way into each other region. Seen without the rings of other regions: members
-// with none.
+// Most neighbours of a member are in its own availability zone, and at least one is in
+// each other region. Without the rings of the other regions, some members had none
+// there.
 func TestNeighboursAreNear(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := newDriver(90, 1, time.Second, spread.Settings{}, 1)
@@ -247,12 +246,12 @@
 	return false
 }
 
-// An asker meets a busy member each time, while others that come back at
-// luckier moments take every free slot. After some refusals the next slot is
-// kept for it. Seen without: not granted in 32 asks.
-func TestUploadSlotsReachEveryAsker(t *testing.T) {
+// A peer finds the member busy each time, while a peer that retries at better moments
+// takes every free slot. After some refusals the next slot is reserved for the first.
+// Without the reservation: not granted in 32 requests.
+func TestUploadSlotsReachEveryPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	now := begin
+	now := startTime
 	plan := newPlan(spread.Member{ID: "self"}, nil, 1, spread.Settings{MaxUploads: 1})
 	plan.Held(now, []int{0})
 	g.Expect(plan.Accept(now, "lucky", 0)).To(gomega.BeTrue())
@@ -262,7 +261,7 @@
 		plan.Released("lucky")
 		granted = !plan.Accept(now, "lucky", 0)
 	}
-	g.Expect(granted).To(gomega.BeTrue(), "the lucky asker is refused in the end")
+	g.Expect(granted).To(gomega.BeTrue(), "the peer with better timing is refused at last")
 	g.Expect(plan.Accept(now, "unlucky", 0)).To(gomega.BeTrue())
 	g.Expect(plan.Accept(now, "lucky", 0)).To(gomega.BeFalse())
 	plan.Released("unlucky")
--- a/core/spread/rarity.go
+++ b/core/spread/rarity.go
@@ -2,12 +2,12 @@
 
 import "chivespindle.example/core/weights"
 
-// rarity sorts chunks by the number of usable peers that hold them. Each
-// number has its bitmap, so that the rarest chunk that a plan can use is found
-// with word operations rather than by a walk over all chunks.
+// rarity groups chunks by the number of usable peers that hold them. Each number has a
+// bitmap, so that the rarest eligible chunk is found by word operations instead of a
+// scan of all chunks.
 type rarity struct {
 	holders []uint16
-	// byHolders[n] holds the chunks that n peers hold.
+	// byHolders[n] is the set of chunks that exactly n peers hold.
 	byHolders []*weights.Set
 }
 
@@ -34,5 +34,5 @@
 	r.holders[chunk] = uint16(after)
 }
 
-// held reports whether some usable peer holds the chunk.
+// held reports whether any usable peer holds the chunk.
 func (r *rarity) held(chunk int) bool { return r.holders[chunk] > 0 }
--- a/core/spread/regions.go
+++ b/core/spread/regions.go
@@ -7,16 +7,16 @@
 	"chivespindle.example/core/fleet"
 )
 
-// farAfter is how long a chunk that exists is left to the own region before a
-// member fetches it from another one all the same: the time in which a version
-// of some megabytes passes through a region, so that what is missing then was
-// lost or is late.
-const farAfter = 1500 * time.Millisecond
+// crossRegionDelay is how long after a chunk first appears a member leaves it to its
+// region before it fetches the chunk from another region regardless of rank. A version
+// of a few megabytes passes through a region within this time, so a chunk still missing
+// then was lost or is late.
+const crossRegionDelay = 1500 * time.Millisecond
 
-// rankInRegion finds the chunks that this member fetches from other regions for
-// its own.
+// rankInRegion computes the chunks that this member fetches from other regions on
+// behalf of its own.
 func (r *roster) rankInRegion() {
-	if r.crosses == nil {
+	if r.firstInRegion == nil {
 		return
 	}
 	var others []uint64
@@ -25,31 +25,32 @@
 			others = append(others, r.seed("member", m.ID))
 		}
 	}
-	r.crosses.Clear()
+	r.firstInRegion.Clear()
 	for chunk, own := range r.score {
 		isAbove := func(seed uint64) bool { return score(seed, chunk) > own }
 		if !slices.ContainsFunc(others, isAbove) {
-			r.crosses.Add(chunk)
+			r.firstInRegion.Add(chunk)
 		}
 	}
 }
 
-// leaveToRegion takes from the wanted chunks those that another member of the
-// own region has or will fetch.
+// deferToRegion removes from the wanted chunks those that another member of this
+// member's region holds or is responsible for fetching.
 //
-// Links between regions are shared by all and cost. Where every member fetched
-// what it found first, a version crossed them many times; with one member of each
-// region for each chunk it crosses about once, and is staged hardly later.
-func (p *Plan) leaveToRegion(now time.Time) {
-	p.near.Clear()
+// Links between regions are shared and costly. When every member fetched the first
+// chunk it found, a version crossed them many times. With one responsible member per
+// region and chunk, a version crosses each link about once, and staging takes hardly
+// longer.
+func (p *Plan) deferToRegion(now time.Time) {
+	p.heldInRegion.Clear()
 	for _, from := range p.peers {
 		if from.distance <= fleet.SameRegion && !from.avoided {
-			p.near.Union(from.have) // busy or not
+			p.heldInRegion.Union(from.have) // also if the peer is busy
 		}
 	}
 	for chunk := range p.wanted.All() {
-		isLate := now.Sub(p.seenAt[chunk]) >= farAfter
-		if !isLate && (!p.roster.crosses.Has(chunk) || p.near.Has(chunk)) {
+		isLate := now.Sub(p.seenAt[chunk]) >= crossRegionDelay
+		if !isLate && (!p.roster.firstInRegion.Has(chunk) || p.heldInRegion.Has(chunk)) {
 			p.wanted.Remove(chunk)
 		}
 	}
--- a/core/spread/regions_test.go
+++ b/core/spread/regions_test.go
@@ -10,9 +10,9 @@
 	"chivespindle.example/core/spread"
 )
 
-// growth is a fleet in three regions, 48 chunks of 42 ms on a machine's link, an
-// origin that takes as long as that link for a copy.
-func growth(members int, seed uint64, nearFirst bool) *driver {
+// newRegionalFleet returns a fleet in three regions with 48 chunks of 42 ms each on a
+// machine's link and an origin that takes as long as such a link for one copy.
+func newRegionalFleet(members int, seed uint64, nearFirst bool) *driver {
 	const chunks = 48
 	d := newDriver(members, chunks, 2*chunks*42*time.Millisecond, spread.Settings{
 		NearFirst: nearFirst, NoStore: true, OriginCopies: 2.5, ListenTime: 250 * time.Millisecond,
@@ -20,13 +20,13 @@
 	}, seed)
 	d.settings.OriginRate /= 2
 	d.originFactor = 2
-	d.crossed = func(a, b *agent) bool { return a.Region != b.Region }
+	d.crossesRegion = func(a, b *agent) bool { return a.Region != b.Region }
 	d.startAll()
 	return d
 }
 
-// BenchmarkRegions gives the time to the last replica over the bound, and how
-// many copies crossed into each region.
+// BenchmarkRegions reports the time to the last replica relative to the lower bound and
+// the number of copies transferred into each region.
 func BenchmarkRegions(b *testing.B) {
 	for _, c := range []struct {
 		name      string
@@ -36,7 +36,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			var over, first, copies, crossings float64
 			for seed := range b.N {
-				d := growth(c.members, uint64(seed), c.nearFirst)
+				d := newRegionalFleet(c.members, uint64(seed), c.nearFirst)
 				if !d.run(time.Minute) {
 					b.Fatal("not complete")
 				}
@@ -54,25 +54,25 @@
 	}
 }
 
-// 265 members want a version of 48 chunks, and 120 of them have a quota to draw
-// from the origin. Of the others as many took themselves for the first of each
-// chunk: the origin sent a copy too many and more, and callers waited for engines that changed
-// their version all at once, as the bytes came two seconds late.
-var _ = ginkgo.Describe("a fleet with more members than draws", func() {
-	ginkgo.It("draws hardly more than one copy", func() {
-		d := growth(265, 1, true)
+// 265 members want a version of 48 chunks, and 120 of them have a quota. When members
+// without a quota also ranked themselves first for a chunk, the origin sent more than
+// one copy too many, the bytes arrived two seconds late, and requests waited for
+// engines that all changed their version at once.
+var _ = ginkgo.Describe("a fleet with more members than quota", func() {
+	ginkgo.It("fetches little more than one copy from the origin", func() {
+		d := newRegionalFleet(265, 1, true)
 		gomega.Expect(d.run(time.Minute)).To(gomega.BeTrue())
 		gomega.Expect(d.copies()).To(gomega.BeNumerically("<", 1.1))
 	})
 })
 
-// Guards against a late version after an outage of its origin: all chunks came due at
-// several members meanwhile, were drawn at once, and none was whole for seconds.
-var _ = ginkgo.Describe("a fleet whose origin is away at first", func() {
-	ginkgo.It("draws little more than one copy once it is back", func() {
+// Guards against a late version after an outage of the origin: all chunks came due at
+// several members meanwhile, were requested at once, and none was complete for seconds.
+var _ = ginkgo.Describe("a fleet whose origin is unavailable at first", func() {
+	ginkgo.It("fetches little more than one copy once the origin recovers", func() {
 		const away, seeds = 6 * time.Second, 3
 		for seed := range uint64(seeds) {
-			present, absent := growth(88, seed, true), growth(88, seed, true)
+			present, absent := newRegionalFleet(88, seed, true), newRegionalFleet(88, seed, true)
 			absent.origin = until(absent, away, spread.ReasonUnavailable)
 			gomega.Expect(present.run(time.Minute)).To(gomega.BeTrue())
 			gomega.Expect(absent.run(time.Minute)).To(gomega.BeTrue())
@@ -81,14 +81,14 @@
 		}
 	})
 
-	// Guards against a rest that comes late since every member holds its draws back: most
-	// of the version is in the fleet when the origin fails.
-	ginkgo.It("has the rest soon, if the origin fails when most has left it", func() {
+	// Guards against a late completion because every member holds its schedule back:
+	// most of the version is in the fleet when the origin fails.
+	ginkgo.It("completes soon after an outage that begins when most chunks have been fetched", func() {
 		const fails, back, seeds = 1400 * time.Millisecond, 8 * time.Second, 3
 		for seed := range uint64(seeds) {
-			d := growth(88, seed, true)
+			d := newRegionalFleet(88, seed, true)
 			d.origin = func(int) (spread.Reason, bool) {
-				since := d.now.Sub(begin)
+				since := d.now.Sub(startTime)
 				return spread.ReasonUnavailable, since >= fails && since < back
 			}
 			gomega.Expect(d.run(time.Minute)).To(gomega.BeTrue())
--- a/core/spread/roster.go
+++ b/core/spread/roster.go
@@ -12,30 +12,30 @@
 	"chivespindle.example/core/weights"
 )
 
-// roster knows who else wants the manifest, how this member ranks for each
-// chunk and what share of the origin's copies is its own.
+// roster holds the members that want the manifest, the rank of this member for each
+// chunk, and this member's share of the copies fetched from the origin.
 type roster struct {
 	manifest fleet.Digest
 	self     Member
 	// members is the current list, sorted by id, self included.
 	members []Member
-	// ever holds the seed of each member that was ever listed, sorted.
-	ever []uint64
-	// limit is the number of chunks that the whole fleet may draw.
+	// everListed holds the seeds of all members that have ever been listed, sorted.
+	everListed []uint64
+	// limit is the number of chunks that the whole fleet may fetch from the origin.
 	limit int
-	// quota is this member's part of limit.
+	// quota is this member's share of limit.
 	quota int
-	// rankers holds the seeds of members with a quota, sorted. Only they are
-	// ranked: with more members than chunks to draw, most have none.
-	rankers []uint64
-	// own is this member's seed, score its rendezvous score by chunk, rank the
-	// number of rankers with a higher one.
-	own   uint64
-	score []uint64
-	rank  []int32
-	// crosses holds the chunks for which this member ranks first in its region;
-	// nil unless NearFirst.
-	crosses *weights.Set
+	// ranked holds the seeds of the other members that have a quota, sorted. Only
+	// these are ranked: with more members than chunks to fetch, most have no quota.
+	ranked []uint64
+	// selfSeed is the seed of this member, score its rendezvous score for each chunk,
+	// rank the number of ranked members with a higher score.
+	selfSeed uint64
+	score    []uint64
+	rank     []int32
+	// firstInRegion is the set of chunks for which this member ranks first in its
+	// region; nil unless NearFirst.
+	firstInRegion *weights.Set
 }
 
 func newRoster(manifest fleet.Digest, self Member, chunks int, copies float64) roster {
@@ -46,83 +46,84 @@
 		score:    make([]uint64, chunks),
 		rank:     make([]int32, chunks),
 	}
-	r.own = r.seed("member", self.ID)
+	r.selfSeed = r.seed("member", self.ID)
 	for chunk := range r.score {
-		r.score[chunk] = score(r.own, chunk)
+		r.score[chunk] = score(r.selfSeed, chunk)
 	}
 	return r
 }
 
-// set takes a new list and reports whether the ranks changed.
-func (r *roster) set(members []Member) bool {
+// setMembers replaces the member list and reports whether the ranks changed.
+func (r *roster) setMembers(members []Member) bool {
 	r.members = append([]Member{r.self}, members...)
 	slices.SortFunc(r.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	r.members = slices.CompactFunc(r.members, func(a, b Member) bool { return a.ID == b.ID })
 	for _, m := range r.members {
 		seed := r.seed("member", m.ID)
-		if at, found := slices.BinarySearch(r.ever, seed); !found {
-			r.ever = slices.Insert(r.ever, at, seed)
+		if at, found := slices.BinarySearch(r.everListed, seed); !found {
+			r.everListed = slices.Insert(r.everListed, at, seed)
 		}
 	}
-	r.quota = r.share(r.own)
+	r.quota = r.share(r.selfSeed)
 	r.rankInRegion()
 	return r.rerank()
 }
 
-// share returns the part of limit of the member with this seed.
+// share returns the share of limit of the member with this seed.
 //
-// The parts of all members add up to limit, and a member keeps to its part
-// with no word from others, so that a fleet split in any way stays within the
-// limit together. Members that left keep their part: they may have used it, or
-// be alive behind a partition. So a part never grows.
+// The shares of all members add up to limit, and a member keeps to its share without
+// coordination, so that a fleet stays within the limit under any partition. Members
+// that left the list keep their share: they may have used it, or may be alive behind a
+// partition. A share therefore never grows.
 func (r *roster) share(seed uint64) int {
-	at, found := slices.BinarySearch(r.ever, seed)
+	at, found := slices.BinarySearch(r.everListed, seed)
 	if !found {
 		return 0
 	}
-	part := r.limit / len(r.ever)
-	if at < r.limit%len(r.ever) {
+	part := r.limit / len(r.everListed)
+	if at < r.limit%len(r.everListed) {
 		part++
 	}
 	return part
 }
 
-// rerank updates the ranks by the members that came and went, which costs one
-// hash for each of them and chunk.
+// rerank updates the ranks for the members that were added and removed, at the cost of
+// one hash per such member and chunk.
 func (r *roster) rerank() bool {
-	var rankers []uint64
+	var ranked []uint64
 	for _, m := range r.members {
 		if seed := r.seed("member", m.ID); r.share(seed) > 0 && m.ID != r.self.ID {
-			rankers = append(rankers, seed)
+			ranked = append(ranked, seed)
 		}
 	}
-	slices.Sort(rankers)
-	came := difference(rankers, r.rankers)
-	went := difference(r.rankers, rankers)
-	for _, seed := range came {
-		r.shift(seed, 1)
+	slices.Sort(ranked)
+	added := difference(ranked, r.ranked)
+	removed := difference(r.ranked, ranked)
+	for _, seed := range added {
+		r.adjustRanks(seed, 1)
 	}
-	for _, seed := range went {
-		r.shift(seed, -1)
+	for _, seed := range removed {
+		r.adjustRanks(seed, -1)
 	}
-	r.rankers = rankers
-	return len(came)+len(went) > 0
+	r.ranked = ranked
+	return len(added)+len(removed) > 0
 }
 
-// place is how many members come before this one for a chunk, as it reckons.
+// effectiveRank returns the effective rank of this member for a chunk: how many members
+// come before it.
 //
-// A member without a quota is ranked by none of the others, so it is never the
-// first. Where it took itself for the first, having the highest score, as many
-// members as have no quota drew each chunk beside the one whose turn it was, and the
-// origin sent several copies in as many times the time.
-func (r *roster) place(chunk int) int {
+// A member without a quota is not ranked by the others, so it never counts as first.
+// When a member without a quota could rank itself first by its score, many such members
+// fetched each chunk in addition to the member responsible for it, and the origin sent
+// several copies and took several times as long.
+func (r *roster) effectiveRank(chunk int) int {
 	if r.quota == 0 {
 		return int(r.rank[chunk]) + 1
 	}
 	return int(r.rank[chunk])
 }
 
-func (r *roster) shift(seed uint64, by int32) {
+func (r *roster) adjustRanks(seed uint64, by int32) {
 	for chunk, own := range r.score {
 		// A branch would be mispredicted half of the time.
 		_, below := bits.Sub64(own, score(seed, chunk), 0)
@@ -130,9 +131,9 @@
 	}
 }
 
-// order returns the chunks in the pseudo-random order in which they leave the
-// origin, the same for all members.
-func (r *roster) order() []int {
+// originOrder returns the chunks in the pseudo-random order in which they are fetched
+// from the origin, which is the same for all members.
+func (r *roster) originOrder() []int {
 	seed := r.seed("order", "")
 	chunks := make([]int, len(r.rank))
 	for chunk := range chunks {
@@ -144,8 +145,8 @@
 	return chunks
 }
 
-// seed hashes a member for one purpose, so that its ranks, its place on each
-// ring and its quota differ from manifest to manifest and from each other.
+// seed hashes a member ID for one purpose, so that the ranks, the ring positions and
+// the quota of a member are independent of each other and differ between manifests.
 func (r *roster) seed(purpose string, id fleet.InstanceID) uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
@@ -156,10 +157,10 @@
 	return hash.Sum64()
 }
 
-// score is the rendezvous score of the seed's owner for a chunk: output number
-// chunk of a SplitMix64 generator that starts from seed. A list of 390 members
-// needs ten million scores for a version of 25,000 chunks; with a call of
-// xxhash for each, the control goroutine stands still four times as long.
+// score returns the rendezvous score of a seed for a chunk: output number chunk of a
+// SplitMix64 generator that starts from seed. A list of 390 members needs ten million
+// scores for a version of 25,000 chunks; with a call of xxhash for each, the control
+// goroutine is blocked four times as long.
 func score(seed uint64, chunk int) uint64 {
 	x := seed + uint64(chunk+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -167,7 +168,7 @@
 	return x ^ x>>31
 }
 
-// difference returns the elements of a that b lacks; both are sorted.
+// difference returns the elements of a that are not in b. Both are sorted.
 func difference(a, b []uint64) []uint64 {
 	var only []uint64
 	for _, x := range a {
--- a/core/spread/settings.go
+++ b/core/spread/settings.go
@@ -7,63 +7,65 @@
 	"chivespindle.example/core/weights"
 )
 
-// Policy weighs time to all replicas against bytes from the origin.
+// Policy selects the trade-off between the time until all replicas are complete and the
+// bytes sent by the origin.
 type Policy string
 
 const (
-	// PolicyTime takes over a late chunk soon, at the price of a few chunks
-	// that leave the origin twice. It is the default.
+	// PolicyTime takes over a late chunk early, at the cost of a few chunks that the
+	// origin sends twice. It is the default.
 	PolicyTime Policy = "time"
-	// PolicyOrigin waits long before a chunk leaves the origin again.
+	// PolicyOrigin waits longer before a chunk is fetched from the origin again.
 	PolicyOrigin Policy = "origin"
 )
 
-// Settings of a plan. A zero field takes the default.
+// Settings configures a plan. A zero field takes the default.
 type Settings struct {
 	Policy Policy
-	// OriginCopies is the hard limit of copies that the whole fleet draws from
-	// the origin, bytes of failed draws included. Default 3.5.
+	// OriginCopies is the hard limit of copies that the whole fleet fetches from the
+	// origin, including bytes of failed fetches. Default 3.5.
 	OriginCopies float64
-	// OriginRate is what the origin's link carries, in bytes a second. Default
-	// 1.25e9, a link of 10 Gbit/s. Set it rather too high than too low: the
-	// schedule slows down by itself when the origin is slower, but never runs
-	// ahead of this rate.
+	// OriginRate is the capacity of the origin's link in bytes per second. Default
+	// 1.25e9, a link of 10 Gbit/s. An overestimate is safer than an underestimate: the
+	// schedule slows down by itself when the origin is slower, but never runs ahead of
+	// this rate.
 	OriginRate int64
 	// MaxFetches is the number of concurrent downloads. Default 4.
 	MaxFetches int
 	// PerPeer is the number of concurrent downloads from one peer. Default 1.
 	PerPeer int
-	// MaxUploads is the number of concurrent uploads. Default MaxFetches: with
-	// fewer, members wait for slots while links idle.
+	// MaxUploads is the number of concurrent uploads. Default MaxFetches: with fewer,
+	// members wait for upload slots while links are idle.
 	MaxUploads int
-	// MaxNeighbours is the number of neighbours that a member chooses; it may
-	// be chosen by as many more. Default 8.
+	// MaxNeighbours is the number of neighbours that a member chooses; as many more may
+	// choose it. Default 8.
 	MaxNeighbours int
-	// ListenTime is how long a member that has received messages from fewer than half
-	// of its neighbours waits before it first draws from the origin. Default 1s.
+	// ListenTime is how long a member that has received reports from fewer than half of
+	// its neighbours waits before its first upstream fetch. Default 1s.
 	ListenTime time.Duration
-	// Takeover is how long the second in rank waits for a chunk that shows up
-	// nowhere. Default 16 chunks at OriginRate, at least 1s; for PolicyOrigin
-	// twice that.
+	// Takeover is how long the second in rank waits for a chunk that appears nowhere in
+	// the fleet. Default 16 chunks at OriginRate, at least 1s; twice that for
+	// PolicyOrigin.
 	Takeover time.Duration
-	// OrphanTime is how long the first in rank waits for a chunk that exists
-	// somewhere but at no neighbour. Default twice Takeover.
+	// OrphanTime is how long the first in rank waits for a chunk that exists in the
+	// fleet but that no neighbour holds. Default twice Takeover.
 	OrphanTime time.Duration
-	// SourcePauseMax is the longest pause before the origin or the store is asked
-	// again after failures. Default 15s: hundreds of members that each ask a
-	// source that has just come back would bring it down again. A small fleet on
-	// a short deadline asks sooner.
+	// SourcePauseMax is the maximum pause between requests to the origin or the store
+	// after failures. Default 15s: hundreds of members retrying a source that has just
+	// recovered would overload it again. A small fleet with a short deadline can use a
+	// shorter pause.
 	SourcePauseMax time.Duration
-	// NearFirst has a member take what peers of its own region hold before what
-	// only others do, and one member of each region fetch a chunk from another
-	// region for all. Default false.
+	// NearFirst makes a member prefer chunks held by peers in its own region, and makes
+	// one member per region responsible for fetching each chunk from another region.
+	// Default false.
 	NearFirst bool
-	// NoStore is true if there is only the origin. A member that has used up its
-	// part of OriginCopies then continues to draw from it, slowly: failed draws
-	// count, and without them a version might never become whole.
+	// NoStore is true if the origin is the only upstream source. A member that has used
+	// up its share of OriginCopies then continues to fetch from the origin at a low
+	// rate: failed fetches count against the share, and without further ones a version
+	// might never be complete.
 	NoStore bool
 
-	// pace is the time in which the origin sends one average chunk.
+	// pace is the time in which the origin sends one chunk of average size.
 	pace time.Duration
 }
 
@@ -76,10 +78,10 @@
 	defaultListenTime    = time.Second
 	defaultSourcePause   = 15 * time.Second
 
-	takeoverChunks   = 16
-	takeoverMin      = time.Second
-	originPatience   = 2 // factor of PolicyOrigin over PolicyTime
-	orphanOfTakeover = 2
+	takeoverChunks       = 16
+	takeoverMin          = time.Second
+	originTakeoverFactor = 2 // takeover time of PolicyOrigin relative to PolicyTime
+	orphanTakeoverFactor = 2
 )
 
 func (s Settings) withDefaults(m weights.Manifest) Settings {
@@ -98,9 +100,9 @@
 	s.pace = max(1, time.Duration(copyTime)/time.Duration(max(1, len(m.Chunks))))
 	takeover := max(takeoverMin, takeoverChunks*s.pace)
 	if s.Policy == PolicyOrigin {
-		takeover *= originPatience
+		takeover *= originTakeoverFactor
 	}
 	defaults.Set(&s.Takeover, takeover)
-	defaults.Set(&s.OrphanTime, orphanOfTakeover*s.Takeover)
+	defaults.Set(&s.OrphanTime, orphanTakeoverFactor*s.Takeover)
 	return s
 }
--- a/core/spread/sources.go
+++ b/core/spread/sources.go
@@ -5,20 +5,20 @@
 const (
 	sourcePauseMin = 500 * time.Millisecond
 	retryPauseMin  = 250 * time.Millisecond
-	// downAfter is the number of failures in a row after which a source counts
-	// as down.
+	// downAfter is the number of consecutive failures after which a source counts as
+	// down.
 	downAfter = 3
-	// storeAfter is how many takeover times a chunk waits for members that
-	// still have origin quota before this one asks the store for it.
-	storeAfter = 2
-	// beyondQuota is how many takeover times a member waits that has used up its
-	// quota, where there is only the origin.
-	beyondQuota = 2
+	// storeTakeovers is the number of takeover times that a chunk is left to members that
+	// still have an origin quota before this member requests it from the store.
+	storeTakeovers = 2
+	// overQuotaTakeovers is the number of takeover times that a member which has used
+	// up its quota waits before each fetch from the origin if there is no store.
+	overQuotaTakeovers = 2
 )
 
-// source is the back-off of the origin or the store.
+// source is the back-off state of the origin or the store.
 type source struct {
-	failures int // in a row
+	failures int // consecutive
 	until    time.Time
 }
 
@@ -26,22 +26,23 @@
 
 func (s *source) down() bool { return s.failures >= downAfter }
 
-// retry is the back-off of one chunk whose draw failed.
+// retry is the back-off state of one chunk whose upstream fetch failed.
 type retry struct {
 	attempts int
 	at       time.Time
-	// bad is the source that last sent it corrupt or lacked it; SourcePeer if
-	// none did.
-	bad SourceKind
+	// badSource is the source that last sent the chunk corrupt or did not have it;
+	// SourcePeer if there is none.
+	badSource SourceKind
 }
 
-// sourceOf returns from where and from when on a chunk can be drawn.
+// sourceOf returns the source of an upstream fetch and the earliest time at which it
+// may start.
 //
-// The store is the last resort, for a chunk that the origin sent corrupt and
-// while the origin is down or this member's quota is used up. Unless this
-// member ranks first, it then leaves time to those that still have quota.
-func (p *Plan) sourceOf(queue int, next draw) (SourceKind, time.Time) {
-	d := &p.draws
+// The store is the last resort: for a chunk that the origin sent corrupt, and while the
+// origin is down or this member's quota is used up. Unless this member ranks first, it
+// waits first, so that members with remaining quota can fetch the chunk.
+func (p *Plan) sourceOf(queue int, next upstreamFetch) (SourceKind, time.Time) {
+	d := &p.upstream
 	due := d.opened
 	if queue != queueOrphan {
 		due = d.dueAt(next)
@@ -51,46 +52,48 @@
 	quota := d.charged < p.roster.quota
 	atOrigin := later(due, d.origin.until)
 	atStore := later(due, d.store.until)
-	if queue != queueOwn && !d.origin.down() && tried.bad != SourceOrigin {
-		atStore = later(due.Add(storeAfter*p.settings.Takeover), d.store.until)
+	if queue != queueOwn && !d.origin.down() && tried.badSource != SourceOrigin {
+		atStore = later(due.Add(storeTakeovers*p.settings.Takeover), d.store.until)
 	}
 	switch {
 	case p.settings.NoStore && (quota || queue == queueOwn && tried.attempts == 0):
-		// What falls to the first in rank is one copy for the whole fleet.
+		// The chunks assigned to the first in rank add up to one copy for the whole
+		// fleet.
 		return SourceOrigin, atOrigin
 	case p.settings.NoStore:
-		return SourceOrigin, atOrigin.Add(beyondQuota * p.settings.Takeover)
+		return SourceOrigin, atOrigin.Add(overQuotaTakeovers * p.settings.Takeover)
 	case !quota:
 		return SourceStore, atStore
-	case tried.bad == SourceStore, tried.bad == SourceOrigin && d.store.down():
+	case tried.badSource == SourceStore, tried.badSource == SourceOrigin && d.store.down():
 		return SourceOrigin, atOrigin
-	case tried.bad == SourceOrigin, d.origin.down() && atStore.Before(atOrigin):
+	case tried.badSource == SourceOrigin, d.origin.down() && atStore.Before(atOrigin):
 		return SourceStore, atStore
 	default:
 		return SourceOrigin, atOrigin
 	}
 }
 
-// startDraw charges the quota before the first byte can flow, so that the sum
-// over the fleet holds at every moment.
-func (p *Plan) startDraw(now time.Time, chunk int, kind SourceKind) Fetch {
+// startUpstreamFetch starts an upstream fetch. It charges the quota before the first
+// byte can be sent, so that the fleet-wide limit holds at all times.
+func (p *Plan) startUpstreamFetch(now time.Time, chunk int, kind SourceKind) Fetch {
 	if kind == SourceOrigin {
-		p.draws.charged++
-		p.draws.runningOrigin++
+		p.upstream.charged++
+		p.upstream.runningOrigin++
 		p.originBytes += int64(p.chunks[chunk].Bytes)
 	} else {
-		p.draws.runningStore++
+		p.upstream.runningStore++
 	}
 	return p.begin(now, Fetch{Chunk: chunk, Source: kind})
 }
 
-// drawFailed backs off from the source, or from the source for this chunk.
-func (p *Plan) drawFailed(now time.Time, failed running, reason Reason, retryAfter time.Duration) {
-	d := &p.draws
+// upstreamFetchFailed records a failed upstream fetch and backs off from the source and
+// for the chunk.
+func (p *Plan) upstreamFetchFailed(now time.Time, failed running, reason Reason, retryAfter time.Duration) {
+	d := &p.upstream
 	from := &d.store
 	if failed.Source == SourceOrigin {
 		from = &d.origin
-		if !reason.drewBytes() {
+		if !reason.mayHaveTransferred() {
 			d.charged--
 			p.originBytes -= int64(p.chunks[failed.Chunk].Bytes)
 		}
@@ -99,7 +102,7 @@
 	tried.attempts++
 	tried.at = now.Add(p.jitter(doubling(retryPauseMin, tried.attempts, p.settings.SourcePauseMax)))
 	if reason == ReasonCorrupt || reason == ReasonMissing {
-		tried.bad = failed.Source
+		tried.badSource = failed.Source
 	}
 	if reason != ReasonLocal {
 		from.failures++
@@ -112,8 +115,9 @@
 	d.retries[failed.Chunk] = tried
 }
 
-// drewBytes reports whether a failed draw may have moved bytes.
-func (r Reason) drewBytes() bool {
+// mayHaveTransferred reports whether a fetch that failed for this reason may have
+// transferred bytes.
+func (r Reason) mayHaveTransferred() bool {
 	switch r {
 	case ReasonStalled, ReasonCorrupt, ReasonGone, ReasonLocal:
 		return true
--- a/core/spread/sources_test.go
+++ b/core/spread/sources_test.go
@@ -13,8 +13,9 @@
 	"chivespindle.example/core/weights"
 )
 
-// alone returns the plan of a member that is the only one, with so many chunks.
-func alone(chunks int, settings spread.Settings) *spread.Plan {
+// newSinglePlan returns the plan of the only member of a fleet for a manifest of the
+// given number of chunks.
+func newSinglePlan(chunks int, settings spread.Settings) *spread.Plan {
 	manifest := weights.Manifest{Model: "m"}
 	for i := range chunks {
 		manifest.Chunks = append(manifest.Chunks, weights.Chunk{Index: i, Bytes: 1000})
@@ -22,17 +23,17 @@
 	self := spread.Member{ID: "a", Place: fleet.Place{Zone: "z", Region: "r"}}
 	settings.OriginRate = 1000
 	plan := spread.New(spread.Options{
-		Self: self, Manifest: manifest, Settings: settings, Rand: rand.New(rand.NewPCG(1, 2)), Start: begin})
-	plan.SetMembers(begin, nil)
+		Self: self, Manifest: manifest, Settings: settings, Rand: rand.New(rand.NewPCG(1, 2)), Start: startTime})
+	plan.SetMembers(startTime, nil)
 	return plan
 }
 
-// run steps a plan whose draws end as told, and returns when it was complete
-// and the longest pause between two draws.
-func run(p *spread.Plan, limit time.Duration, draw func(now time.Duration, f spread.Fetch) (spread.Reason, bool)) (done, pause time.Duration) {
+// runPlan steps a plan, with draw as the outcome of each upstream fetch, and returns when
+// the plan completed and the longest pause between two fetches.
+func runPlan(p *spread.Plan, limit time.Duration, draw func(now time.Duration, f spread.Fetch) (spread.Reason, bool)) (done, pause time.Duration) {
 	last := time.Duration(0)
 	for d := time.Duration(0); d < limit; d += 50 * time.Millisecond {
-		now := begin.Add(d)
+		now := startTime.Add(d)
 		for _, f := range p.Next(now) {
 			pause = max(pause, d-last)
 			last = d
@@ -49,25 +50,26 @@
 	return limit, pause
 }
 
-var _ = Describe("Where there is only the origin", func() {
-	// The origin fails for a while. A version has seconds, so whoever draws from
-	// it asks again soon after its return, and never a store that is not there.
-	It("a member asks it again within the longest pause that is set", func() {
-		plan := alone(4, spread.Settings{NoStore: true, SourcePauseMax: 700 * time.Millisecond})
+var _ = Describe("With the origin as the only upstream source", func() {
+	// The origin fails for a while. A version has a deadline of seconds, so a member
+	// must retry soon after the origin recovers, and must never use a store that does
+	// not exist.
+	It("a member retries within the configured maximum pause", func() {
+		plan := newSinglePlan(4, spread.Settings{NoStore: true, SourcePauseMax: 700 * time.Millisecond})
 		const outage = 20 * time.Second
-		done, _ := run(plan, 2*outage, func(now time.Duration, f spread.Fetch) (spread.Reason, bool) {
+		done, _ := runPlan(plan, 2*outage, func(now time.Duration, f spread.Fetch) (spread.Reason, bool) {
 			Expect(f.Source).To(Equal(spread.SourceOrigin))
 			return spread.ReasonUnavailable, now < outage
 		})
 		Expect(done).To(BeNumerically("<", outage+10*time.Second))
 	})
 
-	// Every draw of a chunk is cut again and again and counts against the quota.
-	// Without draws beyond it the version would never become whole.
-	It("a member goes on slowly once its quota is used up", func() {
-		plan := alone(4, spread.Settings{NoStore: true, OriginCopies: 1, SourcePauseMax: time.Second})
+	// Every fetch of a chunk is aborted repeatedly and counts against the quota.
+	// Without fetches beyond it the version would never be complete.
+	It("a member continues at a low rate once its quota is used up", func() {
+		plan := newSinglePlan(4, spread.Settings{NoStore: true, OriginCopies: 1, SourcePauseMax: time.Second})
 		draws := 0
-		done, _ := run(plan, time.Hour, func(time.Duration, spread.Fetch) (spread.Reason, bool) {
+		done, _ := runPlan(plan, time.Hour, func(time.Duration, spread.Fetch) (spread.Reason, bool) {
 			draws++
 			return spread.ReasonGone, draws <= 12
 		})
@@ -76,9 +78,9 @@
 	})
 })
 
-// drawnBy returns when each chunk has left the origin, and how many were drawn,
-// in a fleet that hears of every draw at once.
-func drawnBy(members, chunks int, settings spread.Settings) (last time.Duration, draws int) {
+// simulateOriginFetches returns when the last chunk was fetched from the origin and the
+// number of fetches, in a fleet in which every member learns of each fetch immediately.
+func simulateOriginFetches(members, chunks int, settings spread.Settings) (last time.Duration, draws int) {
 	manifest := weights.Manifest{Model: "m"}
 	for i := range chunks {
 		manifest.Chunks = append(manifest.Chunks, weights.Chunk{Index: i, Bytes: 1000})
@@ -90,16 +92,16 @@
 	var plans []*spread.Plan
 	for _, self := range fleetOf {
 		p := spread.New(spread.Options{
-			Self: self, Manifest: manifest, Settings: settings, Rand: rand.New(rand.NewPCG(1, 2)), Start: begin})
-		p.SetMembers(begin, fleetOf)
+			Self: self, Manifest: manifest, Settings: settings, Rand: rand.New(rand.NewPCG(1, 2)), Start: startTime})
+		p.SetMembers(startTime, fleetOf)
 		plans = append(plans, p)
 	}
 	seen := weights.NewSet(chunks)
 	for d := time.Duration(0); seen.Count() < chunks && d < time.Minute; d += 10 * time.Millisecond {
 		for _, p := range plans {
-			p.PeerSeen(begin.Add(d), seen)
-			for _, f := range p.Next(begin.Add(d)) {
-				p.Done(begin.Add(d), f.ID)
+			p.PeerSeen(startTime.Add(d), seen)
+			for _, f := range p.Next(startTime.Add(d)) {
+				p.Done(startTime.Add(d), f.ID)
 				seen.Add(f.Chunk)
 				draws++
 				last = d
@@ -109,19 +111,20 @@
 	return last, draws
 }
 
-var _ = Describe("The first in rank", func() {
-	// Chunks fall to members by hash, to some more than their part of the quota.
-	// If such a member left the rest to the next in rank, they would come a
-	// takeover later; an origin that fails in between delays the whole version.
-	It("draws what falls to it, also beyond its quota", func() {
+var _ = Describe("The first-ranked member", func() {
+	// Chunks are assigned to members by hash, so some members get more than their
+	// quota. If such a member left the rest to the next in rank, these chunks would
+	// arrive a takeover time later; an origin that fails meanwhile delays the whole
+	// version.
+	It("fetches its assigned chunks even beyond its quota", func() {
 		const members, chunks = 24, 48
 		settings := spread.Settings{
 			NoStore: true, OriginCopies: 1, OriginRate: 40 * 1000, Takeover: 700 * time.Millisecond,
 			ListenTime: 10 * time.Millisecond,
 		}
-		last, draws := drawnBy(members, chunks, settings)
+		last, draws := simulateOriginFetches(members, chunks, settings)
 		Expect(draws).To(Equal(chunks))
-		Expect(last).To(BeNumerically("<", 1300*time.Millisecond)) // 48 chunks, 40 a second
+		Expect(last).To(BeNumerically("<", 1300*time.Millisecond)) // 48 chunks at 40 per second
 	})
 })
 
@@ -130,8 +133,8 @@
 	far := spread.Member{ID: "far", Place: fleet.Place{Zone: "x", Region: "q"}}
 	const chunks = 40
 
-	// member returns the plan of one of two members of a region. The far member
-	// holds everything, and nothing is to be had from the origin.
+	// member returns the plan of one of two members of a region. The far member holds
+	// every chunk, and ListenTime keeps the plan from using the origin.
 	member := func(self, other fleet.InstanceID) *spread.Plan {
 		manifest := weights.Manifest{Model: "m"}
 		for i := range chunks {
@@ -142,12 +145,12 @@
 			all.Add(i)
 		}
 		p := spread.New(spread.Options{
-			Self: spread.Member{ID: self, Place: here}, Manifest: manifest, Rand: rand.New(rand.NewPCG(1, 2)), Start: begin,
+			Self: spread.Member{ID: self, Place: here}, Manifest: manifest, Rand: rand.New(rand.NewPCG(1, 2)), Start: startTime,
 			Settings: spread.Settings{NearFirst: true, NoStore: true, OriginCopies: 1, ListenTime: time.Hour, MaxFetches: chunks, PerPeer: chunks},
 		})
-		p.SetMembers(begin, []spread.Member{{ID: self, Place: here}, {ID: other, Place: here}, far})
-		p.PeerUp(begin, far)
-		p.PeerHas(begin, far.ID, all)
+		p.SetMembers(startTime, []spread.Member{{ID: self, Place: here}, {ID: other, Place: here}, far})
+		p.PeerUp(startTime, far)
+		p.PeerHas(startTime, far.ID, all)
 		return p
 	}
 	fetched := func(p *spread.Plan, now time.Time) map[int]bool {
@@ -158,10 +161,10 @@
 		return set
 	}
 
-	// Both members of a region see the same new chunks far away. Fetched by each,
-	// every chunk would cross the link between the regions twice.
+	// Both members of a region see the same new chunks in another region. If each
+	// fetched them, every chunk would cross the link between the regions twice.
 	It("is fetched by one member of a region", func() {
-		one, two := fetched(member("a", "b"), begin), fetched(member("b", "a"), begin)
+		one, two := fetched(member("a", "b"), startTime), fetched(member("b", "a"), startTime)
 		Expect(len(one) + len(two)).To(Equal(chunks))
 		Expect(len(one)).To(BeNumerically(">", chunks/5))
 		Expect(len(two)).To(BeNumerically(">", chunks/5))
@@ -170,22 +173,22 @@
 		}
 	})
 
-	// The one that was to fetch it is gone or slow. The others do not wait on.
-	It("is fetched by the others too once it is late", func() {
+	// The responsible member has left or is slow. The others stop waiting for it.
+	It("is fetched by the other members once it is late", func() {
 		p := member("a", "b")
-		at := begin
+		at := startTime
 		first := fetched(p, at)
 		Expect(len(first)).To(BeNumerically("<", chunks))
 		rest := fetched(p, at.Add(2*time.Second))
 		Expect(len(first) + len(rest)).To(Equal(chunks))
 	})
 
-	It("is left to a member of the region that holds it", func() {
+	It("is copied from a member of the region that holds it", func() {
 		p := member("a", "b")
-		p.PeerUp(begin, spread.Member{ID: "b", Place: here})
+		p.PeerUp(startTime, spread.Member{ID: "b", Place: here})
 		held := weights.SetOf(chunks, 0, 1, 2, 3)
-		p.PeerHas(begin, "b", held)
-		for _, f := range p.Next(begin) {
+		p.PeerHas(startTime, "b", held)
+		for _, f := range p.Next(startTime) {
 			if held.Has(f.Chunk) {
 				Expect(f.Peer).To(Equal(fleet.InstanceID("b")))
 			}
@@ -194,23 +197,23 @@
 })
 
 var _ = Describe("NearFirst", func() {
-	// Two regions share a narrow link. A member takes what its own region holds
-	// before a chunk that is rarer and elsewhere.
+	// Two regions share a narrow link. A member fetches chunks held in its own region
+	// before rarer chunks held elsewhere.
 	DescribeTable("chooses between a near chunk and a rarer far one",
 		func(nearFirst bool, want []fleet.InstanceID) {
-			plan := alone(4, spread.Settings{NearFirst: nearFirst, MaxFetches: 1})
+			plan := newSinglePlan(4, spread.Settings{NearFirst: nearFirst, MaxFetches: 1})
 			near := spread.Member{ID: "near", Place: fleet.Place{Zone: "y", Region: "r"}}
 			near2 := spread.Member{ID: "near2", Place: fleet.Place{Zone: "y", Region: "r"}}
 			far := spread.Member{ID: "far", Place: fleet.Place{Zone: "x", Region: "q"}}
-			plan.SetMembers(begin, []spread.Member{near, near2, far})
+			plan.SetMembers(startTime, []spread.Member{near, near2, far})
 			for _, m := range []spread.Member{near, near2, far} {
-				plan.PeerUp(begin, m)
+				plan.PeerUp(startTime, m)
 			}
-			plan.PeerHas(begin, "near", weights.SetOf(4, 0))
-			plan.PeerHas(begin, "near2", weights.SetOf(4, 0))
-			plan.PeerHas(begin, "far", weights.SetOf(4, 3))
+			plan.PeerHas(startTime, "near", weights.SetOf(4, 0))
+			plan.PeerHas(startTime, "near2", weights.SetOf(4, 0))
+			plan.PeerHas(startTime, "far", weights.SetOf(4, 3))
 			var peers []fleet.InstanceID
-			for _, f := range plan.Next(begin) {
+			for _, f := range plan.Next(startTime) {
 				if f.Source == spread.SourcePeer {
 					peers = append(peers, f.Peer)
 				}
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,15 +1,16 @@
-// Package spread decides how one agent gathers the chunks of one manifest:
-// what to fetch next, from which peer, when to draw a chunk from the origin
-// and which uploads to grant.
+// Package spread decides how one agent obtains the chunks of one manifest: what to
+// fetch next, from which peer, when to fetch a chunk from the origin and which uploads
+// to grant.
 //
-// A Plan is a pure state machine. Time and randomness are passed in, nothing
-// is sent and no chunk bytes pass through it. One goroutine calls it.
+// A Plan is a pure state machine. Time and randomness are passed in, it sends nothing,
+// and no chunk bytes pass through it. It must be called from one goroutine.
 //
-// Each chunk leaves the origin once: members rank themselves for it by
-// rendezvous hash, the first draws it and the others copy it from each other,
-// rarest first. The next in rank takes over when the chunk shows up nowhere in
-// time. A quota per member bounds what the fleet can draw, whatever fails.
-// docs/design/spread.md gives the reasons and measurements.
+// In the normal case each chunk leaves the origin once: members rank themselves for it
+// by rendezvous hashing, the first fetches it from the origin, and the others copy it
+// from each other, rarest first. The next in rank takes over when the chunk does not
+// appear anywhere in time. A quota per member bounds the total that the fleet fetches
+// from the origin under any failure. An upstream fetch is a fetch from the origin or
+// the store. docs/design/spread.md gives the reasons and measurements.
 package spread
 
 import (
@@ -30,7 +31,7 @@
 	Addr netip.AddrPort
 }
 
-// SourceKind tells where a fetch goes.
+// SourceKind is the kind of source of a fetch.
 type SourceKind uint8
 
 // Kinds of source.
@@ -53,32 +54,32 @@
 	}
 }
 
-// Reason tells why a fetch failed.
+// Reason is the cause of a failed fetch.
 type Reason uint8
 
-// Reasons of a failed fetch. From the origin, Stalled, Corrupt, Gone and Local
-// count against the quota, since bytes may have crossed the origin's link; the
-// others must be used only if none did.
+// Reasons of a failed fetch. From the origin, ReasonStalled, ReasonCorrupt, ReasonGone
+// and ReasonLocal count against the quota, since bytes may have crossed the origin's
+// link; the others must be used only if no byte did.
 const (
 	// ReasonStalled: no byte arrived for the stall timeout.
 	ReasonStalled Reason = iota
-	// ReasonCorrupt: the bytes do not match the chunk's digest.
+	// ReasonCorrupt: the bytes do not match the digest of the chunk.
 	ReasonCorrupt
-	// ReasonBusy: the source has no upload slot free.
+	// ReasonBusy: the source has no free upload slot.
 	ReasonBusy
 	// ReasonGone: the connection was lost during the transfer.
 	ReasonGone
 	// ReasonUnavailable: the source could not be reached.
 	ReasonUnavailable
-	// ReasonRateLimited: the source asked for a pause.
+	// ReasonRateLimited: the source requested a pause.
 	ReasonRateLimited
 	// ReasonMissing: the source does not hold the chunk.
 	ReasonMissing
-	// ReasonLocal: the chunk arrived well but this instance could not keep it.
+	// ReasonLocal: the chunk was valid but this instance could not store it.
 	ReasonLocal
 )
 
-// Fetch is one download that the agent is to start.
+// Fetch is a download that the agent is to start.
 type Fetch struct {
 	// ID is unique within the plan.
 	ID     uint64
@@ -88,20 +89,20 @@
 	Peer fleet.InstanceID
 }
 
-// Progress is what a plan has achieved.
+// Progress is the current state of a plan for status and metrics.
 type Progress struct {
 	Have, Total int
-	// OriginBytes is the size of all chunks drawn from the origin, with those
-	// that failed, were corrupt or still run.
+	// OriginBytes is the size of all chunks fetched from the origin, including fetches
+	// that failed after bytes may have been sent and those still running.
 	OriginBytes int64
 	// StoreBytes and PeerBytes count verified chunks only.
 	StoreBytes, PeerBytes int64
-	// Waiting says in a few words what the plan waits for; empty while it
-	// fetches and once it is complete.
+	// Waiting describes what the plan waits for; empty while fetches run and once the
+	// plan is complete.
 	Waiting string
 }
 
-// Options are the inputs of New. All are required but Settings, whose zero
+// Options are the parameters of New. All are required except Settings, whose zero
 // fields take defaults.
 type Options struct {
 	Self           Member
@@ -113,14 +114,13 @@
 	Start time.Time
 }
 
-// running is a fetch that the agent has been told to start.
+// running is a fetch that Next has returned and that has not ended.
 type running struct {
 	Fetch
 	started time.Time
 }
 
-// Plan gathers the chunks of one manifest. It is not safe for use by several
-// goroutines.
+// Plan obtains the chunks of one manifest. It is not safe for concurrent use.
 type Plan struct {
 	self     Member
 	chunks   []weights.Chunk
@@ -128,35 +128,36 @@
 	rand     *rand.Rand
 
 	have     *weights.Set
-	seen     *weights.Set // known to exist whole somewhere, have included
+	seen     *weights.Set // known to exist complete somewhere in the fleet; includes have
 	inFlight *weights.Set // chunks with a running fetch
 
 	nextID  uint64
-	fetches []running // by rising id, only a few
-	// clock is the time of the last call that told one.
+	fetches []running // by ascending ID; only a few
+	// clock is the time of the last call of Next, SetMembers or PeerDown.
 	clock time.Time
 
 	peers    []*peer // sorted by id
 	rarity   rarity
 	suspects map[fleet.InstanceID]suspect
-	wanted   *weights.Set // scratch of pickFromPeers
-	// fetchTime is the moving average of how long a fetch from a peer takes.
+	wanted   *weights.Set // scratch space of pickRarest
+	// fetchTime is the moving average of the duration of a fetch from a peer.
 	fetchTime time.Duration
-	// heldBack stops new fetches while this instance cannot keep chunks.
-	heldBack time.Time
-
-	roster  roster
-	draws   draws
-	uploads uploads
-	// seenAt is when each chunk was first known to exist, near is scratch space;
-	// nil unless NearFirst.
-	seenAt []time.Time
-	near   *weights.Set
+	// noFetchUntil is the time until which no fetch starts, because this instance could
+	// not store a chunk.
+	noFetchUntil time.Time
+
+	roster   roster
+	upstream upstreamSchedule
+	uploads  uploads
+	// seenAt is when each chunk was first known to exist; heldInRegion is scratch space
+	// of deferToRegion. Both are nil unless NearFirst.
+	seenAt       []time.Time
+	heldInRegion *weights.Set
 
 	originBytes, storeBytes, peerBytes int64
 }
 
-// New returns a plan that holds nothing and knows no members.
+// New returns a plan that holds no chunks and knows no members.
 func New(o Options) *Plan {
 	total := len(o.Manifest.Chunks)
 	settings := o.Settings.withDefaults(o.Manifest)
@@ -175,17 +176,17 @@
 		roster:    newRoster(o.ManifestDigest, o.Self, total, settings.OriginCopies),
 		uploads:   newUploads(settings.MaxUploads),
 	}
-	p.draws = newDraws(total, o.Start)
+	p.upstream = newUpstreamSchedule(total, o.Start)
 	if settings.NearFirst {
-		p.roster.crosses = weights.NewSet(total)
+		p.roster.firstInRegion = weights.NewSet(total)
 		p.seenAt = make([]time.Time, total)
-		p.near = weights.NewSet(total)
+		p.heldInRegion = weights.NewSet(total)
 	}
 	return p
 }
 
-// Held tells that this instance holds chunks that no fetch of the plan
-// brought: in the stage at start, or reused from another version.
+// Held adds chunks that this instance holds without a fetch of the plan: found in the
+// stage at start, or reused from another version.
 func (p *Plan) Held(now time.Time, chunks []int) {
 	for _, chunk := range chunks {
 		if p.have.Add(chunk) {
@@ -194,13 +195,13 @@
 	}
 }
 
-// Have returns the chunks this instance holds. The caller only reads it, and
-// only until it next calls the plan.
+// Have returns the chunks this instance holds. The caller must not modify the set or
+// use it after its next call to the plan.
 func (p *Plan) Have() *weights.Set { return p.have }
 
-// Seen returns the chunks known to exist whole somewhere in this part of the
-// fleet. It goes to every neighbour. The caller only reads it, and only until
-// it next calls the plan.
+// Seen returns the chunks known to exist complete somewhere in this part of the fleet.
+// The agent sends it to every neighbour. The caller must not modify the set or use it
+// after its next call to the plan.
 func (p *Plan) Seen() *weights.Set { return p.seen }
 
 // Complete reports whether every chunk is held.
@@ -222,20 +223,20 @@
 	switch {
 	case p.Complete() || len(p.fetches) > 0:
 		return ""
-	case !p.draws.isOpen():
+	case !p.upstream.isOpen():
 		return "neighbours' first report"
-	case p.roster.quota <= p.draws.charged:
+	case p.roster.quota <= p.upstream.charged:
 		return "peers or store, origin quota used up"
 	default:
 		return "peers"
 	}
 }
 
-// Done tells that a fetch brought a chunk that is verified and staged. It
-// returns the other running fetches of the chunk, which the agent cancels and
-// reports no more. An unknown id is ignored.
+// Done records that a fetch returned a chunk that is verified and staged. It returns
+// the other running fetches of the chunk, which the agent cancels and does not report.
+// An unknown ID is ignored.
 func (p *Plan) Done(now time.Time, id uint64) (superseded []uint64) {
-	done, ok := p.fetch(id)
+	done, ok := p.findFetch(id)
 	if !ok {
 		return nil
 	}
@@ -252,22 +253,22 @@
 	return superseded
 }
 
-// Failed tells that a fetch ended without a chunk. retryAfter is the pause
-// that the source asked for, 0 if none. An unknown id is ignored.
+// Failed records that a fetch ended without a chunk. retryAfter is the pause that the
+// source requested, 0 if none. An unknown ID is ignored.
 func (p *Plan) Failed(now time.Time, id uint64, reason Reason, retryAfter time.Duration) {
-	failed, ok := p.fetch(id)
+	failed, ok := p.findFetch(id)
 	if !ok {
 		return
 	}
 	p.end(failed)
 	if reason == ReasonLocal {
-		p.heldBack = now.Add(localPause)
+		p.noFetchUntil = now.Add(localPause)
 	}
 	if failed.Source == SourcePeer {
 		p.peerFailed(now, failed, reason, retryAfter)
 		return
 	}
-	p.drawFailed(now, failed, reason, retryAfter)
+	p.upstreamFetchFailed(now, failed, reason, retryAfter)
 }
 
 // begin records a fetch and returns it for the agent to start.
@@ -282,20 +283,20 @@
 	return f
 }
 
-// end forgets a fetch, whatever its outcome.
+// end removes a running fetch, whatever its outcome.
 func (p *Plan) end(r running) {
 	p.fetches = slices.DeleteFunc(p.fetches, func(other running) bool { return other.ID == r.ID })
 	if peer := p.peer(r.Peer); peer != nil && r.Source == SourcePeer {
 		peer.running = max(0, peer.running-1)
 	}
-	p.draws.ended(r.Source)
-	if p.runs(r.Chunk) == 0 {
+	p.upstream.fetchEnded(r.Source)
+	if p.fetchCount(r.Chunk) == 0 {
 		p.inFlight.Remove(r.Chunk)
 	}
 }
 
-// runs returns the number of running fetches of the chunk.
-func (p *Plan) runs(chunk int) int {
+// fetchCount returns the number of running fetches of the chunk.
+func (p *Plan) fetchCount(chunk int) int {
 	count := 0
 	for _, r := range p.fetches {
 		if r.Chunk == chunk {
@@ -305,7 +306,7 @@
 	return count
 }
 
-func (p *Plan) fetch(id uint64) (running, bool) {
+func (p *Plan) findFetch(id uint64) (running, bool) {
 	for _, r := range p.fetches {
 		if r.ID == id {
 			return r, true
@@ -318,31 +319,31 @@
 	size := int64(p.chunks[done.Chunk].Bytes)
 	switch done.Source {
 	case SourceOrigin:
-		p.draws.origin.succeeded()
+		p.upstream.origin.succeeded()
 	case SourceStore:
 		p.storeBytes += size
-		p.draws.store.succeeded()
+		p.upstream.store.succeeded()
 	case SourcePeer:
 		p.peerBytes += size
 		p.fetchTime += (now.Sub(done.started) - p.fetchTime) / fetchTimeWeight
 		if peer := p.peer(done.Peer); peer != nil {
-			peer.stalls = 0
+			peer.stallCount = 0
 		}
 	}
 }
 
-// markSeen notes that a chunk exists whole in this part of the fleet.
+// markSeen records that a chunk exists complete in this part of the fleet.
 func (p *Plan) markSeen(now time.Time, chunk int) {
 	if p.seen.Add(chunk) {
 		if p.seenAt != nil {
 			p.seenAt[chunk] = now
 		}
-		p.draws.advance(now, chunk, p.settings)
+		p.upstream.chunkAppeared(now, chunk, p.settings)
 	}
 }
 
-// jitter returns d with up to half of it added, so that members which met the
-// same failure at once do not all come back at once.
+// jitter returns d plus a random part of up to half of it, so that members that saw the
+// same failure at the same time do not all retry at once.
 func (p *Plan) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(p.rand.Int64N(int64(d)/2+1))
 }
--- a/core/spread/uploads.go
+++ b/core/spread/uploads.go
@@ -6,21 +6,21 @@
 	"chivespindle.example/core/fleet"
 )
 
-// patientAsks is the number of refusals after which a slot is kept for an
-// asker.
-const patientAsks = 16
+// reserveAfterRefusals is the number of refusals after which a slot is reserved for a
+// requesting peer.
+const reserveAfterRefusals = 16
 
-// uploads grants this member's upload slots.
+// uploads manages the upload slots of this member.
 type uploads struct {
 	slots   int
 	running map[fleet.InstanceID]int
 	total   int
-	// waiting holds the askers refused since they were last granted a slot.
-	waiting map[fleet.InstanceID]waiter
+	// refused holds the peers refused since they were last granted a slot.
+	refused map[fleet.InstanceID]refusedPeer
 }
 
-// waiter is an asker that was refused.
-type waiter struct {
+// refusedPeer is a peer whose upload request was refused.
+type refusedPeer struct {
 	since, last time.Time
 	refusals    int
 }
@@ -29,30 +29,30 @@
 	return uploads{
 		slots:   slots,
 		running: map[fleet.InstanceID]int{},
-		waiting: map[fleet.InstanceID]waiter{},
+		refused: map[fleet.InstanceID]refusedPeer{},
 	}
 }
 
-// Accept grants or refuses an upload of a chunk to a peer. A granted upload
-// ends with one Released; a refused peer is told that this member is busy. The
-// agent first checks that it holds the chunk.
+// Accept grants or refuses an upload of a chunk to a peer. The caller ends a granted
+// upload by one call of Released; it answers a refused peer that this member is busy.
+// The agent first checks that it holds the chunk.
 //
-// A free slot goes to whoever asks first, which keeps the link busy. Only an
-// asker that was refused many times has the next slot kept for it: askers that
-// happen to come back at better moments could else shut it out for long.
+// A free slot goes to the first peer that requests it, which keeps the link busy. A
+// slot is reserved only for a peer that was refused many times: otherwise peers that
+// happen to retry at better moments could starve it.
 func (p *Plan) Accept(now time.Time, to fleet.InstanceID, chunk int) bool {
 	u := &p.uploads
-	if !p.have.Has(chunk) || u.total+u.keptFrom(now, to, p.fetchTime) >= u.slots {
+	if !p.have.Has(chunk) || u.total+u.reservedAhead(now, to, p.fetchTime) >= u.slots {
 		u.refuse(now, to)
 		return false
 	}
-	delete(u.waiting, to)
+	delete(u.refused, to)
 	u.running[to]++
 	u.total++
 	return true
 }
 
-// Released tells that an upload to a peer has ended, whole or not.
+// Released records that an upload to a peer has ended, successfully or not.
 func (p *Plan) Released(to fleet.InstanceID) {
 	u := &p.uploads
 	if u.running[to] == 0 {
@@ -65,30 +65,31 @@
 	}
 }
 
-// keptFrom counts the slots kept for askers before this one. An asker that has
-// not come back for the time fresh has found the chunk elsewhere.
-func (u *uploads) keptFrom(now time.Time, to fleet.InstanceID, fresh time.Duration) int {
-	own := u.waiting[to]
-	kept := 0
-	for id, other := range u.waiting {
-		if now.Sub(other.last) > fresh {
-			delete(u.waiting, id)
+// reservedAhead returns the number of slots reserved for peers ahead of this one. A
+// waiting peer that has not retried within maxAge is removed, since it has found the
+// chunk elsewhere.
+func (u *uploads) reservedAhead(now time.Time, to fleet.InstanceID, maxAge time.Duration) int {
+	own := u.refused[to]
+	reserved := 0
+	for id, other := range u.refused {
+		if now.Sub(other.last) > maxAge {
+			delete(u.refused, id)
 			continue
 		}
-		before := own.refusals < patientAsks || other.since.Before(own.since)
-		if id != to && other.refusals >= patientAsks && before {
-			kept++
+		before := own.refusals < reserveAfterRefusals || other.since.Before(own.since)
+		if id != to && other.refusals >= reserveAfterRefusals && before {
+			reserved++
 		}
 	}
-	return kept
+	return reserved
 }
 
 func (u *uploads) refuse(now time.Time, to fleet.InstanceID) {
-	w := u.waiting[to]
+	w := u.refused[to]
 	if w.refusals == 0 {
 		w.since = now
 	}
 	w.last = now
 	w.refusals++
-	u.waiting[to] = w
+	u.refused[to] = w
 }
--- a/core/weights/manifest.go
+++ b/core/weights/manifest.go
@@ -1,8 +1,8 @@
-// Package weights describes the bytes of a model version and checks them.
+// Package weights describes the bytes of a model version and verifies them.
 //
-// A manifest lists the chunks of one version in order. Its own digest is
-// pinned by the operator's text, so that a chain of digests leads from the
-// text to every byte that an engine may load.
+// A manifest lists the chunks of one version in order. The operator's text pins the
+// digest of the manifest, so a chain of digests leads from the text to every byte that
+// an engine may load.
 package weights
 
 import (
@@ -14,21 +14,21 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Limits of a manifest. They bound what a decoder allocates.
+// Limits of a manifest. They bound the memory that a decoder allocates.
 const (
-	// MaxChunks is the largest number of chunks of one version.
+	// MaxChunks is the maximum number of chunks of one version.
 	MaxChunks = 1 << 17
-	// MaxChunkBytes is the largest size of one chunk.
+	// MaxChunkBytes is the maximum size of one chunk.
 	MaxChunkBytes = 64 << 20
 )
 
-// Hash names the function that a chunk's digest was made with.
+// Hash is the hash function of a chunk's digest.
 type Hash uint8
 
 const (
-	// BLAKE3 is the hash of the product's own manifests.
+	// BLAKE3 is the hash of manifests created by this product.
 	BLAKE3 Hash = iota
-	// SHA256 is that of origins which publish such digests.
+	// SHA256 is the hash of origins that publish SHA-256 digests.
 	SHA256
 )
 
@@ -46,8 +46,8 @@
 	Chunks []Chunk `cbor:"2,keyasint"`
 }
 
-// Encode returns the canonical CBOR form and its digest, which is the
-// manifest's name everywhere.
+// Encode returns the canonical CBOR encoding and its digest, which identifies the
+// manifest.
 func (m Manifest) Encode() ([]byte, fleet.Digest, error) {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -60,8 +60,8 @@
 	return raw, fleet.DigestOf(raw), nil
 }
 
-// Decode checks raw against the digest that the operator's text pins, then
-// decodes it. Failures are failure.Corrupt.
+// Decode checks raw against the digest pinned by the operator's text, then decodes and
+// validates it. Failures are failure.Corrupt.
 func Decode(raw []byte, want fleet.Digest) (Manifest, error) {
 	if got := fleet.DigestOf(raw); got != want {
 		return Manifest{}, failure.Corrupt.New("manifest has digest %s, want %s", got, want)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// TotalBytes returns the size of one whole copy.
+// TotalBytes returns the size of one complete copy.
 func (m Manifest) TotalBytes() int64 {
 	var sum int64
 	for _, c := range m.Chunks {
@@ -100,8 +100,8 @@
 	return sum
 }
 
-// Verify checks data against the chunk's size and digest; failure.Corrupt if
-// they differ.
+// Verify checks data against the size and digest of the chunk and returns
+// failure.Corrupt if they differ.
 func (c Chunk) Verify(data []byte) error {
 	if len(data) != c.Bytes {
 		return failure.Corrupt.New("chunk %d has %d bytes, want %d", c.Index, len(data), c.Bytes)
@@ -119,7 +119,7 @@
 	return fleet.DigestOf(data)
 }
 
-// Split cuts a blob into chunks of chunkBytes and returns the manifest.
+// Split splits a blob into chunks of at most chunkBytes and returns the manifest.
 func Split(model string, blob []byte, chunkBytes int) Manifest {
 	m := Manifest{Model: model}
 	for start := 0; start < len(blob); start += chunkBytes {
--- a/core/weights/manifest_test.go
+++ b/core/weights/manifest_test.go
@@ -20,7 +20,7 @@
 	return gomega.WithTransform(func(err error) bool { return errorx.IsOfType(err, failure.Corrupt) }, gomega.BeTrue())
 }
 
-var _ = ginkgo.Describe("a manifest", func() {
+var _ = ginkgo.Describe("Manifest", func() {
 	blob := []byte("the bytes of a model version")
 	manifest := weights.Split(testModel, blob, 10)
 
@@ -35,16 +35,16 @@
 		gomega.Expect(at).To(gomega.Equal(len(blob)))
 	})
 
-	ginkgo.It("is read back as it was written, under its digest", func() {
+	ginkgo.It("decodes to the encoded manifest, with the digest of its encoding", func() {
 		raw, digest, err := manifest.Encode()
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		gomega.Expect(digest).To(gomega.Equal(fleet.DigestOf(raw)))
 		gomega.Expect(weights.Decode(raw, digest)).To(gomega.Equal(manifest))
 	})
 
-	// The origin or a peer sends a manifest that is not the pinned one, even by
-	// one bit. Nothing of it is used, so no chunk of it is ever fetched.
-	ginkgo.It("is refused unless it has the pinned digest", func() {
+	// The origin or a peer sends a manifest that differs from the pinned one by a
+	// single bit. It is rejected as a whole, so none of its chunks is fetched.
+	ginkgo.It("is rejected unless it has the pinned digest", func() {
 		raw, digest, err := manifest.Encode()
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		for i := range raw {
@@ -55,31 +55,31 @@
 		}
 	})
 
-	// A chunk arrives short, long or with one bit changed. It is refused, so an
-	// engine is never given it.
-	ginkgo.DescribeTable("refuses chunk data", func(data string) {
+	// A chunk arrives truncated, too long or with a changed bit. It is rejected, so an
+	// engine never receives it.
+	ginkgo.DescribeTable("rejects chunk data that is", func(data string) {
 		gomega.Expect(manifest.Chunks[0].Verify([]byte(data))).To(beCorrupt())
 	},
-		ginkgo.Entry("short", "the bytes"),
-		ginkgo.Entry("long", "the bytes of"),
+		ginkgo.Entry("too short", "the bytes"),
+		ginkgo.Entry("too long", "the bytes of"),
 		ginkgo.Entry("changed", "the bytes\x00"),
-		ginkgo.Entry("of the same length", "The bytes "),
+		ginkgo.Entry("changed in one letter", "The bytes "),
 		ginkgo.Entry("empty", ""),
 	)
 
-	// The pinned manifest itself is wrong, for it was made by a broken tool.
-	ginkgo.DescribeTable("is refused with its digest right but", func(wrong any, text string) {
+	// The pinned manifest itself is invalid, because a faulty tool created it.
+	ginkgo.DescribeTable("is rejected despite a matching digest if it has", func(wrong any, text string) {
 		raw, err := cbor.Marshal(wrong)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = weights.Decode(raw, fleet.DigestOf(raw))
 		gomega.Expect(err).To(beCorrupt())
 		gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(text)))
 	},
-		ginkgo.Entry("no chunk", weights.Manifest{}, "has 0 chunks, want 1 to 131072"),
+		ginkgo.Entry("no chunks", weights.Manifest{}, "has 0 chunks, want 1 to 131072"),
 		ginkgo.Entry("an index out of order", chunks(weights.Chunk{Index: 1, Bytes: 1}), "chunk 0 of the manifest has index 1"),
 		ginkgo.Entry("an empty chunk", chunks(weights.Chunk{}), "has 0 bytes"),
 		ginkgo.Entry("a negative size", chunks(weights.Chunk{Bytes: -1}), "has -1 bytes"),
-		ginkgo.Entry("a chunk too large", chunks(weights.Chunk{Bytes: weights.MaxChunkBytes + 1}), "has 67108865 bytes"),
+		ginkgo.Entry("a chunk that is too large", chunks(weights.Chunk{Bytes: weights.MaxChunkBytes + 1}), "has 67108865 bytes"),
 		ginkgo.Entry("another type", "text", "decode manifest"),
 	)
 })
@@ -88,8 +88,8 @@
 	return weights.Manifest{Model: testModel, Chunks: c}
 }
 
-// FuzzDecode gives Decode bytes that match their digest, so that the codec and
-// the checks behind the digest are reached.
+// FuzzDecode passes Decode bytes with a matching digest, so that the codec and the
+// checks after the digest are reached.
 func FuzzDecode(f *testing.F) {
 	raw, _, _ := weights.Split(testModel, []byte("the bytes of a model version"), 10).Encode()
 	f.Add(raw)
@@ -104,7 +104,7 @@
 			return
 		}
 		if m.TotalBytes() < int64(len(m.Chunks)) {
-			t.Fatalf("%d chunks of %d bytes in all", len(m.Chunks), m.TotalBytes())
+			t.Fatalf("%d chunks with %d bytes in total", len(m.Chunks), m.TotalBytes())
 		}
 		again, digest, err := m.Encode()
 		if err != nil {
@@ -112,7 +112,7 @@
 		}
 		back, err := weights.Decode(again, digest)
 		if err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("%v reads back as %v, %v", m, back, err)
+			t.Fatalf("%v decodes as %v, %v", m, back, err)
 		}
 	})
 }
--- a/core/weights/set.go
+++ b/core/weights/set.go
@@ -11,12 +11,12 @@
 const (
 	wordBits      = 64
 	wordBytes     = wordBits / 8
-	setHeaderSize = 4 // bytes of the length before the words
+	setHeaderSize = 4 // bytes of the length field before the words
 )
 
-// Set is a set of chunk indexes 0 to Len-1 of one manifest, kept as a bitmap.
-// Methods that take another Set need one of the same length. A Set is not safe
-// for use by several goroutines; Clone one to hand it over.
+// Set is a set of chunk indexes from 0 to Len-1 of one manifest, stored as a bitmap.
+// Methods that take another Set require one of the same length. A Set is not safe for
+// concurrent use; pass a Clone to other goroutines.
 type Set struct {
 	size  int
 	count int
@@ -28,7 +28,7 @@
 	return &Set{size: size, words: make([]uint64, (size+wordBits-1)/wordBits)}
 }
 
-// SetOf returns a set for size chunks that holds the given indexes.
+// SetOf returns a set for size chunks that contains the given indexes.
 func SetOf(size int, indexes ...int) *Set {
 	s := NewSet(size)
 	for _, index := range indexes {
@@ -37,7 +37,7 @@
 	return s
 }
 
-// Len returns the number of chunks of the manifest, held or not.
+// Len returns the number of chunks of the manifest, whether in the set or not.
 func (s *Set) Len() int { return s.size }
 
 // Count returns the number of chunks in the set.
@@ -54,8 +54,8 @@
 	return s.words[index/wordBits]&bit(index) != 0
 }
 
-// Add puts index into the set and reports whether it is new. An index outside
-// 0 to Len-1 is ignored, since peers send indexes.
+// Add adds index to the set and reports whether it was not in it before. An index
+// outside 0 to Len-1 is ignored, since peers send indexes.
 func (s *Set) Add(index int) bool {
 	if index < 0 || index >= s.size || s.Has(index) {
 		return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Remove takes index out of the set and reports whether it was there.
+// Remove removes index from the set and reports whether it was in it.
 func (s *Set) Remove(index int) bool {
 	if !s.Has(index) {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns an independent copy of s.
 func (s *Set) Clone() *Set {
 	return &Set{size: s.size, count: s.count, words: append([]uint64(nil), s.words...)}
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// All yields the members in rising order. The set may be changed while it
-// runs; changes to the 64 chunks around the current one may go unnoticed.
+// All yields the members in ascending order. The set may be modified during the
+// iteration; changes within the current 64-bit word may be missed.
 func (s *Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i, word := range s.words {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Minus yields the members of s that other lacks, in rising order.
+// Minus yields the members of s that are not in other, in ascending order.
 func (s *Set) Minus(other *Set) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i, word := range s.words {
@@ -140,7 +140,7 @@
 	return count
 }
 
-// NthBoth returns the n-th chunk, from 0 in rising order, of those in both
+// NthBoth returns the n-th chunk, counted from 0 in ascending order, of those in both
 // sets; -1 if there are not so many.
 func (s *Set) NthBoth(other *Set, n int) int {
 	for i, word := range s.words {
@@ -158,8 +158,8 @@
 	return -1
 }
 
-// MarshalBinary returns the form that peers send: the length as four bytes,
-// then the bitmap in 64-bit words, all big-endian. It never fails.
+// MarshalBinary returns the encoding that peers send: the length as four bytes, then
+// the bitmap in 64-bit words, all big-endian. It never fails.
 func (s *Set) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, setHeaderSize+len(s.words)*wordBytes)
 	raw = binary.BigEndian.AppendUint32(raw, uint32(s.size))
@@ -169,8 +169,8 @@
 	return raw, nil
 }
 
-// UnmarshalBinary reads the form of MarshalBinary; failure.Corrupt if raw has
-// another shape. The caller checks Len against its manifest.
+// UnmarshalBinary decodes the encoding of MarshalBinary and returns failure.Corrupt if
+// raw is malformed. The caller checks Len against its manifest.
 func (s *Set) UnmarshalBinary(raw []byte) error {
 	if len(raw) < setHeaderSize {
 		return failure.Corrupt.New("chunk set has %d bytes, want at least %d", len(raw), setHeaderSize)
--- a/core/weights/set_test.go
+++ b/core/weights/set_test.go
@@ -14,13 +14,13 @@
 	"chivespindle.example/core/weights"
 )
 
-// drawSet returns a random set for size chunks with its members as a model.
+// drawSet returns a random set for size chunks and its members as a map.
 func drawSet(t *rapid.T, size int, label string) (*weights.Set, map[int]bool) {
 	set, model := weights.NewSet(size), map[int]bool{}
 	for _, index := range rapid.SliceOf(rapid.IntRange(-2, size+1)).Draw(t, label) {
 		inside := index >= 0 && index < size
 		if set.Add(index) != (inside && !model[index]) {
-			t.Fatalf("Add(%d) tells wrongly whether it is new", index)
+			t.Fatalf("Add(%d) returned the wrong value", index)
 		}
 		if inside {
 			model[index] = true
@@ -38,7 +38,7 @@
 	return members
 }
 
-// expectMembers checks every way to read a set against the model.
+// expectMembers checks every accessor of a set against the expected members.
 func expectMembers(t *rapid.T, set *weights.Set, model map[int]bool) {
 	members := sorted(model)
 	if got := slices.Collect(set.All()); !slices.Equal(got, members) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSetBehavesAsASet(t *testing.T) {
+func TestSetOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 200).Draw(t, "size")
 		a, inA := drawSet(t, size, "a")
@@ -90,7 +90,7 @@
 		expectMembers(t, rest, minus)
 		for _, index := range sorted(inA) {
 			if !a.Remove(index) || a.Remove(index) {
-				t.Fatalf("Remove(%d) tells wrongly whether it was there", index)
+				t.Fatalf("Remove(%d) returned the wrong value", index)
 			}
 		}
 		expectMembers(t, a, nil)
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestSetSurvivesTheWire(t *testing.T) {
+func TestSetRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, model := drawSet(t, rapid.IntRange(0, 200).Draw(t, "size"), "members")
 		raw, err := set.MarshalBinary()
@@ -114,25 +114,25 @@
 	})
 }
 
-// A peer of another version, or a broken one, sends a set of another shape. It
-// is refused before anything is allocated for it, and never read as chunks.
-func TestSetRefusesOtherShapes(t *testing.T) {
+// A peer of another version or with a fault sends a malformed set. It is rejected
+// before memory is allocated for it, and never interpreted as chunks.
+func TestSetRejectsMalformedInput(t *testing.T) {
 	size := func(n uint32, bitmap ...byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), bitmap...) }
 	for name, raw := range map[string][]byte{
-		"empty":              nil,
-		"short header":       {0, 0, 1},
-		"too many chunks":    size(weights.MaxChunks + 1),
-		"bitmap missing":     size(1),
-		"bitmap too long":    size(1, make([]byte, 16)...),
-		"chunk beyond":       size(2, 0, 0, 0, 0, 0, 0, 0, 4),
-		"bitmap of no chunk": size(0, make([]byte, 8)...),
+		"empty":                 nil,
+		"short header":          {0, 0, 1},
+		"too many chunks":       size(weights.MaxChunks + 1),
+		"bitmap missing":        size(1),
+		"bitmap too long":       size(1, make([]byte, 16)...),
+		"chunk out of range":    size(2, 0, 0, 0, 0, 0, 0, 0, 4),
+		"bitmap without chunks": size(0, make([]byte, 8)...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := weights.SetOf(3, 1)
 			err := set.UnmarshalBinary(raw)
 			g := gomega.NewWithT(t)
 			g.Expect(errorx.IsOfType(err, failure.Corrupt)).To(gomega.BeTrue(), "%v", err)
-			g.Expect(set).To(gomega.Equal(weights.SetOf(3, 1)), "left as it was")
+			g.Expect(set).To(gomega.Equal(weights.SetOf(3, 1)), "unchanged")
 		})
 	}
 }
@@ -148,7 +148,7 @@
 		}
 		again, err := set.MarshalBinary()
 		if err != nil || !bytes.Equal(raw, again) {
-			t.Fatalf("%x reads and writes as %x, %v", raw, again, err)
+			t.Fatalf("%x decodes and encodes as %x, %v", raw, again, err)
 		}
 	})
 }
