--- a/core/spread/bench_test.go
+++ b/core/spread/bench_test.go
@@ -60,13 +60,13 @@
 					have.Add(d.rand.IntN(chunks))
 				}
 				plan.PeerUp(now, m)
-				plan.PeerHas(now, m.ID, have)
+				plan.SetPeerChunks(now, m.ID, have)
 			}
 			fetches = plan.Next(now)
 			b.StartTimer()
 		}
 		now = now.Add(time.Millisecond)
-		plan.PeerGot(now, d.list[1+d.rand.IntN(peers)].ID, []int{d.rand.IntN(chunks)})
+		plan.AddPeerChunks(now, d.list[1+d.rand.IntN(peers)].ID, []int{d.rand.IntN(chunks)})
 		if len(fetches) > 0 && d.rand.IntN(4) == 0 {
 			plan.Done(now, fetches[0].ID)
 			fetches = fetches[1:]
--- a/core/spread/driver_test.go
+++ b/core/spread/driver_test.go
@@ -111,7 +111,7 @@
 	plan := spread.New(spread.Options{Self: a.Member, Manifest: d.manifest, ManifestDigest: d.digest,
 		Settings: d.settings, Rand: rand.New(rand.NewPCG(d.rand.Uint64(), 1)), Start: d.now})
 	*a = agent{Member: a.Member, plan: plan, links: map[*agent]bool{}, running: map[int]int{}}
-	plan.Held(d.now, held)
+	plan.AddHeld(d.now, held)
 	plan.SetMembers(d.now, d.list)
 	var maintain func()
 	maintain = func() {
@@ -181,11 +181,11 @@
 		if b.plan != plan || !b.links[a] || d.disconnected(a, b) {
 			return
 		}
-		plan.PeerSeen(d.now, seen)
+		plan.MergeSeen(d.now, seen)
 		if first {
-			plan.PeerHas(d.now, a.ID, have)
+			plan.SetPeerChunks(d.now, a.ID, have)
 		} else {
-			plan.PeerGot(d.now, a.ID, slices.Collect(have.All()))
+			plan.AddPeerChunks(d.now, a.ID, slices.Collect(have.All()))
 		}
 		d.step(b)
 	})
@@ -243,7 +243,7 @@
 	case !a.links[b] || d.disconnected(a, b):
 		d.end(a, f, d.latency, spread.ReasonGone)
 		return
-	case !b.plan.Accept(d.now, a.ID, f.Chunk):
+	case !b.plan.GrantUpload(d.now, a.ID, f.Chunk):
 		d.end(a, f, 2*d.latency, spread.ReasonBusy)
 		return
 	}
@@ -263,7 +263,7 @@
 	d.at(took, func() {
 		d.down[to]--
 		d.up[from]--
-		from.Released(a.ID)
+		from.UploadEnded(a.ID)
 		switch {
 		case a.plan != to:
 		case b.plan != from || d.disconnected(a, b):
--- a/core/spread/faults_test.go
+++ b/core/spread/faults_test.go
@@ -200,7 +200,7 @@
 
 // New instances start among complete members and receive their first reports only after
 // a delay. They must copy all chunks from those members, and must not fetch from the
-// origin before they know that every chunk exists already. Without ListenTime: 2 chunks
+// origin before they know that every chunk exists already. Without ReportWait: 2 chunks
 // fetched.
 var _ = ginkgo.It("fetches nothing from the origin for new members of a complete fleet", func() {
 	d := newDriver(faultMembers, faultChunks, faultTime, spread.Settings{}, 1)
--- a/core/spread/next.go
+++ b/core/spread/next.go
@@ -171,7 +171,7 @@
 	}
 	d := &p.upstream
 	if !d.isOpen() {
-		at(d.started.Add(p.settings.ListenTime))
+		at(d.started.Add(p.settings.ReportWait))
 		return later(wake, now.Add(minWakeDelay))
 	}
 	at(d.nextCheck)
--- a/core/spread/peers.go
+++ b/core/spread/peers.go
@@ -67,10 +67,10 @@
 	p.peers = slices.Delete(p.peers, at, at+1)
 }
 
-// PeerHas replaces the set of chunks that a peer holds. The first call after PeerUp
-// counts as the first report of the peer: call PeerSeen with the set that the peer sent
+// SetPeerChunks replaces the set of chunks that a peer holds. The first call after PeerUp
+// counts as the first report of the peer: call MergeSeen with the set that the peer sent
 // in the same message before it. A bitmap of another length is ignored.
-func (p *Plan) PeerHas(now time.Time, id fleet.InstanceID, have *weights.Set) {
+func (p *Plan) SetPeerChunks(now time.Time, id fleet.InstanceID, have *weights.Set) {
 	from := p.peer(id)
 	if from == nil || have.Len() != p.have.Len() {
 		return
@@ -87,8 +87,8 @@
 	}
 }
 
-// PeerGot adds the chunks that a peer has obtained since its last report.
-func (p *Plan) PeerGot(now time.Time, id fleet.InstanceID, chunks []int) {
+// AddPeerChunks adds the chunks that a peer has obtained since its last report.
+func (p *Plan) AddPeerChunks(now time.Time, id fleet.InstanceID, chunks []int) {
 	from := p.peer(id)
 	if from == nil {
 		return
@@ -104,9 +104,9 @@
 	}
 }
 
-// PeerSeen merges the chunks that a neighbour knows to exist somewhere in the fleet. A
+// MergeSeen merges the chunks that a neighbour knows to exist somewhere in the fleet. A
 // set of another length is ignored.
-func (p *Plan) PeerSeen(now time.Time, seen *weights.Set) {
+func (p *Plan) MergeSeen(now time.Time, seen *weights.Set) {
 	if seen.Len() != p.seen.Len() {
 		return
 	}
--- a/core/spread/plan_test.go
+++ b/core/spread/plan_test.go
@@ -22,7 +22,7 @@
 	// connect connects a peer that holds every chunk.
 	connect := func(m spread.Member) {
 		plan.PeerUp(now, m)
-		plan.PeerHas(now, m.ID, weights.SetOf(chunks, 0))
+		plan.SetPeerChunks(now, m.ID, weights.SetOf(chunks, 0))
 	}
 	only := func(fetches []spread.Fetch) spread.Fetch {
 		ginkgo.GinkgoHelper()
@@ -47,7 +47,7 @@
 		first := only(plan.Next(now))
 		gomega.Expect(first.Peer).To(gomega.Equal(near.ID))
 		plan.Failed(now, first.ID, spread.ReasonCorrupt, 0)
-		plan.PeerHas(now, near.ID, weights.SetOf(chunks, 0))
+		plan.SetPeerChunks(now, near.ID, weights.SetOf(chunks, 0))
 		second := only(plan.Next(now))
 		gomega.Expect(second.Peer).To(gomega.Equal(far.ID))
 		plan.Failed(now, second.ID, spread.ReasonBusy, 0)
@@ -94,10 +94,10 @@
 	// chunk indexes out of range. Both are ignored.
 	ginkgo.It("ignores bitmaps of another length and chunks out of range", func() {
 		plan.PeerUp(now, near)
-		plan.PeerHas(now, near.ID, weights.SetOf(9, 0))
-		plan.PeerSeen(now, weights.SetOf(9, 0))
-		plan.PeerGot(now, near.ID, []int{-1, 7})
-		plan.PeerGot(now, "stranger", []int{0})
+		plan.SetPeerChunks(now, near.ID, weights.SetOf(9, 0))
+		plan.MergeSeen(now, weights.SetOf(9, 0))
+		plan.AddPeerChunks(now, near.ID, []int{-1, 7})
+		plan.AddPeerChunks(now, "stranger", []int{0})
 		gomega.Expect(plan.Seen().Count()).To(gomega.BeZero())
 		gomega.Expect(plan.Next(now)).To(gomega.BeEmpty())
 		gomega.Expect(plan.Progress().Waiting).To(gomega.Equal("neighbours' first report"))
--- a/core/spread/properties_test.go
+++ b/core/spread/properties_test.go
@@ -253,17 +253,17 @@
 	g := gomega.NewWithT(t)
 	now := startTime
 	plan := newPlan(spread.Member{ID: "self"}, nil, 1, spread.Settings{MaxUploads: 1})
-	plan.Held(now, []int{0})
-	g.Expect(plan.Accept(now, "lucky", 0)).To(gomega.BeTrue())
+	plan.AddHeld(now, []int{0})
+	g.Expect(plan.GrantUpload(now, "lucky", 0)).To(gomega.BeTrue())
 	granted := false
 	for asked := 0; asked < 32 && !granted; asked++ {
-		g.Expect(plan.Accept(now, "unlucky", 0)).To(gomega.BeFalse())
-		plan.Released("lucky")
-		granted = !plan.Accept(now, "lucky", 0)
+		g.Expect(plan.GrantUpload(now, "unlucky", 0)).To(gomega.BeFalse())
+		plan.UploadEnded("lucky")
+		granted = !plan.GrantUpload(now, "lucky", 0)
 	}
 	g.Expect(granted).To(gomega.BeTrue(), "the peer with better timing is refused at last")
-	g.Expect(plan.Accept(now, "unlucky", 0)).To(gomega.BeTrue())
-	g.Expect(plan.Accept(now, "lucky", 0)).To(gomega.BeFalse())
-	plan.Released("unlucky")
-	g.Expect(plan.Accept(now.Add(time.Minute), "lucky", 0)).To(gomega.BeTrue())
+	g.Expect(plan.GrantUpload(now, "unlucky", 0)).To(gomega.BeTrue())
+	g.Expect(plan.GrantUpload(now, "lucky", 0)).To(gomega.BeFalse())
+	plan.UploadEnded("unlucky")
+	g.Expect(plan.GrantUpload(now.Add(time.Minute), "lucky", 0)).To(gomega.BeTrue())
 }
--- a/core/spread/regions_test.go
+++ b/core/spread/regions_test.go
@@ -15,8 +15,8 @@
 func newRegionalFleet(members int, seed uint64, nearFirst bool) *driver {
 	const chunks = 48
 	d := newDriver(members, chunks, 2*chunks*42*time.Millisecond, spread.Settings{
-		NearFirst: nearFirst, NoStore: true, OriginCopies: 2.5, ListenTime: 250 * time.Millisecond,
-		Takeover: 700 * time.Millisecond, SourcePauseMax: 700 * time.Millisecond,
+		NearFirst: nearFirst, NoStore: true, OriginCopies: 2.5, ReportWait: 250 * time.Millisecond,
+		TakeoverDelay: 700 * time.Millisecond, SourcePauseMax: 700 * time.Millisecond,
 	}, seed)
 	d.settings.OriginRate /= 2
 	d.originFactor = 2
--- a/core/spread/settings.go
+++ b/core/spread/settings.go
@@ -40,16 +40,16 @@
 	// MaxNeighbours is the number of neighbours that a member chooses; as many more may
 	// choose it. Default 8.
 	MaxNeighbours int
-	// ListenTime is how long a member that has received reports from fewer than half of
+	// ReportWait is how long a member that has received reports from fewer than half of
 	// its neighbours waits before its first upstream fetch. Default 1s.
-	ListenTime time.Duration
-	// Takeover is how long the second in rank waits for a chunk that appears nowhere in
+	ReportWait time.Duration
+	// TakeoverDelay is how long the second in rank waits for a chunk that appears nowhere in
 	// the fleet. Default 16 chunks at OriginRate, at least 1s; twice that for
 	// PolicyOrigin.
-	Takeover time.Duration
-	// OrphanTime is how long the first in rank waits for a chunk that exists in the
-	// fleet but that no neighbour holds. Default twice Takeover.
-	OrphanTime time.Duration
+	TakeoverDelay time.Duration
+	// OrphanDelay is how long the first in rank waits for a chunk that exists in the
+	// fleet but that no neighbour holds. Default twice TakeoverDelay.
+	OrphanDelay time.Duration
 	// SourcePauseMax is the maximum pause between requests to the origin or the store
 	// after failures. Default 15s: hundreds of members retrying a source that has just
 	// recovered would overload it again. A small fleet with a short deadline can use a
@@ -75,7 +75,7 @@
 	defaultMaxFetches    = 4
 	defaultPerPeer       = 1
 	defaultMaxNeighbours = 8
-	defaultListenTime    = time.Second
+	defaultReportWait    = time.Second
 	defaultSourcePause   = 15 * time.Second
 
 	takeoverChunks       = 16
@@ -94,7 +94,7 @@
 	defaults.Set(&s.PerPeer, defaultPerPeer)
 	defaults.Set(&s.MaxUploads, s.MaxFetches)
 	defaults.Set(&s.MaxNeighbours, defaultMaxNeighbours)
-	defaults.Set(&s.ListenTime, defaultListenTime)
+	defaults.Set(&s.ReportWait, defaultReportWait)
 	defaults.Set(&s.SourcePauseMax, defaultSourcePause)
 	copyTime := float64(m.TotalBytes()) / float64(s.OriginRate) * float64(time.Second)
 	s.pace = max(1, time.Duration(copyTime)/time.Duration(max(1, len(m.Chunks))))
@@ -102,7 +102,7 @@
 	if s.Policy == PolicyOrigin {
 		takeover *= originTakeoverFactor
 	}
-	defaults.Set(&s.Takeover, takeover)
-	defaults.Set(&s.OrphanTime, orphanTakeoverFactor*s.Takeover)
+	defaults.Set(&s.TakeoverDelay, takeover)
+	defaults.Set(&s.OrphanDelay, orphanTakeoverFactor*s.TakeoverDelay)
 	return s
 }
--- a/core/spread/sources.go
+++ b/core/spread/sources.go
@@ -53,7 +53,7 @@
 	atOrigin := later(due, d.origin.until)
 	atStore := later(due, d.store.until)
 	if queue != queueOwn && !d.origin.down() && tried.badSource != SourceOrigin {
-		atStore = later(due.Add(storeTakeovers*p.settings.Takeover), d.store.until)
+		atStore = later(due.Add(storeTakeovers*p.settings.TakeoverDelay), d.store.until)
 	}
 	switch {
 	case p.settings.NoStore && (quota || queue == queueOwn && tried.attempts == 0):
@@ -61,7 +61,7 @@
 		// fleet.
 		return SourceOrigin, atOrigin
 	case p.settings.NoStore:
-		return SourceOrigin, atOrigin.Add(overQuotaTakeovers * p.settings.Takeover)
+		return SourceOrigin, atOrigin.Add(overQuotaTakeovers * p.settings.TakeoverDelay)
 	case !quota:
 		return SourceStore, atStore
 	case tried.badSource == SourceStore, tried.badSource == SourceOrigin && d.store.down():
--- a/core/spread/sources_test.go
+++ b/core/spread/sources_test.go
@@ -99,7 +99,7 @@
 	seen := weights.NewSet(chunks)
 	for d := time.Duration(0); seen.Count() < chunks && d < time.Minute; d += 10 * time.Millisecond {
 		for _, p := range plans {
-			p.PeerSeen(startTime.Add(d), seen)
+			p.MergeSeen(startTime.Add(d), seen)
 			for _, f := range p.Next(startTime.Add(d)) {
 				p.Done(startTime.Add(d), f.ID)
 				seen.Add(f.Chunk)
@@ -119,8 +119,8 @@
 	It("fetches its assigned chunks even beyond its quota", func() {
 		const members, chunks = 24, 48
 		settings := spread.Settings{
-			NoStore: true, OriginCopies: 1, OriginRate: 40 * 1000, Takeover: 700 * time.Millisecond,
-			ListenTime: 10 * time.Millisecond,
+			NoStore: true, OriginCopies: 1, OriginRate: 40 * 1000, TakeoverDelay: 700 * time.Millisecond,
+			ReportWait: 10 * time.Millisecond,
 		}
 		last, draws := simulateOriginFetches(members, chunks, settings)
 		Expect(draws).To(Equal(chunks))
@@ -134,7 +134,7 @@
 	const chunks = 40
 
 	// member returns the plan of one of two members of a region. The far member holds
-	// every chunk, and ListenTime keeps the plan from using the origin.
+	// every chunk, and ReportWait keeps the plan from using the origin.
 	member := func(self, other fleet.InstanceID) *spread.Plan {
 		manifest := weights.Manifest{Model: "m"}
 		for i := range chunks {
@@ -146,11 +146,11 @@
 		}
 		p := spread.New(spread.Options{
 			Self: spread.Member{ID: self, Place: here}, Manifest: manifest, Rand: rand.New(rand.NewPCG(1, 2)), Start: startTime,
-			Settings: spread.Settings{NearFirst: true, NoStore: true, OriginCopies: 1, ListenTime: time.Hour, MaxFetches: chunks, PerPeer: chunks},
+			Settings: spread.Settings{NearFirst: true, NoStore: true, OriginCopies: 1, ReportWait: time.Hour, MaxFetches: chunks, PerPeer: chunks},
 		})
 		p.SetMembers(startTime, []spread.Member{{ID: self, Place: here}, {ID: other, Place: here}, far})
 		p.PeerUp(startTime, far)
-		p.PeerHas(startTime, far.ID, all)
+		p.SetPeerChunks(startTime, far.ID, all)
 		return p
 	}
 	fetched := func(p *spread.Plan, now time.Time) map[int]bool {
@@ -187,7 +187,7 @@
 		p := member("a", "b")
 		p.PeerUp(startTime, spread.Member{ID: "b", Place: here})
 		held := weights.SetOf(chunks, 0, 1, 2, 3)
-		p.PeerHas(startTime, "b", held)
+		p.SetPeerChunks(startTime, "b", held)
 		for _, f := range p.Next(startTime) {
 			if held.Has(f.Chunk) {
 				Expect(f.Peer).To(Equal(fleet.InstanceID("b")))
@@ -209,9 +209,9 @@
 			for _, m := range []spread.Member{near, near2, far} {
 				plan.PeerUp(startTime, m)
 			}
-			plan.PeerHas(startTime, "near", weights.SetOf(4, 0))
-			plan.PeerHas(startTime, "near2", weights.SetOf(4, 0))
-			plan.PeerHas(startTime, "far", weights.SetOf(4, 3))
+			plan.SetPeerChunks(startTime, "near", weights.SetOf(4, 0))
+			plan.SetPeerChunks(startTime, "near2", weights.SetOf(4, 0))
+			plan.SetPeerChunks(startTime, "far", weights.SetOf(4, 3))
 			var peers []fleet.InstanceID
 			for _, f := range plan.Next(startTime) {
 				if f.Source == spread.SourcePeer {
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -185,9 +185,9 @@
 	return p
 }
 
-// Held adds chunks that this instance holds without a fetch of the plan: found in the
+// AddHeld adds chunks that this instance holds without a fetch of the plan: found in the
 // stage at start, or reused from another version.
-func (p *Plan) Held(now time.Time, chunks []int) {
+func (p *Plan) AddHeld(now time.Time, chunks []int) {
 	for _, chunk := range chunks {
 		if p.have.Add(chunk) {
 			p.markSeen(now, chunk)
--- a/core/spread/uploads.go
+++ b/core/spread/uploads.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// Accept grants or refuses an upload of a chunk to a peer. The caller ends a granted
-// upload by one call of Released; it answers a refused peer that this member is busy.
+// GrantUpload grants or refuses an upload of a chunk to a peer. The caller ends a granted
+// upload by one call of UploadEnded; it answers a refused peer that this member is busy.
 // The agent first checks that it holds the chunk.
 //
 // A free slot goes to the first peer that requests it, which keeps the link busy. A
 // slot is reserved only for a peer that was refused many times: otherwise peers that
 // happen to retry at better moments could starve it.
-func (p *Plan) Accept(now time.Time, to fleet.InstanceID, chunk int) bool {
+func (p *Plan) GrantUpload(now time.Time, to fleet.InstanceID, chunk int) bool {
 	u := &p.uploads
 	if !p.have.Has(chunk) || u.total+u.reservedAhead(now, to, p.fetchTime) >= u.slots {
 		u.refuse(now, to)
@@ -52,8 +52,8 @@
 	return true
 }
 
-// Released records that an upload to a peer has ended, successfully or not.
-func (p *Plan) Released(to fleet.InstanceID) {
+// UploadEnded records that an upload to a peer has ended, successfully or not.
+func (p *Plan) UploadEnded(to fleet.InstanceID) {
 	u := &p.uploads
 	if u.running[to] == 0 {
 		return
--- a/core/spread/upstream.go
+++ b/core/spread/upstream.go
@@ -29,7 +29,7 @@
 	// rankScale is the rank up to which waiting times grow roughly linearly; beyond it
 	// they grow logarithmically.
 	rankScale = 2
-	// ticksPerOrphanDelay is the number of steps in which OrphanTime is counted.
+	// ticksPerOrphanDelay is the number of steps in which OrphanDelay is counted.
 	ticksPerOrphanDelay = 4
 )
 
@@ -132,11 +132,11 @@
 	if d.isOpen() || !d.hasMembers {
 		return
 	}
-	if now.Before(d.started.Add(p.settings.ListenTime)) && !p.hasEnoughReports() {
+	if now.Before(d.started.Add(p.settings.ReportWait)) && !p.hasEnoughReports() {
 		return
 	}
 	d.opened = now
-	d.nextOrphanTick = now.Add(p.settings.OrphanTime / ticksPerOrphanDelay)
+	d.nextOrphanTick = now.Add(p.settings.OrphanDelay / ticksPerOrphanDelay)
 	position := int32(0)
 	for _, chunk := range p.roster.originOrder() {
 		d.ordinal[chunk] = -1
@@ -176,7 +176,7 @@
 		if position < 0 || p.seen.Has(chunk) {
 			continue
 		}
-		due := time.Duration(position)*p.settings.pace + p.rankDelay(chunk, p.settings.Takeover)
+		due := time.Duration(position)*p.settings.pace + p.rankDelay(chunk, p.settings.TakeoverDelay)
 		d.timeline = append(d.timeline, upstreamFetch{chunk: chunk, due: due})
 	}
 	slices.SortFunc(d.timeline, func(a, b upstreamFetch) int {
@@ -241,13 +241,13 @@
 }
 
 // queueOrphans queues chunks that exist but that no usable neighbour has held for
-// OrphanTime plus the delay of this member's rank: their only holder may have failed.
+// OrphanDelay plus the delay of this member's rank: their only holder may have failed.
 func (p *Plan) queueOrphans(now time.Time) {
 	d := &p.upstream
 	if now.Before(d.nextOrphanTick) {
 		return
 	}
-	d.nextOrphanTick = now.Add(p.settings.OrphanTime / ticksPerOrphanDelay)
+	d.nextOrphanTick = now.Add(p.settings.OrphanDelay / ticksPerOrphanDelay)
 	for chunk := range p.rarity.byHolders[0].Minus(p.have) {
 		if !p.seen.Has(chunk) || d.orphans.Has(chunk) {
 			continue
@@ -255,8 +255,8 @@
 		if d.orphanTicks[chunk] < math.MaxUint8 {
 			d.orphanTicks[chunk]++
 		}
-		waited := time.Duration(d.orphanTicks[chunk]) * p.settings.OrphanTime / ticksPerOrphanDelay
-		if waited < p.settings.OrphanTime+p.rankDelay(chunk, p.settings.OrphanTime) {
+		waited := time.Duration(d.orphanTicks[chunk]) * p.settings.OrphanDelay / ticksPerOrphanDelay
+		if waited < p.settings.OrphanDelay+p.rankDelay(chunk, p.settings.OrphanDelay) {
 			continue
 		}
 		d.orphans.Add(chunk)
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -109,7 +109,7 @@
 	g.from = now
 	l.swarm.Gather(now, g.named, spread.Settings{
 		Policy: spread.PolicyTime, OriginCopies: originCopies, OriginRate: l.supply.BytesPerSecond,
-		ListenTime: listenTime, Takeover: takeover, SourcePauseMax: originPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
+		ReportWait: listenTime, TakeoverDelay: takeover, SourcePauseMax: originPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
 	}, nil)
 }
 
--- a/daemon/swarm/gather.go
+++ b/daemon/swarm/gather.go
@@ -93,7 +93,7 @@
 		Start:          g.began,
 	})
 	g.plan.SetMembers(now, g.swarm.members)
-	g.plan.Held(now, held)
+	g.plan.AddHeld(now, held)
 	g.swarm.opts.Logger.Info("manifest_found",
 		zap.Stringer("version", g.version), zap.Int("chunks", len(m.Chunks)), zap.Int("held", len(held)))
 	g.tick(now)
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -190,14 +190,14 @@
 		return
 	}
 	chunks := len(g.manifest.Chunks)
-	g.plan.PeerSeen(now, weights.SetOf(chunks, valid(news.Seen, chunks)...))
+	g.plan.MergeSeen(now, weights.SetOf(chunks, valid(news.Seen, chunks)...))
 	have := valid(news.Have, chunks)
 	if l.heard {
-		g.plan.PeerGot(now, from, have)
+		g.plan.AddPeerChunks(now, from, have)
 		return
 	}
 	l.heard = true
-	g.plan.PeerHas(now, from, weights.SetOf(chunks, have...))
+	g.plan.SetPeerChunks(now, from, weights.SetOf(chunks, have...))
 }
 
 func valid(indexes []int, chunks int) []int {
--- a/daemon/swarm/rig_test.go
+++ b/daemon/swarm/rig_test.go
@@ -33,7 +33,7 @@
 )
 
 // quick has plans start and take over soon.
-var quick = spread.Settings{ListenTime: 500 * time.Millisecond, Takeover: time.Second, MaxUploads: 2}
+var quick = spread.Settings{ReportWait: 500 * time.Millisecond, TakeoverDelay: time.Second, MaxUploads: 2}
 
 // newModel makes a version of the given number of chunks.
 func newModel(name string, chunks int) daemontest.Model {
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -88,7 +88,7 @@
 		case answer.wait != nil:
 			g.leaveWaiting(answer.wait)
 		case answer.status == wire.ChunkFollows && open.Index != manifestIndex:
-			g.plan.Released(from)
+			g.plan.UploadEnded(from)
 			g.nextWaiting()
 		}
 	})
@@ -132,7 +132,7 @@
 		return uploadAnswer{status: wire.ChunkFollows, data: g.raw}
 	case open.Index < 0 || open.Index >= len(g.manifest.Chunks) || !g.plan.Have().Has(open.Index):
 		return uploadAnswer{status: wire.ChunkMissing}
-	case g.plan.Accept(now, from, open.Index):
+	case g.plan.GrantUpload(now, from, open.Index):
 		return uploadAnswer{status: wire.ChunkFollows, chunk: g.manifest.Chunks[open.Index]}
 	case len(g.waiting) < maxWaiting:
 		turn := make(chan struct{})
@@ -182,7 +182,7 @@
 func (s *Swarm) releaseUpload(from fleet.InstanceID, manifest fleet.Digest) {
 	s.post(func(time.Time) {
 		if g, ok := s.gathers[manifest]; ok && g.plan != nil {
-			g.plan.Released(from)
+			g.plan.UploadEnded(from)
 			g.nextWaiting()
 		}
 	})
--- a/standin/bench/slopes/spread.go
+++ b/standin/bench/slopes/spread.go
@@ -81,10 +81,10 @@
 	plan := planOf(BurstInstances, chunks)
 	now := time.Now()
 	half := halfOf(chunks)
-	plan.Held(now, half)
+	plan.AddHeld(now, half)
 	for _, m := range membersOf(exchanges + 1)[1:] {
 		plan.PeerUp(now, m)
-		plan.PeerHas(now, m.ID, weights.SetOf(chunks, half...))
+		plan.SetPeerChunks(now, m.ID, weights.SetOf(chunks, half...))
 	}
 	return plan
 }
