--- a/core/spread/next.go
+++ b/core/spread/next.go
@@ -91,11 +91,11 @@
 		p.deferToRegion(now)
 	}
 	for _, held := range p.rarity.byHolders[1:] {
-		equals := held.CountBoth(p.wanted)
+		equals := held.IntersectionCount(p.wanted)
 		if equals == 0 {
 			continue
 		}
-		chunk := held.NthBoth(p.wanted, p.rand.IntN(equals))
+		chunk := held.IntersectionNth(p.wanted, p.rand.IntN(equals))
 		from := p.nearest(now, chunk)
 		return p.begin(now, Fetch{Chunk: chunk, Peer: from.ID}), true
 	}
--- a/core/spread/peers.go
+++ b/core/spread/peers.go
@@ -82,7 +82,7 @@
 	if !from.avoided {
 		p.countHolder(from)
 	}
-	for chunk := range have.Minus(p.seen) {
+	for chunk := range have.Difference(p.seen) {
 		p.markSeen(now, chunk)
 	}
 }
@@ -110,7 +110,7 @@
 	if seen.Len() != p.seen.Len() {
 		return
 	}
-	for chunk := range seen.Minus(p.seen) {
+	for chunk := range seen.Difference(p.seen) {
 		p.markSeen(now, chunk)
 	}
 }
--- a/core/spread/upstream.go
+++ b/core/spread/upstream.go
@@ -248,7 +248,7 @@
 		return
 	}
 	d.nextOrphanTick = now.Add(p.settings.OrphanDelay / ticksPerOrphanDelay)
-	for chunk := range p.rarity.byHolders[0].Minus(p.have) {
+	for chunk := range p.rarity.byHolders[0].Difference(p.have) {
 		if !p.seen.Has(chunk) || d.orphans.Has(chunk) {
 			continue
 		}
--- a/core/weights/set.go
+++ b/core/weights/set.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Minus yields the members of s that are not in other, in ascending order.
-func (s *Set) Minus(other *Set) iter.Seq[int] {
+// Difference yields the members of s that are not in other, in ascending order.
+func (s *Set) Difference(other *Set) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i, word := range s.words {
 			for word &^= other.words[i]; word != 0; word &= word - 1 {
@@ -131,8 +131,8 @@
 	}
 }
 
-// CountBoth returns the number of chunks that are in both sets.
-func (s *Set) CountBoth(other *Set) int {
+// IntersectionCount returns the number of chunks that are in both sets.
+func (s *Set) IntersectionCount(other *Set) int {
 	count := 0
 	for i, word := range s.words {
 		count += bits.OnesCount64(word & other.words[i])
@@ -140,9 +140,9 @@
 	return count
 }
 
-// NthBoth returns the n-th chunk, counted from 0 in ascending order, of those in both
+// IntersectionNth returns the n-th chunk, counted from 0 in ascending order, of those in both
 // sets; -1 if there are not so many.
-func (s *Set) NthBoth(other *Set, n int) int {
+func (s *Set) IntersectionNth(other *Set, n int) int {
 	for i, word := range s.words {
 		word &= other.words[i]
 		ones := bits.OnesCount64(word)
--- a/core/weights/set_test.go
+++ b/core/weights/set_test.go
@@ -72,15 +72,15 @@
 				union[index] = true
 			}
 		}
-		if got := slices.Collect(a.Minus(b)); !slices.Equal(got, sorted(minus)) {
-			t.Fatalf("Minus %v, want %v", got, sorted(minus))
+		if got := slices.Collect(a.Difference(b)); !slices.Equal(got, sorted(minus)) {
+			t.Fatalf("Difference %v, want %v", got, sorted(minus))
 		}
-		if got := a.CountBoth(b); got != len(both) {
-			t.Fatalf("CountBoth %d, want %d", got, len(both))
+		if got := a.IntersectionCount(b); got != len(both) {
+			t.Fatalf("IntersectionCount %d, want %d", got, len(both))
 		}
 		for n, want := range append(sorted(both), -1) {
-			if got := a.NthBoth(b, n); got != want {
-				t.Fatalf("NthBoth(%d) %d, want %d", n, got, want)
+			if got := a.IntersectionNth(b, n); got != want {
+				t.Fatalf("IntersectionNth(%d) %d, want %d", n, got, want)
 			}
 		}
 		joined, rest := a.Clone(), a.Clone()
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -234,7 +234,7 @@
 
 // missing lists what is in all and not in sent.
 func missing(all, sent *weights.Set) []int {
-	return slices.Collect(all.Minus(sent))
+	return slices.Collect(all.Difference(sent))
 }
 
 func addAll(set *weights.Set, indexes []int) {
