--- a/core/once/key.go
+++ b/core/once/key.go
@@ -40,9 +40,9 @@
 	// Home and Incarnation are set for an Issued key.
 	Home        fleet.InstanceID
 	Incarnation Incarnation
-	// Made is the creation time of the key with millisecond precision; zero for a Plain
+	// CreatedAt is the creation time of the key with millisecond precision; zero for a Plain
 	// key.
-	Made time.Time
+	CreatedAt time.Time
 }
 
 // Incarnation identifies one run of a process. Its text form has 16 hex digits.
@@ -66,7 +66,7 @@
 		Kind:        Issued,
 		Home:        home,
 		Incarnation: incarnation,
-		Made:        time.UnixMilli(made.UnixMilli()),
+		CreatedAt:   time.UnixMilli(made.UnixMilli()),
 	}
 }
 
@@ -107,7 +107,7 @@
 	k.Kind = Issued
 	k.Home = fleet.InstanceID(home)
 	k.Incarnation = Incarnation(incarnation)
-	k.Made = time.UnixMilli(millis)
+	k.CreatedAt = time.UnixMilli(millis)
 }
 
 func readHex(text string) (uint64, bool) {
@@ -125,7 +125,7 @@
 		return
 	}
 	k.Kind = Dated
-	k.Made = time.Unix(id.Time().UnixTime()).Truncate(time.Millisecond)
+	k.CreatedAt = time.Unix(id.Time().UnixTime()).Truncate(time.Millisecond)
 }
 
 // id returns the key under which a register stores the record, unique across
--- a/core/once/key_test.go
+++ b/core/once/key_test.go
@@ -20,7 +20,7 @@
 			key, err := once.ParseKey("workshop-7", text)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(key.Kind).To(Equal(want))
-			Expect(key.Made.IsZero()).To(Equal(want == once.Plain))
+			Expect(key.CreatedAt.IsZero()).To(Equal(want == once.Plain))
 		},
 		Entry("any text", "job-card-17", once.Plain),
 		Entry("a random UUID", "0b6aa4c8-67fd-4c1b-a9a3-3a1f2c7f6d11", once.Plain),
@@ -100,9 +100,9 @@
 		r := once.New(optionsOf("s0", testIncarnation))
 		one := once.Issue("workshop-7", "s0", testIncarnation, start, 1)
 		two := once.Issue("workshop-8", "s0", testIncarnation, start, 1)
-		Expect(r.Begin(start, one, bodyOf("order"), once.Facts{}).Action).To(Equal(once.Run))
-		Expect(r.Passed(one)).To(BeTrue())
-		r.Finish(start, one, once.Result{Outcome: failure.Ran, Body: []byte("card 1"), BodyKept: true})
-		Expect(r.Begin(start.Add(time.Second), two, bodyOf("order"), once.Facts{}).Action).To(Equal(once.Run))
+		Expect(r.Begin(start, one, bodyOf("order"), once.RequestInfo{}).Action).To(Equal(once.Run))
+		Expect(r.MarkForwarded(one)).To(BeTrue())
+		r.Finish(start, one, once.Result{Outcome: failure.Ran, Body: []byte("card 1"), HasBody: true})
+		Expect(r.Begin(start.Add(time.Second), two, bodyOf("order"), once.RequestInfo{}).Action).To(Equal(once.Run))
 	})
 })
--- a/core/once/model_test.go
+++ b/core/once/model_test.go
@@ -168,8 +168,8 @@
 	}
 	sent := w.requests[len(w.requests)-1-w.intn("ask", len(w.requests))]
 	slack := time.Duration(w.intn("slack", 3)) * time.Second
-	facts := once.Facts{Asked: sent.arrived.Add(h.skew - slack)}
-	verdict := h.register.Begin(w.now.Add(h.skew), sent.key, bodyOf(sent.body), facts)
+	info := once.RequestInfo{ReceivedAt: sent.arrived.Add(h.skew - slack)}
+	verdict := h.register.Begin(w.now.Add(h.skew), sent.key, bodyOf(sent.body), info)
 	switch verdict.Action {
 	case once.Run:
 		delivered := *sent
@@ -209,7 +209,7 @@
 
 func (w *world) forward() {
 	h, a := w.pickRequest(false)
-	if h == nil || !h.register.Passed(a.key) {
+	if h == nil || !h.register.MarkForwarded(a.key) {
 		return
 	}
 	a.forwarded = true
--- a/core/once/records.go
+++ b/core/once/records.go
@@ -48,7 +48,7 @@
 	if rec.phase == closed {
 		r.lastClosed = later(r.lastClosed, rec.closedAt)
 	} else if rec.key.Kind != Plain {
-		r.latestDeleted = later(r.latestDeleted, rec.key.Made)
+		r.latestDeleted = later(r.latestDeleted, rec.key.CreatedAt)
 	}
 	r.deleteBody(rec)
 	r.byLastRequest.Remove(rec.requestElem)
@@ -57,21 +57,21 @@
 
 // mayBeClosed reports whether a request for a key without a record may be one whose
 // client was told that it was not run.
-func (r *Register) mayBeClosed(facts Facts) bool {
-	return !r.lastClosed.IsZero() && !facts.Asked.After(r.lastClosed)
+func (r *Register) mayBeClosed(info RequestInfo) bool {
+	return !r.lastClosed.IsZero() && !info.ReceivedAt.After(r.lastClosed)
 }
 
 // keepResult stores a result, with its body if there is one and it is small enough, and
 // deletes the oldest bodies until the rest fits into MaxBytes.
 func (r *Register) keepResult(rec *record, result Result) {
-	body, given := result.Body, result.BodyKept
-	result.Body, result.BodyKept = nil, false
+	body, given := result.Body, result.HasBody
+	result.Body, result.HasBody = nil, false
 	rec.result = result
 	if !given || len(body) > min(r.options.MaxBody, r.options.MaxBytes) {
 		return
 	}
 	rec.result.Body = slices.Clone(body)
-	rec.result.BodyKept = true
+	rec.result.HasBody = true
 	rec.bodyElem = r.bodies.PushBack(rec)
 	r.bytes += len(body)
 	for r.bytes > r.options.MaxBytes {
@@ -86,7 +86,7 @@
 	r.bodies.Remove(rec.bodyElem)
 	rec.bodyElem = nil
 	r.bytes -= len(rec.result.Body)
-	rec.result.Body, rec.result.BodyKept = nil, false
+	rec.result.Body, rec.result.HasBody = nil, false
 }
 
 func later(a, b time.Time) time.Time {
--- a/core/once/register.go
+++ b/core/once/register.go
@@ -142,15 +142,15 @@
 }
 
 // Begin decides on a request. digest is the digest of the whole request body.
-func (r *Register) Begin(now time.Time, key Key, digest fleet.Digest, facts Facts) Verdict {
+func (r *Register) Begin(now time.Time, key Key, digest fleet.Digest, info RequestInfo) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.deleteExpired(now)
 	if rec := r.records[key.id()]; rec != nil {
 		r.recordRequest(now, rec)
-		return rec.decideRepeated(now, digest, facts)
+		return rec.decideRepeated(now, digest, info)
 	}
-	if key.Kind != Plain && !key.Made.After(r.latestDeleted) {
+	if key.Kind != Plain && !key.CreatedAt.After(r.latestDeleted) {
 		return refused(failure.Unknown, Forgotten)
 	}
 	if reason := r.objection(now, key); reason != "" {
@@ -158,11 +158,11 @@
 	}
 	if len(r.records) >= r.options.MaxKeys {
 		r.lastClosed = now
-		return refused(failure.NotRun, Busy)
+		return refused(failure.NotRun, RecordFull)
 	}
 	rec := r.addRecord(now, key, digest)
 	switch {
-	case r.mayBeClosed(facts):
+	case r.mayBeClosed(info):
 		return rec.close(now, Closed)
 	case r.isPremature(now, key):
 		return rec.close(now, Premature)
@@ -171,10 +171,10 @@
 	}
 }
 
-// Passed records that the request for which Begin returned Run is now being forwarded.
+// MarkForwarded records that the request for which Begin returned Run is now being forwarded.
 // It returns true exactly once for each Run; the agent must not forward the request if
 // it returns false.
-func (r *Register) Passed(key Key) bool {
+func (r *Register) MarkForwarded(key Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[key.id()]
@@ -223,8 +223,8 @@
 // state of the key and lets nothing run. An entry or agent that must refuse a request
 // for lack of capacity or time calls it to learn whether it may tell the client that
 // nothing was run.
-func (r *Register) Close(now time.Time, key Key, digest fleet.Digest, facts Facts) Verdict {
-	verdict := r.Begin(now, key, digest, facts)
+func (r *Register) Close(now time.Time, key Key, digest fleet.Digest, info RequestInfo) Verdict {
+	verdict := r.Begin(now, key, digest, info)
 	if verdict.Action != Run {
 		return verdict
 	}
@@ -235,7 +235,7 @@
 // decideRepeated decides on a request whose key has a record. Only the one home that
 // could run the key at the time creates a record, and no later home runs a key created
 // before it became the home; so a closed key may run here even after a change of homes.
-func (rec *record) decideRepeated(now time.Time, digest fleet.Digest, facts Facts) Verdict {
+func (rec *record) decideRepeated(now time.Time, digest fleet.Digest, info RequestInfo) Verdict {
 	if rec.digest != digest {
 		return rec.refuseOtherBody(now)
 	}
@@ -245,11 +245,11 @@
 	case done:
 		return Verdict{Action: Done, Outcome: failure.Ran, Result: rec.result}
 	case lost:
-		return refused(failure.Unknown, Lost)
+		return refused(failure.Unknown, OutcomeLost)
 	}
 	// If a request received before the response were let through, a client that was
 	// told "not run" and sent the request elsewhere would have it run twice.
-	if !facts.Asked.After(rec.closedAt) {
+	if !info.ReceivedAt.After(rec.closedAt) {
 		return rec.close(now, Closed)
 	}
 	rec.phase = started
@@ -289,7 +289,7 @@
 	case key.Home != r.options.Self:
 		return WrongHome
 	case key.Incarnation != r.options.Incarnation:
-		return EarlierLife
+		return EarlierIncarnation
 	default:
 		return ""
 	}
@@ -299,7 +299,7 @@
 // date would wrongly indicate that it was created after a change of homes or, once its
 // record is deleted, that every key created until that date may have run.
 func (r *Register) isPremature(now time.Time, key Key) bool {
-	return key.Made.After(now.Add(r.options.ClockSkew))
+	return key.CreatedAt.After(now.Add(r.options.ClockSkew))
 }
 
 // clientKeyObjection returns the objection to a key chosen by the client.
@@ -319,11 +319,11 @@
 	settled := r.view.homeSince(key).Add(r.options.settleTime())
 	switch {
 	case key.Kind == Plain && !now.After(settled.Add(r.options.Keep)):
-		return Moved
-	case key.Kind == Dated && now.Sub(key.Made) > r.options.Keep:
+		return HomeMoved
+	case key.Kind == Dated && now.Sub(key.CreatedAt) > r.options.Keep:
 		return Forgotten
-	case key.Kind == Dated && !key.Made.After(settled):
-		return Moved
+	case key.Kind == Dated && !key.CreatedAt.After(settled):
+		return HomeMoved
 	case key.Kind == Dated && r.isPremature(now, key):
 		return Premature
 	default:
--- a/core/once/register_test.go
+++ b/core/once/register_test.go
@@ -15,14 +15,14 @@
 
 // begin calls Begin for a request that reaches an entry at now.
 func begin(r *once.Register, now time.Time, key once.Key) once.Verdict {
-	return r.Begin(now, key, bodyOf("order"), once.Facts{Asked: now})
+	return r.Begin(now, key, bodyOf("order"), once.RequestInfo{ReceivedAt: now})
 }
 
 // runTo runs a key with the given outcome.
 func runTo(r *once.Register, now time.Time, key once.Key, outcome failure.Outcome, body string) {
 	Expect(begin(r, now, key).Action).To(Equal(once.Run))
-	Expect(r.Passed(key)).To(BeTrue())
-	r.Finish(now, key, once.Result{Outcome: outcome, Status: 200, Body: []byte(body), BodyKept: true})
+	Expect(r.MarkForwarded(key)).To(BeTrue())
+	r.Finish(now, key, once.Result{Outcome: outcome, Status: 200, Body: []byte(body), HasBody: true})
 }
 
 var _ = Describe("Register", func() {
@@ -42,26 +42,26 @@
 		Entry("waits for a first that has begun", func() { begin(r, start, key) }, once.Verdict{Action: once.Running}),
 		Entry("waits for a first that was forwarded", func() {
 			begin(r, start, key)
-			r.Passed(key)
+			r.MarkForwarded(key)
 		}, once.Verdict{Action: once.Running}),
 		Entry("gets the response of a first that is done", func() { runTo(r, start, key, failure.Ran, "card 1") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{
-				Outcome: failure.Ran, Status: 200, Body: []byte("card 1"), BodyKept: true,
+				Outcome: failure.Ran, Status: 200, Body: []byte("card 1"), HasBody: true,
 			}}),
 		Entry("gets only the status if the response was large", func() { runTo(r, start, key, failure.Ran, "a long job card") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{Outcome: failure.Ran, Status: 200}}),
 		// Guards against an empty response in place of one that the agent did not keep.
 		Entry("gets only the status if no body was recorded", func() {
 			begin(r, start, key)
-			r.Passed(key)
+			r.MarkForwarded(key)
 			r.Finish(start, key, once.Result{Outcome: failure.Ran, Status: 200})
 		}, once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{Outcome: failure.Ran, Status: 200}}),
 		Entry("gets an empty response", func() { runTo(r, start, key, failure.Ran, "") },
 			once.Verdict{Action: once.Done, Outcome: failure.Ran, Result: once.Result{
-				Outcome: failure.Ran, Status: 200, Body: []byte{}, BodyKept: true,
+				Outcome: failure.Ran, Status: 200, Body: []byte{}, HasBody: true,
 			}}),
 		Entry("is refused if the outcome of the first is unknown", func() { runTo(r, start, key, failure.Unknown, "") },
-			once.Verdict{Outcome: failure.Unknown, Reason: once.Lost}),
+			once.Verdict{Outcome: failure.Unknown, Reason: once.OutcomeLost}),
 		Entry("runs if the backend server did not run the first", func() { runTo(r, start, key, failure.NotRun, "") },
 			once.Verdict{Action: once.Run}),
 		Entry("runs if the first was not forwarded", func() {
@@ -76,9 +76,9 @@
 	It("refuses a request received before the client was told that it was not run", func() {
 		asked := start
 		told := start.Add(5 * time.Second)
-		Expect(r.Close(told, key, bodyOf("order"), once.Facts{Asked: told})).
+		Expect(r.Close(told, key, bodyOf("order"), once.RequestInfo{ReceivedAt: told})).
 			To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.Closed}))
-		late := r.Begin(start.Add(6*time.Second), key, bodyOf("order"), once.Facts{Asked: asked})
+		late := r.Begin(start.Add(6*time.Second), key, bodyOf("order"), once.RequestInfo{ReceivedAt: asked})
 		Expect(late).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.Closed}))
 		Expect(begin(r, start.Add(7*time.Second), key).Action).To(Equal(once.Run))
 	})
@@ -88,7 +88,7 @@
 		var requests sync.WaitGroup
 		for range 20 {
 			requests.Go(func() {
-				if begin(r, start, key).Action == once.Run && r.Passed(key) {
+				if begin(r, start, key).Action == once.Run && r.MarkForwarded(key) {
 					passed.Add(1)
 				}
 			})
@@ -99,8 +99,8 @@
 
 	It("lets one request be forwarded only once", func() {
 		begin(r, start, key)
-		Expect(r.Passed(key)).To(BeTrue())
-		Expect(r.Passed(key)).To(BeFalse())
+		Expect(r.MarkForwarded(key)).To(BeTrue())
+		Expect(r.MarkForwarded(key)).To(BeFalse())
 		r.Abandon(start, key)
 		Expect(begin(r, start, key).Action).To(Equal(once.Running))
 	})
@@ -109,7 +109,7 @@
 	// first.
 	It("refuses a second body for the same key", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
-		other := r.Begin(start, key, bodyOf("another order"), once.Facts{Asked: start})
+		other := r.Begin(start, key, bodyOf("another order"), once.RequestInfo{ReceivedAt: start})
 		Expect(other).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.OtherBody}))
 	})
 
@@ -120,7 +120,7 @@
 		Entry("of another home does not run", once.Issue("workshop-7", "s1", testIncarnation, start, 1),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.WrongHome}),
 		Entry("of an earlier incarnation does not run", once.Issue("workshop-7", "s0", testIncarnation-1, start, 1),
-			once.Verdict{Outcome: failure.Unknown, Reason: once.EarlierLife}),
+			once.Verdict{Outcome: failure.Unknown, Reason: once.EarlierIncarnation}),
 		Entry("with a date in the future does not run", issuedKey(1, start.Add(time.Minute)),
 			once.Verdict{Outcome: failure.NotRun, Reason: once.Premature}),
 	)
@@ -149,7 +149,7 @@
 		now := start.Add(settle + keep + time.Second)
 		r.SetMembers(now, []fleet.InstanceID{"s0"})
 		Expect(begin(r, now, chosen).Action).To(Equal(once.Run))
-		Expect(r.Passed(chosen)).To(BeTrue())
+		Expect(r.MarkForwarded(chosen)).To(BeTrue())
 		now = now.Add(3 * keep)
 		r.SetMembers(now, []fleet.InstanceID{"s0"})
 		Expect(begin(r, now, chosen).Action).To(Equal(once.Running))
@@ -164,12 +164,12 @@
 			begin(r, start, issuedKey(n, start))
 		}
 		told := start.Add(time.Second)
-		Expect(begin(r, told, refusedKey)).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.Busy}))
+		Expect(begin(r, told, refusedKey)).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.RecordFull}))
 		Expect(r.Len()).To(Equal(maxKeys))
-		Expect(r.Passed(issuedKey(0, start))).To(BeTrue())
+		Expect(r.MarkForwarded(issuedKey(0, start))).To(BeTrue())
 		r.Finish(told, issuedKey(0, start), once.Result{Outcome: failure.Ran})
 		later := told.Add(keep + time.Second)
-		held := r.Begin(later, refusedKey, bodyOf("order"), once.Facts{Asked: start})
+		held := r.Begin(later, refusedKey, bodyOf("order"), once.RequestInfo{ReceivedAt: start})
 		Expect(held).To(Equal(once.Verdict{Outcome: failure.NotRun, Reason: once.Closed}))
 		Expect(begin(r, later.Add(time.Second), refusedKey).Action).To(Equal(once.Run))
 	})
@@ -178,9 +178,9 @@
 		for n := range uint64(3) {
 			runTo(r, start, issuedKey(n, start), failure.Ran, "12345")
 		}
-		Expect(begin(r, start, issuedKey(0, start)).Result.BodyKept).To(BeFalse())
-		Expect(begin(r, start, issuedKey(1, start)).Result.BodyKept).To(BeTrue())
-		Expect(begin(r, start, issuedKey(2, start)).Result.BodyKept).To(BeTrue())
+		Expect(begin(r, start, issuedKey(0, start)).Result.HasBody).To(BeFalse())
+		Expect(begin(r, start, issuedKey(1, start)).Result.HasBody).To(BeTrue())
+		Expect(begin(r, start, issuedKey(2, start)).Result.HasBody).To(BeTrue())
 	})
 })
 
@@ -205,12 +205,12 @@
 		},
 		Entry("plain, home for long enough", settled.Add(keep), plain, once.Verdict{Action: once.Run}),
 		Entry("plain, home for less than the retry period", settled.Add(keep/2), plain,
-			once.Verdict{Outcome: failure.Unknown, Reason: once.Moved}),
+			once.Verdict{Outcome: failure.Unknown, Reason: once.HomeMoved}),
 		Entry("plain, another home", settled.Add(keep), keyOfHome("s1", both...),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.NotHome}),
 		Entry("dated after the home settled", settled, dated, once.Verdict{Action: once.Run}),
 		Entry("dated before the home settled", settled, datedKeyOfHome(start, "s0", both...),
-			once.Verdict{Outcome: failure.Unknown, Reason: once.Moved}),
+			once.Verdict{Outcome: failure.Unknown, Reason: once.HomeMoved}),
 		Entry("dated in the future", settled, datedKeyOfHome(settled.Add(time.Minute), "s0", both...),
 			once.Verdict{Outcome: failure.Unknown, Reason: once.Premature}),
 		Entry("dated longer ago than the retry period", settled.Add(2*keep), dated,
@@ -231,7 +231,7 @@
 		r := register(settled)
 		gone := settled.Add(time.Second)
 		r.SetMembers(gone, []fleet.InstanceID{"s0"})
-		Expect(begin(r, gone, key)).To(Equal(once.Verdict{Outcome: failure.Unknown, Reason: once.Moved}))
+		Expect(begin(r, gone, key)).To(Equal(once.Verdict{Outcome: failure.Unknown, Reason: once.HomeMoved}))
 		fresh := gone.Add(settle + time.Second)
 		r.SetMembers(fresh, []fleet.InstanceID{"s0"})
 		Expect(begin(r, fresh, key).Action).To(Equal(once.Refuse))
--- a/core/once/verdict.go
+++ b/core/once/verdict.go
@@ -15,7 +15,7 @@
 	// value.
 	Refuse Action = iota
 	// Run: this request, and no other with the key, may be forwarded. The agent calls
-	// Passed just before it sends the first byte, and then Finish; otherwise Abandon.
+	// MarkForwarded just before it sends the first byte, and then Finish; otherwise Abandon.
 	Run
 	// Running: an earlier request with the key is running; its outcome is not known
 	// yet. The client retries later.
@@ -30,15 +30,15 @@
 const (
 	// WrongHome: the key names another instance.
 	WrongHome Reason = "wrong_home"
-	// EarlierLife: the key names an earlier incarnation of this process, whose records
+	// EarlierIncarnation: the key names an earlier incarnation of this process, whose records
 	// are lost.
-	EarlierLife Reason = "earlier_life"
+	EarlierIncarnation Reason = "earlier_life"
 	// NotHome: according to this instance's list, another instance is the home of the
 	// key.
 	NotHome Reason = "not_home"
-	// Moved: this instance became the home of the key after another one may have
+	// HomeMoved: this instance became the home of the key after another one may have
 	// received it.
-	Moved Reason = "home_moved"
+	HomeMoved Reason = "home_moved"
 	// StaleList: this instance's list of servers is too old to determine whether it is
 	// still the home of the key.
 	StaleList Reason = "stale_list"
@@ -52,10 +52,10 @@
 	// Closed: the client was told that the key was not run after this request had
 	// reached an entry. The client may retry.
 	Closed Reason = "closed"
-	// Busy: the register is full.
-	Busy Reason = "record_full"
-	// Lost: the request was forwarded and its outcome is unknown.
-	Lost Reason = "lost"
+	// RecordFull: the register is full.
+	RecordFull Reason = "record_full"
+	// OutcomeLost: the request was forwarded and its outcome is unknown.
+	OutcomeLost Reason = "lost"
 )
 
 // Verdict is the decision on a request.
@@ -77,18 +77,18 @@
 	Outcome failure.Outcome
 	Status  int // HTTP status of the backend server
 	Version fleet.Version
-	// Body is the complete response body if BodyKept is true; it may be empty. A
-	// register keeps small bodies that Finish receives with BodyKept set.
-	Body     []byte
-	BodyKept bool
+	// Body is the complete response body if HasBody is true; it may be empty. A
+	// register keeps small bodies that Finish receives with HasBody set.
+	Body    []byte
+	HasBody bool
 }
 
-// Facts are what the agent knows about a request besides key and body.
-type Facts struct {
-	// Asked is when the client's request reached an entry, by this instance's clock. The
+// RequestInfo are what the agent knows about a request besides key and body.
+type RequestInfo struct {
+	// ReceivedAt is when the client's request reached an entry, by this instance's clock. The
 	// estimate errs towards too early; see admission.RemoteClock. Zero if unknown, which
 	// counts as long ago. Retries by the entry keep it.
-	Asked time.Time
+	ReceivedAt time.Time
 }
 
 func refused(outcome failure.Outcome, reason Reason) Verdict {
--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -39,7 +39,7 @@
 		return decided(notRun(req, err))
 	}
 	now := time.Now()
-	facts := once.Facts{Asked: req.Deadline.Asked(a.started, a.clock())}
+	facts := once.RequestInfo{ReceivedAt: req.Deadline.Asked(a.started, a.clock())}
 	digest := digestOf(req, body)
 	version, refused := a.admit(now, req)
 	if refused != nil {
@@ -61,7 +61,7 @@
 // closeKey answers a request that this agent cannot take now. Whether the
 // caller may be told "not run" depends on what is known of the key. An answer
 // on record needs no backend server, so it is given.
-func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, facts once.Facts, refused error) wire.AnswerEnd {
+func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, facts once.RequestInfo, refused error) wire.AnswerEnd {
 	verdict := a.register.Close(time.Now(), key, digest, facts)
 	end := a.repeat(s, req, verdict)
 	if verdict.Outcome == failure.NotRun {
@@ -83,7 +83,7 @@
 		return decided(notRun(req, err))
 	}
 	defer func() { leave(out.first) }()
-	if !a.register.Passed(key) {
+	if !a.register.MarkForwarded(key) {
 		return decided(wire.AnswerEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
 	}
 	var kept []byte
@@ -96,7 +96,7 @@
 	})
 	result := once.Result{Outcome: outcomeOf(end), Status: statusOr200(end.Status), Version: end.Version}
 	if len(kept) <= maxKeptAnswer {
-		result.Body, result.BodyKept = kept, true
+		result.Body, result.HasBody = kept, true
 	}
 	a.register.Finish(time.Now(), key, result)
 	return decided(out.finish(req, end))
@@ -109,7 +109,7 @@
 
 // repeat answers an ask with a key on record.
 func (a *Agent) repeat(s *peer.Stream, req wire.Request, v once.Verdict) wire.AnswerEnd {
-	if v.Action != once.Done || !v.Result.BodyKept {
+	if v.Action != once.Done || !v.Result.HasBody {
 		return refusal(req, v)
 	}
 	out := newAnswerStream(s, v.Result.Version)
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -89,7 +89,7 @@
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
 		},
-		Entry("a key of an earlier life", once.EarlierLife, func(r *rig) once.Key {
+		Entry("a key of an earlier life", once.EarlierIncarnation, func(r *rig) once.Key {
 			return once.Issue("", self, once.Incarnation(r.Incarnation-1), time.Now(), 1)
 		}),
 		Entry("a key of another agent", once.WrongHome, func(r *rig) once.Key {
--- a/standin/bench/slopes/records.go
+++ b/standin/bench/slopes/records.go
@@ -39,9 +39,9 @@
 	answer := make([]byte, 200)
 	for i := range n {
 		key := once.Issue("workshop-apapa", self, life, now, uint64(i))
-		r.Begin(now, key, fleet.DigestOf([]byte(key.Text)), once.Facts{Asked: now})
-		r.Passed(key)
-		r.Finish(now, key, once.Result{Outcome: failure.Ran, Status: 200, Body: answer, BodyKept: true})
+		r.Begin(now, key, fleet.DigestOf([]byte(key.Text)), once.RequestInfo{ReceivedAt: now})
+		r.MarkForwarded(key)
+		r.Finish(now, key, once.Result{Outcome: failure.Ran, Status: 200, Body: answer, HasBody: true})
 	}
 	return r
 }
