--- a/core/once/key.go
+++ b/core/once/key.go
@@ -40,8 +40,8 @@
 	// Home and Incarnation are set for an Issued key.
 	Home        fleet.InstanceID
 	Incarnation Incarnation
-	// CreatedAt is the creation time of the key with millisecond precision; zero for a Plain
-	// key.
+	// CreatedAt is the creation time of the key with millisecond precision; zero for a
+	// Plain key.
 	CreatedAt time.Time
 }
 
--- a/core/once/register.go
+++ b/core/once/register.go
@@ -87,8 +87,8 @@
 	bytes         int        // total size of the kept bodies
 	// latestDeleted is the latest date of a deleted key that had been forwarded.
 	latestDeleted time.Time
-	// lastClosed is the latest time at which a client was told that a key was not run and
-	// no record of that key remains.
+	// lastClosed is the latest time at which a client was told that a key was not run
+	// and no record of that key remains.
 	lastClosed time.Time
 }
 
@@ -171,9 +171,9 @@
 	}
 }
 
-// MarkForwarded records that the request for which Begin returned Run is now being forwarded.
-// It returns true exactly once for each Run; the agent must not forward the request if
-// it returns false.
+// MarkForwarded records that the request for which Begin returned Run is now being
+// forwarded. It returns true exactly once for each Run; the agent must not forward the
+// request if it returns false.
 func (r *Register) MarkForwarded(key Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/once/verdict.go
+++ b/core/once/verdict.go
@@ -15,7 +15,8 @@
 	// value.
 	Refuse Action = iota
 	// Run: this request, and no other with the key, may be forwarded. The agent calls
-	// MarkForwarded just before it sends the first byte, and then Finish; otherwise Abandon.
+	// MarkForwarded just before it sends the first byte, and then Finish; otherwise
+	// Abandon.
 	Run
 	// Running: an earlier request with the key is running; its outcome is not known
 	// yet. The client retries later.
@@ -30,8 +31,8 @@
 const (
 	// WrongHome: the key names another instance.
 	WrongHome Reason = "wrong_home"
-	// EarlierIncarnation: the key names an earlier incarnation of this process, whose records
-	// are lost.
+	// EarlierIncarnation: the key names an earlier incarnation of this process, whose
+	// records are lost.
 	EarlierIncarnation Reason = "earlier_life"
 	// NotHome: according to this instance's list, another instance is the home of the
 	// key.
@@ -83,11 +84,11 @@
 	HasBody bool
 }
 
-// RequestInfo are what the agent knows about a request besides key and body.
+// RequestInfo is what the agent knows about a request besides key and body.
 type RequestInfo struct {
-	// ReceivedAt is when the client's request reached an entry, by this instance's clock. The
-	// estimate errs towards too early; see admission.RemoteClock. Zero if unknown, which
-	// counts as long ago. Retries by the entry keep it.
+	// ReceivedAt is when the client's request reached an entry, by this instance's
+	// clock. The estimate errs towards too early; see admission.RemoteClock. Zero if
+	// unknown, which counts as long ago. Retries by the entry keep it.
 	ReceivedAt time.Time
 }
 
--- a/core/spread/driver_test.go
+++ b/core/spread/driver_test.go
@@ -14,7 +14,7 @@
 const (
 	chunkBytes       = 1 << 20
 	stallTimeout     = time.Second
-	maintainInterval = 250 * time.Millisecond // interval of connecting to neighbours
+	maintainInterval = 250 * time.Millisecond // between two calls of connect and step
 	// noFailure marks a successful fetch.
 	noFailure = spread.Reason(255)
 )
@@ -47,12 +47,12 @@
 	corrupt, stall func(from *agent, chunk int) bool
 	slow           func(from *agent) time.Duration
 	origin, store  func(chunk int) (spread.Reason, bool)
-	originFactor   time.Duration // how much slower the origin is than its setting
+	originFactor   time.Duration // how much slower the origin is than configured
 
 	crossesRegion func(a, b *agent) bool // whether a transfer between a and b crosses regions
 	crossings     int
 
-	originFetches, fromOrigin, fromStore int // running fetches from the origin; fetches from origin and store that transferred bytes
+	originFetches, fromOrigin, fromStore int // running fetches from the origin; fetches that transferred bytes
 	refused                              int // failures returned by the origin and the store
 	failedTransfers                      int // corrupt and stalled transfers between peers
 	duplicateFetches                     int // times a chunk ran twice outside the end game
--- a/core/spread/next.go
+++ b/core/spread/next.go
@@ -10,8 +10,8 @@
 	// pollInterval is the maximum time between two calls of Next while a plan is
 	// incomplete.
 	pollInterval = time.Second
-	// minWakeDelay is the minimum delay before a wake-up, which prevents a busy loop when
-	// one is already due.
+	// minWakeDelay is the minimum delay before a wake-up, which prevents a busy loop
+	// when one is already due.
 	minWakeDelay = time.Millisecond
 	// slowFactor is the multiple of the average fetch time after which an end-game
 	// fetch is repeated from a second peer.
--- a/core/spread/peers.go
+++ b/core/spread/peers.go
@@ -67,9 +67,9 @@
 	p.peers = slices.Delete(p.peers, at, at+1)
 }
 
-// SetPeerChunks replaces the set of chunks that a peer holds. The first call after PeerUp
-// counts as the first report of the peer: call MergeSeen with the set that the peer sent
-// in the same message before it. A bitmap of another length is ignored.
+// SetPeerChunks replaces the set of chunks that a peer holds. The first call after
+// PeerUp counts as the first report of the peer: call MergeSeen with the set that the
+// peer sent in the same message before it. A bitmap of another length is ignored.
 func (p *Plan) SetPeerChunks(now time.Time, id fleet.InstanceID, have *weights.Set) {
 	from := p.peer(id)
 	if from == nil || have.Len() != p.have.Len() {
--- a/core/spread/settings.go
+++ b/core/spread/settings.go
@@ -43,9 +43,9 @@
 	// ReportWait is how long a member that has received reports from fewer than half of
 	// its neighbours waits before its first upstream fetch. Default 1s.
 	ReportWait time.Duration
-	// TakeoverDelay is how long the second in rank waits for a chunk that appears nowhere in
-	// the fleet. Default 16 chunks at OriginRate, at least 1s; twice that for
-	// PolicyOrigin.
+	// TakeoverDelay is how long the second in rank waits for a chunk that appears
+	// nowhere in the fleet. Default 16 chunks at OriginRate, at least 1s; twice that
+	// for PolicyOrigin.
 	TakeoverDelay time.Duration
 	// OrphanDelay is how long the first in rank waits for a chunk that exists in the
 	// fleet but that no neighbour holds. Default twice TakeoverDelay.
--- a/core/spread/sources.go
+++ b/core/spread/sources.go
@@ -8,8 +8,8 @@
 	// downAfter is the number of consecutive failures after which a source counts as
 	// down.
 	downAfter = 3
-	// storeTakeovers is the number of takeover times that a chunk is left to members that
-	// still have an origin quota before this member requests it from the store.
+	// storeTakeovers is the number of takeover times that a chunk is left to members
+	// that still have an origin quota before this member requests it from the store.
 	storeTakeovers = 2
 	// overQuotaTakeovers is the number of takeover times that a member which has used
 	// up its quota waits before each fetch from the origin if there is no store.
--- a/core/spread/sources_test.go
+++ b/core/spread/sources_test.go
@@ -28,8 +28,8 @@
 	return plan
 }
 
-// runPlan steps a plan, with draw as the outcome of each upstream fetch, and returns when
-// the plan completed and the longest pause between two fetches.
+// runPlan steps a plan, with draw as the outcome of each upstream fetch, and returns
+// when the plan completed and the longest pause between two fetches.
 func runPlan(p *spread.Plan, limit time.Duration, draw func(now time.Duration, f spread.Fetch) (spread.Reason, bool)) (done, pause time.Duration) {
 	last := time.Duration(0)
 	for d := time.Duration(0); d < limit; d += 50 * time.Millisecond {
--- a/core/spread/uploads.go
+++ b/core/spread/uploads.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// GrantUpload grants or refuses an upload of a chunk to a peer. The caller ends a granted
-// upload by one call of UploadEnded; it answers a refused peer that this member is busy.
-// The agent first checks that it holds the chunk.
+// GrantUpload grants or refuses an upload of a chunk to a peer. The caller ends a
+// granted upload by one call of UploadEnded; it answers a refused peer that this member
+// is busy. The agent first checks that it holds the chunk.
 //
 // A free slot goes to the first peer that requests it, which keeps the link busy. A
 // slot is reserved only for a peer that was refused many times: otherwise peers that
--- a/core/spread/upstream.go
+++ b/core/spread/upstream.go
@@ -18,8 +18,8 @@
 	slackChunks = 8
 	slackMin    = 250 * time.Millisecond
 
-	// outagePace is the fraction of its normal speed at which the schedule advances while
-	// the origin fails this member and no other member shows a new chunk either.
+	// outagePace is the fraction of its normal speed at which the schedule advances
+	// while the origin fails this member and no other member shows a new chunk either.
 	outagePace = 1.0 / 16
 	// outageMinMissing is the minimum share of chunks missing in the fleet for the
 	// schedule to be held back. Below it, each additional copy adds another holder, and
--- a/core/weights/set.go
+++ b/core/weights/set.go
@@ -140,8 +140,8 @@
 	return count
 }
 
-// IntersectionNth returns the n-th chunk, counted from 0 in ascending order, of those in both
-// sets; -1 if there are not so many.
+// IntersectionNth returns the n-th chunk, counted from 0 in ascending order, of those
+// in both sets; -1 if there are not so many.
 func (s *Set) IntersectionNth(other *Set, n int) int {
 	for i, word := range s.words {
 		word &= other.words[i]
