--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -190,14 +190,14 @@
 		return
 	}
 	chunks := len(g.manifest.Chunks)
-	g.plan.PeerSeen(now, weights.SetOf(chunks, valid(news.Seen, chunks)...))
+	g.plan.MergeSeen(now, weights.SetOf(chunks, valid(news.Seen, chunks)...))
 	have := valid(news.Have, chunks)
 	if l.heard {
-		g.plan.PeerGot(now, from, have)
+		g.plan.AddPeerChunks(now, from, have)
 		return
 	}
 	l.heard = true
-	g.plan.PeerHas(now, from, weights.SetOf(chunks, have...))
+	g.plan.SetPeerChunks(now, from, weights.SetOf(chunks, have...))
 }
 
 func valid(indexes []int, chunks int) []int {
@@ -234,7 +234,7 @@
 
 // missing lists what is in all and not in sent.
 func missing(all, sent *weights.Set) []int {
-	return slices.Collect(all.Minus(sent))
+	return slices.Collect(all.Difference(sent))
 }
 
 func addAll(set *weights.Set, indexes []int) {
