--- a/core/admission/concurrency.go
+++ b/core/admission/concurrency.go
@@ -7,30 +7,32 @@
 	"chivespindle.example/core/defaults"
 )
 
-// ConcurrencyOptions make a Concurrency. Zero fields take the default.
+// ConcurrencyOptions configure a ConcurrencyLimit. Zero fields take the default.
 type ConcurrencyOptions struct {
-	// Min and Max bound the limit, Initial is the first; 2, 256 and 16.
+	// Min and Max bound the limit, Initial is its first value. The defaults are 2, 256
+	// and 16.
 	Min, Max, Initial int
-	// Tolerance is how many times the unloaded latency is still taken for
-	// unloaded; 2.
+	// Tolerance is the multiple of the unloaded latency up to which a server counts as
+	// not overloaded. The default is 2.
 	Tolerance float64
-	// Window is how long results are gathered before the limit may change;
-	// 1 s.
+	// Window is how long results are collected before the limit may change. The default
+	// is 1 s.
 	Window time.Duration
 }
 
-// Concurrency adapts the number of requests in flight at a server.
+// ConcurrencyLimit adapts the maximum number of requests in flight at a server.
 //
-// It compares the latency of each window with that of an unloaded server:
-// well above it, or when the server refuses, the limit falls in proportion;
-// else, and if the limit was needed, it rises by one. So it settles where
-// more requests only wait longer, without knowing the server's capacity.
+// It compares the latency of each window with that of the unloaded server. If the
+// latency exceeds the tolerance the limit falls in proportion; if the server refuses
+// too many requests it falls by a fixed factor; otherwise it rises by one if the limit
+// was needed. It settles at the point beyond which further requests only wait longer,
+// without knowing the server's capacity.
 type Concurrency struct {
 	options ConcurrencyOptions
 
 	mu       sync.Mutex
 	limit    float64
-	unloaded float64 // seconds; 0: not known yet
+	unloaded float64 // seconds; 0 if not known yet
 	window   window
 }
 
@@ -43,29 +45,31 @@
 }
 
 const (
-	// minWindowResults is how many results a window needs to count.
+	// minWindowResults is how many results a window needs before it is evaluated.
 	minWindowResults = 5
-	// declinedShare is the share of refusals that counts as overload.
+	// declinedShare is the fraction of refusals above which the server counts as
+	// overloaded.
 	declinedShare = 0.05
-	// declinedFactor is what the limit falls to then.
+	// declinedFactor is the factor by which the limit is then multiplied.
 	declinedFactor = 0.9
-	// lowestFactor bounds the fall of the limit in one window.
-	lowestFactor = 0.5
-	// neededShare is the use of the limit above which it may rise.
+	// minFactor bounds the decrease of the limit in one window.
+	minFactor = 0.5
+	// neededShare is the utilization from which the limit may rise.
 	neededShare = 0.8
-	// unloadedFall is the weight of a lower latency in the unloaded one.
+	// unloadedFall is the weight of a lower latency in the unloaded latency.
 	unloadedFall = 0.5
-	// quietShare is the use of the limit below which a higher latency is not
-	// due to load, so that the unloaded one follows it.
+	// quietShare is the utilization below which a higher latency is not caused by
+	// load, so that the unloaded latency follows it.
 	quietShare = 0.5
-	// unloadedRise is the weight of a higher latency in a quiet window.
+	// unloadedRise is the weight of a higher latency in a window below quietShare.
 	unloadedRise = 0.05
-	// unloadedRiseAtMin is its rise in a loaded window at the least limit:
-	// not load but a slower server is the cause then.
+	// unloadedRiseAtMin is the factor by which the unloaded latency rises in an
+	// overloaded window at the minimum limit: the cause is then a slower server, not
+	// load.
 	unloadedRiseAtMin = 1.05
 )
 
-// NewConcurrency returns a limit at its initial value.
+// NewConcurrencyLimit returns a limit at its initial value.
 func NewConcurrency(now time.Time, o ConcurrencyOptions) *Concurrency {
 	const (
 		defaultMin       = 2
@@ -83,24 +87,24 @@
 	return &Concurrency{options: o, limit: initial, window: window{began: now}}
 }
 
-// Sample is one ended request.
+// Sample is the measurement of one completed request.
 type Sample struct {
-	// Latency is the time to the first piece of the answer, 0 if none came.
+	// Latency is the time to the first part of the response, 0 if there was none.
 	Latency time.Duration
-	// InFlight is how many requests the server had when this one began.
+	// InFlight is how many requests the server had in flight when this one started.
 	InFlight int
-	// Declined is true if the server refused it for want of room.
+	// Declined is true if the server refused the request for lack of capacity.
 	Declined bool
 }
 
-// Limit returns the present limit.
+// Limit returns the current limit.
 func (c *Concurrency) Limit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return int(c.limit)
 }
 
-// Observe takes in one ended request.
+// Observe records one completed request.
 func (c *Concurrency) Observe(now time.Time, s Sample) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +124,7 @@
 	c.window = window{began: now}
 }
 
-// adapt moves the limit after a full window.
+// adapt adjusts the limit at the end of a window.
 func (c *Concurrency) adapt() {
 	w := &c.window
 	factor := 1.0
@@ -132,15 +136,15 @@
 	}
 	switch {
 	case factor < 1:
-		c.limit *= max(lowestFactor, factor)
+		c.limit *= max(minFactor, factor)
 	case float64(w.peak) >= neededShare*c.limit:
 		c.limit++
 	}
 	c.limit = min(max(c.limit, float64(c.options.Min)), float64(c.options.Max))
 }
 
-// gradient returns how far the tolerated latency is below the given mean, 1
-// if it is not, and brings the unloaded latency up to date.
+// gradient returns the ratio of the tolerated latency to the mean latency, at most 1,
+// and updates the unloaded latency.
 func (c *Concurrency) gradient(mean float64) float64 {
 	if c.unloaded == 0 {
 		c.unloaded = mean
--- a/core/admission/concurrency_test.go
+++ b/core/admission/concurrency_test.go
@@ -10,8 +10,8 @@
 	"chivespindle.example/core/admission"
 )
 
-// server is a backend server that runs slots requests at once at full speed;
-// more wait in proportion.
+// server models a backend server that runs the given number of requests concurrently at
+// full speed. The latency grows in proportion beyond that.
 type server struct {
 	slots   int
 	latency time.Duration
@@ -21,8 +21,7 @@
 	return s.latency * time.Duration(max(inFlight, s.slots)) / time.Duration(s.slots)
 }
 
-// load keeps a server as full as its limit and demand allow, from one second
-// to another.
+// load keeps a server as busy as its limit and the demand allow, in the seconds [from, to).
 func load(c *admission.Concurrency, s server, from, to, demand int) {
 	for second := from; second < to; second++ {
 		inFlight := min(c.Limit(), demand)
@@ -33,14 +32,14 @@
 	}
 }
 
-var _ = Describe("Concurrency", func() {
+var _ = Describe("ConcurrencyLimit", func() {
 	newLimit := func() *admission.Concurrency {
 		return admission.NewConcurrency(start, admission.ConcurrencyOptions{Initial: 4})
 	}
 
-	// Beyond what a server runs at once, callers only wait longer there while
-	// other servers have room; below, they wait although the server idles.
-	DescribeTable("finds the size of a server",
+	// If the limit is above the server's capacity, requests wait there although other
+	// servers have free slots; if it is below, they wait although the server is idle.
+	DescribeTable("finds the capacity of a server",
 		func(slots int) {
 			c := newLimit()
 			load(c, server{slots, 100 * time.Millisecond}, 0, 300, 1000)
@@ -50,16 +49,16 @@
 		Entry("small", 4), Entry("medium", 16), Entry("large", 64),
 	)
 
-	It("follows a server that becomes smaller", func() {
+	It("follows a server whose capacity decreases", func() {
 		c := newLimit()
 		load(c, server{32, 100 * time.Millisecond}, 0, 300, 1000)
 		load(c, server{8, 100 * time.Millisecond}, 300, 330, 1000)
 		Expect(c.Limit()).To(BeNumerically("<=", 24))
 	})
 
-	// The model becomes slower for good. A limit that took that for load
-	// would stay at the least for ever.
-	It("recovers when a server became slower for good", func() {
+	// The model becomes permanently slower. A limit that treated this as load would stay
+	// at its minimum forever.
+	It("recovers when a server becomes permanently slower", func() {
 		c := newLimit()
 		load(c, server{16, 100 * time.Millisecond}, 0, 100, 1000)
 		load(c, server{16, 500 * time.Millisecond}, 100, 400, 1000)
@@ -72,7 +71,7 @@
 		Expect(c.Limit()).To(Equal(4))
 	})
 
-	It("falls when the server refuses, down to its least", func() {
+	It("falls to its minimum when the server refuses requests", func() {
 		c := newLimit()
 		for i := range 2000 {
 			c.Observe(after(float64(i)/10), admission.Sample{InFlight: c.Limit(), Declined: true})
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -5,38 +5,37 @@
 	"time"
 )
 
-// Reading is a process's own monotonic clock. Only readings of one life of
-// one process can be compared.
+// ClockReading is a reading of a process's monotonic clock. Only readings of the same
+// incarnation of a process can be compared.
 type Reading struct {
-	Life    uint64        `cbor:"1,keyasint"` // another one after each start of the process
-	Elapsed time.Duration `cbor:"2,keyasint"` // since that start
+	Life    uint64        `cbor:"1,keyasint"` // changes with each start of the process
+	Elapsed time.Duration `cbor:"2,keyasint"` // since the start of the process
 }
 
-// IsZero reports whether r is no reading.
+// IsZero reports whether r is the zero value, which is not a reading.
 func (r Reading) IsZero() bool { return r == Reading{} }
 
-// Deadline is the time limit of a request as it travels from an entry to an
-// agent. It is told in the agent's clock alone: the agent's reports carry its
-// Reading, and the entry sends back the latest one plus the time since.
+// Deadline is the deadline of a request that is sent from an entry to an agent. It is
+// expressed in the agent's clock alone: the agent's reports contain a ClockReading, and
+// the entry sends back such a reading advanced by the time elapsed since.
 type Deadline struct {
-	// Sent is what the agent's clock showed, rather too little than too
-	// much, when the entry sent the request.
+	// Sent is a lower bound of the agent's clock at the time when the entry sent the
+	// request.
 	Sent Reading `cbor:"1,keyasint"`
-	// Waited is how long the request had been at the entry by then.
+	// Waited is how long the request had been at the entry at that time.
 	Waited time.Duration `cbor:"2,keyasint"`
-	// Remaining is how long the caller still waited then.
+	// Remaining is the time left to the client's deadline at that time.
 	Remaining time.Duration `cbor:"3,keyasint"`
 }
 
-// Lateness returns how long the deadline has passed by the agent's clock;
-// negative if it has not. False if the deadline names another life of the
-// agent, so that its age cannot be told.
+// Lateness returns how long ago the deadline passed by the agent's clock; negative if it
+// has not passed. It returns false if the deadline refers to another incarnation of the
+// agent, so that its age is unknown.
 //
-// An entry that was paused, or a link that stalled, may hand over a request
-// long after its caller has been answered otherwise. Since Sent is a lower
-// bound, a late request is never taken for a timely one, whatever the clocks
-// of the machines show; a timely one may be refused if the report that the
-// entry reckoned from was itself under way for long.
+// A paused entry or a stalled link may deliver a request long after the client has
+// received a response in another way. Since Sent is a lower bound, a late request is
+// never treated as timely, whatever the clocks of the machines show. A timely one may be
+// refused if the report that the entry's estimate is based on was delayed.
 func (d Deadline) Lateness(here Reading) (time.Duration, bool) {
 	if d.Sent.IsZero() || d.Sent.Life != here.Life {
 		return 0, false
@@ -45,16 +44,16 @@
 	return age - d.Remaining, true
 }
 
-// Expired reports whether an agent must refuse the request as not run: its
-// deadline has passed or cannot be told.
+// Expired reports whether an agent must refuse the request as not run because its
+// deadline has passed or is unknown.
 func (d Deadline) Expired(here Reading) bool {
 	late, ok := d.Lateness(here)
 	return !ok || late >= 0
 }
 
-// Asked returns when the request reached the entry, by the clock of the agent
-// that started at started, and rather too early than too late. Zero if the
-// deadline names another life of the agent.
+// ReceivedAt returns a lower bound of the time at which the entry received the request,
+// by the clock of the agent that started at started. It is zero if the deadline refers to
+// another incarnation of the agent.
 func (d Deadline) Asked(started time.Time, here Reading) time.Time {
 	if d.Sent.IsZero() || d.Sent.Life != here.Life {
 		return time.Time{}
@@ -63,22 +62,22 @@
 }
 
 const (
-	// driftShare is the most by which two monotonic clocks run differently.
-	driftShare = 0.0005
-	// clockWindow is how long the best reading is reckoned from.
+	// maxDrift is the maximum relative drift between two monotonic clocks.
+	maxDrift = 0.0005
+	// clockWindow is how long the best reading is used before a new window starts.
 	clockWindow = time.Minute
 )
 
-// Echo reckons what an agent's clock shows now from the readings in its
-// reports. The zero Echo has heard nothing.
+// RemoteClock estimates the current reading of an agent's clock from the readings in the
+// agent's reports. The zero RemoteClock has no reading.
 //
-// Of the readings of the last minutes it takes the one that was under way
-// for the shortest time: that loses the least.
+// Of the readings of the last two windows it uses the one that was in transit for the
+// shortest time, which gives the tightest lower bound.
 type Echo struct {
 	mu       sync.Mutex
 	current  sample
 	previous sample
-	since    time.Time // when current was begun
+	since    time.Time // start of the window of current
 }
 
 type sample struct {
@@ -86,7 +85,7 @@
 	received time.Time
 }
 
-// Observe takes in a reading received at received.
+// Observe records a reading received at received.
 func (e *Echo) Observe(reading Reading, received time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,8 +104,8 @@
 	}
 }
 
-// At returns a lower bound of what the agent's clock shows now; false if no
-// reading has come.
+// At returns a lower bound of the agent's clock at now; false if no reading has been
+// received.
 func (e *Echo) At(now time.Time) (Reading, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,19 +119,19 @@
 	return Reading{Life: e.current.reading.Life, Elapsed: best}, true
 }
 
-// at adds the time since the reading came, less what the clocks may drift.
+// at returns the reading plus the time since it was received, less the maximum drift.
 func (s sample) at(now time.Time) time.Duration {
 	since := now.Sub(s.received)
-	drift := time.Duration(driftShare * float64(since.Abs()))
+	drift := time.Duration(maxDrift * float64(since.Abs()))
 	return s.reading.Elapsed + since - drift
 }
 
-// Deadline returns the deadline of a request that reached the entry at asked
-// and is sent now; false if no reading of the agent has come.
-func (e *Echo) Deadline(now, asked, deadline time.Time) (Deadline, bool) {
+// Deadline returns the deadline to send with a request that was received at receivedAt
+// and is sent now; false if no reading of the agent has been received.
+func (e *Echo) Deadline(now, receivedAt, deadline time.Time) (Deadline, bool) {
 	sent, ok := e.At(now)
 	if !ok {
 		return Deadline{}, false
 	}
-	return Deadline{Sent: sent, Waited: now.Sub(asked), Remaining: deadline.Sub(now)}, true
+	return Deadline{Sent: sent, Waited: now.Sub(receivedAt), Remaining: deadline.Sub(now)}, true
 }
--- a/core/admission/deadline_test.go
+++ b/core/admission/deadline_test.go
@@ -12,20 +12,20 @@
 )
 
 var _ = Describe("Deadline", func() {
-	const life = 7
-	// The agent started an hour before the entry's clock shows start, and its
-	// wall clock is of no matter.
+	const incarnation = 7
+	// The agent started an hour before start on the entry's clock. Its wall clock does
+	// not matter.
 	reading := func(seconds float64) admission.Reading {
-		return admission.Reading{Life: life, Elapsed: time.Hour + time.Duration(seconds*float64(time.Second))}
+		return admission.Reading{Life: incarnation, Elapsed: time.Hour + time.Duration(seconds*float64(time.Second))}
 	}
 
-	// The entry is paused with a parts order in hand; its caller gave up and
-	// asked another entry. Then the first wakes up and sends what it held.
-	DescribeTable("refuses a request that comes after its caller gave up",
+	// The entry is paused while it holds a request. Its client gives up and sends the
+	// request to another entry. Then the first entry resumes and sends the request.
+	DescribeTable("refuses a request that arrives after its client gave up",
 		func(reportTook, pause, transit float64, expired bool) {
-			var echo admission.Echo
-			echo.Observe(reading(0), after(reportTook))
-			d, ok := echo.Deadline(after(reportTook), after(reportTook-1), after(reportTook+10))
+			var clock admission.Echo
+			clock.Observe(reading(0), after(reportTook))
+			d, ok := clock.Deadline(after(reportTook), after(reportTook-1), after(reportTook+10))
 			Expect(ok).To(BeTrue())
 			arrived := reading(reportTook + pause + transit)
 			Expect(d.Expired(arrived)).To(Equal(expired))
@@ -34,53 +34,53 @@
 		Entry("just in time", 0.001, 9.9, 0.001, false),
 		Entry("after a pause", 0.001, 11.0, 0.001, true),
 		Entry("after a stall of the link", 0.001, 0.0, 11.0, true),
-		Entry("in time, by a report that was long under way", 5.0, 0.0, 1.0, false),
-		Entry("in time, but by such a report not provably", 5.0, 0.0, 6.0, true),
+		Entry("in time, based on a delayed report", 5.0, 0.0, 1.0, false),
+		Entry("in time, but not provably so with a delayed report", 5.0, 0.0, 6.0, true),
 	)
 
-	// The agent restarted: what its clock showed before says nothing now.
-	It("refuses a request reckoned by an earlier life of the agent", func() {
-		var echo admission.Echo
-		echo.Observe(reading(0), start)
-		d, _ := echo.Deadline(start, start, after(10))
-		Expect(d.Expired(admission.Reading{Life: life + 1, Elapsed: time.Second})).To(BeTrue())
-		Expect(d.Asked(start, admission.Reading{Life: life + 1})).To(BeZero())
+	// After a restart of the agent, earlier readings of its clock are meaningless.
+	It("refuses a request with a reading of an earlier incarnation of the agent", func() {
+		var clock admission.Echo
+		clock.Observe(reading(0), start)
+		d, _ := clock.Deadline(start, start, after(10))
+		Expect(d.Expired(admission.Reading{Life: incarnation + 1, Elapsed: time.Second})).To(BeTrue())
+		Expect(d.Asked(start, admission.Reading{Life: incarnation + 1})).To(BeZero())
 		Expect(admission.Deadline{}.Expired(reading(0))).To(BeTrue())
 	})
 
-	It("cannot be told before a report has come", func() {
-		var echo admission.Echo
-		_, ok := echo.Deadline(start, start, after(10))
+	It("is unknown before a report has been received", func() {
+		var clock admission.Echo
+		_, ok := clock.Deadline(start, start, after(10))
 		Expect(ok).To(BeFalse())
 	})
 
-	It("follows the agent into its next life", func() {
-		var echo admission.Echo
-		echo.Observe(reading(0), start)
-		next := admission.Reading{Life: life + 1, Elapsed: time.Second}
-		echo.Observe(next, after(1))
-		shown, ok := echo.At(after(1))
+	It("follows the agent into its next incarnation", func() {
+		var clock admission.Echo
+		clock.Observe(reading(0), start)
+		next := admission.Reading{Life: incarnation + 1, Elapsed: time.Second}
+		clock.Observe(next, after(1))
+		shown, ok := clock.At(after(1))
 		Expect(ok).To(BeTrue())
 		Expect(shown).To(Equal(next))
 	})
 
-	It("reckons from the report that was under way for the shortest time", func() {
-		var echo admission.Echo
-		echo.Observe(reading(0), after(0.01))
-		echo.Observe(reading(1), after(4))
-		now, _ := echo.At(after(5))
+	It("uses the report with the shortest transit time", func() {
+		var clock admission.Echo
+		clock.Observe(reading(0), after(0.01))
+		clock.Observe(reading(1), after(4))
+		now, _ := clock.At(after(5))
 		Expect(now.Elapsed).To(BeNumerically("~", reading(4.99).Elapsed, 10*time.Millisecond))
 	})
 })
 
-// Whatever reports are held up, reordered or lost, and though the clocks run
-// apart, the entry's reckoning never runs ahead of the agent's clock: a late
-// request would pass for a timely one.
-func TestEchoNeverRunsAhead(t *testing.T) {
+// Whatever reports are delayed, reordered or lost, and despite clock drift, the entry's
+// estimate never runs ahead of the agent's clock. Otherwise a late request would be
+// treated as timely.
+func TestRemoteClockNeverRunsAhead(t *testing.T) {
 	const drift = 0.0002
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		var echo admission.Echo
+		var clock admission.Echo
 		seconds := func(label string, limit int) float64 {
 			return float64(rapid.IntRange(0, limit*1000).Draw(t, label)) / 1000
 		}
@@ -92,9 +92,9 @@
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now += seconds("gap", 30)
 			sent := now - seconds("under way", 5)
-			echo.Observe(admission.Reading{Life: 1, Elapsed: agent(sent)}, after(now))
+			clock.Observe(admission.Reading{Life: 1, Elapsed: agent(sent)}, after(now))
 			now += seconds("later", 30)
-			shown, ok := echo.At(after(now))
+			shown, ok := clock.At(after(now))
 			g.Expect(ok).To(BeTrue())
 			g.Expect(shown.Elapsed).To(BeNumerically("<=", agent(now)+time.Microsecond))
 		}
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -10,17 +10,17 @@
 	"chivespindle.example/core/fleet"
 )
 
-// FairShare returns how much of limit an entry may take while each of the
-// others demands what it reports, max-min fair: an entry that demands less
-// than an even part leaves the rest to those that demand more. others holds
-// the demand of every other live entry, in requests a second; an entry that
-// has not reported yet counts as math.Inf(1), which reserves an even part.
+// FairShare returns the max-min fair share of limit for one entry, given the demands that
+// the other entries report: an entry that demands less than an equal share leaves the
+// rest to those that demand more. others holds the demand of every other live entry, in
+// requests per second. An entry that has not reported yet counts as math.Inf(1), which
+// reserves an equal share for it.
 //
-// Were every entry held to an even part, a workspace whose callers use one
-// entry of eight would get an eighth of its limit.
+// With a fixed equal share for every entry, a workspace whose clients use one entry of
+// eight would get an eighth of its limit.
 //
-// If all entries know the same demands, what they admit together is never
-// above limit: each gets the level of the common solution or demands less.
+// If all entries know the same demands, they never admit more than limit together: each
+// gets the common water level or demands less.
 func FairShare(limit float64, others []float64) float64 {
 	demands := slices.Sorted(slices.Values(others))
 	left := limit
@@ -35,18 +35,18 @@
 	return left / claimants
 }
 
-// LimiterOptions make a Limiter. Zero fields take the default.
+// LimiterOptions configure a Limiter. Zero fields take the default.
 type LimiterOptions struct {
-	// Rand spreads pauses; required.
+	// Rand is the source of jitter for pauses; required.
 	Rand Rand
-	// Burst is how long a workspace may save up its rate; 1 s. One request
-	// may always be saved up.
+	// Burst is the time for which a workspace may accumulate tokens at its rate. The
+	// default is 1 s. One token may always be accumulated.
 	Burst time.Duration
-	// DemandTime is the time constant of the measured demand; 5 s.
+	// DemandTime is the time constant of the measured demand. The default is 5 s.
 	DemandTime time.Duration
 }
 
-// Limiter holds workspaces to this entry's share of their limits.
+// Limiter limits workspaces to this entry's share of their rate limits.
 type Limiter struct {
 	rnd        Rand
 	burst      float64 // seconds
@@ -56,13 +56,13 @@
 	buckets map[fleet.Workspace]*bucket
 }
 
-// bucket is the state of one workspace.
+// bucket is the token bucket and the measured demand of one workspace.
 type bucket struct {
 	limited  bool
-	rate     float64 // requests a second
-	burst    float64 // requests; 0: LimiterOptions.Burst at rate
+	rate     float64 // requests per second
+	burst    float64 // requests; 0 for LimiterOptions.Burst at rate
 	tokens   float64
-	demand   float64 // requests a second, asked for
+	demand   float64 // requests per second, admitted or not
 	lastSeen time.Time
 }
 
@@ -82,9 +82,9 @@
 	}
 }
 
-// SetShares puts this entry's shares in force, in requests a second. A
-// workspace without a share has no limit. The control goroutine calls it
-// when a limit, the number of entries or a reported demand changes.
+// SetShares sets this entry's shares, in requests per second. A workspace without a
+// share has no limit. The control goroutine calls it when a limit, the number of entries
+// or a reported demand changes.
 func (l *Limiter) SetShares(now time.Time, shares map[fleet.Workspace]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,9 +109,9 @@
 	}
 }
 
-// SetBursts puts in force how many requests each workspace may save up at this
-// entry; a workspace without a value saves up LimiterOptions.Burst. It is
-// called after SetShares, which makes the workspaces known.
+// SetBursts sets how many tokens each workspace may accumulate at this entry; a
+// workspace without a value accumulates LimiterOptions.Burst. It must be called after
+// SetShares, which adds the workspaces.
 func (l *Limiter) SetBursts(now time.Time, bursts map[fleet.Workspace]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,11 +122,11 @@
 	}
 }
 
-// negligible is the demand below which a workspace is forgotten.
+// negligible is the demand, in requests per second, below which a workspace is dropped.
 const negligible = 0.001
 
-// Allow counts one request and reports whether it is within the share; if
-// not, when the client may retry.
+// Allow counts one request and reports whether it is within the share. If it is not,
+// Allow also returns the time after which the client may retry.
 func (l *Limiter) Allow(now time.Time, workspace fleet.Workspace) (bool, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,13 +146,13 @@
 	}
 	wait := time.Duration(math.MaxInt64)
 	if b.rate > 0 {
-		wait = time.Duration(min((1-b.tokens)/b.rate, longestPause.Seconds()) * float64(time.Second))
+		wait = time.Duration(min((1-b.tokens)/b.rate, maxPause.Seconds()) * float64(time.Second))
 	}
-	return false, spread(wait, l.rnd)
+	return false, jitter(wait, l.rnd)
 }
 
-// Demand returns what each workspace asks of this entry, in requests a second
-// and whether admitted or not, to be reported to the other entries.
+// Demand returns the rate at which each workspace sends requests to this entry, in
+// requests per second and whether admitted or not, to be reported to the other entries.
 func (l *Limiter) Demand(now time.Time) map[fleet.Workspace]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +166,7 @@
 	return demands
 }
 
-// refill brings a bucket up to now: tokens grow, the demand fades.
+// refill updates a bucket to now: tokens accumulate, the demand decays.
 func (l *Limiter) refill(now time.Time, b *bucket) {
 	passed := now.Sub(b.lastSeen).Seconds()
 	if passed <= 0 {
--- a/core/admission/limiter_test.go
+++ b/core/admission/limiter_test.go
@@ -16,8 +16,8 @@
 
 const workshop = fleet.Workspace("workshop-7")
 
-// entries is a group of entries that share one workspace's limit. They hear
-// of each other's demand once a second, lag seconds late.
+// entries is a group of entries that share one workspace's limit. They receive each
+// other's demand once a second, lag seconds late.
 type entries struct {
 	limit    float64
 	limiters []*admission.Limiter
@@ -34,7 +34,7 @@
 	return e
 }
 
-// exchange lets every entry work out its share at the given second.
+// exchange makes every entry compute its share at the given second.
 func (e *entries) exchange(second int) {
 	now := after(float64(second))
 	report := make([]float64, len(e.limiters))
@@ -46,7 +46,7 @@
 		others := []float64{}
 		for j := range e.limiters {
 			if j != i {
-				others = append(others, e.heardOf(j))
+				others = append(others, e.reportedBy(j))
 			}
 		}
 		share := admission.FairShare(e.limit, others)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (e *entries) heardOf(entry int) float64 {
+func (e *entries) reportedBy(entry int) float64 {
 	i := len(e.reports) - 1 - e.lag
 	if i < 0 || entry >= len(e.reports[i]) {
 		return math.Inf(1)
@@ -62,8 +62,8 @@
 	return e.reports[i][entry]
 }
 
-// run offers each entry its demand, Poisson, from one second to another and
-// returns how many were admitted in each second.
+// run sends each entry its demand as a Poisson process in the seconds [from, to) and
+// returns how many requests were admitted in each second.
 func (e *entries) run(from, to int, demands []float64) []int {
 	admitted := make([]int, to-from)
 	for second := from; second < to; second++ {
@@ -80,7 +80,7 @@
 	return admitted
 }
 
-// highest returns the highest rate over any ten seconds, as a share of limit.
+// highest returns the highest rate over any ten seconds, as a fraction of limit.
 func highest(admitted []int, limit float64) float64 {
 	top := 0.0
 	for i := 10; i <= len(admitted); i++ {
@@ -102,18 +102,18 @@
 		func(limit float64, others []float64, want float64) {
 			Expect(admission.FairShare(limit, others)).To(BeNumerically("~", want, 1e-9))
 		},
-		Entry("all to the only entry", 100.0, nil, 100.0),
-		Entry("an even part among unknown ones", 100.0, []float64{math.Inf(1), math.Inf(1), math.Inf(1)}, 25.0),
-		Entry("what idle ones leave", 100.0, []float64{0, 0, 0}, 100.0),
-		Entry("what modest ones leave", 100.0, []float64{10, 10, 20}, 60.0),
-		Entry("an even part among greedy ones", 100.0, []float64{90, 90, 90}, 25.0),
-		Entry("an even part of what a modest one leaves", 100.0, []float64{10, 90}, 45.0),
-		Entry("nothing of nothing", 0.0, []float64{10}, 0.0),
+		Entry("everything to the only entry", 100.0, nil, 100.0),
+		Entry("an equal share among entries that have not reported", 100.0, []float64{math.Inf(1), math.Inf(1), math.Inf(1)}, 25.0),
+		Entry("what idle entries leave", 100.0, []float64{0, 0, 0}, 100.0),
+		Entry("what entries with low demand leave", 100.0, []float64{10, 10, 20}, 60.0),
+		Entry("an equal share among entries with high demand", 100.0, []float64{90, 90, 90}, 25.0),
+		Entry("an equal share of what an entry with low demand leaves", 100.0, []float64{10, 90}, 45.0),
+		Entry("nothing of a zero limit", 0.0, []float64{10}, 0.0),
 	)
 })
 
-// If all know the same demands, what the entries admit together stays within
-// the limit, and none of it is left unused while any entry wants it.
+// If all entries know the same demands, they stay within the limit together and leave
+// none of it unused while any entry demands it.
 func TestFairSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -130,9 +130,9 @@
 }
 
 var _ = Describe("Limiter", func() {
-	// A workspace pays for 100 requests a second. Its callers must get them
-	// whichever entries they use, and not many more.
-	DescribeTable("holds a workspace to its limit over all entries",
+	// A workspace has a limit of 100 requests per second. Its clients must get that rate
+	// whichever entries they use, and not much more.
+	DescribeTable("keeps a workspace at its limit across all entries",
 		func(demands []float64, low float64) {
 			const limit = 100
 			e := newEntries(len(demands), limit, 2)
@@ -144,7 +144,7 @@
 			Expect(mean).To(BeNumerically(">=", low))
 			Expect(top).To(BeNumerically("<=", 1.2))
 		},
-		Entry("even demand at eight entries", []float64{40, 40, 40, 40, 40, 40, 40, 40}, 0.95),
+		Entry("equal demand at eight entries", []float64{40, 40, 40, 40, 40, 40, 40, 40}, 0.95),
 		Entry("all demand at one entry", []float64{300, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1}, 0.95),
 		Entry("demand at two of eight", []float64{300, 40, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1}, 0.95),
 		Entry("demand just at the limit", []float64{60, 10, 5, 5, 5, 5, 5, 5}, 0.9),
@@ -172,8 +172,9 @@
 		Entry("eight become one", 8, 1, 1.3),
 	)
 
-	// All callers refused in one second would come back in the same one.
-	It("tells refused callers when to come back, spread", func() {
+	// Without jitter, clients refused in the same second would also retry in the same
+	// second.
+	It("tells refused clients when to retry, with jitter", func() {
 		l := admission.NewLimiter(admission.LimiterOptions{Rand: newRand(1)})
 		l.SetShares(start, map[fleet.Workspace]float64{workshop: 1})
 		l.Allow(start, workshop)
@@ -187,7 +188,7 @@
 		Expect(len(pauses)).To(BeNumerically(">", 15))
 	})
 
-	It("refuses all of a workspace without a share", func() {
+	It("refuses all requests of a workspace with a share of zero", func() {
 		l := admission.NewLimiter(admission.LimiterOptions{Rand: newRand(1)})
 		l.SetShares(start, map[fleet.Workspace]float64{workshop: 0})
 		l.Allow(start, workshop)
@@ -196,7 +197,7 @@
 		Expect(pause).To(BeNumerically("<=", 90*time.Second))
 	})
 
-	It("lets a workspace without a limit pass and forgets it when it is idle", func() {
+	It("admits a workspace without a limit and drops it when it is idle", func() {
 		l := admission.NewLimiter(admission.LimiterOptions{Rand: newRand(1)})
 		for range 1000 {
 			ok, _ := l.Allow(start, workshop)
@@ -218,10 +219,10 @@
 }
 
 var _ = Describe("A workspace's burst", func() {
-	// A shift begins, and a workshop's callers come back all at once after a
-	// quiet night. The text allows them more at once than one second's rate;
-	// without it they would be refused though the workspace is within its limit.
-	It("is what the text allows, and no more", func() {
+	// All clients of a workspace send requests at the same time after an idle period. The
+	// configuration allows them a larger burst than the rate of one second. Without it they
+	// would be refused although the workspace is within its limit.
+	It("is what the configuration allows, and no more", func() {
 		l := admission.NewLimiter(admission.LimiterOptions{Rand: newRand(1)})
 		l.SetShares(start, map[fleet.Workspace]float64{workshop: 2})
 		l.SetBursts(start, map[fleet.Workspace]float64{workshop: 6})
--- a/core/admission/nearest.go
+++ b/core/admission/nearest.go
@@ -9,23 +9,24 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Other is another entry that shares the limits.
+// Peer is another entry that shares the limits.
 type Other struct {
 	ID fleet.InstanceID
 	fleet.Place
 }
 
-// Nearest returns at most limit of the other entries, those of the own zone and
-// region before those far away. Of equally near ones each entry takes others,
-// by hash: by id all entries of a large fleet would follow the same few.
-func Nearest(self fleet.InstanceID, here fleet.Place, others []Other, limit int) []fleet.InstanceID {
+// Nearest returns at most limit of the peers, those in the same zone first, then those
+// in the same region, then the rest. Among equally near peers each entry chooses
+// differently, by hash: ordered by ID, all entries of a large fleet would follow the same
+// few peers.
+func Nearest(self fleet.InstanceID, here fleet.Place, peers []Other, limit int) []fleet.InstanceID {
 	type candidate struct {
 		id       fleet.InstanceID
 		distance fleet.Distance
 		draw     uint64
 	}
-	candidates := make([]candidate, 0, len(others))
-	for _, o := range others {
+	candidates := make([]candidate, 0, len(peers))
+	for _, o := range peers {
 		candidates = append(candidates, candidate{o.ID, here.DistanceTo(o.Place), xxhash.Sum64String(string(self) + "/" + string(o.ID))})
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
--- a/core/admission/nearest_test.go
+++ b/core/admission/nearest_test.go
@@ -16,7 +16,7 @@
 	}
 	here := place("lagos", "hall-a")
 
-	It("takes the entries of the own zone, then of the own region, then others", func() {
+	It("returns the entries of the same zone, then of the same region, then others", func() {
 		others := []admission.Other{
 			{ID: "1-far", Place: place("kano", "hall-k")},
 			{ID: "2-region", Place: place("lagos", "hall-b")},
@@ -27,10 +27,10 @@
 		Expect(admission.Nearest("self", here, others, 9)).To(HaveLen(3))
 	})
 
-	// A zone has more entries than are followed. If each followed the first by
-	// id, all streams of the zone would lead to the same few, and the demand of
-	// the others would be known to nobody.
-	It("spreads over entries that are equally near", func() {
+	// A zone has more entries than each entry follows. If each followed the first by ID,
+	// all streams of the zone would lead to the same few entries, and the demand of the
+	// others would be unknown.
+	It("distributes the choice over equally near entries", func() {
 		const entries, limit = 100, 8
 		followers := make(map[fleet.InstanceID]int)
 		for self := range entries {
--- a/core/admission/room_test.go
+++ b/core/admission/queue_test.go
@@ -23,14 +23,14 @@
 	started  time.Time
 }
 
-// ends orders running requests by their end.
-type ends []*request
+// endHeap is a heap of running requests ordered by their end.
+type endHeap []*request
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].end().Before(e[j].end()) }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(*request)) }
-func (e *ends) Pop() any {
+func (e endHeap) Len() int           { return len(e) }
+func (e endHeap) Less(i, j int) bool { return e[i].end().Before(e[j].end()) }
+func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endHeap) Push(x any)        { *e = append(*e, x.(*request)) }
+func (e *endHeap) Pop() any {
 	last := len(*e) - 1
 	r := (*e)[last]
 	*e = (*e)[:last]
@@ -39,30 +39,29 @@
 
 func (r *request) end() time.Time { return r.started.Add(r.took) }
 
-// counts are what became of the requests of one priority.
+// counts are the outcomes of the requests of one priority.
 type counts struct{ offered, inTime, late, refused, shed int }
 
-// model is a server with slots behind a Room; its clock jumps from event to
-// event.
+// model is a discrete-event simulation of a server with slots behind a Queue.
 type model struct {
-	room    *admission.Room[*request]
-	running ends
-	by      [8]counts
-	busy    time.Duration // run for requests that ended in time
-	last    time.Time     // the last end
+	queue      *admission.Room[*request]
+	running    endHeap
+	byPriority [8]counts
+	busy       time.Duration // total run time of the requests that ended in time
+	last       time.Time     // end of the last request
 }
 
-// play offers the requests as they arrive and runs until all have ended.
-func (m *model) play(requests []*request) {
+// run offers the requests as they arrive and simulates until all have ended.
+func (m *model) run(requests []*request) {
 	for i, r := range requests {
 		m.runUntil(r.arrives)
-		m.by[r.priority].offered++
-		offered := m.room.Offer(r.arrives, admission.Urgency{Priority: r.priority, Deadline: r.deadline}, uint64(i), r)
+		m.byPriority[r.priority].offered++
+		offered := m.queue.Offer(r.arrives, admission.Urgency{Priority: r.priority, Deadline: r.deadline}, uint64(i), r)
 		switch offered.Entrance {
 		case admission.Started:
 			m.start(r.arrives, r)
 		case admission.Refused:
-			m.by[r.priority].refused++
+			m.byPriority[r.priority].refused++
 		}
 		m.apply(r.arrives, offered.Changes)
 	}
@@ -74,12 +73,12 @@
 		r := heap.Pop(&m.running).(*request)
 		m.last = r.end()
 		if r.end().After(r.deadline) {
-			m.by[r.priority].late++
+			m.byPriority[r.priority].late++
 		} else {
-			m.by[r.priority].inTime++
+			m.byPriority[r.priority].inTime++
 			m.busy += r.took
 		}
-		m.apply(r.end(), m.room.Done(r.end(), r.took))
+		m.apply(r.end(), m.queue.Done(r.end(), r.took))
 	}
 }
 
@@ -93,13 +92,13 @@
 		m.start(now, r)
 	}
 	for _, s := range changes.Shed {
-		m.by[s.Handle.priority].shed++
+		m.byPriority[s.Handle.priority].shed++
 		Expect(s.RetryAfter).To(BeNumerically(">=", time.Second))
 	}
 }
 
-// arrivals returns requests at load times what slots can do, each of which
-// runs for half a second to one and a half; highShare of them are urgent.
+// arrivals returns requests at a rate of load times the capacity of the slots. Each
+// request runs for 0.5 to 1.5 s; a fraction of highShare is urgent.
 func arrivals(rnd *rand.Rand, slots int, load, highShare float64, seconds int) []*request {
 	var requests []*request
 	rate := load * float64(slots)
@@ -115,19 +114,19 @@
 	return requests
 }
 
-var _ = Describe("Room", func() {
+var _ = Describe("Queue", func() {
 	const slots, seconds = 16, 120
-	newRoom := func() *admission.Room[*request] {
+	newQueue := func() *admission.Room[*request] {
 		return admission.NewRoom[*request](admission.RoomOptions{Rand: newRand(1), Slots: slots})
 	}
 
-	// Twice as much work comes as the server can do. In a plain queue every
-	// request waits for longer than its caller does, and nobody is served.
-	DescribeTable("keeps goodput and what is important under overload",
+	// The offered load is at least twice the server's capacity. In a FIFO queue every
+	// request waits for longer than its client does, and no client is served.
+	DescribeTable("maintains goodput and serves urgent requests under overload",
 		func(load, highShare float64) {
-			m := &model{room: newRoom()}
-			m.play(arrivals(newRand(5), slots, load, highShare, seconds))
-			high, low := m.by[1], m.by[4]
+			m := &model{queue: newQueue()}
+			m.run(arrivals(newRand(5), slots, load, highShare, seconds))
+			high, low := m.byPriority[1], m.byPriority[4]
 			goodput := m.busy.Seconds() / (slots * m.last.Sub(start).Seconds())
 			served := float64(high.inTime) / float64(high.offered)
 			AddReportEntry("overload", fmt.Sprintf("load %.1f: goodput %.3f, urgent served %.4f, late %d of %d, urgent %+v, other %+v",
@@ -141,11 +140,11 @@
 		Entry("five times, a tenth urgent", 5.0, 0.1),
 	)
 
-	It("refuses next to nothing while there is room", func() {
-		m := &model{room: newRoom()}
-		m.play(arrivals(newRand(5), slots, 0.8, 0.2, seconds))
-		refused := m.by[1].refused + m.by[4].refused + m.by[1].shed + m.by[4].shed
-		Expect(refused).To(BeNumerically("<=", (m.by[1].offered+m.by[4].offered)/100))
+	It("refuses almost no requests below capacity", func() {
+		m := &model{queue: newQueue()}
+		m.run(arrivals(newRand(5), slots, 0.8, 0.2, seconds))
+		refused := m.byPriority[1].refused + m.byPriority[4].refused + m.byPriority[1].shed + m.byPriority[4].shed
+		Expect(refused).To(BeNumerically("<=", (m.byPriority[1].offered+m.byPriority[4].offered)/100))
 	})
 
 	fill := func(r *admission.Room[*request], n int) {
@@ -154,20 +153,20 @@
 		}
 	}
 
-	// The caller waits until its time is up and is then refused, though it
-	// was clear from the start.
-	It("refuses at once what cannot be done in time", func() {
-		r := newRoom()
+	// Otherwise the client would wait until its deadline and then be refused, although the
+	// outcome was known from the start.
+	It("refuses immediately a request that cannot finish in time", func() {
+		r := newQueue()
 		fill(r, slots)
 		offered := r.Offer(start, admission.Urgency{Deadline: after(1)}, 1, nil)
 		Expect(offered.Entrance).To(Equal(admission.Refused))
 		Expect(offered.RetryAfter).To(And(BeNumerically(">=", time.Second), BeNumerically("<", 3*time.Second)))
 	})
 
-	// An urgent request pushes another back; that one's caller would wait on
-	// without hope.
-	It("sheds at once what an urgent request makes too late", func() {
-		r := newRoom()
+	// An urgent request delays a queued one beyond its deadline. That one's client would
+	// wait in vain.
+	It("sheds immediately a request that an urgent one delays too long", func() {
+		r := newQueue()
 		fill(r, slots)
 		low := &request{priority: 7}
 		need := 1.5 + 1.0/slots + 0.01
@@ -178,7 +177,7 @@
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(low))
 	})
 
-	It("lets the newest of the least important give way when it is full", func() {
+	It("sheds the newest request of the lowest priority when it is full", func() {
 		r := admission.NewRoom[*request](admission.RoomOptions{Rand: newRand(1), Slots: 1, MaxWaiting: 2})
 		fill(r, 1)
 		first, second := &request{}, &request{}
@@ -190,8 +189,8 @@
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(second))
 	})
 
-	It("tells the waiting ones also while no slot comes free", func() {
-		r := newRoom()
+	It("sheds queued requests even while no slot becomes free", func() {
+		r := newQueue()
 		fill(r, slots)
 		waiting := &request{}
 		Expect(r.Offer(start, admission.Urgency{Deadline: after(3)}, 1, waiting).Entrance).To(Equal(admission.Waits))
@@ -201,8 +200,8 @@
 		Expect(left).To(BeZero())
 	})
 
-	It("starts waiting ones in order of importance, then of arrival", func() {
-		r := newRoom()
+	It("starts queued requests in order of priority, then of arrival", func() {
+		r := newQueue()
 		fill(r, slots)
 		late, early, urgent := &request{}, &request{}, &request{}
 		r.Offer(start, admission.Urgency{Priority: 3}, 1, early)
@@ -215,8 +214,8 @@
 		}
 	})
 
-	It("forgets a caller that leaves", func() {
-		r := newRoom()
+	It("removes a cancelled request", func() {
+		r := newQueue()
 		fill(r, slots)
 		r.Offer(start, admission.Urgency{}, 1, &request{})
 		Expect(r.Leave(1)).To(BeTrue())
@@ -224,17 +223,17 @@
 		Expect(r.Done(start, time.Second).Started).To(BeEmpty())
 	})
 
-	It("starts waiting ones when it gets more slots", func() {
-		r := newRoom()
+	It("starts queued requests when it gets more slots", func() {
+		r := newQueue()
 		fill(r, slots)
 		r.Offer(start, admission.Urgency{}, 1, &request{})
 		Expect(r.SetSlots(start, slots+1).Started).To(HaveLen(1))
 	})
 })
 
-// Every request has one fate, no more run than there are slots, and no slot
-// idles while a request waits.
-func TestRoomLosesNothing(t *testing.T) {
+// Every request has exactly one outcome, no more requests run than there are slots, and
+// no slot is idle while a request is queued.
+func TestQueueLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is what the platform publishes: the operator's configuration,
-// the backend servers that are registered, and the model versions that are
-// wanted. It is read only; every process keeps a copy and follows the changes.
+// Package catalog models what the platform publishes: the operator's configuration,
+// the registered backend servers and the wanted model versions. Processes only read
+// the catalog: each keeps a local copy and applies the changes to it.
 package catalog
 
 import (
@@ -11,75 +11,76 @@
 	"chivespindle.example/core/routing"
 )
 
-// Revision counts the changes of everything that the platform publishes. It
-// rises with each one.
+// Revision is the version number of everything that the platform publishes. Each
+// change increases it.
 type Revision int64
 
-// Server is one registered backend server.
+// Server is one registered backend server. Server, Wanted, Change and Snapshot are
+// sent to other processes under the names of their fields.
 type Server struct {
 	ID      fleet.InstanceID
 	Service fleet.ServiceName
 	Addr    netip.AddrPort
 	Zone    fleet.Zone
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Draining servers finish what they have and then exit.
+	// Draining is true if the server finishes its requests in flight and then exits.
 	Draining bool
-	// Revision is that of the registration's last change.
+	// Revision is the revision at which the registration last changed.
 	Revision Revision
-	// Loaded is the version of the weights that it answers from, 0 for none.
-	// The registration lags by a second or two.
+	// Loaded is the version of the weights that the server serves, 0 for none.
+	// The registration lags behind the server by one or two seconds.
 	Loaded uint64
 	Born   fleet.Start
 }
 
-// Wanted is the version of a model that the operator named last.
+// Wanted is the version of a model that the operator named most recently.
 type Wanted struct {
 	Model    string
 	Version  uint64
 	Revision Revision
 }
 
-// Change is one change of a Snapshot. Exactly one of the fields after Revision
+// Change is one change to a Snapshot. Exactly one of the fields after Revision
 // is set.
 type Change struct {
 	Revision Revision
 	Config   *routing.Config
 	Server   *Server
-	// Removed is the id of a server whose registration ended.
+	// Removed is the ID of a server whose registration ended.
 	Removed fleet.InstanceID
 	Wanted  *Wanted
 }
 
-// Snapshot is everything that the platform publishes. It has two parts, each as
-// of a revision of its own: the servers, of which peers tell changes, and what
-// the operator writes, which is large and comes whole.
+// Snapshot is everything that the platform publishes. It has two parts, each with
+// its own revision: the servers, whose changes peers also report, and what the
+// operator writes, which is large and always transferred as a whole.
 type Snapshot struct {
-	// AsOf is up to which revision Servers are known.
+	// AsOf is the revision up to which Servers is known.
 	AsOf    Revision
 	Servers []Server
-	// OperatorAsOf is up to which revision Config and Wanted are known.
+	// OperatorAsOf is the revision up to which Config and Wanted are known.
 	OperatorAsOf Revision
-	// Config is nil until the operator has published one.
+	// Config is nil until the operator has published a configuration.
 	Config         *routing.Config
 	ConfigRevision Revision
 	Wanted         []Wanted
 }
 
-// Apply returns the snapshot with changes of both parts, which are ordered by
-// revision, as of asOf. The receiver stays as it is. A change that the snapshot
-// holds already is left out: replayed after a newer snapshot was taken from a
-// peer, it would bring back a server that has gone since.
+// Apply returns the snapshot as of asOf with the changes to both parts applied, which
+// must be ordered by revision. The receiver is not modified. Changes to servers that
+// the snapshot already includes are skipped: replaying one after adopting a newer
+// snapshot from a peer would restore a server that has been removed since.
 func (s Snapshot) Apply(changes []Change, asOf Revision) Snapshot {
 	next, _ := s.ApplyServers(changes, asOf)
 	next.OperatorAsOf = max(s.OperatorAsOf, asOf)
 	return next
 }
 
-// ApplyServers is Apply for changes that are complete up to asOf for the servers
-// only. It returns also the servers whose registration ended, as it was last.
+// ApplyServers is like Apply for changes that are complete up to asOf for the servers
+// only. It also returns the servers whose registration ended, as last registered.
 func (s Snapshot) ApplyServers(changes []Change, asOf Revision) (Snapshot, []Server) {
-	var gone []Server
+	var removed []Server
 	next := s
 	next.Servers = slices.Clone(s.Servers)
 	next.Wanted = slices.Clone(s.Wanted)
@@ -88,15 +89,15 @@
 			continue
 		}
 		if i := slices.IndexFunc(next.Servers, func(server Server) bool { return server.ID == c.Removed }); i >= 0 && c.Removed != "" {
-			gone = append(gone, next.Servers[i])
+			removed = append(removed, next.Servers[i])
 		}
 		next.apply(c)
 	}
 	next.AsOf = max(s.AsOf, asOf)
-	return next, gone
+	return next, removed
 }
 
-// OfOperator reports whether the operator made the change, and not a server.
+// OfOperator reports whether the operator made the change, rather than a server.
 func (c Change) OfOperator() bool { return c.Config != nil || c.Wanted != nil }
 
 func (s *Snapshot) apply(c Change) {
@@ -109,40 +110,40 @@
 	case c.Removed != "":
 		s.removeServer(c.Removed)
 	case c.Wanted != nil:
-		s.want(*c.Wanted)
+		s.setWanted(*c.Wanted)
 	}
 }
 
-// register adds a server, or replaces its registration. Of two at one address
-// the newer one is there: a server that crashed and started again has a new id
-// at once, and its predecessor stays registered for seconds. Requests that are
-// meant for the predecessor would be declined.
+// register adds a server or replaces its registration. Of two servers at the same
+// address the newer one is kept: a server that restarts after a crash gets a new ID
+// immediately, while its predecessor stays registered for some seconds. The new server
+// would decline requests addressed to its predecessor.
 //
-// A registration for a service that the operator does not have takes no
-// server's place: it may be another writer's, and the server lives.
+// A registration for a service that is not configured does not replace a server at
+// the same address: another writer may have made it while the server still runs.
 func (s *Snapshot) register(server Server) {
-	isOffered := s.offers(server.Service)
-	if isOffered && s.hasNewerAt(server) {
+	hasService := s.isConfigured(server.Service)
+	if hasService && s.hasNewerAt(server) {
 		return
 	}
 	s.Servers = slices.DeleteFunc(s.Servers, func(other Server) bool {
-		return other.ID == server.ID || isOffered && other.Addr == server.Addr
+		return other.ID == server.ID || hasService && other.Addr == server.Addr
 	})
 	s.Servers = append(s.Servers, server)
 }
 
-// hasNewerAt reports whether another server of the operator's was registered
+// hasNewerAt reports whether another server of a configured service was registered
 // later at the same address.
 func (s *Snapshot) hasNewerAt(server Server) bool {
 	return slices.ContainsFunc(s.Servers, func(other Server) bool {
 		return other.Addr == server.Addr && other.ID != server.ID && other.Revision > server.Revision &&
-			s.offers(other.Service)
+			s.isConfigured(other.Service)
 	})
 }
 
-// offers reports whether the operator has a service; any may be his while no
-// configuration is known.
-func (s *Snapshot) offers(name fleet.ServiceName) bool {
+// isConfigured reports whether a service is configured. Without a configuration every
+// service counts as configured.
+func (s *Snapshot) isConfigured(name fleet.ServiceName) bool {
 	if s.Config == nil {
 		return true
 	}
@@ -153,7 +154,7 @@
 	s.Servers = slices.DeleteFunc(s.Servers, func(other Server) bool { return other.ID == id })
 }
 
-func (s *Snapshot) want(w Wanted) {
+func (s *Snapshot) setWanted(w Wanted) {
 	for i, other := range s.Wanted {
 		if other.Model != w.Model {
 			continue
@@ -166,10 +167,10 @@
 	s.Wanted = append(s.Wanted, w)
 }
 
-// Newest returns the newer of two snapshots, part by part. The configuration
-// never goes back: a list that was read from a stale replica of the platform
-// must not replace a newer one. A part that other lacks is as of 0, and a list of servers
-// without a revision counts for nothing.
+// Merge returns the newer of two snapshots, part by part. The configuration never goes
+// back to an older revision: a list read from a stale replica of the platform must not
+// replace a newer one. The revision of a part that other lacks is 0, and a list of
+// servers without a revision is ignored.
 func (s Snapshot) Newest(other Snapshot) Snapshot {
 	next := s
 	if other.AsOf > s.AsOf {
@@ -180,14 +181,14 @@
 	}
 	next.Wanted = slices.Clone(s.Wanted)
 	for _, w := range other.Wanted {
-		next.want(w)
+		next.setWanted(w)
 	}
 	next.OperatorAsOf = max(s.OperatorAsOf, other.OperatorAsOf)
 	return next
 }
 
-// WantedVersion returns the version that is wanted of a model; false if the
-// operator has named none.
+// WantedVersion returns the wanted version of a model, or false if the operator has
+// named none.
 func (s Snapshot) WantedVersion(model string) (Wanted, bool) {
 	for _, w := range s.Wanted {
 		if w.Model == model {
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("Snapshot", func() {
-	It("applies changes in order and leaves the receiver alone", func() {
+	It("applies changes in order without modifying the receiver", func() {
 		before := catalog.Snapshot{AsOf: 1}
 		after := before.Apply([]catalog.Change{
 			{Revision: 2, Server: server("a", "10.0.0.1:80", 2)},
@@ -42,19 +42,19 @@
 		Expect(wanted.Version).To(Equal(uint64(2)))
 	})
 
-	// An entry that the platform turned away took a newer catalog from a peer.
-	// The platform answers again and replays what the catalog holds already.
-	// Applied once more, a registration would bring back a server that left.
-	It("leaves out changes that it holds already", func() {
+	// An entry that could not reach the platform adopted a newer catalog from a peer.
+	// When the platform responds again, it replays changes that the catalog already
+	// includes. Applying an old registration again would restore a removed server.
+	It("skips changes that it already includes", func() {
 		s := catalog.Snapshot{AsOf: 10}
 		after := s.Apply([]catalog.Change{{Revision: 7, Server: server("gone", "10.0.0.1:80", 7)}}, 8)
 		Expect(after.Servers).To(BeEmpty())
 		Expect(after.AsOf).To(Equal(catalog.Revision(10)))
 	})
 
-	// A server crashes and starts again at its address under a new id. Its old
-	// registration stays for seconds; requests that are meant for it would each
-	// be declined by its successor.
+	// A server that crashes restarts at the same address under a new ID. Its old
+	// registration remains for seconds, and the new server would decline every
+	// request addressed to the old one.
 	DescribeTable("keeps the newer of two servers at one address, in whichever order they are read",
 		func(first, second *catalog.Server) {
 			s := catalog.Snapshot{}.Apply([]catalog.Change{
@@ -65,9 +65,9 @@
 		Entry("new first", server("new", "10.0.0.1:80", 9), server("old", "10.0.0.1:80", 5)),
 	)
 
-	// Another writer left a registration for a service of its own at the address
-	// of a server that lives. Taken for its successor, it had the server dropped.
-	It("gives no server's place to a registration for a service that the operator does not have", func() {
+	// Another writer left a registration for its own service at the address of a
+	// running server. Treated as that server's successor, it removed the server.
+	It("does not replace a server by a registration for a service that is not configured", func() {
 		pool, other := server("a", "10.0.0.1:80", 2), server("b", "10.0.0.1:80", 3)
 		pool.Service, other.Service = "pool", "elsewhere"
 		config := &routing.Config{Services: []routing.Service{{Name: "pool"}}}
@@ -87,8 +87,9 @@
 		Expect(s.Servers).To(HaveLen(2))
 	})
 
-	// An entry hears of servers in another way than of the configuration. How far it has followed the servers says nothing of the rest.
-	It("tells how far the operator's part is known from how far the servers are", func() {
+	// An entry learns of servers and of the configuration in different ways, so the
+	// revision of one says nothing about the other.
+	It("keeps separate revisions for the operator's part and the servers", func() {
 		s, _ := catalog.Snapshot{AsOf: 4, OperatorAsOf: 4}.ApplyServers([]catalog.Change{
 			{Revision: 6, Server: server("a", "10.0.0.1:80", 6)}}, 8)
 		Expect(s.AsOf).To(Equal(catalog.Revision(8)))
@@ -98,18 +99,18 @@
 		Expect(late.OperatorAsOf).To(Equal(catalog.Revision(8)))
 	})
 
-	// A server says that it leaves and goes in one answer.
-	It("tells which registrations ended, as they were last", func() {
+	// One response can contain both the draining and the removal of a server.
+	It("returns the servers whose registrations ended, as last registered", func() {
 		leaving := server("a", "10.0.0.1:80", 6)
 		leaving.Draining = true
 		held := catalog.Snapshot{AsOf: 4, Servers: []catalog.Server{*server("a", "10.0.0.1:80", 3), *server("b", "10.0.0.2:80", 3)}}
 		_, gone := held.ApplyServers([]catalog.Change{
 			{Revision: 4, Removed: "b"}, {Revision: 6, Server: leaving}, {Revision: 7, Removed: "a"}, {Revision: 8, Removed: "a"},
 		}, 8)
-		Expect(gone).To(Equal([]catalog.Server{*leaving}), "what is known already is left out")
+		Expect(gone).To(Equal([]catalog.Server{*leaving}), "removals that are already included are skipped")
 	})
 
-	It("never takes an older version of a model", func() {
+	It("never goes back to an older version of a model", func() {
 		s := catalog.Snapshot{}.Apply([]catalog.Change{
 			{Revision: 1, Wanted: &catalog.Wanted{Model: "m", Version: 3}},
 			{Revision: 2, Wanted: &catalog.Wanted{Model: "m", Version: 2}},
@@ -122,9 +123,9 @@
 		held := catalog.Snapshot{AsOf: 20, ConfigRevision: 18, Config: &routing.Config{Version: 4},
 			Wanted: []catalog.Wanted{{Model: "m", Version: 2}}}
 
-		// A peer is behind with the servers and ahead with the configuration: the
-		// newer of each holds. Taken as a whole, one of the two would go back.
-		It("takes each part from where it is newer", func() {
+		// A peer has older servers and a newer configuration. Adopting its snapshot
+		// as a whole would take one of the two back to an older revision.
+		It("takes each part from the snapshot with the newer revision", func() {
 			held := held
 			held.Servers = []catalog.Server{*server("a", "10.0.0.1:80", 19)}
 			next := held.Newest(catalog.Snapshot{AsOf: 12, ConfigRevision: 22, Config: &routing.Config{Version: 5}, OperatorAsOf: 23})
@@ -134,13 +135,13 @@
 			Expect(next.OperatorAsOf).To(Equal(catalog.Revision(23)))
 		})
 
-		It("stays with what it has when the other is older", func() {
+		It("keeps its own parts when the other snapshot is older", func() {
 			Expect(held.Newest(catalog.Snapshot{AsOf: 19}).AsOf).To(Equal(catalog.Revision(20)))
 		})
 
-		// A stale replica of the platform may list an older configuration under a
-		// newer revision of its own. A configuration in force never goes back.
-		It("keeps its configuration and versions where the other's are older", func() {
+		// A stale replica of the platform may list an older configuration in a
+		// snapshot with a newer revision. The active configuration must not go back.
+		It("keeps its configuration and versions when the other's are older", func() {
 			next := held.Newest(catalog.Snapshot{AsOf: 25, ConfigRevision: 11, Config: &routing.Config{Version: 3}})
 			Expect(next.AsOf).To(Equal(catalog.Revision(25)))
 			Expect(next.Config.Version).To(Equal(int64(4)))
--- a/core/catalog/order_test.go
+++ b/core/catalog/check_test.go
@@ -8,29 +8,29 @@
 	"chivespindle.example/core/catalog"
 )
 
-var _ = Describe("A reading of the platform", func() {
-	// Guards against a list without a revision that replaces what is known.
-	It("counts for nothing without a revision", func() {
+var _ = Describe("Data read from the platform", func() {
+	// Guards against replacing the known state by a list without a revision.
+	It("is rejected without a revision", func() {
 		list := catalog.Snapshot{Servers: []catalog.Server{*server("a", "10.0.0.1:80", 1)}}
 		Expect(errorx.IsOfType(list.CheckList(), catalog.NoRevision)).To(BeTrue())
 		Expect(catalog.Snapshot{}.Newest(list).Servers).To(BeEmpty())
 		Expect(errorx.IsOfType(catalog.CheckOrder(0, 0), catalog.NoRevision)).To(BeTrue())
-		Expect(catalog.Snapshot{}.CheckList()).To(Succeed(), "it tells nothing of servers")
+		Expect(catalog.Snapshot{}.CheckList()).To(Succeed(), "it lists no servers")
 	})
 
-	// Guards against changes that are passed over at a store that lost what it had.
-	It("fails if its revision went back", func() {
+	// Guards against skipping changes of a store that has lost data.
+	It("is rejected if its revision went back", func() {
 		Expect(errorx.IsOfType(catalog.CheckOrder(9, 8), catalog.WentBack)).To(BeTrue())
 		Expect(catalog.CheckOrder(9, 9)).To(Succeed())
 	})
 
-	It("fails if it removes servers that are not known", func() {
+	It("is rejected if it removes unknown servers", func() {
 		held := catalog.Snapshot{AsOf: 5, Servers: []catalog.Server{*server("a", "10.0.0.1:80", 1)}}
 		changes := []catalog.Change{{Revision: 4, Removed: "old"}, {Revision: 6, Removed: "a"},
 			{Revision: 7, Server: server("b", "10.0.0.2:80", 7)}, {Revision: 8, Removed: "b"}}
 		Expect(held.CheckKnown(changes)).To(Succeed())
 		err := held.CheckKnown(append(changes, catalog.Change{Revision: 9, Removed: "c"}))
 		Expect(errorx.IsOfType(err, catalog.UnknownServer)).To(BeTrue())
-		Expect(err.Error()).To(ContainSubstring("1 registrations ended, the first that of c at revision 9"))
+		Expect(err.Error()).To(ContainSubstring("1 unknown servers removed, the first is c at revision 9"))
 	})
 })
--- a/core/delivery/delivery.go
+++ b/core/delivery/delivery.go
@@ -1,41 +1,42 @@
-// Package delivery decides what of a server's answer may be passed on to a caller, given
-// what the caller already has.
+// Package delivery decides which parts of a server's response may be forwarded to a
+// caller, given what the caller has already received.
 //
-// An event stream that breaks off can be resumed on another server, within one answer to
-// the caller. The caller must get one beginning, each event once and in order, and a
-// regular end only after the last event, whatever the servers answer.
+// An event stream that is interrupted can be resumed on another server within the same
+// response to the caller. Whatever the servers send, the caller must receive one response
+// head, each event once and in order, and a regular end only after the last event.
 package delivery
 
 import "chivespindle.example/core/failure"
 
 var (
-	// NotContinued: an answer cannot follow what the caller has.
+	// NotContinued: a response cannot continue what the caller has received.
 	NotContinued = failure.Namespace.NewType("not_continued")
-	// OutOfOrder: an event does not follow the one before it, or an end the last event.
+	// OutOfOrder: an event does not follow its predecessor, or a stream ended before the
+	// last event.
 	OutOfOrder = failure.Namespace.NewType("events_out_of_order")
-	// Illegal: a step that the stage of the answer does not allow.
+	// IllegalTransition: the stage of the response does not allow the step.
 	Illegal = failure.Namespace.NewType("illegal_delivery")
 )
 
-// NoEvent is the id of an event without one, and of the last event of a caller that has
-// none.
+// NoEvent stands for the ID of an event without an ID, and for the last event of a caller
+// that has received none.
 const NoEvent = -1
 
-// Stage is how much of its answer a caller has.
+// Stage is how much of its response a caller has received.
 type Stage uint8
 
 const (
-	// Nothing: the answer has not started.
+	// NotStarted: nothing was sent.
 	Nothing Stage = iota
-	// Partial: the head and some events were sent.
+	// Partial: the response head and some events were sent.
 	Partial
-	// Complete: the answer has ended regularly, or was refused.
+	// Complete: the response has ended regularly, or the request was refused.
 	Complete
-	// Cut: the answer ended before it was complete.
+	// Aborted: the response ended before it was complete.
 	Cut
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (s Stage) String() string {
 	switch s {
 	case Partial:
@@ -49,63 +50,65 @@
 	}
 }
 
-// Head is what a server's answer says before its body.
+// Head describes a server's response, as known before its body.
 type Head struct {
 	Status int
 	// IsStream is true if the body is a stream of events.
 	IsStream bool
-	// Version is the version of the weights that answer; 0 if it is not stated.
+	// Version is the version of the weights that produced the response; 0 if the server
+	// does not state it.
 	Version uint64
 }
 
-// IsEventStream reports whether the events can be passed on one by one. An error whose
-// body is a stream is passed on whole or not at all.
+// IsEventStream reports whether the events can be forwarded one by one. An error response
+// whose body is a stream is forwarded as a whole or not at all.
 func (h Head) IsEventStream() bool { return h.IsStream && h.Status/100 == 2 }
 
-// Progress is what a caller has of its answer. It is used by one goroutine.
+// Progress tracks what a caller has received of its response. It is not safe for
+// concurrent use.
 type Progress struct {
 	stage Stage
 	head  Head
-	// last is the id of the last event that the caller has.
+	// last is the ID of the last event that the caller has received.
 	last int64
-	// lastHasID is true if the last event that was passed on has an id, after which
-	// another server can resume.
+	// lastHasID is true if the last forwarded event has an ID, after which another server
+	// can resume.
 	lastHasID bool
-	// step is the difference between two ids in a row, 0 if it varies.
-	step     int64
-	numbered int // events with an id that were passed on here
+	// step is the difference between consecutive IDs, 0 if it varies.
+	step         int64
+	eventsWithID int // forwarded events with an ID
 }
 
-// New returns the progress of a caller that has the events up to last of an earlier
-// answer, NoEvent for none.
+// New returns the progress of a caller that has received the events up to last in an
+// earlier response, NoEvent for none.
 func New(last int64) *Progress { return &Progress{last: last, lastHasID: true, step: 1} }
 
-// Stage returns how much of its answer the caller has.
+// Stage returns how much of its response the caller has received.
 func (p *Progress) Stage() Stage { return p.stage }
 
-// HasStarted reports whether the caller has a part of its answer.
+// HasStarted reports whether the caller has received a part of its response.
 func (p *Progress) HasStarted() bool { return p.stage != Nothing }
 
-// LastEvent returns the id of the last event that the caller has.
+// LastEvent returns the ID of the last event that the caller has received.
 func (p *Progress) LastEvent() int64 { return p.last }
 
-// Version returns the version of the weights that the answer began with.
+// Version returns the version of the weights that the response started with.
 func (p *Progress) Version() uint64 { return p.head.Version }
 
-// MayResume reports whether another server can resume the stream after the last event
-// that the caller has.
+// CanResume reports whether another server can resume the stream after the last event
+// that the caller has received.
 func (p *Progress) MayResume() bool { return p.lastHasID }
 
-// Run is one server's run of the request.
+// Attempt is one server's response to the request.
 type Run struct {
 	head Head
-	// resumes is true if the caller had a part of the answer before.
+	// resumes is true if the caller had received a part of the response before.
 	resumes bool
 	last    int64
 	events  int
 }
 
-// Events returns how many events the server returned; 0 for no run.
+// Events returns how many events the server returned; 0 for a nil attempt.
 func (r *Run) Events() int {
 	if r == nil {
 		return 0
@@ -113,30 +116,31 @@
 	return r.events
 }
 
-// Accept takes the head of a server's answer, and fails with NotContinued if it cannot
-// follow what the caller has.
+// Accept starts an attempt with the head of a server's response. It fails with
+// NotContinued if the response cannot continue what the caller has received.
 func (p *Progress) Accept(h Head) (*Run, error) {
 	switch {
 	case p.stage == Nothing:
 		return &Run{head: h, last: NoEvent}, nil
 	case p.stage != Partial:
-		return nil, Illegal.New("an answer follows one that is %s", p.stage)
+		return nil, Illegal.New("response after one in stage %s", p.stage)
 	case !p.lastHasID:
-		return nil, NotContinued.New("the last event that the caller has is without an id")
+		return nil, NotContinued.New("cannot resume: the last event sent to the caller has no ID")
 	case !h.IsEventStream():
-		return nil, NotContinued.New("status %d, stream %t", h.Status, h.IsStream)
+		return nil, NotContinued.New("cannot resume with a response of status %d, event stream %t", h.Status, h.IsStream)
 	case h.Version != p.head.Version:
-		return nil, NotContinued.New("version %d after version %d", h.Version, p.head.Version)
+		return nil, NotContinued.New("cannot resume with weights version %d after version %d", h.Version, p.head.Version)
 	default:
 		return &Run{head: h, resumes: true, last: NoEvent}, nil
 	}
 }
 
-// Event takes the id of a run's next event and reports whether it is to be passed on:
-// the caller may have it already. It fails with OutOfOrder if the event does not follow.
+// Event records the ID of an attempt's next event and reports whether the event is to be
+// forwarded, that is, whether the caller lacks it. It fails with OutOfOrder if the event
+// does not follow its predecessor.
 func (p *Progress) Event(r *Run, id int64) (pass bool, err error) {
 	if p.stage > Partial {
-		return false, Illegal.New("an event follows an answer that is %s", p.stage)
+		return false, Illegal.New("event after a response in stage %s", p.stage)
 	}
 	if err := p.check(r, id); err != nil {
 		return false, err
@@ -148,24 +152,24 @@
 			return false, nil
 		}
 	}
-	p.take(r, id)
+	p.record(r, id)
 	return true, nil
 }
 
 func (p *Progress) check(r *Run, id int64) error {
 	switch {
 	case id < 0 && r.resumes && r.last < p.last:
-		return OutOfOrder.New("an event without an id at the start of a stream resumed after event %d", p.last)
+		return OutOfOrder.New("event without an ID at the start of a stream resumed after event %d", p.last)
 	case id >= 0 && id <= r.last:
 		return OutOfOrder.New("event %d after event %d", id, r.last)
 	case r.resumes && r.last < p.last && id > p.last && p.step > 0 && id != p.last+p.step:
-		return OutOfOrder.New("a stream resumed after event %d goes on with event %d", p.last, id)
+		return OutOfOrder.New("stream resumed after event %d continues with event %d", p.last, id)
 	default:
 		return nil
 	}
 }
 
-func (p *Progress) take(r *Run, id int64) {
+func (p *Progress) record(r *Run, id int64) {
 	if p.stage == Nothing {
 		p.stage, p.head = Partial, r.head
 	}
@@ -173,50 +177,50 @@
 	if !p.lastHasID {
 		return
 	}
-	p.numbered++
+	p.eventsWithID++
 	switch difference := id - p.last; {
-	case p.numbered == 2:
+	case p.eventsWithID == 2:
 		p.step = difference
-	case p.numbered > 2 && difference != p.step:
+	case p.eventsWithID > 2 && difference != p.step:
 		p.step = 0
 	}
 	p.last = id
 }
 
-// CheckEnd fails with OutOfOrder if the end of a run does not show that the caller has
-// all events: a run must have reached the last one. A resumed run that returns no event
-// does not show that it knows of any. A caller that comes with events of an earlier answer
-// may have all of them.
+// CheckEnd fails with OutOfOrder if the end of an attempt does not prove that the caller
+// has received all events: the attempt must have reached the last event that the caller
+// has. A resumed attempt without events does not prove that the server knows of any. A
+// caller with events of an earlier response may already have all of them.
 func (p *Progress) CheckEnd(r *Run) error {
 	if r.last < p.last && (r.resumes || r.last != NoEvent) {
-		return OutOfOrder.New("a stream ended after event %d, the caller has event %d", r.last, p.last)
+		return OutOfOrder.New("stream ended after event %d, but the caller has received event %d", r.last, p.last)
 	}
 	return nil
 }
 
-// Finish ends an answer regularly after a run.
+// Finish ends a response regularly at the end of an attempt.
 func (p *Progress) Finish(r *Run) error {
 	if err := p.CheckEnd(r); err != nil {
 		return err
 	}
 	if p.stage > Partial {
-		return Illegal.New("an end follows an answer that is %s", p.stage)
+		return Illegal.New("end of a response in stage %s", p.stage)
 	}
 	p.stage = Complete
 	return nil
 }
 
-// Whole takes an answer whose body is known, or a refusal: nothing may come before it or
-// after.
+// FinishUnstreamed records a response that is sent at once, or a refusal. Nothing may
+// precede or follow it.
 func (p *Progress) Whole() error {
 	if p.stage != Nothing {
-		return Illegal.New("a whole answer follows one that is %s", p.stage)
+		return Illegal.New("unstreamed response after one in stage %s", p.stage)
 	}
 	p.stage = Complete
 	return nil
 }
 
-// Cut ends an answer that is not complete.
+// Abort ends a response that is not complete.
 func (p *Progress) Cut() {
 	if p.stage != Complete {
 		p.stage = Cut
--- a/core/delivery/delivery_test.go
+++ b/core/delivery/delivery_test.go
@@ -8,52 +8,52 @@
 	"chivespindle.example/core/delivery"
 )
 
-var ok = delivery.Head{Status: 200, IsStream: true, Version: 1}
+var okHead = delivery.Head{Status: 200, IsStream: true, Version: 1}
 
-// begun returns the progress of a caller that has events of one run.
-func begun(ids ...int64) *delivery.Progress {
+// started returns the progress of a caller that has received events of one attempt.
+func started(ids ...int64) *delivery.Progress {
 	p := delivery.New(delivery.NoEvent)
-	run, err := p.Accept(ok)
+	attempt, err := p.Accept(okHead)
 	Expect(err).NotTo(HaveOccurred())
 	for _, id := range ids {
-		Expect(p.Event(run, id)).To(BeTrue())
+		Expect(p.Event(attempt, id)).To(BeTrue())
 	}
 	return p
 }
 
-func ofType(kind *errorx.Type) OmegaMatcher {
-	return WithTransform(func(err error) bool { return errorx.IsOfType(err, kind) }, BeTrue())
+func ofType(errType *errorx.Type) OmegaMatcher {
+	return WithTransform(func(err error) bool { return errorx.IsOfType(err, errType) }, BeTrue())
 }
 
-var _ = Describe("An answer that has begun", func() {
-	// Guards against a failure or another version that ends or continues a stream.
+var _ = Describe("A response that has started", func() {
+	// Guards against an error or another version that continues or ends a stream.
 	DescribeTable("is not continued by",
 		func(h delivery.Head) {
-			_, err := begun(0, 1).Accept(h)
+			_, err := started(0, 1).Accept(h)
 			Expect(err).To(ofType(delivery.NotContinued))
 		},
-		Entry("a failure", delivery.Head{Status: 500, Version: 1}),
-		Entry("a failure in a stream", delivery.Head{Status: 500, IsStream: true, Version: 1}),
-		Entry("a body that is no stream", delivery.Head{Status: 200, Version: 1}),
+		Entry("an error", delivery.Head{Status: 500, Version: 1}),
+		Entry("an error in a stream", delivery.Head{Status: 500, IsStream: true, Version: 1}),
+		Entry("a body that is not a stream", delivery.Head{Status: 200, Version: 1}),
 		Entry("another version", delivery.Head{Status: 200, IsStream: true, Version: 2}),
 		Entry("no version", delivery.Head{Status: 200, IsStream: true}),
 	)
 
-	It("is not continued after an event without an id", func() {
-		p := begun(0, delivery.NoEvent)
+	It("is not continued after an event without an ID", func() {
+		p := started(0, delivery.NoEvent)
 		Expect(p.MayResume()).To(BeFalse())
-		_, err := p.Accept(ok)
+		_, err := p.Accept(okHead)
 		Expect(err).To(ofType(delivery.NotContinued))
 	})
 
-	// Guards against events that come twice, are missing or cannot be ordered.
-	DescribeTable("is continued after the last event only",
+	// Guards against events that are duplicated, missing or cannot be ordered.
+	DescribeTable("is only continued after the last event",
 		func(had, more []int64, passed []bool, fails bool) {
-			p := begun(had...)
-			run, err := p.Accept(ok)
+			p := started(had...)
+			attempt, err := p.Accept(okHead)
 			Expect(err).NotTo(HaveOccurred())
 			for i, id := range more {
-				pass, err := p.Event(run, id)
+				pass, err := p.Event(attempt, id)
 				if fails && i == len(more)-1 {
 					Expect(err).To(ofType(delivery.OutOfOrder))
 					return
@@ -61,43 +61,43 @@
 				Expect(err).NotTo(HaveOccurred())
 				Expect(pass).To(Equal(passed[i]))
 			}
-			Expect(p.Finish(run)).To(Succeed())
+			Expect(p.Finish(attempt)).To(Succeed())
 		},
-		Entry("by the next", []int64{0, 1}, []int64{2}, []bool{true}, false),
-		Entry("by a run that repeats what the caller has", []int64{0, 1}, []int64{0, 1, 2}, []bool{false, false, true}, false),
-		Entry("by ids with the same difference", []int64{10, 20}, []int64{30}, []bool{true}, false),
-		Entry("by any higher id where the differences vary", []int64{1, 2, 5}, []int64{9}, []bool{true}, false),
-		Entry("by one without an id behind the next", []int64{0, 1}, []int64{2, delivery.NoEvent}, []bool{true, true}, false),
-		Entry("where an event without an id came before the last", []int64{0, delivery.NoEvent, 1}, []int64{2}, []bool{true}, false),
-		Entry("where an event without an id came first", []int64{delivery.NoEvent, 10}, []int64{11}, []bool{true}, false),
-		Entry("not by one without an id among those that the caller has", []int64{0, 1}, []int64{0, delivery.NoEvent}, []bool{false}, true),
-		Entry("not by one too late", []int64{0, 1}, []int64{3}, nil, true),
-		Entry("not by one too late after a single event", []int64{0}, []int64{2}, nil, true),
-		Entry("not by one without an id", []int64{0, 1}, []int64{delivery.NoEvent}, nil, true),
-		Entry("not by one that goes back", []int64{0, 1}, []int64{2, 2}, []bool{true}, true),
+		Entry("by the next event", []int64{0, 1}, []int64{2}, []bool{true}, false),
+		Entry("by an attempt that repeats events that the caller has", []int64{0, 1}, []int64{0, 1, 2}, []bool{false, false, true}, false),
+		Entry("by IDs with the same difference", []int64{10, 20}, []int64{30}, []bool{true}, false),
+		Entry("by any higher ID if the differences vary", []int64{1, 2, 5}, []int64{9}, []bool{true}, false),
+		Entry("by an event without an ID after the next one", []int64{0, 1}, []int64{2, delivery.NoEvent}, []bool{true, true}, false),
+		Entry("after an event without an ID before the last one", []int64{0, delivery.NoEvent, 1}, []int64{2}, []bool{true}, false),
+		Entry("after a first event without an ID", []int64{delivery.NoEvent, 10}, []int64{11}, []bool{true}, false),
+		Entry("not by an event without an ID among those that the caller has", []int64{0, 1}, []int64{0, delivery.NoEvent}, []bool{false}, true),
+		Entry("not by an event that skips one", []int64{0, 1}, []int64{3}, nil, true),
+		Entry("not by an event that skips one after a single event", []int64{0}, []int64{2}, nil, true),
+		Entry("not by an event without an ID", []int64{0, 1}, []int64{delivery.NoEvent}, nil, true),
+		Entry("not by a repeated ID", []int64{0, 1}, []int64{2, 2}, []bool{true}, true),
 	)
 
-	// Guards against a resumption without events that is taken for the rest.
-	DescribeTable("is not ended by a run that does not reach its last event",
+	// Guards against treating an empty resumed stream as the rest of the response.
+	DescribeTable("is not ended by an attempt that does not reach its last event",
 		func(ids ...int64) {
-			p := begun(0, 1, 2)
-			run, err := p.Accept(ok)
+			p := started(0, 1, 2)
+			attempt, err := p.Accept(okHead)
 			Expect(err).NotTo(HaveOccurred())
 			for _, id := range ids {
-				Expect(p.Event(run, id)).To(BeFalse())
+				Expect(p.Event(attempt, id)).To(BeFalse())
 			}
-			Expect(p.Finish(run)).To(ofType(delivery.OutOfOrder))
+			Expect(p.Finish(attempt)).To(ofType(delivery.OutOfOrder))
 			Expect(p.Stage()).To(Equal(delivery.Partial))
 		},
-		Entry("without an event"),
+		Entry("without events"),
 		Entry("that repeats the first events", int64(0), int64(1)),
 	)
 
-	It("goes on with the run of before if another one did not follow", func() {
-		p := begun(0)
-		old, err := p.Accept(ok)
+	It("continues with the previous attempt if another one fails", func() {
+		p := started(0)
+		old, err := p.Accept(okHead)
 		Expect(err).NotTo(HaveOccurred())
-		other, err := p.Accept(ok)
+		other, err := p.Accept(okHead)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = p.Event(other, 5)
 		Expect(err).To(HaveOccurred())
@@ -105,35 +105,35 @@
 		Expect(p.LastEvent()).To(Equal(int64(1)))
 	})
 
-	// Guards against a second answer or a refusal behind the first events.
-	It("takes no whole answer or refusal", func() {
-		p := begun(0)
+	// Guards against a second response or a refusal after the first events.
+	It("does not accept an unstreamed response or a refusal", func() {
+		p := started(0)
 		Expect(p.Whole()).To(ofType(delivery.Illegal))
 	})
 })
 
-var _ = Describe("An answer that has ended", func() {
-	DescribeTable("takes nothing more",
+var _ = Describe("A response that has ended", func() {
+	DescribeTable("accepts nothing more",
 		func(end func(*delivery.Progress, *delivery.Run)) {
 			p := delivery.New(delivery.NoEvent)
-			run, err := p.Accept(ok)
+			attempt, err := p.Accept(okHead)
 			Expect(err).NotTo(HaveOccurred())
-			end(p, run)
+			end(p, attempt)
 			stage := p.Stage()
-			_, err = p.Accept(ok)
+			_, err = p.Accept(okHead)
 			Expect(err).To(ofType(delivery.Illegal))
-			_, err = p.Event(run, 7)
+			_, err = p.Event(attempt, 7)
 			Expect(err).To(ofType(delivery.Illegal))
-			Expect(p.Finish(run)).To(ofType(delivery.Illegal))
+			Expect(p.Finish(attempt)).To(ofType(delivery.Illegal))
 			Expect(p.Whole()).To(ofType(delivery.Illegal))
 			Expect(p.Stage()).To(Equal(stage))
 		},
 		Entry("complete", func(p *delivery.Progress, r *delivery.Run) { Expect(p.Finish(r)).To(Succeed()) }),
-		Entry("whole", func(p *delivery.Progress, _ *delivery.Run) { Expect(p.Whole()).To(Succeed()) }),
-		Entry("cut", func(p *delivery.Progress, _ *delivery.Run) { p.Cut() }),
+		Entry("unstreamed", func(p *delivery.Progress, _ *delivery.Run) { Expect(p.Whole()).To(Succeed()) }),
+		Entry("aborted", func(p *delivery.Progress, _ *delivery.Run) { p.Cut() }),
 	)
 
-	It("is not cut once it is complete", func() {
+	It("is not aborted once it is complete", func() {
 		p := delivery.New(delivery.NoEvent)
 		Expect(p.Whole()).To(Succeed())
 		p.Cut()
@@ -141,25 +141,25 @@
 	})
 })
 
-var _ = Describe("An answer to a caller that has earlier events", func() {
-	It("repeats none of them, and may have no more", func() {
+var _ = Describe("A response to a caller that has earlier events", func() {
+	It("repeats none of them and may contain no others", func() {
 		p := delivery.New(3)
-		run, err := p.Accept(ok)
+		attempt, err := p.Accept(okHead)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(p.Event(run, 3)).To(BeFalse())
+		Expect(p.Event(attempt, 3)).To(BeFalse())
 		Expect(p.HasStarted()).To(BeFalse())
-		Expect(p.Finish(run)).To(Succeed())
+		Expect(p.Finish(attempt)).To(Succeed())
 	})
 })
 
-var _ = Describe("An answer to a caller that has later events than its server", func() {
-	// Guards against a server that knows less than the caller, whose end is taken for the
-	// end of the stream.
+var _ = Describe("A response to a caller that has later events than its server", func() {
+	// Guards against a server that knows fewer events than the caller and whose end is
+	// treated as the end of the stream.
 	It("is not complete", func() {
 		p := delivery.New(3)
-		run, err := p.Accept(ok)
+		attempt, err := p.Accept(okHead)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(p.Event(run, 1)).To(BeFalse())
-		Expect(p.Finish(run)).To(ofType(delivery.OutOfOrder))
+		Expect(p.Event(attempt, 1)).To(BeFalse())
+		Expect(p.Finish(attempt)).To(ofType(delivery.OutOfOrder))
 	})
 })
--- a/core/failure/failure.go
+++ b/core/failure/failure.go
@@ -1,9 +1,8 @@
-// Package failure holds the error types of the whole system.
+// Package failure defines the error types that are shared by the whole system.
 //
-// Every error that crosses a package boundary is an errorx type made from
-// Namespace, so that a reader of a log line or an exit code finds the kind
-// of failure by name. An error that can reach a caller also carries an
-// Outcome, which tells what the caller may do next.
+// Every error that crosses a package boundary has an errorx type in Namespace, so that
+// a log line or an exit code identifies the kind of failure by name. An error that can
+// reach a caller also carries an Outcome, which determines whether the caller may retry.
 package failure
 
 import (
@@ -12,26 +11,24 @@
 	"github.com/joomcode/errorx"
 )
 
-// Outcome says what is known of a request after a failure.
+// Outcome is what is known about the execution of a request after a failure.
 //
-// The zero value is Unknown, so an error that nobody classified never claims
-// that a request was not run.
+// The zero value is Unknown, so an unclassified error never claims that a request was
+// not run.
 type Outcome uint8
 
 const (
-	// Unknown means the request may have run. Only an idempotent request may
-	// be sent again.
+	// Unknown means the request may have run. Only an idempotent request may be retried.
 	Unknown Outcome = iota
-	// NotRun means the request certainly was not passed to a backend server.
-	// Any request may be sent again.
+	// NotRun means the request was definitely not passed to a backend server. Any
+	// request may be retried.
 	NotRun
-	// Ran means the backend server ran the request, and its answer is given
-	// or was given before.
+	// Ran means the backend server ran the request, and its response is being delivered
+	// or was delivered before.
 	Ran
 )
 
-// String returns the word used on the wire and in logs: "unknown", "not_run"
-// or "ran".
+// String returns the name used on the wire and in logs: "unknown", "not_run" or "ran".
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -48,30 +45,30 @@
 
 // Traits that callers test with errorx.HasTrait.
 var (
-	// Temporary marks a failure that the same call may not meet again.
+	// Temporary marks an error that may not recur if the call is repeated.
 	Temporary = errorx.RegisterTrait("temporary")
-	// Input marks a failure that the person at the keyboard can mend.
+	// Input marks an error in user input.
 	Input = errorx.RegisterTrait("input")
 )
 
-// Types shared by several packages. A package with failures of its own
-// declares them beside the code with Namespace.NewType.
+// Types shared by several packages. Package-specific types are declared in their package
+// with Namespace.NewType.
 var (
 	// Unavailable: the other side cannot be reached or is down.
 	Unavailable = Namespace.NewType("unavailable", Temporary)
-	// RateLimited: the other side asked for a pause; see RetryAfter.
+	// RateLimited: the other side requested a pause; see RetryAfter.
 	RateLimited = Namespace.NewType("rate_limited", Temporary)
 	// Corrupt: bytes do not match their digest or cannot be decoded.
 	Corrupt = Namespace.NewType("corrupt")
-	// NotFound: the other side does not hold what was asked for.
+	// NotFound: the other side does not have the requested item.
 	NotFound = Namespace.NewType("not_found")
-	// Refused: the other side understood and declined.
+	// Refused: the other side understood the request and declined it.
 	Refused = Namespace.NewType("refused")
 	// Invalid: the input breaks a documented rule.
 	Invalid = Namespace.NewType("invalid", Input)
-	// Timeout: a deadline of ours passed.
+	// Timeout: a local deadline passed.
 	Timeout = Namespace.NewType("timeout", Temporary)
-	// Internal: a rule of the program itself was broken.
+	// Internal: an internal invariant was violated.
 	Internal = Namespace.NewType("internal")
 )
 
@@ -80,12 +77,12 @@
 	retryAfterProperty = errorx.RegisterProperty("retry_after")
 )
 
-// WithOutcome returns err with what is known of the request.
+// WithOutcome returns err with the outcome of the request attached.
 func WithOutcome(err *errorx.Error, o Outcome) *errorx.Error {
 	return err.WithProperty(outcomeProperty, o)
 }
 
-// OutcomeOf returns the outcome that err carries, Unknown if none.
+// OutcomeOf returns the outcome attached to err, Unknown if there is none.
 func OutcomeOf(err error) Outcome {
 	value, ok := errorx.ExtractProperty(err, outcomeProperty)
 	if !ok {
@@ -98,12 +95,12 @@
 	return outcome
 }
 
-// WithRetryAfter returns err with the pause that the other side asked for.
+// WithRetryAfter returns err with the pause attached that the other side requested.
 func WithRetryAfter(err *errorx.Error, pause time.Duration) *errorx.Error {
 	return err.WithProperty(retryAfterProperty, pause)
 }
 
-// RetryAfter returns the pause that err carries, 0 if none.
+// RetryAfter returns the pause attached to err, 0 if there is none.
 func RetryAfter(err error) time.Duration {
 	value, ok := errorx.ExtractProperty(err, retryAfterProperty)
 	if !ok {
--- a/core/feed/backlog_test.go
+++ b/core/feed/backlog_test.go
@@ -10,44 +10,44 @@
 )
 
 var _ = Describe("A backlog", func() {
-	const most = 3
+	const limit = 3
 	var (
-		learned feed.Counter
+		counter feed.Counter
 		marks   []feed.Mark
 		fresh   feed.Cursor
 	)
 
 	BeforeEach(func() {
-		learned, marks = feed.Counter{}, nil
-		fresh = learned.Cursor()
-		for range 2*most + 1 {
-			marks = append(marks, learned.Mark(feed.Own))
+		counter, marks = feed.Counter{}, nil
+		fresh = counter.Cursor()
+		for range 2*limit + 1 {
+			marks = append(marks, counter.Mark(feed.Own))
 		}
 	})
 
-	// message is the next one to a peer of what was learned, read in any order.
+	// message returns the next message to a peer. Reports are added in descending order.
 	message := func(sent feed.Cursor) ([]int, feed.Cursor) {
-		b := feed.NewBacklog[int](&learned, sent, feed.Near)
+		b := feed.NewBacklog[int](&counter, sent, feed.Near)
 		for i, m := range slices.Backward(marks) {
 			if b.Lacks(m) {
 				b.Add(m, i)
 			}
 		}
-		return b.Message(most)
+		return b.Message(limit)
 	}
 
-	It("is sent in parts, in the order in which it was learned", func() {
+	It("is sent in several messages, in the order in which the reports were learned", func() {
 		first, sent := message(fresh)
 		second, sent := message(sent)
 		rest, sent := message(sent)
 		Expect([][]int{first, second, rest}).To(Equal([][]int{{0, 1, 2}, {3, 4, 5}, {6}}))
-		b := feed.NewBacklog[int](&learned, sent, feed.Near)
+		b := feed.NewBacklog[int](&counter, sent, feed.Near)
 		Expect(b.IsUpToDate()).To(BeTrue())
 	})
 
-	It("is sent to a new peer at once", func() {
+	It("is sent to a new peer in one message", func() {
 		all, sent := message(0)
 		Expect(all).To(Equal([]int{0, 1, 2, 3, 4, 5, 6}))
-		Expect(sent).To(Equal(learned.Cursor()))
+		Expect(sent).To(Equal(counter.Cursor()))
 	})
 })
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("A mark", func() {
-	DescribeTable("is due once, to those which others did not send it", func(from, to feed.Source, due bool) {
+	DescribeTable("is due once, to peers that do not receive it from others", func(from, to feed.Source, due bool) {
 		var c feed.Counter
 		sent := c.Cursor()
 		m := c.Mark(from)
@@ -16,12 +16,12 @@
 		Expect(m.IsDue(m.Cursor(), to)).To(BeFalse())
 		Expect(m.IsDue(0, to)).To(BeTrue())
 	},
-		Entry("own, to a near one", feed.Own, feed.Near, true),
-		Entry("own, to a far one", feed.Own, feed.Far, true),
-		Entry("near, to a near one", feed.Near, feed.Near, false),
-		Entry("near, to a far one", feed.Near, feed.Far, true),
-		Entry("far, to a near one", feed.Far, feed.Near, true),
-		Entry("far, to a far one", feed.Far, feed.Far, false),
+		Entry("local, to a peer of the same group", feed.Own, feed.Near, true),
+		Entry("local, to a peer of another group", feed.Own, feed.Far, true),
+		Entry("same group, to a peer of the same group", feed.Near, feed.Near, false),
+		Entry("same group, to a peer of another group", feed.Near, feed.Far, true),
+		Entry("another group, to a peer of the same group", feed.Far, feed.Near, true),
+		Entry("another group, to a peer of another group", feed.Far, feed.Far, false),
 	)
 
 	It("is never due if nothing was learned", func() {
--- a/core/feed/feedtest/feedtest.go
+++ b/core/feed/feedtest/feedtest.go
@@ -1,4 +1,4 @@
-// Package feedtest has fleets of entries that exchange what they learn, for tests.
+// Package feedtest simulates fleets of entries that exchange reports, for tests.
 package feedtest
 
 import (
@@ -12,21 +12,21 @@
 	"chivespindle.example/core/linking"
 )
 
-// Registry is what an entry learned, exchanged as reports of type R. Merge returns
-// what they change.
+// Registry holds the observations of an entry, which are exchanged as reports of type R.
+// Merge returns the changes that the reports cause.
 type Registry[R, C any] interface {
 	Since(now time.Time, sent feed.Cursor, to feed.Source) ([]R, feed.Cursor)
 	Merge(now time.Time, reports []R, from feed.Source) []C
 }
 
-// Fleet is entries in three regions, each with a registry.
+// Fleet is a set of entries in three regions, each with a registry.
 type Fleet[R, C any, T Registry[R, C]] struct {
 	Registries []T
 	Now        time.Time
 	entries    []entry
 }
 
-// entry is one of a fleet, with its links.
+// entry is an entry of a fleet, with its links.
 type entry struct {
 	id   fleet.InstanceID
 	plan linking.Plan
@@ -51,7 +51,7 @@
 	return f
 }
 
-// sourceOf returns what another entry is to e.
+// sourceOf returns whether another entry is in the same group as e.
 func (e entry) sourceOf(other entry) feed.Source {
 	if e.plan.Near[other.id] {
 		return feed.Near
@@ -59,8 +59,8 @@
 	return feed.Far
 }
 
-// Exchange has all entries send one message over each of their links. None knows
-// yet what another sends in the same round. It returns the number of reports sent.
+// Exchange makes all entries send one message over each of their links. The messages of
+// a round are merged after all have been sent. It returns the number of reports sent.
 func (f *Fleet[R, C, T]) Exchange() int {
 	var deliver []func()
 	count := 0
@@ -81,11 +81,11 @@
 	return count
 }
 
-// ExpectSpread has the entries exchange messages until isKnown holds for every
-// registry, and fails if that takes longer than allowed. A whole beat is sent to each
-// entry in the pause between two rounds.
+// ExpectSpread makes the entries exchange messages until isKnown holds for every
+// registry, and fails if that takes longer than allowed. The pause between
+// two rounds is the interval in which each entry is sent a complete heartbeat.
 func (f *Fleet[R, C, T]) ExpectSpread(allowed time.Duration, isKnown func(T) bool) {
-	const beat = 500 * time.Millisecond
+	const interval = 500 * time.Millisecond
 	count := func() int {
 		n := 0
 		for _, r := range f.Registries {
@@ -97,14 +97,14 @@
 	}
 	start := f.Now
 	for count() < len(f.Registries) {
-		f.Now = f.Now.Add(beat)
-		gomega.Expect(f.Now.Sub(start)).To(gomega.BeNumerically("<=", allowed), "known to %d", count())
+		f.Now = f.Now.Add(interval)
+		gomega.Expect(f.Now.Sub(start)).To(gomega.BeNumerically("<=", allowed), "known to %d entries", count())
 		f.Exchange()
 	}
 }
 
-// Drain sends a peer all that it lacks. It returns the number of reports in all and
-// in the largest message.
+// Drain sends a peer all reports that it lacks. It returns the total number of reports and
+// the number in the largest message.
 func Drain[R, C any](r Registry[R, C], now time.Time, sent feed.Cursor) (all, largest int) {
 	for {
 		var reports []R
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet names the things that the system looks after: instances,
-// their places, services and model versions. It holds no behaviour beyond
-// parsing and printing.
+// Package fleet defines the basic identifiers of the system: instances, their places,
+// services and model versions. Apart from comparing, hashing, parsing and printing them
+// it has no behaviour.
 package fleet
 
 import (
@@ -12,29 +12,29 @@
 	"chivespindle.example/core/failure"
 )
 
-// InstanceID names one process of the system on one instance for the whole
-// life of that instance. A replacement has another id.
+// InstanceID identifies one process of the system on one instance for the lifetime of
+// that instance. A replacement has another ID.
 type InstanceID string
 
-// Zone names an availability zone, unique over all regions.
+// Zone is the name of an availability zone, unique across all regions.
 type Zone string
 
-// Region names a region.
+// Region is the name of a region.
 type Region string
 
-// ServiceName names a service of the operator's text.
+// ServiceName is the name of a service in the operator's configuration.
 type ServiceName string
 
-// Workspace names a customer, the unit of request limits.
+// Workspace is the name of a customer, to which request limits apply.
 type Workspace string
 
-// Role is the part that a process plays.
+// Role is the role of a process.
 type Role string
 
 const (
-	// RoleEntry takes requests from callers.
+	// RoleEntry accepts requests from clients.
 	RoleEntry Role = "entry"
-	// RoleAgent stands beside one backend server.
+	// RoleAgent runs alongside one backend server.
 	RoleAgent Role = "agent"
 	// RoleOperator is a command-line client that may read status.
 	RoleOperator Role = "operator"
@@ -46,17 +46,17 @@
 	Region Region `cbor:"2,keyasint" json:"region"`
 }
 
-// Distance orders places by how near they are.
+// Distance is the network distance between two places; a lower value is nearer.
 type Distance uint8
 
-// Distances, the nearest first.
+// Distances in ascending order.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// DistanceTo returns how far another place is.
+// DistanceTo returns the distance to another place.
 func (p Place) DistanceTo(other Place) Distance {
 	switch {
 	case p.Zone == other.Zone:
@@ -68,8 +68,8 @@
 	}
 }
 
-// Instance is one line of the platform's instance list. The list lags: an
-// instance may have gone, or be missing, for tens of seconds.
+// Instance is one element of the platform's instance list. The list lags: a removed
+// instance may still be listed, or a new one be missing, for tens of seconds.
 type Instance struct {
 	ID      InstanceID  `json:"id"`
 	Role    Role        `json:"role"`
@@ -77,9 +77,9 @@
 	Place
 	// PeerAddr is the UDP address of the process's QUIC listener.
 	PeerAddr netip.AddrPort `json:"peer_addr"`
-	// CallerAddr is the TCP address for callers; zero for an agent.
+	// CallerAddr is the TCP address for clients; zero for an agent.
 	CallerAddr netip.AddrPort `json:"caller_addr,omitzero"`
-	// Leaving is true once the platform has announced the instance's end.
+	// Leaving is true once the platform has announced the termination of the instance.
 	Leaving bool `json:"leaving"`
 }
 
@@ -94,7 +94,7 @@
 	return blake3.Sum256(data)
 }
 
-// ParseDigest reads the text form of a digest.
+// ParseDigest parses the text form of a digest.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
@@ -108,7 +108,7 @@
 // String returns the text form.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero reports whether d is the zero digest, which names nothing.
+// IsZero reports whether d is the zero digest, which stands for no digest.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -124,15 +124,14 @@
 	return nil
 }
 
-// Version is one intended state of a model: a name for people and the digest
-// of its manifest, which pins every byte. Two versions are equal only if both
-// fields are.
+// Version identifies a version of a model by a human-readable name and the digest of its
+// manifest, which determines every byte. Two versions are equal only if both fields are.
 type Version struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Manifest Digest `cbor:"2,keyasint" json:"manifest"`
 }
 
-// IsZero reports whether v names no version.
+// IsZero reports whether v is the zero value, which stands for no version.
 func (v Version) IsZero() bool { return v == Version{} }
 
 // String returns "name@" and the first twelve digits of the digest.
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -13,9 +13,9 @@
 	}{
 		{1000, 1000, false},
 		{1000, 2000, true},
-		{2000, 1000, true}, // its clock was set back
-		{0, 1000, false},   // not told before
-		{1000, 0, false},   // not told now
+		{2000, 1000, true}, // clock was set back
+		{0, 1000, false},   // not reported before
+		{1000, 0, false},   // not reported now
 	} {
 		if got := c.now.Replaces(c.before); got != c.want {
 			t.Errorf("%d after %d: %v", c.now, c.before, got)
--- a/core/loading/loading.go
+++ b/core/loading/loading.go
@@ -1,10 +1,10 @@
-// Package loading decides when the agent beside an engine orders it to load a
-// version of its weights.
+// Package loading decides when an agent orders its engine to load a version of the
+// model weights.
 //
-// There is no leader. Engines of a service take turns by a hash of their
-// instance, which all agents compute alike, so that the service never stands
-// still while a version replaces another, and no word of any other process is
-// waited for.
+// There is no leader. The engines of a service load in turns, ordered by a hash of
+// their instance ID that all agents compute alike. The service therefore stays
+// available while one version replaces another, and no agent has to wait for a
+// message from another process.
 package loading
 
 import (
@@ -18,158 +18,161 @@
 )
 
 const (
-	// firstTurn and lastTurn are the parts of the time for a version between
-	// which the turns lie. Before the first the chunks are on their way; after
-	// the last an engine still has to finish what it runs and to load.
+	// firstTurn and lastTurn are the fractions of the time for a version between
+	// which the turns lie. Before firstTurn the chunks are in transit; after
+	// lastTurn an engine still has to finish its running calls and to load.
 	firstTurn = 0.34
 	lastTurn  = 0.88
-	// giveUpUnseen is the share of a version's chunks that no agent may hold for it
-	// to be given up for a newer one.
-	giveUpUnseen = 0.5
-	// finishWithin is the part of the time for a version during which the one before
-	// is finished first.
+	// abandonMissing is the fraction of a version's chunks above which the version is
+	// abandoned for a newer one if no agent holds them.
+	abandonMissing = 0.5
+	// finishWithin is the fraction of the time for a newer version during which the
+	// previous version is finished first.
 	finishWithin = 0.4
-	// orderAgain is how long an order may go without effect before it is given
-	// once more: the answer to an order may be lost, and reports lag.
-	orderAgain = 1500 * time.Millisecond
-	// worthWaiting is how soon the wanted version must be staged for an engine
-	// without any to wait for it, and how long a version must be of use to be
-	// loaded: a few load times.
+	// orderRetryInterval is how long an order may have no effect before it is repeated:
+	// the response to an order may be lost, and reports lag.
+	orderRetryInterval = 1500 * time.Millisecond
+	// worthWaiting, a few load times, is how soon the wanted version must be staged
+	// for an engine without weights to wait for it, and how long a version must
+	// remain usable to be worth loading.
 	worthWaiting = 1200 * time.Millisecond
-	// refusedPause is the pause after an order that the engine declined.
-	refusedPause = 300 * time.Millisecond
+	// declinedPause is the pause after an order that the engine declined.
+	declinedPause = 300 * time.Millisecond
 )
 
-// Engine is what the engine reports of itself.
+// Engine is the state that an engine reports.
 type Engine struct {
-	// Loaded is the version it holds whole; 0 for none.
+	// Loaded is the version that is completely loaded; 0 for none.
 	Loaded uint64
 	// Busy is true while an order is being carried out.
 	Busy bool
-	// Pace is by how much its passes last longer than published; 1 is sound.
+	// Slowdown is the factor by which passes exceed their published duration;
+	// 1 is normal.
 	Pace float64
 	Born fleet.Start
-	// Queued and Running are the calls that wait there and those that it answers.
+	// Queued and Running are the numbers of waiting and running calls.
 	Queued, Running int
 	Orders          Orders
 }
 
-// Orders is how many orders the engine's process has accepted.
+// Orders is the number of orders that the engine's process has accepted.
 type Orders struct {
 	Count uint64
-	Told  bool // false if the engine does not tell it
+	Told  bool // false if the engine does not report the number
 }
 
-// Step is what the agent is to do next.
+// Step is the next action of the agent.
 type Step uint8
 
 const (
-	// Rest: nothing is to be done.
+	// Idle: there is nothing to do.
 	Rest Step = iota
-	// Gather: the version's chunks are to be gathered.
+	// Fetch: the version's chunks are to be fetched.
 	Gather
-	// Wait: everything is staged, and it is not this engine's turn yet.
+	// Wait: the version is staged, but the engine may not be ordered to load it yet.
 	Wait
-	// Order: the stage is to be checked once more and the engine ordered to load
-	// the target.
+	// Order: the staged version is to be verified once more and the engine ordered to
+	// load it.
 	Order
 )
 
-// Far is the time until a version is ready whose chunks do not come.
+// NotExpected is the time until a version is staged if its chunks do not arrive.
 const Far = time.Hour
 
-// Plan is the state of one engine's change of version. It belongs to the
-// control loop.
+// Plan is the state of one engine's change to another version. It is not safe for
+// concurrent use; only the control loop uses it.
 type Plan struct {
 	instance fleet.InstanceID
-	within   time.Duration // for a whole change, of all engines
-	off      policy.Off
-
-	names     Names
-	staged    []uint64  // rising
-	stagedAt  time.Time // when the last of them was
-	readRank  int       // among the agents of the region that read manifests
-	place     float64   // of the engine's turn, from 0 to 1
+	within   time.Duration // for a change of all engines
+	disabled policy.Off
+
+	versions  Names
+	staged    []uint64  // ascending
+	stagedAt  time.Time // when the last of them was staged
+	readRank  int       // rank among the agents of the region for reading manifests
+	position  float64   // position of the engine's turn, from 0 to 1
 	leaving   bool
 	orderedAt time.Time
 	ordered   uint64
 	notBefore time.Time
 }
 
-// NewPlan returns the plan of the engine on an instance. within is the time in
-// which a new version has to replace the one before everywhere.
-func NewPlan(instance fleet.InstanceID, within time.Duration, off policy.Off) *Plan {
-	return &Plan{instance: instance, within: within, off: off}
+// NewPlan returns the plan for the engine on an instance. within is the time in
+// which a new version must replace the previous one on all engines.
+func NewPlan(instance fleet.InstanceID, within time.Duration, disabled policy.Off) *Plan {
+	return &Plan{instance: instance, within: within, disabled: disabled}
 }
 
-// SetMembers takes the instances of all engines of the service, this one
-// included. Their order by hash is that of their turns, in equal steps: taken from
-// the hash itself, turns bunch up.
+// SetMembers sets the instances of all engines of the service, including this one.
+// Turns are in the order of the instances' hashes, at equal intervals; turns taken
+// directly from the hash values would cluster.
 func (p *Plan) SetMembers(members []fleet.InstanceID) {
 	before := 0
 	for _, other := range members {
-		if rankOf(other) < rankOf(p.instance) {
+		if hashOf(other) < hashOf(p.instance) {
 			before++
 		}
 	}
-	p.place = float64(before) / float64(max(1, len(members)))
+	p.position = float64(before) / float64(max(1, len(members)))
 }
 
 const (
-	// manifestReaders is how many agents of a region read a manifest at the origin at
-	// once, each over a connection; the others hear it from them in some 50 ms.
+	// manifestReaders is how many agents of a region read a manifest from the origin
+	// concurrently, each over its own connection. The others receive it from them
+	// within about 50 ms.
 	manifestReaders = 2
-	// readStep is how much longer each doubling of that number waits, in case
-	// nothing is heard.
+	// readStep is the additional delay for each doubling of the number of readers, in
+	// case the earlier readers report nothing.
 	readStep = 250 * time.Millisecond
 )
 
-// SetRegion takes the instances of the engines in the own region, this one
-// included.
+// SetRegion sets the instances of the engines in the local region, including this one.
 //
-// Each region has readers of its own: after a restart of the fleet regions find each
-// other late, and its engines would wait for a manifest with all chunks staged.
+// Each region has its own readers. After a restart of the fleet the regions discover
+// each other late, and the engines of a region without readers would wait for a
+// manifest with all chunks staged.
 func (p *Plan) SetRegion(members []fleet.InstanceID) {
 	p.readRank = 0
 	for _, other := range members {
-		if rankOf(other) < rankOf(p.instance) {
+		if hashOf(other) < hashOf(p.instance) {
 			p.readRank++
 		}
 	}
 }
 
-// ReadAfter returns how long this agent waits before it reads a manifest at the
-// origin, where the first wait for least.
-func (p *Plan) ReadAfter(least time.Duration) time.Duration {
+// ManifestReadDelay returns how long this agent waits before it reads a manifest from
+// the origin. The first readers wait for minDelay.
+func (p *Plan) ReadAfter(minDelay time.Duration) time.Duration {
 	steps := 0
 	for readers := manifestReaders; readers <= p.readRank; readers *= 2 {
 		steps++
 	}
-	return least + time.Duration(steps)*readStep
+	return minDelay + time.Duration(steps)*readStep
 }
 
-func rankOf(instance fleet.InstanceID) uint64 { return xxhash.Sum64String(string(instance)) }
+func hashOf(instance fleet.InstanceID) uint64 { return xxhash.Sum64String(string(instance)) }
 
-// Want takes a version that the operator named. It reports whether another
-// version is wanted now.
+// AddWanted adds a version that the operator named. It reports whether this changed
+// the wanted version.
 func (p *Plan) Want(named Named) bool {
-	before := p.names.Newest()
-	p.names, _ = p.names.Add(named, 0)
-	return p.names.Newest() != before
+	before := p.versions.Newest()
+	p.versions, _ = p.versions.Add(named, 0)
+	return p.versions.Newest() != before
 }
 
-// SetLeaving tells whether the engine's server leaves. It needs no new version
-// then, and what it drew from the origin would go with it: others that heard of
-// a chunk waited seconds for a copy before one of them drew it again.
+// SetLeaving sets whether the engine's server is leaving. A leaving server needs no
+// new version, and the chunks that it fetched from the origin are lost with it: other
+// agents that knew of such a chunk waited seconds for a copy before one of them fetched
+// it again.
 func (p *Plan) SetLeaving(leaving bool) { p.leaving = leaving }
 
-// IsLeaving reports whether the engine's server leaves.
+// IsLeaving reports whether the engine's server is leaving.
 func (p *Plan) IsLeaving() bool { return p.leaving }
 
-// Wanted returns the version that the engine should hold; 0 while unknown.
-func (p *Plan) Wanted() uint64 { return p.names.Newest() }
+// Wanted returns the version that the engine should load; 0 while unknown.
+func (p *Plan) Wanted() uint64 { return p.versions.Newest() }
 
-// Staged tells that a version is staged whole.
+// MarkStaged records that a version is completely staged.
 func (p *Plan) Staged(now time.Time, version uint64) {
 	p.stagedAt = now
 	if at, found := slices.BinarySearch(p.staged, version); !found {
@@ -177,48 +180,51 @@
 	}
 }
 
-// Ordered tells that an order was given.
+// MarkOrdered records that the engine was ordered to load a version.
 func (p *Plan) Ordered(now time.Time, version uint64) {
 	p.ordered = version
 	p.orderedAt = now
 }
 
-// Accepted tells that the engine is known to have taken the last order, which may
-// be long after that was given.
+// MarkAccepted records that the engine is known to have accepted the last order, which
+// may be long after the order was sent.
 func (p *Plan) Accepted(now time.Time) {
 	if p.ordered != 0 {
 		p.orderedAt = now
 	}
 }
 
-// StartedAnew tells that the engine's process was replaced: no order runs there.
-// What was ordered of its predecessor would else be waited for, for orderAgain.
+// MarkRestarted records that the engine's process was replaced, so that no order is
+// running. Otherwise the plan would wait for the order to the previous process for
+// orderRetryInterval.
 func (p *Plan) StartedAnew() {
 	p.ordered = 0
 	p.orderedAt = time.Time{}
 	p.notBefore = time.Time{}
 }
 
-// OrderedAt returns when the last order was given, or was known to be taken.
+// OrderedAt returns when the last order was sent, or when it became known that the
+// engine accepted it.
 func (p *Plan) OrderedAt() time.Time { return p.orderedAt }
 
-// Declined tells that the engine did not take the order.
+// MarkDeclined records that the engine declined the order.
 func (p *Plan) Declined(now time.Time) {
 	p.ordered = 0
-	p.notBefore = now.Add(refusedPause)
+	p.notBefore = now.Add(declinedPause)
 }
 
-// Changing reports whether the engine takes no new requests since it has been
+// IsReloading reports whether the engine accepts no new requests because it has been
 // ordered to load.
 func (p *Plan) Changing(e Engine) bool { return p.ordered != 0 && e.Loaded != p.ordered }
 
-// Target returns the version to load next, 0 if none is staged that is worth
-// it. wantedIn is the time until the wanted version is staged here.
+// Target returns the version to load next, 0 if no staged version is worth loading.
+// wantedIn is the time until the wanted version is staged.
 //
-// A newer version may be named while the one before spreads, and its chunks may
-// not come: the origin fails just then, say. The engine would have to leave
-// service as outdated with the version between lying staged. So that one is
-// loaded, unless the wanted one comes before the engine is out of time.
+// A newer version may be named while the previous one is still being distributed, and
+// its chunks may not arrive, for example because the origin fails. The engine would
+// then have to leave service as outdated although the intermediate version is staged.
+// So the intermediate version is loaded, unless the wanted version will be staged
+// before the loaded one expires.
 func (p *Plan) Target(now time.Time, e Engine, wantedIn time.Duration) uint64 {
 	if len(p.staged) == 0 {
 		return 0
@@ -227,49 +233,50 @@
 	if newest == p.Wanted() || newest <= e.Loaded {
 		return newest
 	}
-	if p.off.LoadBetween || !p.usable(now, newest) {
+	if p.disabled.LoadBetween || !p.usable(now, newest) {
 		return 0
 	}
 	if e.Loaded == 0 && wantedIn > worthWaiting {
 		return newest
 	}
-	since, _ := p.names.OutdatedSince(e.Loaded)
+	since, _ := p.versions.OutdatedSince(e.Loaded)
 	if e.Loaded != 0 && now.Add(wantedIn).After(since.Add(time.Duration(lastTurn*float64(p.within)))) {
 		return newest
 	}
 	return 0
 }
 
-// usable reports whether a version may be served from for a while yet.
+// usable reports whether a version may still be served for at least worthWaiting.
 func (p *Plan) usable(now time.Time, version uint64) bool {
-	since, outdated := p.names.OutdatedSince(version)
+	since, outdated := p.versions.OutdatedSince(version)
 	return !outdated || since.Add(time.Duration(lastTurn*float64(p.within))).After(now.Add(worthWaiting))
 }
 
-// OutOfTime returns since when the version that the engine holds may not be
-// served from any more, and false while it may, or if it holds none.
+// ExpiredSince returns since when the engine's loaded version may no longer be
+// served. It returns false while the version may be served, or if none is loaded.
 func (p *Plan) OutOfTime(now time.Time, e Engine) (time.Time, bool) {
-	since, outdated := p.names.OutdatedSince(e.Loaded)
+	since, outdated := p.versions.OutdatedSince(e.Loaded)
 	end := since.Add(p.within)
 	return end, e.Loaded != 0 && outdated && !now.Before(end)
 }
 
-// GivesUp reports whether a version is given up for a newer one, of which this
-// share of chunks no engine's agent is known to hold.
-func (p *Plan) GivesUp(unseen float64) bool { return unseen > giveUpUnseen }
+// ShouldAbandon reports whether a version is to be abandoned for a newer one. missing
+// is the fraction of the version's chunks that no agent is known to hold.
+func (p *Plan) GivesUp(missing float64) bool { return missing > abandonMissing }
 
-// FinishesFirst reports whether the rest of a version is to leave the origin
-// before a newer one begins to. Later on it would be of use for too short a time,
-// and the newer one comes later by what it takes.
-func (p *Plan) FinishesFirst(now time.Time, version uint64, unseen float64) bool {
-	if unseen == 0 || p.GivesUp(unseen) {
+// ShouldFinishFirst reports whether the missing chunks of a version are to be fetched
+// from the origin before those of a newer version. Late in the time for the newer
+// version the older one would be of use for too short a time, and fetching it delays the
+// newer one.
+func (p *Plan) FinishesFirst(now time.Time, version uint64, missing float64) bool {
+	if missing == 0 || p.GivesUp(missing) {
 		return false
 	}
-	since, outdated := p.names.OutdatedSince(version)
-	return !outdated || now.Before(since.Add(part(finishWithin, p.within)))
+	since, outdated := p.versions.OutdatedSince(version)
+	return !outdated || now.Before(since.Add(fractionOf(finishWithin, p.within)))
 }
 
-// Next returns the next step.
+// Next returns the next step of the agent.
 func (p *Plan) Next(now time.Time, e Engine, wantedIn time.Duration) Step {
 	wanted := p.Wanted()
 	target := p.Target(now, e, wantedIn)
@@ -278,7 +285,7 @@
 		return Rest
 	case target == 0 || target <= e.Loaded:
 		return Gather
-	case p.ordered == target && now.Sub(p.orderedAt) < orderAgain || e.Busy || now.Before(p.notBefore):
+	case p.ordered == target && now.Sub(p.orderedAt) < orderRetryInterval || e.Busy || now.Before(p.notBefore):
 		return Wait
 	case now.Before(p.turn(e)):
 		return Wait
@@ -287,23 +294,26 @@
 	}
 }
 
-// turn is when this engine may stop to serve the version that it has. One that
-// holds none has nothing to stop.
+// turn returns when this engine may stop serving its loaded version. An engine
+// without a loaded version need not wait.
 //
-// Where the bytes come late, the turns lie between then and the last: they come
-// to all engines at about the same time, and with turns that had passed by then
-// 47 of 58 engines were out of service at once.
+// If the version is staged after the first turn, the turns lie between that time and the
+// last turn. The chunks arrive at all engines at about the same time, and if the turns
+// had already passed, the engines would load together: 47 of 58 engines were out of
+// service at once.
 func (p *Plan) turn(e Engine) time.Time {
-	since, _ := p.names.OutdatedSince(e.Loaded)
-	if e.Loaded == 0 || p.off.Turns {
+	since, _ := p.versions.OutdatedSince(e.Loaded)
+	if e.Loaded == 0 || p.disabled.Turns {
 		return since
 	}
-	first := since.Add(part(firstTurn, p.within))
-	last := since.Add(part(lastTurn, p.within))
+	first := since.Add(fractionOf(firstTurn, p.within))
+	last := since.Add(fractionOf(lastTurn, p.within))
 	if p.stagedAt.After(first) {
 		first = p.stagedAt
 	}
-	return first.Add(part(p.place, max(0, last.Sub(first))))
+	return first.Add(fractionOf(p.position, max(0, last.Sub(first))))
 }
 
-func part(share float64, of time.Duration) time.Duration { return time.Duration(share * float64(of)) }
+func fractionOf(share float64, of time.Duration) time.Duration {
+	return time.Duration(share * float64(of))
+}
--- a/core/loading/loading_test.go
+++ b/core/loading/loading_test.go
@@ -26,28 +26,28 @@
 	return loading.Named{Version: version, Since: at(since)}
 }
 
-var _ = Describe("Names", func() {
-	// A process that has just started tells that a version is old, since it
-	// cannot know better. One that followed the platform does: left at once, all
-	// engines with the version before would be out of service together.
-	It("take no assumed age for a version that was not there a moment ago", func() {
-		told := loading.Named{Version: 2, Since: at(-within), Assumed: true}
-		heard := loading.Named{Version: 2, Since: at(time.Second)}
-		Expect(loading.Names{}.Correct(told, heard)).To(Equal(heard))
-
-		three := loading.Names{known(3, 500*time.Millisecond)}
-		Expect(three.Correct(told, heard)).To(Equal(loading.Named{Version: 2, Since: at(500 * time.Millisecond)}))
+var _ = Describe("NamedVersions", func() {
+	// A process that has just started reports that a version is old, because it
+	// does not know its age. A process that has followed the platform corrects this:
+	// otherwise all engines with the previous version would leave service together.
+	It("does not accept an assumed age for a version that was not present a moment ago", func() {
+		reported := loading.Named{Version: 2, Since: at(-within), Assumed: true}
+		now := loading.Named{Version: 2, Since: at(time.Second)}
+		Expect(loading.Names{}.Correct(reported, now)).To(Equal(now))
+
+		known3 := loading.Names{known(3, 500*time.Millisecond)}
+		Expect(known3.Correct(reported, now)).To(Equal(loading.Named{Version: 2, Since: at(500 * time.Millisecond)}))
 
 		started := loading.Names{{Version: 3, Since: at(-within), Assumed: true}}
-		Expect(started.Correct(told, heard)).To(Equal(told))
-		both := loading.Names{told, known(3, 0)}
-		Expect(both.Correct(told, heard)).To(Equal(told))
+		Expect(started.Correct(reported, now)).To(Equal(reported))
+		both := loading.Names{reported, known(3, 0)}
+		Expect(both.Correct(reported, now)).To(Equal(reported))
 	})
 
-	// Version 2 is named, and version 3 two seconds later while 2 still spreads.
-	// An engine that holds version 1 must be out of service by the time of
-	// version 2: judged by the newest, it would answer two seconds longer.
-	It("judges an engine by the first version that is newer than its own", func() {
+	// Version 2 is named, and version 3 two seconds later while version 2 is still
+	// being distributed. An engine with version 1 must leave service by the deadline
+	// of version 2; judged by version 3, it would serve two seconds longer.
+	It("judges an engine by the first version newer than its own", func() {
 		names, _ := loading.Names{}.Add(known(2, 0), 0)
 		names, _ = names.Add(known(3, 2*time.Second), 0)
 		since, outdated := names.OutdatedSince(1)
@@ -59,7 +59,7 @@
 		Expect(outdated).To(BeFalse())
 	})
 
-	DescribeTable("settles when a version was named",
+	DescribeTable("determines when a version was named",
 		func(have, add loading.Named, want time.Duration, changed bool) {
 			names, _ := loading.Names{}.Add(have, 0)
 			names, got := names.Add(add, 200*time.Millisecond)
@@ -67,25 +67,25 @@
 			Expect(since).To(Equal(at(want)))
 			Expect(got).To(Equal(changed))
 		},
-		Entry("the earlier counts", known(2, time.Second), known(2, 0), time.Duration(0), true),
-		Entry("the later does not", known(2, 0), known(2, time.Second), time.Duration(0), false),
-		Entry("within the skew nothing changes", known(2, 100*time.Millisecond), known(2, 0), 100*time.Millisecond, false),
-		// An entry restarts in the middle of a change and takes the version for
-		// long known. Told to the others, all of them would leave the engines
-		// that still serve, and no server would be left.
-		Entry("an assumed age does not replace a known one",
+		Entry("the earlier time replaces the later", known(2, time.Second), known(2, 0), time.Duration(0), true),
+		Entry("the later time does not replace the earlier", known(2, 0), known(2, time.Second), time.Duration(0), false),
+		Entry("nothing changes within the skew", known(2, 100*time.Millisecond), known(2, 0), 100*time.Millisecond, false),
+		// An entry restarts during a change and assumes that the version was named long
+		// before. If the other entries adopted that time, all of them would stop using
+		// the engines that still serve, and no server would be left.
+		Entry("an assumed time does not replace a known one",
 			known(2, 0), loading.Named{Version: 2, Since: at(-within), Assumed: true}, time.Duration(0), false),
-		Entry("a known age replaces an assumed one",
+		Entry("a known time replaces an assumed one",
 			loading.Named{Version: 2, Since: at(-within), Assumed: true}, known(2, 0), time.Duration(0), true),
 	)
 
-	It("leaves names alone that are shared", func() {
+	It("does not modify a shared value", func() {
 		first, _ := loading.Names{}.Add(known(2, 0), 0)
 		_, _ = first.Add(known(1, 0), 0)
 		Expect(first).To(HaveLen(1))
 	})
 
-	It("remembers no more than it needs", func() {
+	It("remembers a bounded number of versions", func() {
 		var names loading.Names
 		for version := range uint64(100) {
 			names, _ = names.Add(known(version+1, 0), 0)
@@ -102,14 +102,14 @@
 
 	BeforeEach(func() { p = loading.NewPlan("10.0.0.1", within, policy.Off{}) })
 
-	It("rests while no version is wanted", func() {
+	It("is idle while no version is wanted", func() {
 		Expect(p.Next(start, serving, loading.Far)).To(Equal(loading.Rest))
 	})
 
-	// A version is named while three servers leave. Their agents drew the first
-	// chunks and ended half a second later; the origin crashed before the chunks
-	// were drawn again, and no engine had the version whole in its time.
-	It("gathers and orders nothing while its server leaves", func() {
+	// A version is named while three servers are leaving. Their agents fetched the first
+	// chunks and exited half a second later. The origin crashed before the chunks were
+	// fetched again, and no engine had the complete version in time.
+	It("fetches and orders nothing while its server is leaving", func() {
 		p.SetLeaving(true)
 		p.Want(known(2, 0))
 		Expect(p.Next(at(time.Second), serving, soon)).To(Equal(loading.Rest))
@@ -119,27 +119,27 @@
 		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Order))
 	})
 
-	// A version counts from the first newer one. Judged by the newest, an engine
-	// would be told of as in time for as long as versions follow each other.
-	It("tells since when the version that an engine holds is out of time", func() {
-		_, isOver := p.OutOfTime(at(time.Hour), serving)
-		Expect(isOver).To(BeFalse(), "nothing was named")
+	// The time of a version ends relative to the first newer version. Judged by the
+	// newest, an engine would never expire while versions follow each other.
+	It("returns since when an engine's loaded version has expired", func() {
+		_, isExpired := p.OutOfTime(at(time.Hour), serving)
+		Expect(isExpired).To(BeFalse(), "no version was named")
 		p.Want(known(2, 0))
 		p.Want(known(3, 2*time.Second))
-		_, isOver = p.OutOfTime(at(within-time.Millisecond), serving)
-		Expect(isOver).To(BeFalse())
-		end, isOver := p.OutOfTime(at(within), serving)
-		Expect(isOver).To(BeTrue())
+		_, isExpired = p.OutOfTime(at(within-time.Millisecond), serving)
+		Expect(isExpired).To(BeFalse())
+		end, isExpired := p.OutOfTime(at(within), serving)
+		Expect(isExpired).To(BeTrue())
 		Expect(end).To(Equal(at(within)))
-		_, isOver = p.OutOfTime(at(within), loading.Engine{Loaded: 2})
-		Expect(isOver).To(BeFalse(), "version 3 was named later")
-		_, isOver = p.OutOfTime(at(time.Hour), loading.Engine{Loaded: 3})
-		Expect(isOver).To(BeFalse(), "it is the wanted one")
-		_, isOver = p.OutOfTime(at(time.Hour), empty)
-		Expect(isOver).To(BeFalse(), "it holds none")
+		_, isExpired = p.OutOfTime(at(within), loading.Engine{Loaded: 2})
+		Expect(isExpired).To(BeFalse(), "version 3 was named later")
+		_, isExpired = p.OutOfTime(at(time.Hour), loading.Engine{Loaded: 3})
+		Expect(isExpired).To(BeFalse(), "it is the wanted version")
+		_, isExpired = p.OutOfTime(at(time.Hour), empty)
+		Expect(isExpired).To(BeFalse(), "no version is loaded")
 	})
 
-	It("gathers, waits for its turn, and orders", func() {
+	It("fetches, waits for its turn, and orders", func() {
 		Expect(p.Want(known(2, 0))).To(BeTrue())
 		Expect(p.Next(start, serving, soon)).To(Equal(loading.Gather))
 		p.Staged(start, 2)
@@ -154,9 +154,9 @@
 		Expect(p.Next(at(time.Millisecond), empty, 0)).To(Equal(loading.Order))
 	})
 
-	// All engines of a service change to a version. If they did so at once, the
-	// service would stand still for as long as one engine needs.
-	It("spreads the turns of a service's engines in equal steps, all within the time", func() {
+	// If all engines of a service changed to a version at the same time, the service
+	// would be unavailable for as long as one engine takes.
+	It("spreads the turns of a service's engines evenly within the time", func() {
 		turns := turnsOf(200, within, start)
 		Expect(turns[199]).To(BeNumerically("<", within*90/100))
 		Expect(turns[199] - turns[0]).To(BeNumerically(">", within*40/100))
@@ -165,14 +165,14 @@
 		}
 	})
 
-	// 58 engines have the bytes of a version only after more than half of its
-	// time: the origin and the links between regions are narrow. By then most
-	// turns had passed, and 47 engines were out of service at once. An engine is
-	// out for some 0.9 s.
-	It("spreads the turns also when the bytes come late", func() {
+	// 58 engines receive the chunks of a version only after more than half of its time,
+	// because the bandwidth of the origin and between regions is low. Most turns had
+	// passed by then, and 47 engines were out of service at once. An engine is out of
+	// service for about 0.9 s.
+	It("spreads the turns if the chunks arrive late", func() {
 		const engines, within, outFor = 58, 10300 * time.Millisecond, 900 * time.Millisecond
 		turns := turnsOf(engines, within, at(5500*time.Millisecond))
-		most := 0
+		mostMissing := 0
 		for i := range turns {
 			out := 0
 			for _, other := range turns {
@@ -180,16 +180,16 @@
 					out++
 				}
 			}
-			most = max(most, out)
+			mostMissing = max(mostMissing, out)
 		}
-		Expect(most).To(BeNumerically("<=", engines/3))
+		Expect(mostMissing).To(BeNumerically("<=", engines/3))
 		Expect(turns[engines-1]).To(BeNumerically("<", within*90/100))
 	})
 
-	// Version 3 is named two seconds after version 2, and the origin fails just
-	// then. Every engine would leave service as outdated although version 2 lies
-	// staged beside it.
-	It("loads the version between if the wanted one does not come in time", func() {
+	// Version 3 is named two seconds after version 2, and the origin fails at that
+	// moment. Every engine would leave service as outdated although version 2 is
+	// staged.
+	It("loads the intermediate version if the wanted one does not arrive in time", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Want(known(3, 2*time.Second))
@@ -197,21 +197,21 @@
 		Expect(p.Next(at(within*84/100), serving, loading.Far)).To(Equal(loading.Order))
 	})
 
-	It("passes over the version between if the wanted one is about to come", func() {
+	It("skips the intermediate version if the wanted one is about to arrive", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Want(known(3, 2*time.Second))
 		Expect(p.Target(at(4*time.Second), serving, soon)).To(BeZero())
 	})
 
-	It("does not load a version that is out of time itself", func() {
+	It("does not load an expired version", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Want(known(3, 0))
 		Expect(p.Target(at(within), empty, loading.Far)).To(BeZero())
 	})
 
-	It("orders again if an order shows no effect", func() {
+	It("repeats an order that has no effect", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Ordered(at(within), 2)
@@ -220,7 +220,7 @@
 		Expect(p.Next(at(within+2*time.Second), serving, 0)).To(Equal(loading.Order))
 	})
 
-	It("serves on after an order that was declined, and tries again", func() {
+	It("keeps serving after a declined order and tries again", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Ordered(at(within), 2)
@@ -230,9 +230,9 @@
 		Expect(p.Next(at(within+time.Second), serving, 0)).To(Equal(loading.Order))
 	})
 
-	// The order got no answer and was found to be taken long after it was given. Told
-	// from then, it would be given again while the engine begins to load.
-	It("waits for an order from when it is known to be taken", func() {
+	// The order got no response, and its acceptance became known long after it was sent.
+	// Timed from when it was sent, it would be repeated while the engine starts to load.
+	It("waits for an order from the time of its known acceptance", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Ordered(at(within), 2)
@@ -240,11 +240,11 @@
 		Expect(p.Next(at(within+6*time.Second), serving, 0)).To(Equal(loading.Wait))
 		Expect(p.Next(at(within+7*time.Second), serving, 0)).To(Equal(loading.Order))
 		p.StartedAnew()
-		p.Accepted(at(within + 7*time.Second)) // by the process before
+		p.Accepted(at(within + 7*time.Second)) // by the previous process
 		Expect(p.Next(at(within+7*time.Second), empty, 0)).To(Equal(loading.Order))
 	})
 
-	It("rests once the engine holds the wanted version", func() {
+	It("is idle once the engine has loaded the wanted version", func() {
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
 		p.Ordered(start, 2)
@@ -253,10 +253,11 @@
 		Expect(p.Changing(done)).To(BeFalse())
 	})
 
-	// 58 agents read a manifest at an origin of 48 connections, each over one of
-	// its own, and some had it three seconds after the first. A few read at once;
-	// the others only if they hear nothing from those.
-	It("has a few agents of each region read a manifest at once and the others wait", func() {
+	// 58 agents read a manifest from an origin that accepts 48 connections, each agent
+	// over its own connection, and some received it three seconds after the first. So
+	// a few agents read immediately, and the others only if they receive nothing from
+	// those.
+	It("lets a few agents of each region read a manifest immediately while the others wait", func() {
 		regions := make([][]fleet.InstanceID, 3)
 		for i := range 58 {
 			region := i % len(regions)
@@ -273,17 +274,18 @@
 				}
 				last = max(last, plan.ReadAfter(0))
 			}
-			Expect(atOnceHere).To(Equal(2), "in each region: regions may find each other late")
+			Expect(atOnceHere).To(Equal(2), "in each region, since regions may discover each other late")
 			atOnce += atOnceHere
 		}
 		Expect(atOnce).To(Equal(6))
 		Expect(last).To(BeNumerically("<=", time.Second))
-		Expect(loading.NewPlan("i", within, policy.Off{}).ReadAfter(soon)).To(Equal(soon), "one that knows of no other waits for none")
+		Expect(loading.NewPlan("i", within, policy.Off{}).ReadAfter(soon)).To(Equal(soon), "an agent that knows no others does not wait for any")
 	})
 
-	// The engine was ordered to load and its process was replaced before it had.
-	// The order is gone with it; waited for, the engine stood empty for a second.
-	It("orders at once again when the engine started anew", func() {
+	// The engine's process was replaced after the order and before the load. The order
+	// was lost with the process; waiting for it left the engine without weights for a
+	// second.
+	It("repeats the order immediately after the engine restarts", func() {
 		p := loading.NewPlan("i", within, policy.Off{})
 		p.Want(known(2, 0))
 		p.Staged(start, 2)
@@ -291,14 +293,14 @@
 		before := loading.Engine{Born: 1000}
 		now := at(1100 * time.Millisecond)
 		Expect(p.Next(now, before, 0)).To(Equal(loading.Wait))
-		anew := loading.Engine{Born: 900}
+		restarted := loading.Engine{Born: 900}
 		p.StartedAnew()
-		Expect(p.Next(now, anew, 0)).To(Equal(loading.Order))
+		Expect(p.Next(now, restarted, 0)).To(Equal(loading.Order))
 	})
 })
 
-// turnsOf returns when the engines of a service that have a version staged from
-// some time on are ordered to load it, in order.
+// turnsOf returns, in ascending order, when the engines of a service are ordered to
+// load a version that is staged from stagedAt on.
 func turnsOf(engines int, within time.Duration, stagedAt time.Time) []time.Duration {
 	serving := loading.Engine{Loaded: 1}
 	members := make([]fleet.InstanceID, engines)
@@ -317,7 +319,7 @@
 	return turns
 }
 
-// turnOf finds when a plan orders first.
+// turnOf returns when a plan first returns Order.
 func turnOf(p *loading.Plan, e loading.Engine, within time.Duration) time.Duration {
 	for d := time.Duration(0); d <= within; d += 10 * time.Millisecond {
 		if p.Next(at(d), e, 0) == loading.Order {
@@ -327,12 +329,12 @@
 	return within
 }
 
-// A version is named two seconds after another, and the origin fails half a
-// second later, for six. By what each agent held itself, the first was given up
-// with four fifths of it in the fleet, and no engine could be used for the last
-// five seconds until the second came.
-var _ = Describe("A version that a newer one follows", func() {
-	const most, little = 0.2, 0.7
+// A second version is named two seconds after the first, and half a second later the
+// origin fails for six seconds. When each agent decided by its own chunks alone, the
+// first version was abandoned although the fleet held four fifths of it, and no engine
+// was usable for the last five seconds before the second version arrived.
+var _ = Describe("A version followed by a newer one", func() {
+	const mostMissing, little = 0.2, 0.7
 	var plan *loading.Plan
 
 	BeforeEach(func() {
@@ -341,24 +343,24 @@
 		plan.Want(known(3, 2*time.Second))
 	})
 
-	It("is finished if most of it has left the origin, however little is here", func() {
-		Expect(plan.GivesUp(most)).To(BeFalse())
-		Expect(plan.FinishesFirst(at(2*time.Second), 2, most)).To(BeTrue())
+	It("is finished if most of it has been fetched from the origin, however little of it locally", func() {
+		Expect(plan.GivesUp(mostMissing)).To(BeFalse())
+		Expect(plan.FinishesFirst(at(2*time.Second), 2, mostMissing)).To(BeTrue())
 	})
 
-	It("is given up if little has left it", func() {
+	It("is abandoned if little of it has been fetched", func() {
 		Expect(plan.GivesUp(little)).To(BeTrue())
 		Expect(plan.FinishesFirst(at(2*time.Second), 2, little)).To(BeFalse())
 	})
 
-	It("does not hold the newer one back once all of it has left the origin", func() {
+	It("does not delay the newer version once all of it has been fetched", func() {
 		Expect(plan.GivesUp(0)).To(BeFalse())
 		Expect(plan.FinishesFirst(at(2*time.Second), 2, 0)).To(BeFalse())
 	})
 
-	// The origin is back after six seconds. The first version would be of use for
-	// two more, and the second come later by as much as its rest takes.
-	It("is not finished late, when it is of little use", func() {
-		Expect(plan.FinishesFirst(at(8500*time.Millisecond), 2, most)).To(BeFalse())
+	// The origin recovers after six seconds. The first version would be of use for two
+	// more seconds, and fetching the rest of it would delay the second.
+	It("is not finished late, when it would be of little use", func() {
+		Expect(plan.FinishesFirst(at(8500*time.Millisecond), 2, mostMissing)).To(BeFalse())
 	})
 })
--- a/core/loading/outcome.go
+++ b/core/loading/outcome.go
@@ -1,23 +1,24 @@
 package loading
 
-// Outcome is what is known of an order that got no answer.
+// Outcome is what is known about an order that got no response.
 type Outcome uint8
 
 const (
-	// Open: the engine may still take the order.
+	// Pending: the engine may still accept the order.
 	Open Outcome = iota
-	// Taken: the engine has accepted it, or a repeat of it. Those that it has not
-	// come to fit its number of orders no more.
+	// Accepted: the engine has accepted the order or a repetition of it. Repetitions
+	// that it has not processed yet no longer match its number of orders.
 	Taken
-	// Lost: the order is gone with the engine's process.
+	// Lost: the order was lost with the engine's process.
 	Lost
 )
 
-// OutcomeOf returns what a report tells of an order to load a version, whose
-// repeats are all given as the first after the same report.
+// OutcomeOf returns the outcome of an order to load a version, derived from the
+// engine's reports before the order and now. All repetitions of the order must be sent
+// on the basis of the same report as the first.
 //
-// An engine that does not tell its orders is judged by its state, which may be
-// that from before the order.
+// An engine that does not report its number of orders is judged by its state, which may
+// predate the order.
 func OutcomeOf(version uint64, before, now Engine) Outcome {
 	isCounted := before.Orders.Told && now.Orders.Told
 	switch {
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -18,11 +18,11 @@
 	}
 }
 
-// BenchmarkStanding is what a request costs while as many are remembered as can be.
-func BenchmarkStanding(b *testing.B) {
+// BenchmarkStatus measures the cost per request while the registry is full.
+func BenchmarkStatus(b *testing.B) {
 	r := quarantine.New()
 	for n := range 1000 {
-		r.Crashed(start, request(n), engine(n))
+		r.Crashed(start, request(n), serverID(n))
 	}
 	for b.Loop() {
 		r.Standing(start, request(1))
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// mostReports bounds the reports of one message; the rest follows in the next.
-	mostReports = 24
-	// mostFirstReports bounds those of the first message to a peer.
-	mostFirstReports = 256
+	// maxReports bounds the reports in one message; the rest follow in the next one.
+	maxReports = 24
+	// maxFirstReports bounds the reports in the first message to a peer.
+	maxFirstReports = 256
 )
 
-// countedReport is a report with the number of crashes known of its request.
+// countedReport is a report with the number of known crashes of its request.
 type countedReport struct {
 	Report
 	crashes int
 }
 
-// Since returns the reports that a peer lacks, which is near or far, and its cursor
-// once it has them.
+// Since returns the reports that a peer in the same or another group lacks, and the
+// peer's cursor once it has received them. Of a long first message only the reports of
+// requests with the most crashes are sent.
 func (r *Registry) Since(now time.Time, sent feed.Cursor, to feed.Source) ([]Report, feed.Cursor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	backlog := feed.NewBacklog[countedReport](&r.learned, sent, to)
+	backlog := feed.NewBacklog[countedReport](&r.counter, sent, to)
 	if backlog.IsUpToDate() {
 		return nil, sent
 	}
@@ -39,10 +40,10 @@
 			}
 		}
 	}
-	due, next := backlog.Message(mostReports)
+	due, next := backlog.Message(maxReports)
 	if sent == 0 {
 		slices.SortFunc(due, func(a, b countedReport) int { return cmp.Compare(b.crashes, a.crashes) })
-		due = due[:min(len(due), mostFirstReports)]
+		due = due[:min(len(due), maxFirstReports)]
 	}
 	reports := make([]Report, 0, len(due))
 	for _, d := range due {
@@ -52,23 +53,23 @@
 }
 
 // Merge adds the reports of another entry and returns the requests that are
-// quarantined by them.
+// quarantined as a result.
 //
-// Those are reported to everybody again, whoever observed the crashes, so that
-// they spread also where two entries cannot reach each other.
+// The crashes of those requests are reported to all peers again, whoever observed
+// them, so that they also spread where two entries cannot reach each other.
 func (r *Registry) Merge(now time.Time, reports []Report, from feed.Source) []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var quarantined []Fingerprint
 	for _, report := range reports {
 		at := now.Add(-time.Duration(report.AgeMS) * time.Millisecond)
-		if now.Sub(at) >= life || report.Server == "" && r.requests[report.Request] == nil {
+		if now.Sub(at) >= crashTTL || report.Server == "" && r.requests[report.Request] == nil {
 			continue
 		}
 		rec := r.record(now, report.Request)
-		was := rec.standing().IsQuarantined()
+		wasQuarantined := rec.status().IsQuarantined()
 		r.add(rec, observation{server: report.Server, at: at}, from)
-		if !was && rec.standing().IsQuarantined() {
+		if !wasQuarantined && rec.status().IsQuarantined() {
 			r.reportAgain(rec)
 			quarantined = append(quarantined, report.Request)
 		}
@@ -78,6 +79,6 @@
 
 func (r *Registry) reportAgain(rec *record) {
 	for i := range rec.crashes {
-		rec.crashes[i].mark = r.learned.Mark(feed.Own)
+		rec.crashes[i].mark = r.counter.Mark(feed.Own)
 	}
 }
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// fingerprintBytes is enough that no two requests share a fingerprint by chance.
+	// fingerprintBytes is long enough to rule out accidental collisions.
 	fingerprintBytes = 16
-	// shownBytes is how much of a fingerprint logs show.
+	// shownBytes is the length of the fingerprint prefix shown in logs.
 	shownBytes = 6
 )
 
-// Fingerprint identifies a request by its content, over retries under other
-// request ids and at other entries.
+// Fingerprint identifies a request by its content, across retries under other
+// request IDs and at other entries.
 type Fingerprint [fingerprintBytes]byte
 
-// String returns the start of the fingerprint, for logs.
+// String returns a prefix of the fingerprint in hex, for logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:shownBytes]) }
 
-// Content is what retries of a request have in common.
+// Content is the part of a request that its retries have in common.
 type Content struct {
 	Workspace    fleet.Workspace
 	Method, Host string
-	// Target is the path with the query.
+	// Target is the path including the query.
 	Target string
 	Body   []byte
 }
@@ -36,8 +36,8 @@
 func (c Content) Fingerprint() Fingerprint {
 	h := blake3.New()
 	write := func(field []byte) {
-		// Lengths keep adjacent fields from running into each other.
-		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(field)))) // a hash never fails
+		// The length prefix keeps the boundaries between fields unambiguous.
+		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(field)))) // hash.Hash.Write never returns an error
 		_, _ = h.Write(field)
 	}
 	for _, field := range []string{string(c.Workspace), c.Method, c.Host, c.Target} {
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -26,6 +26,6 @@
 		Entry("the host", func(c *quarantine.Content) { c.Host = "jobs.example" }),
 		Entry("the query", func(c *quarantine.Content) { c.Target = "/read/1?page=3" }),
 		Entry("the body", func(c *quarantine.Content) { c.Body = []byte("drafts") }),
-		Entry("the border between two fields", func(c *quarantine.Content) { c.Host, c.Target = "relay.example/", "read/1?page=2" }),
+		Entry("the boundary between two fields", func(c *quarantine.Content) { c.Host, c.Target = "relay.example/", "read/1?page=2" }),
 	)
 })
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,11 +1,11 @@
-// Package quarantine finds requests that crash the servers that run them and
-// keeps them from reaching more.
+// Package quarantine detects requests that crash the servers that run them and
+// keeps them from reaching further servers.
 //
-// A crash ends all requests that its server had in flight, so a single one says
-// little about any of them. A request is quarantined once it was in flight at the
-// crashes of three servers and has not succeeded in between. Entries exchange what
-// they observe as Reports. Several entries observe the same crash, and reports
-// arrive more than once and in any order; merging them is idempotent.
+// A crash ends all requests that the server had in flight, so a single crash says
+// little about any of them. A request is quarantined once it was in flight at three
+// crashes without succeeding in between. Entries exchange their observations as
+// Reports. Several entries observe the same crash, and reports arrive more than once
+// and in any order; merging them is idempotent.
 package quarantine
 
 import (
@@ -20,21 +20,21 @@
 const (
 	// threshold is the number of crashes at which a request is quarantined.
 	threshold = 3
-	// life is how long a crash counts.
-	life = time.Hour
-	// successLife is how long a success is remembered, so that late reports of earlier
+	// crashTTL is how long a crash counts.
+	crashTTL = time.Hour
+	// successTTL is how long a success is remembered, so that late reports of earlier
 	// crashes do not count.
-	successLife = time.Minute
-	// restartTime is the least time between two crashes of a server that keeps its
-	// id. Observations closer to each other are of the same crash.
-	restartTime = time.Second
-	// mostRequests bounds the requests that are remembered.
-	mostRequests = 512
-	// mostCrashes bounds the crashes remembered of a request; the newest are kept.
-	mostCrashes = 2 * threshold
+	successTTL = time.Minute
+	// minRestartTime is the minimum time between two crashes of a server that keeps its
+	// ID. Observations that are closer together belong to the same crash.
+	minRestartTime = time.Second
+	// maxRequests bounds the requests that are remembered.
+	maxRequests = 512
+	// maxCrashes bounds the crashes remembered per request; the newest are kept.
+	maxCrashes = 2 * threshold
 )
 
-// Report is what an entry observed of a request: that it was in flight at a server
+// Report is an entry's observation of a request: that it was in flight at a server
 // that crashed or, without a server, that it succeeded.
 type Report struct {
 	Request Fingerprint      `cbor:"1,keyasint"`
@@ -42,39 +42,39 @@
 	AgeMS   int64            `cbor:"3,keyasint,omitzero"`
 }
 
-// Standing is what is known of a request.
+// Status is what is known about a request.
 type Standing struct {
-	// Servers are those that crashed with the request in flight, since it last
+	// Servers are the servers that crashed with the request in flight since it last
 	// succeeded.
 	Servers []fleet.InstanceID
 	// Until is when a quarantined request may be sent again.
 	Until time.Time
 }
 
-// IsQuarantined reports whether the request must reach no server.
+// IsQuarantined reports whether the request must not be sent to any server.
 func (s Standing) IsQuarantined() bool { return len(s.Servers) >= threshold }
 
 // IsSuspect reports whether the request may have crashed a server.
 func (s Standing) IsSuspect() bool { return len(s.Servers) > 0 }
 
-// MayRepeat reports whether the request may be sent to another server after its
+// CanRetry reports whether the request may be sent to another server after its
 // connection broke. One crash short of quarantine the decision is left to the
 // client, whose retry may succeed and clear the request.
 func (s Standing) MayRepeat() bool { return len(s.Servers) < threshold-1 }
 
-// Registry holds what this entry and others observed. It is safe for concurrent
-// use.
+// Registry holds the observations of this entry and others. It is safe for
+// concurrent use.
 type Registry struct {
-	mu       sync.Mutex
-	requests map[Fingerprint]*record
-	doubts   []doubt // oldest first
-	learned  feed.Counter
+	mu         sync.Mutex
+	requests   map[Fingerprint]*record
+	unresolved []unresolvedAttempt // oldest first
+	counter    feed.Counter
 }
 
-// record is what is known of one request.
+// record holds the observations of one request.
 type record struct {
 	crashes []observation // oldest first
-	// success is the newest one; zero if there is none.
+	// success is the newest success; zero if there is none.
 	success observation
 }
 
@@ -85,20 +85,20 @@
 	mark   feed.Mark
 }
 
-// New returns a registry that knows of no crash.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{requests: make(map[Fingerprint]*record)}
 }
 
-// IsEmpty reports whether no request is known to have been in flight at a crash.
-// The fingerprint of a request need not be computed then.
+// IsEmpty reports whether no request is known to have been in flight at a crash, in
+// which case callers need not compute the fingerprint of a request.
 func (r *Registry) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.requests) == 0
 }
 
-// Standing returns what is known of a request.
+// Status returns what is known about a request.
 func (r *Registry) Standing(now time.Time, request Fingerprint) Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,21 +107,21 @@
 		return Standing{}
 	}
 	rec.expire(now)
-	return rec.standing()
+	return rec.status()
 }
 
-// Crashed records that a server crashed with a request in flight, as this entry
-// observed, and returns what is known of the request then.
+// Crashed records this entry's observation that a server crashed with a request in
+// flight, and returns the resulting status of the request.
 func (r *Registry) Crashed(now time.Time, request Fingerprint, server fleet.InstanceID) Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.record(now, request)
 	r.add(rec, observation{server: server, at: now}, feed.Own)
-	return rec.standing()
+	return rec.status()
 }
 
-// Succeeded clears a request of the earlier crashes: one that crashes every server
-// would not have succeeded. Nothing is kept of requests without crashes.
+// Succeeded discards the earlier crashes of a request: one that crashes every server
+// would not have succeeded. Successes of requests without crashes are not recorded.
 func (r *Registry) Succeeded(now time.Time, request Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 func (r *Registry) add(rec *record, o observation, from feed.Source) {
-	o.mark = r.learned.Mark(from)
+	o.mark = r.counter.Mark(from)
 	rec.add(o)
 }
 
@@ -143,7 +143,7 @@
 		rec.expire(now)
 		return rec
 	}
-	if len(r.requests) >= mostRequests {
+	if len(r.requests) >= maxRequests {
 		r.evict(now)
 	}
 	rec := &record{}
@@ -151,7 +151,7 @@
 	return rec
 }
 
-// DropExpired drops what does not count any more.
+// DropExpired drops expired observations and empty records.
 func (r *Registry) DropExpired(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,35 +167,35 @@
 	}
 }
 
-// evict drops expired records or, if there are none, the oldest of those with the
-// fewest crashes.
+// evict drops expired records or, if there are none, the oldest record of those with
+// the fewest crashes.
 func (r *Registry) evict(now time.Time) {
 	r.dropExpired(now)
-	if len(r.requests) < mostRequests {
+	if len(r.requests) < maxRequests {
 		return
 	}
 	var least Fingerprint
 	var leastRec *record
 	for request, rec := range r.requests {
-		if leastRec == nil || rec.isLess(leastRec) {
+		if leastRec == nil || rec.isEvictedBefore(leastRec) {
 			least, leastRec = request, rec
 		}
 	}
 	delete(r.requests, least)
 }
 
-func (rec *record) standing() Standing {
+func (rec *record) status() Standing {
 	var s Standing
 	for _, c := range rec.crashes {
 		s.Servers = append(s.Servers, c.server)
 	}
 	if n := len(rec.crashes); n >= threshold {
-		s.Until = rec.crashes[n-threshold].at.Add(life)
+		s.Until = rec.crashes[n-threshold].at.Add(crashTTL)
 	}
 	return s
 }
 
-// add adds an observation unless it is known or refuted by a later success.
+// add adds an observation unless it is already known or a later success cancels it.
 func (rec *record) add(o observation) {
 	if o.server == "" {
 		rec.succeed(o)
@@ -209,7 +209,7 @@
 		at--
 	}
 	rec.crashes = slices.Insert(rec.crashes, at, o)
-	if over := len(rec.crashes) - mostCrashes; over > 0 {
+	if over := len(rec.crashes) - maxCrashes; over > 0 {
 		rec.crashes = slices.Delete(rec.crashes, 0, over)
 	}
 }
@@ -222,18 +222,18 @@
 	rec.crashes = slices.DeleteFunc(rec.crashes, func(c observation) bool { return !c.at.After(o.at) })
 }
 
-// expire drops what is older than its life.
+// expire drops the observations that have reached their TTL.
 func (rec *record) expire(now time.Time) {
-	rec.crashes = slices.DeleteFunc(rec.crashes, func(c observation) bool { return now.Sub(c.at) >= life })
-	if now.Sub(rec.success.at) >= successLife {
+	rec.crashes = slices.DeleteFunc(rec.crashes, func(c observation) bool { return now.Sub(c.at) >= crashTTL })
+	if now.Sub(rec.success.at) >= successTTL {
 		rec.success = observation{}
 	}
 }
 
 func (rec *record) isEmpty() bool { return len(rec.crashes) == 0 && rec.success.at.IsZero() }
 
-// isLess reports whether rec is to be dropped before other.
-func (rec *record) isLess(other *record) bool {
+// isEvictedBefore reports whether rec is evicted before other.
+func (rec *record) isEvictedBefore(other *record) bool {
 	if len(rec.crashes) != len(other.crashes) {
 		return len(rec.crashes) < len(other.crashes)
 	}
@@ -248,5 +248,5 @@
 }
 
 func (o observation) isSameCrash(other observation) bool {
-	return o.server == other.server && o.at.Sub(other.at).Abs() < restartTime
+	return o.server == other.server && o.at.Sub(other.at).Abs() < minRestartTime
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -18,14 +18,14 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// request returns the n-th of many fingerprints.
+// request returns the n-th fingerprint.
 func request(n int) quarantine.Fingerprint {
 	var f quarantine.Fingerprint
 	binary.LittleEndian.PutUint64(f[:], uint64(n))
 	return f
 }
 
-func engine(n int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprintf("i-%d", n)) }
+func serverID(n int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprintf("i-%d", n)) }
 
 var _ = Describe("A request in flight at crashes", func() {
 	var r *quarantine.Registry
@@ -33,87 +33,88 @@
 
 	crash := func(after time.Duration, servers ...int) {
 		for _, n := range servers {
-			r.Crashed(at(after), poison, engine(n))
+			r.Crashed(at(after), poison, serverID(n))
 		}
 	}
-	standing := func(after time.Duration) quarantine.Standing { return r.Standing(at(after), poison) }
+	status := func(after time.Duration) quarantine.Standing { return r.Standing(at(after), poison) }
 
 	BeforeEach(func() { r = quarantine.New() })
 
-	It("is quarantined at the third server", func() {
+	It("is quarantined at the third crash", func() {
 		Expect(r.IsEmpty()).To(BeTrue())
 		crash(0, 1)
-		Expect(standing(0).IsSuspect()).To(BeTrue())
-		Expect(standing(0).MayRepeat()).To(BeTrue())
+		Expect(status(0).IsSuspect()).To(BeTrue())
+		Expect(status(0).MayRepeat()).To(BeTrue())
 		crash(time.Second, 2)
-		Expect(standing(time.Second).MayRepeat()).To(BeFalse())
-		Expect(standing(time.Second).IsQuarantined()).To(BeFalse())
+		Expect(status(time.Second).MayRepeat()).To(BeFalse())
+		Expect(status(time.Second).IsQuarantined()).To(BeFalse())
 		crash(2*time.Second, 3)
-		Expect(standing(2 * time.Second)).To(Equal(quarantine.Standing{
+		Expect(status(2 * time.Second)).To(Equal(quarantine.Standing{
 			Servers: []fleet.InstanceID{"i-1", "i-2", "i-3"}, Until: at(time.Hour)}))
-		Expect(standing(2 * time.Second).IsQuarantined()).To(BeTrue())
+		Expect(status(2 * time.Second).IsQuarantined()).To(BeTrue())
 	})
 
-	// Guards against sixteen innocent requests blamed for what one of them did.
+	// Guards against blaming all sixteen requests in flight at a crash for the one that
+	// caused it.
 	It("is cleared if it succeeds", func() {
 		crash(0, 1, 2)
 		r.Succeeded(at(time.Second), poison)
 		crash(2*time.Second, 3, 4)
-		Expect(standing(2 * time.Second).IsQuarantined()).To(BeFalse())
-		Expect(standing(2 * time.Second).Servers).To(HaveLen(2))
+		Expect(status(2 * time.Second).IsQuarantined()).To(BeFalse())
+		Expect(status(2 * time.Second).Servers).To(HaveLen(2))
 	})
 
 	It("counts a crash once however often it is observed", func() {
 		crash(0, 1)
 		crash(100*time.Millisecond, 1)
 		for range 3 {
-			r.Merge(at(200*time.Millisecond), []quarantine.Report{{Request: poison, Server: engine(1), AgeMS: 150}}, feed.Near)
+			r.Merge(at(200*time.Millisecond), []quarantine.Report{{Request: poison, Server: serverID(1), AgeMS: 150}}, feed.Near)
 		}
-		Expect(standing(time.Second).Servers).To(HaveLen(1))
-		crash(5*time.Second, 1) // it had started again under its id
-		Expect(standing(5 * time.Second).Servers).To(HaveLen(2))
+		Expect(status(time.Second).Servers).To(HaveLen(1))
+		crash(5*time.Second, 1) // it had restarted under the same ID
+		Expect(status(5 * time.Second).Servers).To(HaveLen(2))
 	})
 
-	It("is not counted against by a report of a crash before its success", func() {
+	It("ignores a report of a crash before its success", func() {
 		crash(0, 1)
 		r.Succeeded(at(2*time.Second), poison)
-		late := []quarantine.Report{{Request: poison, Server: engine(2), AgeMS: 1500}}
+		late := []quarantine.Report{{Request: poison, Server: serverID(2), AgeMS: 1500}}
 		Expect(r.Merge(at(3*time.Second), late, feed.Far)).To(BeEmpty())
-		Expect(standing(3 * time.Second).IsSuspect()).To(BeFalse())
+		Expect(status(3 * time.Second).IsSuspect()).To(BeFalse())
 	})
 
 	It("may be sent again once the crashes are old", func() {
 		crash(0, 1)
 		crash(time.Minute, 2, 3)
-		Expect(standing(time.Hour - time.Second).IsQuarantined()).To(BeTrue())
-		Expect(standing(time.Hour).IsQuarantined()).To(BeFalse())
+		Expect(status(time.Hour - time.Second).IsQuarantined()).To(BeTrue())
+		Expect(status(time.Hour).IsQuarantined()).To(BeFalse())
 		r.DropExpired(at(2 * time.Hour))
 		Expect(r.IsEmpty()).To(BeTrue())
 	})
 
-	It("leaves nothing behind if it was at no crash", func() {
+	It("leaves no record if it was not in flight at a crash", func() {
 		r.Succeeded(start, poison)
 		Expect(r.IsEmpty()).To(BeTrue())
 		Expect(r.Merge(start, []quarantine.Report{{Request: poison}}, feed.Near)).To(BeEmpty())
 		Expect(r.IsEmpty()).To(BeTrue())
 	})
 
-	// Guards against a flood of different requests, at the loss of many servers, that
-	// drives out what is quarantined or fills the memory.
+	// Guards against a flood of different requests, as when many servers are lost, that
+	// evicts quarantined requests or exhausts the memory.
 	It("stays quarantined under a flood of others", func() {
 		crash(0, 1, 2, 3)
 		_, before := r.Since(at(0), 0, feed.Near)
 		const flood, remembered = 20000, 512
 		for n := range flood {
-			r.Crashed(at(time.Second), request(100+n), engine(4))
+			r.Crashed(at(time.Second), request(100+n), serverID(4))
 		}
 		count, _ := feedtest.Drain(r, at(time.Second), before)
 		Expect(count).To(BeNumerically("<=", remembered))
-		Expect(standing(time.Second).IsQuarantined()).To(BeTrue())
+		Expect(status(time.Second).IsQuarantined()).To(BeTrue())
 		first, change := r.Since(at(time.Second), 0, feed.Near)
 		Expect(len(first)).To(BeNumerically("<=", 256))
 		Expect(first).To(ContainElement(HaveField("Request", poison)))
-		r.Crashed(at(time.Second), request(1), engine(5))
+		r.Crashed(at(time.Second), request(1), serverID(5))
 		rest, _ := r.Since(at(time.Second), change, feed.Near)
 		Expect(rest).To(HaveLen(1))
 	})
@@ -122,22 +123,22 @@
 var _ = Describe("Reports to a peer", func() {
 	one, two := request(1), request(2)
 
-	It("come once, and in parts if they are many", func() {
+	It("are sent once each, in several messages if there are many", func() {
 		r := quarantine.New()
 		_, change := r.Since(start, 0, feed.Near)
 		const crashes = 60
 		for n := range crashes {
-			r.Crashed(start, request(n), engine(1))
+			r.Crashed(start, request(n), serverID(1))
 		}
 		sent, largest := feedtest.Drain(r, start, change)
 		Expect(sent).To(Equal(crashes))
 		Expect(largest).To(BeNumerically("<", crashes))
 	})
 
-	DescribeTable("leave out what it has from others", func(from, to feed.Source, want int) {
+	DescribeTable("omit what it receives from others", func(from, to feed.Source, want int) {
 		r := quarantine.New()
 		_, change := r.Since(start, 0, to)
-		r.Merge(start, []quarantine.Report{{Request: one, Server: engine(1)}}, from)
+		r.Merge(start, []quarantine.Report{{Request: one, Server: serverID(1)}}, from)
 		reports, _ := r.Since(start, change, to)
 		Expect(reports).To(HaveLen(want))
 		first, _ := r.Since(start, 0, to)
@@ -145,16 +146,16 @@
 	},
 		Entry("of its own group", feed.Near, feed.Near, 0),
 		Entry("of another group", feed.Far, feed.Far, 0),
-		Entry("but not what comes from another group", feed.Far, feed.Near, 1),
-		Entry("but not what it reports to another group", feed.Near, feed.Far, 1),
+		Entry("but not what was received from another group", feed.Far, feed.Near, 1),
+		Entry("but not what is reported to another group", feed.Near, feed.Far, 1),
 	)
 
-	It("repeat what others observed once that quarantines a request", func() {
+	It("repeat the observations of others once they quarantine a request", func() {
 		r := quarantine.New()
 		_, change := r.Since(start, 0, feed.Near)
-		reports := []quarantine.Report{{Request: one, Server: engine(1)}, {Request: one, Server: engine(2)}, {Request: two, Server: engine(2)}}
+		reports := []quarantine.Report{{Request: one, Server: serverID(1)}, {Request: one, Server: serverID(2)}, {Request: two, Server: serverID(2)}}
 		Expect(r.Merge(start, reports, feed.Near)).To(BeEmpty())
-		third := []quarantine.Report{{Request: one, Server: engine(3)}}
+		third := []quarantine.Report{{Request: one, Server: serverID(3)}}
 		Expect(r.Merge(start, third, feed.Near)).To(Equal([]quarantine.Fingerprint{one}))
 		Expect(r.Merge(start, third, feed.Far)).To(BeEmpty())
 		again, _ := r.Since(start, change, feed.Near)
--- /dev/null
+++ b/core/quarantine/unresolved.go
@@ -0,0 +1,79 @@
+package quarantine
+
+import (
+	"time"
+
+	"chivespindle.example/core/feed"
+	"chivespindle.example/core/fleet"
+)
+
+const (
+	// unresolvedTTL is how long an unresolved attempt is kept to be matched with a crash
+	// of its server. A crashed server registers again within this time.
+	unresolvedTTL = 4 * time.Second
+	// maxUnresolved bounds the attempts that are kept; the oldest are dropped first.
+	maxUnresolved = 256
+)
+
+// unresolvedAttempt is an attempt whose outcome is unknown: its client disconnected, or
+// the check of its server was inconclusive.
+type unresolvedAttempt struct {
+	request Fingerprint
+	server  fleet.InstanceID
+	at      time.Time
+}
+
+// RecordUnresolved records that an attempt at a server ended with an unknown outcome. The
+// attempt counts as in flight if the server turns out to have crashed.
+func (r *Registry) Doubt(now time.Time, request Fingerprint, server fleet.InstanceID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unresolved = append(r.unresolved, unresolvedAttempt{request, server, now})
+	r.dropUnresolved(func(d unresolvedAttempt) bool { return now.Sub(d.at) >= unresolvedTTL })
+	if over := len(r.unresolved) - maxUnresolved; over > 0 {
+		r.unresolved = append([]unresolvedAttempt(nil), r.unresolved[over:]...)
+	}
+}
+
+// HasUnresolved reports whether an attempt at the server ended with an unknown outcome.
+func (r *Registry) IsDoubted(now time.Time, server fleet.InstanceID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range r.unresolved {
+		if d.server == server && now.Sub(d.at) < unresolvedTTL {
+			return true
+		}
+	}
+	return false
+}
+
+// ServerCrashed counts the crash of a server against the unresolved attempts at that
+// server and returns the requests that are quarantined as a result.
+func (r *Registry) ServerCrashed(now time.Time, server fleet.InstanceID) []Fingerprint {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var quarantined []Fingerprint
+	for _, d := range r.unresolved {
+		if d.server != server || now.Sub(d.at) >= unresolvedTTL {
+			continue
+		}
+		rec := r.record(now, d.request)
+		wasQuarantined := rec.status().IsQuarantined()
+		r.add(rec, observation{server: server, at: d.at}, feed.Own)
+		if !wasQuarantined && rec.status().IsQuarantined() {
+			quarantined = append(quarantined, d.request)
+		}
+	}
+	r.dropUnresolved(func(d unresolvedAttempt) bool { return d.server == server })
+	return quarantined
+}
+
+func (r *Registry) dropUnresolved(isOver func(unresolvedAttempt) bool) {
+	kept := r.unresolved[:0]
+	for _, d := range r.unresolved {
+		if !isOver(d) {
+			kept = append(kept, d)
+		}
+	}
+	r.unresolved = kept
+}
--- a/core/serverlimit/exchange.go
+++ b/core/serverlimit/exchange.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// mostReports bounds the reports of one message; the rest follows in the next.
-	mostReports = 64
-	// maxReportDelay is how long a report may be in flight, by which the observation
-	// seems newer than it is. After it was last advertised a limit stays in force for
-	// as long, whatever others report of its end.
+	// maxReports bounds the reports in one message; the rest follow in the next one.
+	maxReports = 64
+	// maxReportDelay is the longest time that a report may be in flight. The delay makes
+	// an observation appear newer than it is, so a limit stays in force for this long
+	// after it was last advertised, even if other entries report its end.
 	maxReportDelay = time.Second
 )
 
-// Report is an observation of a server's limit, as sent to other entries.
+// Report is an observation of a server's limit, as exchanged between entries.
 type Report struct {
 	Server    fleet.InstanceID `cbor:"1,keyasint"`
 	PerSecond float64          `cbor:"2,keyasint,omitzero"`
@@ -24,12 +24,12 @@
 	AgeMS     int64            `cbor:"4,keyasint,omitzero"`
 }
 
-// Since returns the reports that a peer lacks, which is near or far, and its cursor
-// once it has them.
+// Since returns the reports that a peer in the same or another group lacks, and the
+// peer's cursor once it has received them.
 func (r *Registry) Since(now time.Time, sent feed.Cursor, to feed.Source) ([]Report, feed.Cursor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	backlog := feed.NewBacklog[Report](&r.learned, sent, to)
+	backlog := feed.NewBacklog[Report](&r.counter, sent, to)
 	if backlog.IsUpToDate() {
 		return nil, sent
 	}
@@ -38,20 +38,20 @@
 			backlog.Add(l.mark, Report{server, l.perSecond, l.ended, now.Sub(l.at).Milliseconds()})
 		}
 	}
-	return backlog.Message(mostReports)
+	return backlog.Message(maxReports)
 }
 
-// Merge adds the reports of another entry and returns those that change a limit here.
+// Merge adds the reports of another entry and returns those that change a known limit.
 func (r *Registry) Merge(now time.Time, reports []Report, from feed.Source) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var news []Report
+	var changed []Report
 	for _, report := range reports {
 		if r.merge(now, report, from) {
-			news = append(news, report)
+			changed = append(changed, report)
 		}
 	}
-	return news
+	return changed
 }
 
 func (r *Registry) merge(now time.Time, report Report, from feed.Source) bool {
@@ -67,7 +67,7 @@
 		known.at = latest(known.at, at)
 		return false
 	case known.at.After(at):
-		// The other entry lacks the newer observation.
+		// The other entry lacks the newer observation; report it again.
 		r.set(report.Server, *known, feed.Own)
 		return false
 	default:
--- a/core/serverlimit/exchange_test.go
+++ b/core/serverlimit/exchange_test.go
@@ -13,16 +13,17 @@
 	"chivespindle.example/core/serverlimit"
 )
 
-// report is one of a limit of one server.
+// report returns a report of the server's limit.
 func report(perSecond float64, age time.Duration) serverlimit.Report {
 	return serverlimit.Report{Server: server, PerSecond: perSecond, AgeMS: age.Milliseconds()}
 }
 
-func end(age time.Duration) serverlimit.Report {
+// endReport returns a report that the server's limit ended.
+func endReport(age time.Duration) serverlimit.Report {
 	return serverlimit.Report{Server: server, PerSecond: 1, Ended: true, AgeMS: age.Milliseconds()}
 }
 
-var _ = Describe("Reports of a limit", func() {
+var _ = Describe("Reports of a server limit", func() {
 	var r *serverlimit.Registry
 
 	BeforeEach(func() { r = serverlimit.New() })
@@ -32,20 +33,20 @@
 	}
 	perSecond := func(after time.Duration) float64 { return r.All(at(after))[server] }
 
-	It("bind an entry that has not received a response", func() {
+	It("apply to an entry that has not received a response", func() {
 		Expect(merge(0, report(2, 0))).To(HaveLen(1))
 		Expect(perSecond(0)).To(Equal(2.0))
 		Expect(merge(time.Second, report(2, time.Second))).To(BeEmpty())
 	})
 
-	It("count by when the server advertised it, in whichever order they arrive", func() {
+	It("apply by the time at which the server advertised the limit, in whichever order they arrive", func() {
 		merge(2*time.Second, report(3, 0))
 		Expect(merge(3*time.Second, report(2, 2*time.Second))).To(BeEmpty())
 		Expect(perSecond(3 * time.Second)).To(Equal(3.0))
 	})
 
-	// Guards against an entry that keeps an outdated limit since no report corrects it.
-	It("are answered if they are older than what is known here", func() {
+	// Guards against an entry that keeps an outdated limit because no report corrects it.
+	It("are answered with a newer report if they are outdated", func() {
 		merge(2*time.Second, report(3, 0))
 		_, sent := r.Since(at(2*time.Second), 0, feed.Near)
 		merge(3*time.Second, report(2, 2*time.Second))
@@ -55,24 +56,24 @@
 
 	It("end a limit that was advertised before", func() {
 		merge(0, report(1, 0))
-		Expect(merge(3*time.Second, end(time.Second))).To(HaveLen(1))
+		Expect(merge(3*time.Second, endReport(time.Second))).To(HaveLen(1))
 		Expect(r.All(at(3 * time.Second))).To(BeEmpty())
 		Expect(merge(4*time.Second, report(1, 4*time.Second))).To(BeEmpty())
 		Expect(merge(5*time.Second, report(1, 0))).To(HaveLen(1))
 	})
 
-	// Guards against a burst at an overloaded server: a delayed report of the end seems
+	// Guards against a burst at an overloaded server: a delayed report of the end appears
 	// newer than the response that advertised the limit.
-	It("end a limit a second after it was last advertised at the earliest", func() {
+	It("end a limit no sooner than a second after it was last advertised", func() {
 		merge(0, report(1, 0))
-		merge(500*time.Millisecond, end(0))
+		merge(500*time.Millisecond, endReport(0))
 		Expect(perSecond(900 * time.Millisecond)).To(Equal(1.0))
 		Expect(perSecond(time.Second)).To(BeZero())
 		merge(1100*time.Millisecond, report(1, 100*time.Millisecond))
 		Expect(perSecond(1100 * time.Millisecond)).To(Equal(1.0))
 	})
 
-	It("come in parts if they are many, each once", func() {
+	It("are sent once each, in several messages if there are many", func() {
 		const servers = 150
 		_, sent := r.Since(start, 0, feed.Near)
 		for n := range servers {
@@ -83,18 +84,19 @@
 		Expect(largest).To(BeNumerically("<", servers))
 	})
 
-	It("of servers that are listed no more are forgotten", func() {
+	It("are dropped for servers that are no longer listed", func() {
 		r.Advertised(start, server, 1)
 		isListed := func(id fleet.InstanceID) bool { return id != server }
-		r.Keep(at(time.Second), isListed) // it may be listed here later
+		r.Keep(at(time.Second), isListed) // this entry may list it later
 		Expect(perSecond(time.Second)).To(Equal(1.0))
 		r.Keep(at(time.Minute), isListed)
 		Expect(r.All(at(time.Minute))).To(BeEmpty())
 	})
 })
 
-var _ = DescribeTable("A limit that one entry sees binds every entry in time", func(size int) {
-	// allowed is the time after a server first advertised its limit that does not count.
+var _ = DescribeTable("A limit observed by one entry reaches every entry in time", func(size int) {
+	// allowed is the time in which the limit must be known everywhere after a server
+	// first advertised it.
 	const allowed = 3 * time.Second
 	f := feedtest.NewFleet(size, start, serverlimit.New)
 	f.Exchange()
--- a/core/serverlimit/serverlimit.go
+++ b/core/serverlimit/serverlimit.go
@@ -1,7 +1,7 @@
-// Package serverlimit keeps the limits that backend servers advertise: the requests
-// a second that a server accepts from all entries together.
+// Package serverlimit keeps the rate limits that backend servers advertise: the requests
+// per second that a server accepts from all entries together.
 //
-// Entries exchange the limits as Reports. The newest one of a server counts.
+// Entries exchange the limits as Reports. The newest observation of a server applies.
 package serverlimit
 
 import (
@@ -14,13 +14,15 @@
 
 // limit is the state of a server's limit.
 type limit struct {
-	// perSecond is the requests a second from all entries together.
+	// perSecond is the requests per second from all entries together.
 	perSecond float64
-	// ended limits are no longer in force: a later response did not advertise one.
+	// ended is true if the limit is no longer in force: a later response did not
+	// advertise one.
 	ended bool
-	// at is the time of the newest observation; for an end, when its request was sent.
+	// at is the time of the newest observation. For the end of a limit it is the time at
+	// which the request that revealed it was sent.
 	at time.Time
-	// until is when a limit ends that another entry reported to have ended.
+	// until is when a limit ends that another entry reported as ended.
 	until time.Time
 	mark  feed.Mark
 }
@@ -29,25 +31,25 @@
 type Registry struct {
 	mu      sync.Mutex
 	limits  map[fleet.InstanceID]*limit
-	learned feed.Counter
+	counter feed.Counter
 }
 
 // New returns a registry without limits.
 func New() *Registry { return &Registry{limits: make(map[fleet.InstanceID]*limit)} }
 
-// Change is what a response changed.
+// Change is how a response changed a limit.
 type Change uint8
 
 const (
-	// Unchanged: the response agrees with what was known.
+	// Unchanged: the response agrees with the known limit.
 	Unchanged Change = iota
-	// Started: the server had no limit before.
+	// Started: no limit was in force before.
 	Started
-	// Adjusted: the server had another limit before.
+	// Adjusted: a different limit was in force before.
 	Adjusted
 )
 
-// Advertised records the limit that a response advertised.
+// RecordAdvertised records the limit that a response advertised.
 func (r *Registry) Advertised(now time.Time, server fleet.InstanceID, perSecond float64) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,10 +66,9 @@
 	return Started
 }
 
-// NotAdvertised records a successful response without a limit to a request that was
-// sent at a given time, and reports whether a limit ended by it. A request that was
-// sent before the limit was last advertised ends nothing: its response may have been
-// delayed.
+// RecordNotAdvertised records a successful response without a limit to a request that was
+// sent at the given time, and reports whether this ended a limit. A request sent before
+// the limit was last advertised does not end it, since its response may have been delayed.
 func (r *Registry) NotAdvertised(sent time.Time, server fleet.InstanceID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,11 +81,11 @@
 }
 
 func (r *Registry) set(server fleet.InstanceID, l limit, from feed.Source) {
-	l.mark = r.learned.Mark(from)
+	l.mark = r.counter.Mark(from)
 	r.limits[server] = &l
 }
 
-// All returns the limits in force, in requests a second.
+// All returns the limits in force, in requests per second.
 func (r *Registry) All(now time.Time) map[fleet.InstanceID]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,16 +98,16 @@
 	return all
 }
 
-// unlistedFor is how long the limit of a server is kept that is not listed: another
-// entry may know of the server before this one.
-const unlistedFor = time.Minute
+// unlistedRetention is how long the limit of an unlisted server is kept: another entry
+// may know of the server before this one.
+const unlistedRetention = time.Minute
 
-// Keep drops the limits of servers that are no longer listed.
+// DropUnlisted drops the limits of servers that are no longer listed.
 func (r *Registry) Keep(now time.Time, isListed func(fleet.InstanceID) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for server, l := range r.limits {
-		if !isListed(server) && now.Sub(l.at) >= unlistedFor {
+		if !isListed(server) && now.Sub(l.at) >= unlistedRetention {
 			delete(r.limits, server)
 		}
 	}
--- a/core/serverlimit/serverlimit_test.go
+++ b/core/serverlimit/serverlimit_test.go
@@ -16,18 +16,18 @@
 
 const server = fleet.InstanceID("i-1")
 
-var _ = Describe("A limit", func() {
+var _ = Describe("A server limit", func() {
 	var r *serverlimit.Registry
 
 	BeforeEach(func() { r = serverlimit.New() })
 
-	It("is a change when it is first advertised and when it is adjusted", func() {
+	It("is reported as a change when it is first advertised and when it is adjusted", func() {
 		Expect(r.Advertised(start, server, 1.5)).To(Equal(serverlimit.Started))
 		Expect(r.Advertised(at(time.Second), server, 1.5)).To(Equal(serverlimit.Unchanged))
 		Expect(r.Advertised(at(time.Second), server, 2)).To(Equal(serverlimit.Adjusted))
 	})
 
-	It("ends with a response that advertises none, once", func() {
+	It("ends once, with a response that advertises none", func() {
 		Expect(r.NotAdvertised(start, server)).To(BeFalse())
 		r.Advertised(start, server, 1.5)
 		Expect(r.NotAdvertised(at(time.Second), server)).To(BeTrue())
@@ -35,8 +35,8 @@
 		Expect(r.Advertised(at(3*time.Second), server, 1.5)).To(Equal(serverlimit.Started))
 	})
 
-	// Guards against a burst at an overloaded server after a delayed response.
-	It("does not end with the response to a request that was sent before it was advertised", func() {
+	// Guards against a burst at an overloaded server caused by a delayed response.
+	It("does not end with the response to a request sent before it was advertised", func() {
 		r.Advertised(at(time.Second), server, 1.5)
 		Expect(r.NotAdvertised(at(time.Second-time.Millisecond), server)).To(BeFalse())
 	})
--- a/core/serverlimit/share_test.go
+++ b/core/serverlimit/share_test.go
@@ -27,15 +27,15 @@
 	return append(append([]fleet.InstanceID(nil), ids[:i]...), ids[i+1:]...)
 }
 
-// greedy is entries that send to a limited server whatever they may, as if all their
-// requests wanted it.
-type greedy struct {
+// saturatingEntries are entries that send to a limited server as many requests as their
+// shares allow.
+type saturatingEntries struct {
 	boards []*placement.Board
 	sent   []time.Duration
 }
 
-func newGreedy(perSecond float64, ids []fleet.InstanceID, othersOf func(i int) []fleet.InstanceID) *greedy {
-	g := &greedy{}
+func newSaturatingEntries(perSecond float64, ids []fleet.InstanceID, othersOf func(i int) []fleet.InstanceID) *saturatingEntries {
+	g := &saturatingEntries{}
 	for i, self := range ids {
 		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Off{})
 		b.SetServers(start, []placement.Server{{ID: server, Service: "pool", Slots: 16}})
@@ -45,7 +45,7 @@
 	return g
 }
 
-func (g *greedy) run(span, step time.Duration) {
+func (g *saturatingEntries) run(span, step time.Duration) {
 	for t := time.Duration(0); t < span; t += step {
 		for _, b := range g.boards {
 			for {
@@ -60,8 +60,8 @@
 	}
 }
 
-// mostWithin returns the most requests in any window.
-func (g *greedy) mostWithin(window time.Duration) int {
+// maxWithin returns the highest number of requests in any window.
+func (g *saturatingEntries) maxWithin(window time.Duration) int {
 	most, first := 0, 0
 	for i, t := range g.sent {
 		for t-g.sent[first] > window {
@@ -72,47 +72,48 @@
 	return most
 }
 
-var _ = Describe("Shares of a limit", func() {
+var _ = Describe("Shares of a server limit", func() {
 	const window = 4 * time.Second
 	allowed := func(perSecond float64) int { return int(1.5*perSecond*window.Seconds() + 5) }
 
-	// Guards against entries that exceed a limit together, however many there are and
-	// however low it is, and against shares that nobody uses.
-	DescribeTable("are kept to together, and used", func(perSecond float64) {
+	// Guards against entries that together exceed a limit, however many there are and
+	// however low it is, and against shares that no entry uses.
+	DescribeTable("together stay within the limit and use it", func(perSecond float64) {
 		for _, size := range []int{1, 2, 8, 100, 410} {
 			ids := entryIDs(size)
-			g := newGreedy(perSecond, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
+			g := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
 			span := max(20*time.Second, time.Duration(10/perSecond*float64(time.Second)))
 			g.run(span, span/1000)
-			Expect(g.mostWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%d entries", size)
+			Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%d entries", size)
 			Expect(float64(len(g.sent))).To(BeNumerically(">=", 0.7*perSecond*span.Seconds()), "%d entries", size)
 		}
 	},
-		Entry("of a tenth a second", 0.1), Entry("of 1 a second", 1.0), Entry("of 1.8 a second", 1.8),
-		Entry("of 10 a second", 10.0), Entry("of 45 a second", 45.0), Entry("of 500 a second", 500.0),
+		Entry("of 0.1 per second", 0.1), Entry("of 1 per second", 1.0), Entry("of 1.8 per second", 1.8),
+		Entry("of 10 per second", 10.0), Entry("of 45 per second", 45.0), Entry("of 500 per second", 500.0),
 	)
 
-	// Guards against a limit whose end no entry learns of since none sends requests to its server.
-	It("are never nothing for all", func() {
+	// Guards against a limit whose end is never noticed because no entry sends requests to
+	// the server.
+	It("are not zero for every entry", func() {
 		ids := entryIDs(8)
-		g := newGreedy(0, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
+		g := newSaturatingEntries(0, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
 		g.run(60*time.Second, 100*time.Millisecond)
 		Expect(g.sent).NotTo(BeEmpty())
-		Expect(g.mostWithin(window)).To(BeNumerically("<=", allowed(0)))
+		Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(0)))
 	})
 
-	// Entries that have lost some of the others, or do not know new ones yet, rank
-	// themselves among fewer.
-	It("are kept to also while entries know different others", func() {
+	// Entries that have lost contact to some others, or do not know new ones yet, rank
+	// themselves among fewer entries.
+	It("stay within the limit while entries know different sets of others", func() {
 		ids := entryIDs(8)
 		for _, perSecond := range []float64{1, 1.8, 10} {
-			g := newGreedy(perSecond, ids, func(i int) []fleet.InstanceID {
+			g := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID {
 				others := without(ids, i)
 				lost := i % len(others)
 				return slices.Delete(others, lost, lost+1)
 			})
 			g.run(20*time.Second, 20*time.Millisecond)
-			Expect(g.mostWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%v a second", perSecond)
+			Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%v per second", perSecond)
 		}
 	})
 })
