--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -171,7 +171,7 @@
 // back to an older revision: a list read from a stale replica of the platform must not
 // replace a newer one. The revision of a part that other lacks is 0, and a list of
 // servers without a revision is ignored.
-func (s Snapshot) Newest(other Snapshot) Snapshot {
+func (s Snapshot) Merge(other Snapshot) Snapshot {
 	next := s
 	if other.AsOf > s.AsOf {
 		next.AsOf, next.Servers = other.AsOf, other.Servers
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -128,7 +128,7 @@
 		It("takes each part from the snapshot with the newer revision", func() {
 			held := held
 			held.Servers = []catalog.Server{*server("a", "10.0.0.1:80", 19)}
-			next := held.Newest(catalog.Snapshot{AsOf: 12, ConfigRevision: 22, Config: &routing.Config{Version: 5}, OperatorAsOf: 23})
+			next := held.Merge(catalog.Snapshot{AsOf: 12, ConfigRevision: 22, Config: &routing.Config{Version: 5}, OperatorAsOf: 23})
 			Expect(next.AsOf).To(Equal(catalog.Revision(20)))
 			Expect(ids(next)).To(Equal([]fleet.InstanceID{"a"}))
 			Expect(next.Config.Version).To(Equal(int64(5)))
@@ -136,13 +136,13 @@
 		})
 
 		It("keeps its own parts when the other snapshot is older", func() {
-			Expect(held.Newest(catalog.Snapshot{AsOf: 19}).AsOf).To(Equal(catalog.Revision(20)))
+			Expect(held.Merge(catalog.Snapshot{AsOf: 19}).AsOf).To(Equal(catalog.Revision(20)))
 		})
 
 		// A stale replica of the platform may list an older configuration in a
 		// snapshot with a newer revision. The active configuration must not go back.
 		It("keeps its configuration and versions when the other's are older", func() {
-			next := held.Newest(catalog.Snapshot{AsOf: 25, ConfigRevision: 11, Config: &routing.Config{Version: 3}})
+			next := held.Merge(catalog.Snapshot{AsOf: 25, ConfigRevision: 11, Config: &routing.Config{Version: 3}})
 			Expect(next.AsOf).To(Equal(catalog.Revision(25)))
 			Expect(next.Config.Version).To(Equal(int64(4)))
 			Expect(next.ConfigRevision).To(Equal(catalog.Revision(18)))
--- a/core/catalog/check.go
+++ b/core/catalog/check.go
@@ -11,9 +11,9 @@
 // until newer data is read.
 var (
 	// MissingRevision: the data does not state up to which revision it is complete.
-	NoRevision = failure.Namespace.NewType("no_revision")
+	MissingRevision = failure.Namespace.NewType("no_revision")
 	// RevisionWentBack: the data ends at an older revision than data read before.
-	WentBack = failure.Namespace.NewType("revision_went_back")
+	RevisionWentBack = failure.Namespace.NewType("revision_went_back")
 	// UnknownServer: a registration ended that is not known.
 	UnknownServer = failure.Namespace.NewType("unknown_server")
 )
@@ -23,9 +23,9 @@
 func CheckOrder(known, asOf Revision) error {
 	switch {
 	case asOf <= 0:
-		return NoRevision.New("response of the platform without a revision, after revision %d", known)
+		return MissingRevision.New("response of the platform without a revision, after revision %d", known)
 	case asOf < known:
-		return WentBack.New("platform returned revision %d after revision %d", asOf, known)
+		return RevisionWentBack.New("platform returned revision %d after revision %d", asOf, known)
 	default:
 		return nil
 	}
@@ -34,14 +34,14 @@
 // CheckList returns an error if the snapshot lists servers without a revision.
 func (s Snapshot) CheckList() error {
 	if s.AsOf <= 0 && len(s.Servers) > 0 {
-		return NoRevision.New("list of %d servers without a revision", len(s.Servers))
+		return MissingRevision.New("list of %d servers without a revision", len(s.Servers))
 	}
 	return nil
 }
 
 // CheckRemovals returns an error if the changes remove servers that are neither in the
 // snapshot nor registered by the changes.
-func (s Snapshot) CheckKnown(changes []Change) error {
+func (s Snapshot) CheckRemovals(changes []Change) error {
 	known := func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(s.Servers, func(server Server) bool { return server.ID == id }) ||
 			slices.ContainsFunc(changes, func(c Change) bool { return c.Server != nil && c.Server.ID == id })
--- a/core/catalog/ports.go
+++ b/core/catalog/ports.go
@@ -13,7 +13,7 @@
 
 // ResponseTimeout is how long a call to a Source may receive no data before it fails,
 // in addition to the time for which a watch waits for changes.
-const AnswerTime = 800 * time.Millisecond
+const ResponseTimeout = 800 * time.Millisecond
 
 // Source reads what the platform publishes. Its errors are failure.Unavailable,
 // failure.Timeout, failure.RateLimited, failure.Corrupt or HistoryGone.
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -20,7 +20,7 @@
 	if err := s.CheckList(); err != nil {
 		g.readings.refused(err, r, s.AsOf, before.AsOf)
 	}
-	g.snapshot = g.snapshot.Newest(s)
+	g.snapshot = g.snapshot.Merge(s)
 	if g.snapshot.AsOf > before.AsOf {
 		g.feed.restart(g.snapshot.AsOf)
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	before := g.snapshot
-	if err := before.CheckKnown(changes); err != nil {
+	if err := before.CheckRemovals(changes); err != nil {
 		g.readings.refused(err, r, asOf, before.AsOf)
 	}
 	next, gone := g.snapshot.ApplyServers(changes, asOf)
--- a/daemon/gateway/follow.go
+++ b/daemon/gateway/follow.go
@@ -41,7 +41,7 @@
 	longestPause = sourcePauseMax/2 + sourcePauseMax
 	// noticedWithin is the longest time from the platform's return to the answer
 	// that shows it: a call that it left without an answer, a pause, and a call.
-	noticedWithin = watchBriefly + catalog.AnswerTime + longestPause + watchBriefly
+	noticedWithin = watchBriefly + catalog.ResponseTimeout + longestPause + watchBriefly
 )
 
 // position is up to which revision Follow has read each part of the catalog.
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -190,7 +190,7 @@
 		for range 10_000 {
 			paused = max(paused, pauseAfter(maxDoublings+1, failure.Unavailable.New("reset")))
 		}
-		noticed := returned + watchBriefly + catalog.AnswerTime + paused + watchBriefly
+		noticed := returned + watchBriefly + catalog.ResponseTimeout + paused + watchBriefly
 		g := following()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("reset"))
 		g.sourceAnswered(at(noticed))
--- a/daemon/gateway/model_store_test.go
+++ b/daemon/gateway/model_store_test.go
@@ -217,7 +217,7 @@
 	f.at.takeFromPeers(v)
 	out := e.m.storeWay(now, e)
 	if e.isCutFromStore(now) {
-		e.m.after(patience+catalog.AnswerTime, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
+		e.m.after(patience+catalog.ResponseTimeout, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
 		return
 	}
 	if f.at.gone || f.at.servers == 0 {
@@ -260,7 +260,7 @@
 	f.ended = nil
 	if f.e.isCutFromStore(now) {
 		f.ended = func() bool { return false }
-		f.e.m.after(catalog.AnswerTime, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
+		f.e.m.after(catalog.ResponseTimeout, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
 		return
 	}
 	f.e.g.sourceAnswered(now)
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -318,7 +318,7 @@
 			e.cutFrom, e.cutTo = now, now.Add(500*time.Millisecond+m.chance(4*time.Second))
 			e.isCutFromStoreOnly = loss == readersStoreCut
 			if e.isCutFromStoreOnly {
-				m.noticed = now.Add(watchWait + catalog.AnswerTime)
+				m.noticed = now.Add(watchWait + catalog.ResponseTimeout)
 			}
 			continue
 		}
--- a/daemon/gateway/peercatalog_test.go
+++ b/daemon/gateway/peercatalog_test.go
@@ -20,7 +20,7 @@
 		Expect(answer.ConfigRevision).To(Equal(catalog.Revision(18)))
 		Expect(answer.Snapshot.Servers).To(BeEmpty())
 		asker := snapshot(22, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 21))
-		Expect(asker.Newest(*answer.Snapshot).Servers).To(HaveLen(2))
+		Expect(asker.Merge(*answer.Snapshot).Servers).To(HaveLen(2))
 	})
 
 	It("is the servers only, if it has the configuration", func() {
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -97,8 +97,8 @@
 		g, _ := newGateway()
 		g.opts.Source = forgetful{}
 		at := position{servers: 5, operator: 5}
-		Expect(errorx.IsOfType(g.watch(context.Background(), &at), catalog.WentBack)).To(BeTrue())
-		Expect(errorx.IsOfType(g.list(context.Background(), &at), catalog.WentBack)).To(BeTrue())
+		Expect(errorx.IsOfType(g.watch(context.Background(), &at), catalog.RevisionWentBack)).To(BeTrue())
+		Expect(errorx.IsOfType(g.list(context.Background(), &at), catalog.RevisionWentBack)).To(BeTrue())
 		Expect(at).To(Equal(position{servers: 5, operator: 5}))
 	})
 })
