--- a/core/delivery/delivery.go
+++ b/core/delivery/delivery.go
@@ -15,7 +15,7 @@
 	// last event.
 	OutOfOrder = failure.Namespace.NewType("events_out_of_order")
 	// IllegalTransition: the stage of the response does not allow the step.
-	Illegal = failure.Namespace.NewType("illegal_delivery")
+	IllegalTransition = failure.Namespace.NewType("illegal_delivery")
 )
 
 // NoEvent stands for the ID of an event without an ID, and for the last event of a caller
@@ -27,13 +27,13 @@
 
 const (
 	// NotStarted: nothing was sent.
-	Nothing Stage = iota
+	NotStarted Stage = iota
 	// Partial: the response head and some events were sent.
 	Partial
 	// Complete: the response has ended regularly, or the request was refused.
 	Complete
 	// Aborted: the response ended before it was complete.
-	Cut
+	Aborted
 )
 
 // String returns the name used in logs.
@@ -43,7 +43,7 @@
 		return "partial"
 	case Complete:
 		return "complete"
-	case Cut:
+	case Aborted:
 		return "cut"
 	default:
 		return "nothing"
@@ -87,7 +87,7 @@
 func (p *Progress) Stage() Stage { return p.stage }
 
 // HasStarted reports whether the caller has received a part of its response.
-func (p *Progress) HasStarted() bool { return p.stage != Nothing }
+func (p *Progress) HasStarted() bool { return p.stage != NotStarted }
 
 // LastEvent returns the ID of the last event that the caller has received.
 func (p *Progress) LastEvent() int64 { return p.last }
@@ -97,10 +97,10 @@
 
 // CanResume reports whether another server can resume the stream after the last event
 // that the caller has received.
-func (p *Progress) MayResume() bool { return p.lastHasID }
+func (p *Progress) CanResume() bool { return p.lastHasID }
 
 // Attempt is one server's response to the request.
-type Run struct {
+type Attempt struct {
 	head Head
 	// resumes is true if the caller had received a part of the response before.
 	resumes bool
@@ -109,7 +109,7 @@
 }
 
 // Events returns how many events the server returned; 0 for a nil attempt.
-func (r *Run) Events() int {
+func (r *Attempt) Events() int {
 	if r == nil {
 		return 0
 	}
@@ -118,12 +118,12 @@
 
 // Accept starts an attempt with the head of a server's response. It fails with
 // NotContinued if the response cannot continue what the caller has received.
-func (p *Progress) Accept(h Head) (*Run, error) {
+func (p *Progress) Accept(h Head) (*Attempt, error) {
 	switch {
-	case p.stage == Nothing:
-		return &Run{head: h, last: NoEvent}, nil
+	case p.stage == NotStarted:
+		return &Attempt{head: h, last: NoEvent}, nil
 	case p.stage != Partial:
-		return nil, Illegal.New("response after one in stage %s", p.stage)
+		return nil, IllegalTransition.New("response after one in stage %s", p.stage)
 	case !p.lastHasID:
 		return nil, NotContinued.New("cannot resume: the last event sent to the caller has no ID")
 	case !h.IsEventStream():
@@ -131,16 +131,16 @@
 	case h.Version != p.head.Version:
 		return nil, NotContinued.New("cannot resume with weights version %d after version %d", h.Version, p.head.Version)
 	default:
-		return &Run{head: h, resumes: true, last: NoEvent}, nil
+		return &Attempt{head: h, resumes: true, last: NoEvent}, nil
 	}
 }
 
 // Event records the ID of an attempt's next event and reports whether the event is to be
 // forwarded, that is, whether the caller lacks it. It fails with OutOfOrder if the event
 // does not follow its predecessor.
-func (p *Progress) Event(r *Run, id int64) (pass bool, err error) {
+func (p *Progress) Event(r *Attempt, id int64) (pass bool, err error) {
 	if p.stage > Partial {
-		return false, Illegal.New("event after a response in stage %s", p.stage)
+		return false, IllegalTransition.New("event after a response in stage %s", p.stage)
 	}
 	if err := p.check(r, id); err != nil {
 		return false, err
@@ -156,7 +156,7 @@
 	return true, nil
 }
 
-func (p *Progress) check(r *Run, id int64) error {
+func (p *Progress) check(r *Attempt, id int64) error {
 	switch {
 	case id < 0 && r.resumes && r.last < p.last:
 		return OutOfOrder.New("event without an ID at the start of a stream resumed after event %d", p.last)
@@ -169,8 +169,8 @@
 	}
 }
 
-func (p *Progress) record(r *Run, id int64) {
-	if p.stage == Nothing {
+func (p *Progress) record(r *Attempt, id int64) {
+	if p.stage == NotStarted {
 		p.stage, p.head = Partial, r.head
 	}
 	p.lastHasID = id >= 0
@@ -191,7 +191,7 @@
 // has received all events: the attempt must have reached the last event that the caller
 // has. A resumed attempt without events does not prove that the server knows of any. A
 // caller with events of an earlier response may already have all of them.
-func (p *Progress) CheckEnd(r *Run) error {
+func (p *Progress) CheckEnd(r *Attempt) error {
 	if r.last < p.last && (r.resumes || r.last != NoEvent) {
 		return OutOfOrder.New("stream ended after event %d, but the caller has received event %d", r.last, p.last)
 	}
@@ -199,12 +199,12 @@
 }
 
 // Finish ends a response regularly at the end of an attempt.
-func (p *Progress) Finish(r *Run) error {
+func (p *Progress) Finish(r *Attempt) error {
 	if err := p.CheckEnd(r); err != nil {
 		return err
 	}
 	if p.stage > Partial {
-		return Illegal.New("end of a response in stage %s", p.stage)
+		return IllegalTransition.New("end of a response in stage %s", p.stage)
 	}
 	p.stage = Complete
 	return nil
@@ -212,17 +212,17 @@
 
 // FinishUnstreamed records a response that is sent at once, or a refusal. Nothing may
 // precede or follow it.
-func (p *Progress) Whole() error {
-	if p.stage != Nothing {
-		return Illegal.New("unstreamed response after one in stage %s", p.stage)
+func (p *Progress) FinishUnstreamed() error {
+	if p.stage != NotStarted {
+		return IllegalTransition.New("unstreamed response after one in stage %s", p.stage)
 	}
 	p.stage = Complete
 	return nil
 }
 
 // Abort ends a response that is not complete.
-func (p *Progress) Cut() {
+func (p *Progress) Abort() {
 	if p.stage != Complete {
-		p.stage = Cut
+		p.stage = Aborted
 	}
 }
--- a/core/delivery/delivery_test.go
+++ b/core/delivery/delivery_test.go
@@ -41,7 +41,7 @@
 
 	It("is not continued after an event without an ID", func() {
 		p := started(0, delivery.NoEvent)
-		Expect(p.MayResume()).To(BeFalse())
+		Expect(p.CanResume()).To(BeFalse())
 		_, err := p.Accept(okHead)
 		Expect(err).To(ofType(delivery.NotContinued))
 	})
@@ -108,35 +108,35 @@
 	// Guards against a second response or a refusal after the first events.
 	It("does not accept an unstreamed response or a refusal", func() {
 		p := started(0)
-		Expect(p.Whole()).To(ofType(delivery.Illegal))
+		Expect(p.FinishUnstreamed()).To(ofType(delivery.IllegalTransition))
 	})
 })
 
 var _ = Describe("A response that has ended", func() {
 	DescribeTable("accepts nothing more",
-		func(end func(*delivery.Progress, *delivery.Run)) {
+		func(end func(*delivery.Progress, *delivery.Attempt)) {
 			p := delivery.New(delivery.NoEvent)
 			attempt, err := p.Accept(okHead)
 			Expect(err).NotTo(HaveOccurred())
 			end(p, attempt)
 			stage := p.Stage()
 			_, err = p.Accept(okHead)
-			Expect(err).To(ofType(delivery.Illegal))
+			Expect(err).To(ofType(delivery.IllegalTransition))
 			_, err = p.Event(attempt, 7)
-			Expect(err).To(ofType(delivery.Illegal))
-			Expect(p.Finish(attempt)).To(ofType(delivery.Illegal))
-			Expect(p.Whole()).To(ofType(delivery.Illegal))
+			Expect(err).To(ofType(delivery.IllegalTransition))
+			Expect(p.Finish(attempt)).To(ofType(delivery.IllegalTransition))
+			Expect(p.FinishUnstreamed()).To(ofType(delivery.IllegalTransition))
 			Expect(p.Stage()).To(Equal(stage))
 		},
-		Entry("complete", func(p *delivery.Progress, r *delivery.Run) { Expect(p.Finish(r)).To(Succeed()) }),
-		Entry("unstreamed", func(p *delivery.Progress, _ *delivery.Run) { Expect(p.Whole()).To(Succeed()) }),
-		Entry("aborted", func(p *delivery.Progress, _ *delivery.Run) { p.Cut() }),
+		Entry("complete", func(p *delivery.Progress, r *delivery.Attempt) { Expect(p.Finish(r)).To(Succeed()) }),
+		Entry("unstreamed", func(p *delivery.Progress, _ *delivery.Attempt) { Expect(p.FinishUnstreamed()).To(Succeed()) }),
+		Entry("aborted", func(p *delivery.Progress, _ *delivery.Attempt) { p.Abort() }),
 	)
 
 	It("is not aborted once it is complete", func() {
 		p := delivery.New(delivery.NoEvent)
-		Expect(p.Whole()).To(Succeed())
-		p.Cut()
+		Expect(p.FinishUnstreamed()).To(Succeed())
+		p.Abort()
 		Expect(p.Stage()).To(Equal(delivery.Complete))
 	})
 })
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -26,7 +26,7 @@
 type successor struct {
 	ticket *placement.Ticket
 	answer Answer
-	run    *delivery.Run
+	run    *delivery.Attempt
 	until  time.Time // when the server ends its work on the call
 }
 
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -321,7 +321,7 @@
 
 // takeEvent passes on an event of a server, unless the caller has it already. It fails
 // if the event does not follow or the caller has left.
-func (j *job) takeEvent(ticket *placement.Ticket, answer Answer, run *delivery.Run, event eventstream.Event) error {
+func (j *job) takeEvent(ticket *placement.Ticket, answer Answer, run *delivery.Attempt, event eventstream.Event) error {
 	j.progressAt = time.Now()
 	ticket.Wrote(j.tokensOfEvent())
 	passed, err := j.reply.event(answer, run, event)
--- a/daemon/gateway/reply.go
+++ b/daemon/gateway/reply.go
@@ -25,7 +25,7 @@
 
 // accept starts a server's run, and fails if its answer cannot follow what the caller
 // has.
-func (r *reply) accept(answer Answer) (*delivery.Run, error) {
+func (r *reply) accept(answer Answer) (*delivery.Attempt, error) {
 	run, err := r.progress.Accept(headOf(answer))
 	return run, r.checked(err)
 }
@@ -37,7 +37,7 @@
 // event passes an event on, with the head before the first one, unless the caller has
 // it. It fails with delivery.OutOfOrder if it does not follow, else if the caller has
 // left; the answer is cut then.
-func (r *reply) event(answer Answer, run *delivery.Run, event eventstream.Event) (passed bool, err error) {
+func (r *reply) event(answer Answer, run *delivery.Attempt, event eventstream.Event) (passed bool, err error) {
 	if isComment(event) {
 		return r.comment(event)
 	}
@@ -75,7 +75,7 @@
 }
 
 // complete ends a stream after its last event.
-func (r *reply) complete(answer Answer, run *delivery.Run) error {
+func (r *reply) complete(answer Answer, run *delivery.Attempt) error {
 	isFirst := !r.progress.HasStarted()
 	if err := r.checked(r.progress.Finish(run)); err != nil {
 		return err
@@ -90,7 +90,7 @@
 
 // whole sends an answer whose body is known.
 func (r *reply) whole(answer Answer, body []byte) error {
-	if err := r.checked(r.progress.Whole()); err != nil {
+	if err := r.checked(r.progress.FinishUnstreamed()); err != nil {
 		return err
 	}
 	return r.caller.Whole(answer, body)
@@ -98,20 +98,20 @@
 
 // refuse sends an answer of our own.
 func (r *reply) refuse(v Verdict) {
-	if r.checked(r.progress.Whole()) == nil {
+	if r.checked(r.progress.FinishUnstreamed()) == nil {
 		r.caller.Refuse(v)
 	}
 }
 
 // cut leaves the answer without a regular end.
-func (r *reply) cut() { r.progress.Cut() }
+func (r *reply) cut() { r.progress.Abort() }
 
 // isCut reports whether nothing more can be passed on.
-func (r *reply) isCut() bool { return r.progress.Stage() == delivery.Cut }
+func (r *reply) isCut() bool { return r.progress.Stage() == delivery.Aborted }
 
 // checked reports a step that the stage of the answer does not allow. The answer is cut.
 func (r *reply) checked(err error) error {
-	if err != nil && errorx.IsOfType(err, delivery.Illegal) {
+	if err != nil && errorx.IsOfType(err, delivery.IllegalTransition) {
 		r.log.illegalStep(r.id, err)
 		r.cut()
 	}
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -63,7 +63,7 @@
 	longestPause time.Duration
 	eventAt      time.Time
 	// run is that of the last server, endFramed whether it marks the end of its answer.
-	run       *delivery.Run
+	run       *delivery.Attempt
 	endFramed bool
 	// progressAt is when the server last gave something: the answer's last event,
 	// or the request's way to it.
@@ -362,7 +362,7 @@
 // it. After the first event, the next server must be able to resume the stream.
 func (j *job) mayBeSentAgain() bool {
 	if j.hasStarted() {
-		return j.route.MayResume() && j.reply.progress.MayResume()
+		return j.route.MayResume() && j.reply.progress.CanResume()
 	}
 	return j.route.Idempotent()
 }
