--- a/core/feed/backlog_test.go
+++ b/core/feed/backlog_test.go
@@ -21,13 +21,13 @@
 		counter, marks = feed.Counter{}, nil
 		fresh = counter.Cursor()
 		for range 2*limit + 1 {
-			marks = append(marks, counter.Mark(feed.Own))
+			marks = append(marks, counter.Mark(feed.Local))
 		}
 	})
 
 	// message returns the next message to a peer. Reports are added in descending order.
 	message := func(sent feed.Cursor) ([]int, feed.Cursor) {
-		b := feed.NewBacklog[int](&counter, sent, feed.Near)
+		b := feed.NewBacklog[int](&counter, sent, feed.SameGroup)
 		for i, m := range slices.Backward(marks) {
 			if b.Lacks(m) {
 				b.Add(m, i)
@@ -41,7 +41,7 @@
 		second, sent := message(sent)
 		rest, sent := message(sent)
 		Expect([][]int{first, second, rest}).To(Equal([][]int{{0, 1, 2}, {3, 4, 5}, {6}}))
-		b := feed.NewBacklog[int](&counter, sent, feed.Near)
+		b := feed.NewBacklog[int](&counter, sent, feed.SameGroup)
 		Expect(b.IsUpToDate()).To(BeTrue())
 	})
 
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -11,13 +11,13 @@
 
 const (
 	// Local: observed by this entry. Sent to every peer.
-	Own Source = iota
+	Local Source = iota
 	// SameGroup: received from an entry of the same group, which sends it to the whole
 	// group itself. Sent to other groups.
-	Near
+	SameGroup
 	// OtherGroup: received from another group, which sends it to all groups itself. Sent
 	// to the entry's own group.
-	Far
+	OtherGroup
 )
 
 // Counter assigns sequence numbers to learned reports. The zero value is ready to use.
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -16,23 +16,23 @@
 		Expect(m.IsDue(m.Cursor(), to)).To(BeFalse())
 		Expect(m.IsDue(0, to)).To(BeTrue())
 	},
-		Entry("local, to a peer of the same group", feed.Own, feed.Near, true),
-		Entry("local, to a peer of another group", feed.Own, feed.Far, true),
-		Entry("same group, to a peer of the same group", feed.Near, feed.Near, false),
-		Entry("same group, to a peer of another group", feed.Near, feed.Far, true),
-		Entry("another group, to a peer of the same group", feed.Far, feed.Near, true),
-		Entry("another group, to a peer of another group", feed.Far, feed.Far, false),
+		Entry("local, to a peer of the same group", feed.Local, feed.SameGroup, true),
+		Entry("local, to a peer of another group", feed.Local, feed.OtherGroup, true),
+		Entry("same group, to a peer of the same group", feed.SameGroup, feed.SameGroup, false),
+		Entry("same group, to a peer of another group", feed.SameGroup, feed.OtherGroup, true),
+		Entry("another group, to a peer of the same group", feed.OtherGroup, feed.SameGroup, true),
+		Entry("another group, to a peer of another group", feed.OtherGroup, feed.OtherGroup, false),
 	)
 
 	It("is never due if nothing was learned", func() {
-		Expect(feed.Mark{}.IsDue(0, feed.Near)).To(BeFalse())
+		Expect(feed.Mark{}.IsDue(0, feed.SameGroup)).To(BeFalse())
 	})
 
 	It("comes after everything that was sent before", func() {
 		var c feed.Counter
-		first := c.Mark(feed.Own)
+		first := c.Mark(feed.Local)
 		sent := c.Cursor()
-		Expect(first.IsDue(sent, feed.Near)).To(BeFalse())
-		Expect(c.Mark(feed.Own).IsDue(sent, feed.Near)).To(BeTrue())
+		Expect(first.IsDue(sent, feed.SameGroup)).To(BeFalse())
+		Expect(c.Mark(feed.Local).IsDue(sent, feed.SameGroup)).To(BeTrue())
 	})
 })
--- a/core/feed/feedtest/feedtest.go
+++ b/core/feed/feedtest/feedtest.go
@@ -54,9 +54,9 @@
 // sourceOf returns whether another entry is in the same group as e.
 func (e entry) sourceOf(other entry) feed.Source {
 	if e.plan.Near[other.id] {
-		return feed.Near
+		return feed.SameGroup
 	}
-	return feed.Far
+	return feed.OtherGroup
 }
 
 // Exchange makes all entries send one message over each of their links. The messages of
@@ -108,7 +108,7 @@
 func Drain[R, C any](r Registry[R, C], now time.Time, sent feed.Cursor) (all, largest int) {
 	for {
 		var reports []R
-		if reports, sent = r.Since(now, sent, feed.Near); len(reports) == 0 {
+		if reports, sent = r.Since(now, sent, feed.SameGroup); len(reports) == 0 {
 			return all, largest
 		}
 		all += len(reports)
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -25,6 +25,6 @@
 		r.Crashed(start, request(n), serverID(n))
 	}
 	for b.Loop() {
-		r.Standing(start, request(1))
+		r.Status(start, request(1))
 	}
 }
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -79,6 +79,6 @@
 
 func (r *Registry) reportAgain(rec *record) {
 	for i := range rec.crashes {
-		rec.crashes[i].mark = r.counter.Mark(feed.Own)
+		rec.crashes[i].mark = r.counter.Mark(feed.Local)
 	}
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -43,7 +43,7 @@
 }
 
 // Status is what is known about a request.
-type Standing struct {
+type Status struct {
 	// Servers are the servers that crashed with the request in flight since it last
 	// succeeded.
 	Servers []fleet.InstanceID
@@ -52,15 +52,15 @@
 }
 
 // IsQuarantined reports whether the request must not be sent to any server.
-func (s Standing) IsQuarantined() bool { return len(s.Servers) >= threshold }
+func (s Status) IsQuarantined() bool { return len(s.Servers) >= threshold }
 
 // IsSuspect reports whether the request may have crashed a server.
-func (s Standing) IsSuspect() bool { return len(s.Servers) > 0 }
+func (s Status) IsSuspect() bool { return len(s.Servers) > 0 }
 
 // CanRetry reports whether the request may be sent to another server after its
 // connection broke. One crash short of quarantine the decision is left to the
 // client, whose retry may succeed and clear the request.
-func (s Standing) MayRepeat() bool { return len(s.Servers) < threshold-1 }
+func (s Status) CanRetry() bool { return len(s.Servers) < threshold-1 }
 
 // Registry holds the observations of this entry and others. It is safe for
 // concurrent use.
@@ -99,12 +99,12 @@
 }
 
 // Status returns what is known about a request.
-func (r *Registry) Standing(now time.Time, request Fingerprint) Standing {
+func (r *Registry) Status(now time.Time, request Fingerprint) Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.requests[request]
 	if rec == nil {
-		return Standing{}
+		return Status{}
 	}
 	rec.expire(now)
 	return rec.status()
@@ -112,11 +112,11 @@
 
 // Crashed records this entry's observation that a server crashed with a request in
 // flight, and returns the resulting status of the request.
-func (r *Registry) Crashed(now time.Time, request Fingerprint, server fleet.InstanceID) Standing {
+func (r *Registry) Crashed(now time.Time, request Fingerprint, server fleet.InstanceID) Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.record(now, request)
-	r.add(rec, observation{server: server, at: now}, feed.Own)
+	r.add(rec, observation{server: server, at: now}, feed.Local)
 	return rec.status()
 }
 
@@ -129,7 +129,7 @@
 	if rec == nil || len(rec.crashes) == 0 {
 		return
 	}
-	r.add(rec, observation{at: now}, feed.Own)
+	r.add(rec, observation{at: now}, feed.Local)
 }
 
 func (r *Registry) add(rec *record, o observation, from feed.Source) {
@@ -184,8 +184,8 @@
 	delete(r.requests, least)
 }
 
-func (rec *record) status() Standing {
-	var s Standing
+func (rec *record) status() Status {
+	var s Status
 	for _, c := range rec.crashes {
 		s.Servers = append(s.Servers, c.server)
 	}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -36,7 +36,7 @@
 			r.Crashed(at(after), poison, serverID(n))
 		}
 	}
-	status := func(after time.Duration) quarantine.Standing { return r.Standing(at(after), poison) }
+	status := func(after time.Duration) quarantine.Status { return r.Status(at(after), poison) }
 
 	BeforeEach(func() { r = quarantine.New() })
 
@@ -44,12 +44,12 @@
 		Expect(r.IsEmpty()).To(BeTrue())
 		crash(0, 1)
 		Expect(status(0).IsSuspect()).To(BeTrue())
-		Expect(status(0).MayRepeat()).To(BeTrue())
+		Expect(status(0).CanRetry()).To(BeTrue())
 		crash(time.Second, 2)
-		Expect(status(time.Second).MayRepeat()).To(BeFalse())
+		Expect(status(time.Second).CanRetry()).To(BeFalse())
 		Expect(status(time.Second).IsQuarantined()).To(BeFalse())
 		crash(2*time.Second, 3)
-		Expect(status(2 * time.Second)).To(Equal(quarantine.Standing{
+		Expect(status(2 * time.Second)).To(Equal(quarantine.Status{
 			Servers: []fleet.InstanceID{"i-1", "i-2", "i-3"}, Until: at(time.Hour)}))
 		Expect(status(2 * time.Second).IsQuarantined()).To(BeTrue())
 	})
@@ -68,7 +68,7 @@
 		crash(0, 1)
 		crash(100*time.Millisecond, 1)
 		for range 3 {
-			r.Merge(at(200*time.Millisecond), []quarantine.Report{{Request: poison, Server: serverID(1), AgeMS: 150}}, feed.Near)
+			r.Merge(at(200*time.Millisecond), []quarantine.Report{{Request: poison, Server: serverID(1), AgeMS: 150}}, feed.SameGroup)
 		}
 		Expect(status(time.Second).Servers).To(HaveLen(1))
 		crash(5*time.Second, 1) // it had restarted under the same ID
@@ -79,7 +79,7 @@
 		crash(0, 1)
 		r.Succeeded(at(2*time.Second), poison)
 		late := []quarantine.Report{{Request: poison, Server: serverID(2), AgeMS: 1500}}
-		Expect(r.Merge(at(3*time.Second), late, feed.Far)).To(BeEmpty())
+		Expect(r.Merge(at(3*time.Second), late, feed.OtherGroup)).To(BeEmpty())
 		Expect(status(3 * time.Second).IsSuspect()).To(BeFalse())
 	})
 
@@ -95,7 +95,7 @@
 	It("leaves no record if it was not in flight at a crash", func() {
 		r.Succeeded(start, poison)
 		Expect(r.IsEmpty()).To(BeTrue())
-		Expect(r.Merge(start, []quarantine.Report{{Request: poison}}, feed.Near)).To(BeEmpty())
+		Expect(r.Merge(start, []quarantine.Report{{Request: poison}}, feed.SameGroup)).To(BeEmpty())
 		Expect(r.IsEmpty()).To(BeTrue())
 	})
 
@@ -103,7 +103,7 @@
 	// evicts quarantined requests or exhausts the memory.
 	It("stays quarantined under a flood of others", func() {
 		crash(0, 1, 2, 3)
-		_, before := r.Since(at(0), 0, feed.Near)
+		_, before := r.Since(at(0), 0, feed.SameGroup)
 		const flood, remembered = 20000, 512
 		for n := range flood {
 			r.Crashed(at(time.Second), request(100+n), serverID(4))
@@ -111,11 +111,11 @@
 		count, _ := feedtest.Drain(r, at(time.Second), before)
 		Expect(count).To(BeNumerically("<=", remembered))
 		Expect(status(time.Second).IsQuarantined()).To(BeTrue())
-		first, change := r.Since(at(time.Second), 0, feed.Near)
+		first, change := r.Since(at(time.Second), 0, feed.SameGroup)
 		Expect(len(first)).To(BeNumerically("<=", 256))
 		Expect(first).To(ContainElement(HaveField("Request", poison)))
 		r.Crashed(at(time.Second), request(1), serverID(5))
-		rest, _ := r.Since(at(time.Second), change, feed.Near)
+		rest, _ := r.Since(at(time.Second), change, feed.SameGroup)
 		Expect(rest).To(HaveLen(1))
 	})
 })
@@ -125,7 +125,7 @@
 
 	It("are sent once each, in several messages if there are many", func() {
 		r := quarantine.New()
-		_, change := r.Since(start, 0, feed.Near)
+		_, change := r.Since(start, 0, feed.SameGroup)
 		const crashes = 60
 		for n := range crashes {
 			r.Crashed(start, request(n), serverID(1))
@@ -144,21 +144,21 @@
 		first, _ := r.Since(start, 0, to)
 		Expect(first).To(HaveLen(1))
 	},
-		Entry("of its own group", feed.Near, feed.Near, 0),
-		Entry("of another group", feed.Far, feed.Far, 0),
-		Entry("but not what was received from another group", feed.Far, feed.Near, 1),
-		Entry("but not what is reported to another group", feed.Near, feed.Far, 1),
+		Entry("of its own group", feed.SameGroup, feed.SameGroup, 0),
+		Entry("of another group", feed.OtherGroup, feed.OtherGroup, 0),
+		Entry("but not what was received from another group", feed.OtherGroup, feed.SameGroup, 1),
+		Entry("but not what is reported to another group", feed.SameGroup, feed.OtherGroup, 1),
 	)
 
 	It("repeat the observations of others once they quarantine a request", func() {
 		r := quarantine.New()
-		_, change := r.Since(start, 0, feed.Near)
+		_, change := r.Since(start, 0, feed.SameGroup)
 		reports := []quarantine.Report{{Request: one, Server: serverID(1)}, {Request: one, Server: serverID(2)}, {Request: two, Server: serverID(2)}}
-		Expect(r.Merge(start, reports, feed.Near)).To(BeEmpty())
+		Expect(r.Merge(start, reports, feed.SameGroup)).To(BeEmpty())
 		third := []quarantine.Report{{Request: one, Server: serverID(3)}}
-		Expect(r.Merge(start, third, feed.Near)).To(Equal([]quarantine.Fingerprint{one}))
-		Expect(r.Merge(start, third, feed.Far)).To(BeEmpty())
-		again, _ := r.Since(start, change, feed.Near)
+		Expect(r.Merge(start, third, feed.SameGroup)).To(Equal([]quarantine.Fingerprint{one}))
+		Expect(r.Merge(start, third, feed.OtherGroup)).To(BeEmpty())
+		again, _ := r.Since(start, change, feed.SameGroup)
 		Expect(again).To(HaveLen(3))
 	})
 })
--- a/core/quarantine/spread_test.go
+++ b/core/quarantine/spread_test.go
@@ -24,7 +24,7 @@
 		for n, by := range []int{0, size / 2, size - 1} {
 			f.Registries[by].Crashed(start, request(1), serverID(n))
 		}
-		f.ExpectSpread(allowed, func(r *quarantine.Registry) bool { return r.Standing(f.Now, request(1)).IsQuarantined() })
+		f.ExpectSpread(allowed, func(r *quarantine.Registry) bool { return r.Status(f.Now, request(1)).IsQuarantined() })
 	},
 		Entry("of 2", 2), Entry("of 8", 8), Entry("of 13", 13), Entry("of 44", 44), Entry("of 100", 100), Entry("of 410", 410),
 	)
@@ -38,8 +38,8 @@
 			f.Exchange()
 		}
 		fresh := quarantine.New()
-		reports, _ := f.Registries[7].Since(at(time.Second), 0, feed.Near)
-		Expect(fresh.Merge(at(time.Second), reports, feed.Near)).To(HaveLen(1))
+		reports, _ := f.Registries[7].Since(at(time.Second), 0, feed.SameGroup)
+		Expect(fresh.Merge(at(time.Second), reports, feed.SameGroup)).To(HaveLen(1))
 	})
 
 	// Guards against reports that circulate forever.
--- a/core/quarantine/unresolved.go
+++ b/core/quarantine/unresolved.go
@@ -25,7 +25,7 @@
 
 // RecordUnresolved records that an attempt at a server ended with an unknown outcome. The
 // attempt counts as in flight if the server turns out to have crashed.
-func (r *Registry) Doubt(now time.Time, request Fingerprint, server fleet.InstanceID) {
+func (r *Registry) RecordUnresolved(now time.Time, request Fingerprint, server fleet.InstanceID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unresolved = append(r.unresolved, unresolvedAttempt{request, server, now})
@@ -36,7 +36,7 @@
 }
 
 // HasUnresolved reports whether an attempt at the server ended with an unknown outcome.
-func (r *Registry) IsDoubted(now time.Time, server fleet.InstanceID) bool {
+func (r *Registry) HasUnresolved(now time.Time, server fleet.InstanceID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.unresolved {
@@ -59,7 +59,7 @@
 		}
 		rec := r.record(now, d.request)
 		wasQuarantined := rec.status().IsQuarantined()
-		r.add(rec, observation{server: server, at: d.at}, feed.Own)
+		r.add(rec, observation{server: server, at: d.at}, feed.Local)
 		if !wasQuarantined && rec.status().IsQuarantined() {
 			quarantined = append(quarantined, d.request)
 		}
--- a/core/quarantine/unresolved_test.go
+++ b/core/quarantine/unresolved_test.go
@@ -20,28 +20,28 @@
 	It("counts if its server turns out to have crashed", func() {
 		r.Crashed(start, poison, serverID(1))
 		r.Crashed(start, poison, serverID(2))
-		r.Doubt(start, poison, serverID(3))
-		Expect(r.IsDoubted(start, serverID(3))).To(BeTrue())
+		r.RecordUnresolved(start, poison, serverID(3))
+		Expect(r.HasUnresolved(start, serverID(3))).To(BeTrue())
 		Expect(r.ServerCrashed(at(3*time.Second), serverID(3))).To(Equal([]quarantine.Fingerprint{poison}))
-		Expect(r.Standing(at(3*time.Second), poison).IsQuarantined()).To(BeTrue())
+		Expect(r.Status(at(3*time.Second), poison).IsQuarantined()).To(BeTrue())
 		Expect(r.ServerCrashed(at(3*time.Second), serverID(3))).To(BeEmpty())
 	})
 
 	It("does not count if another server crashes, or the same server much later", func() {
-		r.Doubt(start, poison, serverID(1))
+		r.RecordUnresolved(start, poison, serverID(1))
 		r.ServerCrashed(start, serverID(2))
 		r.ServerCrashed(at(5*time.Second), serverID(1))
-		Expect(r.Standing(at(5*time.Second), poison).IsSuspect()).To(BeFalse())
+		Expect(r.Status(at(5*time.Second), poison).IsSuspect()).To(BeFalse())
 		Expect(r.IsEmpty()).To(BeTrue())
 	})
 
 	It("is dropped under a flood of others", func() {
-		r.Doubt(start, poison, serverID(1))
+		r.RecordUnresolved(start, poison, serverID(1))
 		const flood = 1000
 		for n := range flood {
-			r.Doubt(start, request(2+n), serverID(2))
+			r.RecordUnresolved(start, request(2+n), serverID(2))
 		}
-		Expect(r.IsDoubted(start, serverID(1))).To(BeFalse())
-		Expect(r.IsDoubted(start, serverID(2))).To(BeTrue())
+		Expect(r.HasUnresolved(start, serverID(1))).To(BeFalse())
+		Expect(r.HasUnresolved(start, serverID(2))).To(BeTrue())
 	})
 })
--- a/core/serverlimit/exchange.go
+++ b/core/serverlimit/exchange.go
@@ -68,7 +68,7 @@
 		return false
 	case known.at.After(at):
 		// The other entry lacks the newer observation; report it again.
-		r.set(report.Server, *known, feed.Own)
+		r.set(report.Server, *known, feed.Local)
 		return false
 	default:
 		next := limit{perSecond: report.PerSecond, ended: report.Ended, at: at}
--- a/core/serverlimit/exchange_test.go
+++ b/core/serverlimit/exchange_test.go
@@ -29,7 +29,7 @@
 	BeforeEach(func() { r = serverlimit.New() })
 
 	merge := func(after time.Duration, reports ...serverlimit.Report) []serverlimit.Report {
-		return r.Merge(at(after), reports, feed.Near)
+		return r.Merge(at(after), reports, feed.SameGroup)
 	}
 	perSecond := func(after time.Duration) float64 { return r.All(at(after))[server] }
 
@@ -48,9 +48,9 @@
 	// Guards against an entry that keeps an outdated limit because no report corrects it.
 	It("are answered with a newer report if they are outdated", func() {
 		merge(2*time.Second, report(3, 0))
-		_, sent := r.Since(at(2*time.Second), 0, feed.Near)
+		_, sent := r.Since(at(2*time.Second), 0, feed.SameGroup)
 		merge(3*time.Second, report(2, 2*time.Second))
-		due, _ := r.Since(at(3*time.Second), sent, feed.Near)
+		due, _ := r.Since(at(3*time.Second), sent, feed.SameGroup)
 		Expect(due).To(Equal([]serverlimit.Report{report(3, time.Second)}))
 	})
 
@@ -75,9 +75,9 @@
 
 	It("are sent once each, in several messages if there are many", func() {
 		const servers = 150
-		_, sent := r.Since(start, 0, feed.Near)
+		_, sent := r.Since(start, 0, feed.SameGroup)
 		for n := range servers {
-			r.Advertised(start, fleet.InstanceID(fmt.Sprintf("i-%d", n)), 1)
+			r.RecordAdvertised(start, fleet.InstanceID(fmt.Sprintf("i-%d", n)), 1)
 		}
 		all, largest := feedtest.Drain(r, start, sent)
 		Expect(all).To(Equal(servers))
@@ -85,11 +85,11 @@
 	})
 
 	It("are dropped for servers that are no longer listed", func() {
-		r.Advertised(start, server, 1)
+		r.RecordAdvertised(start, server, 1)
 		isListed := func(id fleet.InstanceID) bool { return id != server }
-		r.Keep(at(time.Second), isListed) // this entry may list it later
+		r.DropUnlisted(at(time.Second), isListed) // this entry may list it later
 		Expect(perSecond(time.Second)).To(Equal(1.0))
-		r.Keep(at(time.Minute), isListed)
+		r.DropUnlisted(at(time.Minute), isListed)
 		Expect(r.All(at(time.Minute))).To(BeEmpty())
 	})
 })
@@ -100,7 +100,7 @@
 	const allowed = 3 * time.Second
 	f := feedtest.NewFleet(size, start, serverlimit.New)
 	f.Exchange()
-	f.Registries[size-1].Advertised(start, server, 1)
+	f.Registries[size-1].RecordAdvertised(start, server, 1)
 	f.ExpectSpread(allowed, func(r *serverlimit.Registry) bool { return len(r.All(f.Now)) > 0 })
 	for range 3 {
 		f.Exchange()
--- a/core/serverlimit/serverlimit.go
+++ b/core/serverlimit/serverlimit.go
@@ -50,7 +50,7 @@
 )
 
 // RecordAdvertised records the limit that a response advertised.
-func (r *Registry) Advertised(now time.Time, server fleet.InstanceID, perSecond float64) Change {
+func (r *Registry) RecordAdvertised(now time.Time, server fleet.InstanceID, perSecond float64) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.limits[server]
@@ -59,7 +59,7 @@
 		known.at = now
 		return Unchanged
 	}
-	r.set(server, limit{perSecond: perSecond, at: now}, feed.Own)
+	r.set(server, limit{perSecond: perSecond, at: now}, feed.Local)
 	if isInForce {
 		return Adjusted
 	}
@@ -69,14 +69,14 @@
 // RecordNotAdvertised records a successful response without a limit to a request that was
 // sent at the given time, and reports whether this ended a limit. A request sent before
 // the limit was last advertised does not end it, since its response may have been delayed.
-func (r *Registry) NotAdvertised(sent time.Time, server fleet.InstanceID) bool {
+func (r *Registry) RecordNotAdvertised(sent time.Time, server fleet.InstanceID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.limits[server]
 	if known == nil || known.ended || !sent.After(known.at) {
 		return false
 	}
-	r.set(server, limit{perSecond: known.perSecond, ended: true, at: sent}, feed.Own)
+	r.set(server, limit{perSecond: known.perSecond, ended: true, at: sent}, feed.Local)
 	return true
 }
 
@@ -103,7 +103,7 @@
 const unlistedRetention = time.Minute
 
 // DropUnlisted drops the limits of servers that are no longer listed.
-func (r *Registry) Keep(now time.Time, isListed func(fleet.InstanceID) bool) {
+func (r *Registry) DropUnlisted(now time.Time, isListed func(fleet.InstanceID) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for server, l := range r.limits {
--- a/core/serverlimit/serverlimit_test.go
+++ b/core/serverlimit/serverlimit_test.go
@@ -22,22 +22,22 @@
 	BeforeEach(func() { r = serverlimit.New() })
 
 	It("is reported as a change when it is first advertised and when it is adjusted", func() {
-		Expect(r.Advertised(start, server, 1.5)).To(Equal(serverlimit.Started))
-		Expect(r.Advertised(at(time.Second), server, 1.5)).To(Equal(serverlimit.Unchanged))
-		Expect(r.Advertised(at(time.Second), server, 2)).To(Equal(serverlimit.Adjusted))
+		Expect(r.RecordAdvertised(start, server, 1.5)).To(Equal(serverlimit.Started))
+		Expect(r.RecordAdvertised(at(time.Second), server, 1.5)).To(Equal(serverlimit.Unchanged))
+		Expect(r.RecordAdvertised(at(time.Second), server, 2)).To(Equal(serverlimit.Adjusted))
 	})
 
 	It("ends once, with a response that advertises none", func() {
-		Expect(r.NotAdvertised(start, server)).To(BeFalse())
-		r.Advertised(start, server, 1.5)
-		Expect(r.NotAdvertised(at(time.Second), server)).To(BeTrue())
-		Expect(r.NotAdvertised(at(2*time.Second), server)).To(BeFalse())
-		Expect(r.Advertised(at(3*time.Second), server, 1.5)).To(Equal(serverlimit.Started))
+		Expect(r.RecordNotAdvertised(start, server)).To(BeFalse())
+		r.RecordAdvertised(start, server, 1.5)
+		Expect(r.RecordNotAdvertised(at(time.Second), server)).To(BeTrue())
+		Expect(r.RecordNotAdvertised(at(2*time.Second), server)).To(BeFalse())
+		Expect(r.RecordAdvertised(at(3*time.Second), server, 1.5)).To(Equal(serverlimit.Started))
 	})
 
 	// Guards against a burst at an overloaded server caused by a delayed response.
 	It("does not end with the response to a request sent before it was advertised", func() {
-		r.Advertised(at(time.Second), server, 1.5)
-		Expect(r.NotAdvertised(at(time.Second-time.Millisecond), server)).To(BeFalse())
+		r.RecordAdvertised(at(time.Second), server, 1.5)
+		Expect(r.RecordNotAdvertised(at(time.Second-time.Millisecond), server)).To(BeFalse())
 	})
 })
--- a/daemon/gateway/crash.go
+++ b/daemon/gateway/crash.go
@@ -24,7 +24,7 @@
 	fingerprint quarantine.Fingerprint
 	// server is the state of the server's process after the connection broke.
 	server   Liveness
-	standing quarantine.Standing
+	standing quarantine.Status
 }
 
 // brokenAt records whether the server of a failed attempt crashed. It returns nil
@@ -48,7 +48,7 @@
 		}
 		j.g.serverCrashed(now, server.ID)
 	case b.server == LivenessUnknown:
-		j.g.quarantine.Doubt(now, b.fingerprint, server.ID)
+		j.g.quarantine.RecordUnresolved(now, b.fingerprint, server.ID)
 	}
 	return b
 }
@@ -57,14 +57,14 @@
 // the server crashes before it reads the cancellation, the call was in flight.
 func (j *job) leftBehind(now time.Time, server placement.Server) {
 	if !j.g.board.IsLeaving(server.ID) {
-		j.g.quarantine.Doubt(now, j.contentFingerprint(), server.ID)
+		j.g.quarantine.RecordUnresolved(now, j.contentFingerprint(), server.ID)
 	}
 }
 
 // unreached checks the server of an attempt that could not be sent. It may have
 // crashed with calls in flight whose outcome is in doubt.
 func (j *job) unreached(ctx context.Context, now time.Time, server placement.Server) {
-	if j.g.quarantine.IsDoubted(now, server.ID) && !j.g.board.IsLeaving(server.ID) &&
+	if j.g.quarantine.HasUnresolved(now, server.ID) && !j.g.board.IsLeaving(server.ID) &&
 		j.g.opts.Backend.Check(ctx, server.Addr) == Down {
 		j.g.serverCrashed(now, server.ID)
 	}
@@ -75,7 +75,7 @@
 func (g *Gateway) serverCrashed(now time.Time, server fleet.InstanceID) {
 	for _, request := range g.quarantine.ServerCrashed(now, server) {
 		g.announceCrashes.Store(true)
-		g.log.quarantined(request, g.quarantine.Standing(now, request), "own")
+		g.log.quarantined(request, g.quarantine.Status(now, request), "own")
 	}
 }
 
@@ -106,11 +106,11 @@
 	return *j.fingerprint
 }
 
-func (j *job) standing(now time.Time) quarantine.Standing {
+func (j *job) standing(now time.Time) quarantine.Status {
 	if j.g.quarantine.IsEmpty() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
-	return j.g.quarantine.Standing(now, j.contentFingerprint())
+	return j.g.quarantine.Status(now, j.contentFingerprint())
 }
 
 // clearOfCrashes records that a server ran the call to its end.
@@ -129,7 +129,7 @@
 func (g *Gateway) receiveCrashes(now time.Time, from mesh.Peer, reports []quarantine.Report) {
 	for _, request := range g.quarantine.Merge(now, reports, sourceOf(from)) {
 		g.urgent = true
-		g.log.quarantined(request, g.quarantine.Standing(now, request), "peer "+string(from.ID))
+		g.log.quarantined(request, g.quarantine.Status(now, request), "peer "+string(from.ID))
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // keptBack logs that a call is sent to no server since its content is quarantined.
-func (l *requestLog) keptBack(j *job, s quarantine.Standing) {
+func (l *requestLog) keptBack(j *job, s quarantine.Status) {
 	if l.allowed() {
 		l.logger.Info("not_placed", inputs(j, zap.String("reason", reasonQuarantined),
 			zap.Stringer("fingerprint", j.contentFingerprint()), zap.String("servers", joinIDs(s.Servers)), zap.Time("until", s.Until))...)
@@ -161,7 +161,7 @@
 }
 
 // quarantined logs that a request reaches no server any more.
-func (l *requestLog) quarantined(request quarantine.Fingerprint, s quarantine.Standing, source string) {
+func (l *requestLog) quarantined(request quarantine.Fingerprint, s quarantine.Status, source string) {
 	l.metrics.Counter("requests_quarantined").Inc(1)
 	l.logger.Warn("request_quarantined", zap.Stringer("fingerprint", request), zap.String("servers", joinIDs(s.Servers)),
 		zap.Time("until", s.Until), zap.String("source", source))
--- a/daemon/gateway/limit.go
+++ b/daemon/gateway/limit.go
@@ -22,14 +22,14 @@
 	case limit.Malformed != "":
 		j.g.log.malformedLimit(server, limit.Malformed)
 	case limit.Advertised:
-		change := j.g.limits.Advertised(time.Now(), server.ID, limit.PerSecond)
+		change := j.g.limits.RecordAdvertised(time.Now(), server.ID, limit.PerSecond)
 		if change != serverlimit.Unchanged {
 			j.g.log.serverLimit(server.ID, limit.PerSecond, "own")
 			j.g.post(func(time.Time) { j.g.applyLimits(change == serverlimit.Started) })
 		}
 	case answer.Status() >= http.StatusMultipleChoices:
 		// An unsuccessful response may never advertise a limit.
-	case j.g.limits.NotAdvertised(sent, server.ID):
+	case j.g.limits.RecordNotAdvertised(sent, server.ID):
 		j.g.log.limitEnded(server.ID, "own")
 		j.g.post(func(time.Time) { j.g.applyLimits(true) })
 	}
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -135,7 +135,7 @@
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
 		s.Config.Routes[0].Timeout = time.Minute
 		g.adopt(now, s, "platform")
-		g.limits.Advertised(now, "i-1", 1)
+		g.limits.RecordAdvertised(now, "i-1", 1)
 		g.publish(now)
 		caller := make(refusals, 1)
 		g.Serve(context.Background(), &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: time.Minute, LastEvent: -1}, caller)
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -105,7 +105,7 @@
 // have run it.
 func (j *job) again(ctx context.Context, now time.Time) bool {
 	return ctx.Err() == nil && !j.g.opts.Off.Repeat && j.mayBeSentAgain() && j.attempts < j.route.MaxAttempts &&
-		j.deadline.Sub(now) > minimalRest && j.standing(now).MayRepeat()
+		j.deadline.Sub(now) > minimalRest && j.standing(now).CanRetry()
 }
 
 // declined follows a server's word that it did not run the call.
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -339,7 +339,7 @@
 	g.noteReplaced(now, list)
 	g.board.SetServers(now, list)
 	g.limitsChanged = true // those of servers that are listed anew
-	g.limits.Keep(now, func(id fleet.InstanceID) bool {
+	g.limits.DropUnlisted(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
 	})
 	g.opts.Backend.Keep(list)
--- a/daemon/gateway/reports.go
+++ b/daemon/gateway/reports.go
@@ -39,7 +39,7 @@
 
 func sourceOf(p mesh.Peer) feed.Source {
 	if p.Near {
-		return feed.Near
+		return feed.SameGroup
 	}
-	return feed.Far
+	return feed.OtherGroup
 }
--- a/daemon/gateway/reports_test.go
+++ b/daemon/gateway/reports_test.go
@@ -15,7 +15,7 @@
 	g, _ := newGateway()
 	now := time.Now()
 	g.quarantine.Crashed(now, quarantine.Fingerprint{1}, "i-1")
-	g.limits.Advertised(now, "i-1", 1)
+	g.limits.RecordAdvertised(now, "i-1", 1)
 	expectReports := func(form mesh.Form, want int) {
 		GinkgoHelper()
 		b := g.compose(now, nearEntry, form)
