--- a/core/loading/loading.go
+++ b/core/loading/loading.go
@@ -48,8 +48,8 @@
 	Busy bool
 	// Slowdown is the factor by which passes exceed their published duration;
 	// 1 is normal.
-	Pace float64
-	Born fleet.Start
+	Slowdown float64
+	Born     fleet.Start
 	// Queued and Running are the numbers of waiting and running calls.
 	Queued, Running int
 	Orders          Orders
@@ -57,8 +57,8 @@
 
 // Orders is the number of orders that the engine's process has accepted.
 type Orders struct {
-	Count uint64
-	Told  bool // false if the engine does not report the number
+	Count    uint64
+	Reported bool // false if the engine does not report the number
 }
 
 // Step is the next action of the agent.
@@ -66,9 +66,9 @@
 
 const (
 	// Idle: there is nothing to do.
-	Rest Step = iota
+	Idle Step = iota
 	// Fetch: the version's chunks are to be fetched.
-	Gather
+	Fetch
 	// Wait: the version is staged, but the engine may not be ordered to load it yet.
 	Wait
 	// Order: the staged version is to be verified once more and the engine ordered to
@@ -77,7 +77,7 @@
 )
 
 // NotExpected is the time until a version is staged if its chunks do not arrive.
-const Far = time.Hour
+const NotExpected = time.Hour
 
 // Plan is the state of one engine's change to another version. It is not safe for
 // concurrent use; only the control loop uses it.
@@ -86,7 +86,7 @@
 	within   time.Duration // for a change of all engines
 	disabled policy.Off
 
-	versions  Names
+	versions  NamedVersions
 	staged    []uint64  // ascending
 	stagedAt  time.Time // when the last of them was staged
 	readRank  int       // rank among the agents of the region for reading manifests
@@ -142,7 +142,7 @@
 
 // ManifestReadDelay returns how long this agent waits before it reads a manifest from
 // the origin. The first readers wait for minDelay.
-func (p *Plan) ReadAfter(minDelay time.Duration) time.Duration {
+func (p *Plan) ManifestReadDelay(minDelay time.Duration) time.Duration {
 	steps := 0
 	for readers := manifestReaders; readers <= p.readRank; readers *= 2 {
 		steps++
@@ -154,7 +154,7 @@
 
 // AddWanted adds a version that the operator named. It reports whether this changed
 // the wanted version.
-func (p *Plan) Want(named Named) bool {
+func (p *Plan) AddWanted(named NamedVersion) bool {
 	before := p.versions.Newest()
 	p.versions, _ = p.versions.Add(named, 0)
 	return p.versions.Newest() != before
@@ -173,7 +173,7 @@
 func (p *Plan) Wanted() uint64 { return p.versions.Newest() }
 
 // MarkStaged records that a version is completely staged.
-func (p *Plan) Staged(now time.Time, version uint64) {
+func (p *Plan) MarkStaged(now time.Time, version uint64) {
 	p.stagedAt = now
 	if at, found := slices.BinarySearch(p.staged, version); !found {
 		p.staged = slices.Insert(p.staged, at, version)
@@ -181,14 +181,14 @@
 }
 
 // MarkOrdered records that the engine was ordered to load a version.
-func (p *Plan) Ordered(now time.Time, version uint64) {
+func (p *Plan) MarkOrdered(now time.Time, version uint64) {
 	p.ordered = version
 	p.orderedAt = now
 }
 
 // MarkAccepted records that the engine is known to have accepted the last order, which
 // may be long after the order was sent.
-func (p *Plan) Accepted(now time.Time) {
+func (p *Plan) MarkAccepted(now time.Time) {
 	if p.ordered != 0 {
 		p.orderedAt = now
 	}
@@ -197,7 +197,7 @@
 // MarkRestarted records that the engine's process was replaced, so that no order is
 // running. Otherwise the plan would wait for the order to the previous process for
 // orderRetryInterval.
-func (p *Plan) StartedAnew() {
+func (p *Plan) MarkRestarted() {
 	p.ordered = 0
 	p.orderedAt = time.Time{}
 	p.notBefore = time.Time{}
@@ -208,14 +208,14 @@
 func (p *Plan) OrderedAt() time.Time { return p.orderedAt }
 
 // MarkDeclined records that the engine declined the order.
-func (p *Plan) Declined(now time.Time) {
+func (p *Plan) MarkDeclined(now time.Time) {
 	p.ordered = 0
 	p.notBefore = now.Add(declinedPause)
 }
 
 // IsReloading reports whether the engine accepts no new requests because it has been
 // ordered to load.
-func (p *Plan) Changing(e Engine) bool { return p.ordered != 0 && e.Loaded != p.ordered }
+func (p *Plan) IsReloading(e Engine) bool { return p.ordered != 0 && e.Loaded != p.ordered }
 
 // Target returns the version to load next, 0 if no staged version is worth loading.
 // wantedIn is the time until the wanted version is staged.
@@ -254,7 +254,7 @@
 
 // ExpiredSince returns since when the engine's loaded version may no longer be
 // served. It returns false while the version may be served, or if none is loaded.
-func (p *Plan) OutOfTime(now time.Time, e Engine) (time.Time, bool) {
+func (p *Plan) ExpiredSince(now time.Time, e Engine) (time.Time, bool) {
 	since, outdated := p.versions.OutdatedSince(e.Loaded)
 	end := since.Add(p.within)
 	return end, e.Loaded != 0 && outdated && !now.Before(end)
@@ -262,14 +262,14 @@
 
 // ShouldAbandon reports whether a version is to be abandoned for a newer one. missing
 // is the fraction of the version's chunks that no agent is known to hold.
-func (p *Plan) GivesUp(missing float64) bool { return missing > abandonMissing }
+func (p *Plan) ShouldAbandon(missing float64) bool { return missing > abandonMissing }
 
 // ShouldFinishFirst reports whether the missing chunks of a version are to be fetched
 // from the origin before those of a newer version. Late in the time for the newer
 // version the older one would be of use for too short a time, and fetching it delays the
 // newer one.
-func (p *Plan) FinishesFirst(now time.Time, version uint64, missing float64) bool {
-	if missing == 0 || p.GivesUp(missing) {
+func (p *Plan) ShouldFinishFirst(now time.Time, version uint64, missing float64) bool {
+	if missing == 0 || p.ShouldAbandon(missing) {
 		return false
 	}
 	since, outdated := p.versions.OutdatedSince(version)
@@ -282,9 +282,9 @@
 	target := p.Target(now, e, wantedIn)
 	switch {
 	case p.leaving || wanted == 0 || e.Loaded == wanted && !e.Busy:
-		return Rest
+		return Idle
 	case target == 0 || target <= e.Loaded:
-		return Gather
+		return Fetch
 	case p.ordered == target && now.Sub(p.orderedAt) < orderRetryInterval || e.Busy || now.Before(p.notBefore):
 		return Wait
 	case now.Before(p.turn(e)):
--- a/core/loading/loading_test.go
+++ b/core/loading/loading_test.go
@@ -22,8 +22,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func known(version uint64, since time.Duration) loading.Named {
-	return loading.Named{Version: version, Since: at(since)}
+func known(version uint64, since time.Duration) loading.NamedVersion {
+	return loading.NamedVersion{Version: version, Since: at(since)}
 }
 
 var _ = Describe("NamedVersions", func() {
@@ -31,24 +31,24 @@
 	// does not know its age. A process that has followed the platform corrects this:
 	// otherwise all engines with the previous version would leave service together.
 	It("does not accept an assumed age for a version that was not present a moment ago", func() {
-		reported := loading.Named{Version: 2, Since: at(-within), Assumed: true}
-		now := loading.Named{Version: 2, Since: at(time.Second)}
-		Expect(loading.Names{}.Correct(reported, now)).To(Equal(now))
+		reported := loading.NamedVersion{Version: 2, Since: at(-within), Assumed: true}
+		now := loading.NamedVersion{Version: 2, Since: at(time.Second)}
+		Expect(loading.NamedVersions{}.Reconcile(reported, now)).To(Equal(now))
 
-		known3 := loading.Names{known(3, 500*time.Millisecond)}
-		Expect(known3.Correct(reported, now)).To(Equal(loading.Named{Version: 2, Since: at(500 * time.Millisecond)}))
+		known3 := loading.NamedVersions{known(3, 500*time.Millisecond)}
+		Expect(known3.Reconcile(reported, now)).To(Equal(loading.NamedVersion{Version: 2, Since: at(500 * time.Millisecond)}))
 
-		started := loading.Names{{Version: 3, Since: at(-within), Assumed: true}}
-		Expect(started.Correct(reported, now)).To(Equal(reported))
-		both := loading.Names{reported, known(3, 0)}
-		Expect(both.Correct(reported, now)).To(Equal(reported))
+		started := loading.NamedVersions{{Version: 3, Since: at(-within), Assumed: true}}
+		Expect(started.Reconcile(reported, now)).To(Equal(reported))
+		both := loading.NamedVersions{reported, known(3, 0)}
+		Expect(both.Reconcile(reported, now)).To(Equal(reported))
 	})
 
 	// Version 2 is named, and version 3 two seconds later while version 2 is still
 	// being distributed. An engine with version 1 must leave service by the deadline
 	// of version 2; judged by version 3, it would serve two seconds longer.
 	It("judges an engine by the first version newer than its own", func() {
-		names, _ := loading.Names{}.Add(known(2, 0), 0)
+		names, _ := loading.NamedVersions{}.Add(known(2, 0), 0)
 		names, _ = names.Add(known(3, 2*time.Second), 0)
 		since, outdated := names.OutdatedSince(1)
 		Expect(outdated).To(BeTrue())
@@ -60,8 +60,8 @@
 	})
 
 	DescribeTable("determines when a version was named",
-		func(have, add loading.Named, want time.Duration, changed bool) {
-			names, _ := loading.Names{}.Add(have, 0)
+		func(have, add loading.NamedVersion, want time.Duration, changed bool) {
+			names, _ := loading.NamedVersions{}.Add(have, 0)
 			names, got := names.Add(add, 200*time.Millisecond)
 			since, _ := names.OutdatedSince(1)
 			Expect(since).To(Equal(at(want)))
@@ -74,19 +74,19 @@
 		// before. If the other entries adopted that time, all of them would stop using
 		// the engines that still serve, and no server would be left.
 		Entry("an assumed time does not replace a known one",
-			known(2, 0), loading.Named{Version: 2, Since: at(-within), Assumed: true}, time.Duration(0), false),
+			known(2, 0), loading.NamedVersion{Version: 2, Since: at(-within), Assumed: true}, time.Duration(0), false),
 		Entry("a known time replaces an assumed one",
-			loading.Named{Version: 2, Since: at(-within), Assumed: true}, known(2, 0), time.Duration(0), true),
+			loading.NamedVersion{Version: 2, Since: at(-within), Assumed: true}, known(2, 0), time.Duration(0), true),
 	)
 
 	It("does not modify a shared value", func() {
-		first, _ := loading.Names{}.Add(known(2, 0), 0)
+		first, _ := loading.NamedVersions{}.Add(known(2, 0), 0)
 		_, _ = first.Add(known(1, 0), 0)
 		Expect(first).To(HaveLen(1))
 	})
 
 	It("remembers a bounded number of versions", func() {
-		var names loading.Names
+		var names loading.NamedVersions
 		for version := range uint64(100) {
 			names, _ = names.Add(known(version+1, 0), 0)
 		}
@@ -103,7 +103,7 @@
 	BeforeEach(func() { p = loading.NewPlan("10.0.0.1", within, policy.Off{}) })
 
 	It("is idle while no version is wanted", func() {
-		Expect(p.Next(start, serving, loading.Far)).To(Equal(loading.Rest))
+		Expect(p.Next(start, serving, loading.NotExpected)).To(Equal(loading.Idle))
 	})
 
 	// A version is named while three servers are leaving. Their agents fetched the first
@@ -111,10 +111,10 @@
 	// fetched again, and no engine had the complete version in time.
 	It("fetches and orders nothing while its server is leaving", func() {
 		p.SetLeaving(true)
-		p.Want(known(2, 0))
-		Expect(p.Next(at(time.Second), serving, soon)).To(Equal(loading.Rest))
-		p.Staged(start, 2)
-		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Rest))
+		p.AddWanted(known(2, 0))
+		Expect(p.Next(at(time.Second), serving, soon)).To(Equal(loading.Idle))
+		p.MarkStaged(start, 2)
+		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Idle))
 		p.SetLeaving(false)
 		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Order))
 	})
@@ -122,35 +122,35 @@
 	// The time of a version ends relative to the first newer version. Judged by the
 	// newest, an engine would never expire while versions follow each other.
 	It("returns since when an engine's loaded version has expired", func() {
-		_, isExpired := p.OutOfTime(at(time.Hour), serving)
+		_, isExpired := p.ExpiredSince(at(time.Hour), serving)
 		Expect(isExpired).To(BeFalse(), "no version was named")
-		p.Want(known(2, 0))
-		p.Want(known(3, 2*time.Second))
-		_, isExpired = p.OutOfTime(at(within-time.Millisecond), serving)
+		p.AddWanted(known(2, 0))
+		p.AddWanted(known(3, 2*time.Second))
+		_, isExpired = p.ExpiredSince(at(within-time.Millisecond), serving)
 		Expect(isExpired).To(BeFalse())
-		end, isExpired := p.OutOfTime(at(within), serving)
+		end, isExpired := p.ExpiredSince(at(within), serving)
 		Expect(isExpired).To(BeTrue())
 		Expect(end).To(Equal(at(within)))
-		_, isExpired = p.OutOfTime(at(within), loading.Engine{Loaded: 2})
+		_, isExpired = p.ExpiredSince(at(within), loading.Engine{Loaded: 2})
 		Expect(isExpired).To(BeFalse(), "version 3 was named later")
-		_, isExpired = p.OutOfTime(at(time.Hour), loading.Engine{Loaded: 3})
+		_, isExpired = p.ExpiredSince(at(time.Hour), loading.Engine{Loaded: 3})
 		Expect(isExpired).To(BeFalse(), "it is the wanted version")
-		_, isExpired = p.OutOfTime(at(time.Hour), empty)
+		_, isExpired = p.ExpiredSince(at(time.Hour), empty)
 		Expect(isExpired).To(BeFalse(), "no version is loaded")
 	})
 
 	It("fetches, waits for its turn, and orders", func() {
-		Expect(p.Want(known(2, 0))).To(BeTrue())
-		Expect(p.Next(start, serving, soon)).To(Equal(loading.Gather))
-		p.Staged(start, 2)
+		Expect(p.AddWanted(known(2, 0))).To(BeTrue())
+		Expect(p.Next(start, serving, soon)).To(Equal(loading.Fetch))
+		p.MarkStaged(start, 2)
 		Expect(p.Next(start, serving, 0)).To(Equal(loading.Wait))
 		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Order))
 		Expect(p.Target(at(within), serving, 0)).To(Equal(uint64(2)))
 	})
 
 	It("lets an engine without weights load as soon as they are staged", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
 		Expect(p.Next(at(time.Millisecond), empty, 0)).To(Equal(loading.Order))
 	})
 
@@ -190,42 +190,42 @@
 	// moment. Every engine would leave service as outdated although version 2 is
 	// staged.
 	It("loads the intermediate version if the wanted one does not arrive in time", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Want(known(3, 2*time.Second))
-		Expect(p.Target(at(4*time.Second), serving, loading.Far)).To(Equal(uint64(2)))
-		Expect(p.Next(at(within*84/100), serving, loading.Far)).To(Equal(loading.Order))
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.AddWanted(known(3, 2*time.Second))
+		Expect(p.Target(at(4*time.Second), serving, loading.NotExpected)).To(Equal(uint64(2)))
+		Expect(p.Next(at(within*84/100), serving, loading.NotExpected)).To(Equal(loading.Order))
 	})
 
 	It("skips the intermediate version if the wanted one is about to arrive", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Want(known(3, 2*time.Second))
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.AddWanted(known(3, 2*time.Second))
 		Expect(p.Target(at(4*time.Second), serving, soon)).To(BeZero())
 	})
 
 	It("does not load an expired version", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Want(known(3, 0))
-		Expect(p.Target(at(within), empty, loading.Far)).To(BeZero())
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.AddWanted(known(3, 0))
+		Expect(p.Target(at(within), empty, loading.NotExpected)).To(BeZero())
 	})
 
 	It("repeats an order that has no effect", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Ordered(at(within), 2)
-		Expect(p.Changing(serving)).To(BeTrue())
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.MarkOrdered(at(within), 2)
+		Expect(p.IsReloading(serving)).To(BeTrue())
 		Expect(p.Next(at(within+time.Second), serving, 0)).To(Equal(loading.Wait))
 		Expect(p.Next(at(within+2*time.Second), serving, 0)).To(Equal(loading.Order))
 	})
 
 	It("keeps serving after a declined order and tries again", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Ordered(at(within), 2)
-		p.Declined(at(within))
-		Expect(p.Changing(serving)).To(BeFalse())
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.MarkOrdered(at(within), 2)
+		p.MarkDeclined(at(within))
+		Expect(p.IsReloading(serving)).To(BeFalse())
 		Expect(p.Next(at(within), serving, 0)).To(Equal(loading.Wait))
 		Expect(p.Next(at(within+time.Second), serving, 0)).To(Equal(loading.Order))
 	})
@@ -233,24 +233,24 @@
 	// The order got no response, and its acceptance became known long after it was sent.
 	// Timed from when it was sent, it would be repeated while the engine starts to load.
 	It("waits for an order from the time of its known acceptance", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Ordered(at(within), 2)
-		p.Accepted(at(within + 5*time.Second))
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.MarkOrdered(at(within), 2)
+		p.MarkAccepted(at(within + 5*time.Second))
 		Expect(p.Next(at(within+6*time.Second), serving, 0)).To(Equal(loading.Wait))
 		Expect(p.Next(at(within+7*time.Second), serving, 0)).To(Equal(loading.Order))
-		p.StartedAnew()
-		p.Accepted(at(within + 7*time.Second)) // by the previous process
+		p.MarkRestarted()
+		p.MarkAccepted(at(within + 7*time.Second)) // by the previous process
 		Expect(p.Next(at(within+7*time.Second), empty, 0)).To(Equal(loading.Order))
 	})
 
 	It("is idle once the engine has loaded the wanted version", func() {
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Ordered(start, 2)
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.MarkOrdered(start, 2)
 		done := loading.Engine{Loaded: 2}
-		Expect(p.Next(at(time.Second), done, 0)).To(Equal(loading.Rest))
-		Expect(p.Changing(done)).To(BeFalse())
+		Expect(p.Next(at(time.Second), done, 0)).To(Equal(loading.Idle))
+		Expect(p.IsReloading(done)).To(BeFalse())
 	})
 
 	// 58 agents read a manifest from an origin that accepts 48 connections, each agent
@@ -269,17 +269,17 @@
 			for _, id := range members {
 				plan := loading.NewPlan(id, within, policy.Off{})
 				plan.SetRegion(members)
-				if plan.ReadAfter(0) == 0 {
+				if plan.ManifestReadDelay(0) == 0 {
 					atOnceHere++
 				}
-				last = max(last, plan.ReadAfter(0))
+				last = max(last, plan.ManifestReadDelay(0))
 			}
 			Expect(atOnceHere).To(Equal(2), "in each region, since regions may discover each other late")
 			atOnce += atOnceHere
 		}
 		Expect(atOnce).To(Equal(6))
 		Expect(last).To(BeNumerically("<=", time.Second))
-		Expect(loading.NewPlan("i", within, policy.Off{}).ReadAfter(soon)).To(Equal(soon), "an agent that knows no others does not wait for any")
+		Expect(loading.NewPlan("i", within, policy.Off{}).ManifestReadDelay(soon)).To(Equal(soon), "an agent that knows no others does not wait for any")
 	})
 
 	// The engine's process was replaced after the order and before the load. The order
@@ -287,14 +287,14 @@
 	// second.
 	It("repeats the order immediately after the engine restarts", func() {
 		p := loading.NewPlan("i", within, policy.Off{})
-		p.Want(known(2, 0))
-		p.Staged(start, 2)
-		p.Ordered(at(time.Second), 2)
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(start, 2)
+		p.MarkOrdered(at(time.Second), 2)
 		before := loading.Engine{Born: 1000}
 		now := at(1100 * time.Millisecond)
 		Expect(p.Next(now, before, 0)).To(Equal(loading.Wait))
 		restarted := loading.Engine{Born: 900}
-		p.StartedAnew()
+		p.MarkRestarted()
 		Expect(p.Next(now, restarted, 0)).To(Equal(loading.Order))
 	})
 })
@@ -311,8 +311,8 @@
 	for i, id := range members {
 		p := loading.NewPlan(id, within, policy.Off{})
 		p.SetMembers(members)
-		p.Want(known(2, 0))
-		p.Staged(stagedAt, 2)
+		p.AddWanted(known(2, 0))
+		p.MarkStaged(stagedAt, 2)
 		turns[i] = turnOf(p, serving, within)
 	}
 	slices.Sort(turns)
@@ -339,28 +339,28 @@
 
 	BeforeEach(func() {
 		plan = loading.NewPlan("10.0.0.1", within, policy.Off{})
-		plan.Want(known(2, 0))
-		plan.Want(known(3, 2*time.Second))
+		plan.AddWanted(known(2, 0))
+		plan.AddWanted(known(3, 2*time.Second))
 	})
 
 	It("is finished if most of it has been fetched from the origin, however little of it locally", func() {
-		Expect(plan.GivesUp(mostMissing)).To(BeFalse())
-		Expect(plan.FinishesFirst(at(2*time.Second), 2, mostMissing)).To(BeTrue())
+		Expect(plan.ShouldAbandon(mostMissing)).To(BeFalse())
+		Expect(plan.ShouldFinishFirst(at(2*time.Second), 2, mostMissing)).To(BeTrue())
 	})
 
 	It("is abandoned if little of it has been fetched", func() {
-		Expect(plan.GivesUp(little)).To(BeTrue())
-		Expect(plan.FinishesFirst(at(2*time.Second), 2, little)).To(BeFalse())
+		Expect(plan.ShouldAbandon(little)).To(BeTrue())
+		Expect(plan.ShouldFinishFirst(at(2*time.Second), 2, little)).To(BeFalse())
 	})
 
 	It("does not delay the newer version once all of it has been fetched", func() {
-		Expect(plan.GivesUp(0)).To(BeFalse())
-		Expect(plan.FinishesFirst(at(2*time.Second), 2, 0)).To(BeFalse())
+		Expect(plan.ShouldAbandon(0)).To(BeFalse())
+		Expect(plan.ShouldFinishFirst(at(2*time.Second), 2, 0)).To(BeFalse())
 	})
 
 	// The origin recovers after six seconds. The first version would be of use for two
 	// more seconds, and fetching the rest of it would delay the second.
 	It("is not finished late, when it would be of little use", func() {
-		Expect(plan.FinishesFirst(at(8500*time.Millisecond), 2, mostMissing)).To(BeFalse())
+		Expect(plan.ShouldFinishFirst(at(8500*time.Millisecond), 2, mostMissing)).To(BeFalse())
 	})
 })
--- a/core/loading/outcome.go
+++ b/core/loading/outcome.go
@@ -5,10 +5,10 @@
 
 const (
 	// Pending: the engine may still accept the order.
-	Open Outcome = iota
+	Pending Outcome = iota
 	// Accepted: the engine has accepted the order or a repetition of it. Repetitions
 	// that it has not processed yet no longer match its number of orders.
-	Taken
+	Accepted
 	// Lost: the order was lost with the engine's process.
 	Lost
 )
@@ -20,15 +20,15 @@
 // An engine that does not report its number of orders is judged by its state, which may
 // predate the order.
 func OutcomeOf(version uint64, before, now Engine) Outcome {
-	isCounted := before.Orders.Told && now.Orders.Told
+	isCounted := before.Orders.Reported && now.Orders.Reported
 	switch {
 	case now.Born.Replaces(before.Born) || isCounted && now.Orders.Count < before.Orders.Count:
 		return Lost
 	case isCounted && now.Orders.Count > before.Orders.Count:
-		return Taken
-	case !before.Orders.Told && (now.Busy || now.Loaded == version):
-		return Taken
+		return Accepted
+	case !before.Orders.Reported && (now.Busy || now.Loaded == version):
+		return Accepted
 	default:
-		return Open
+		return Pending
 	}
 }
--- a/core/loading/versions.go
+++ b/core/loading/versions.go
@@ -12,7 +12,7 @@
 
 // NamedVersion is a version named by the operator, and since when this process knows
 // of it.
-type Named struct {
+type NamedVersion struct {
 	Version uint64
 	Since   time.Time
 	// Assumed is true if the process found the version when it started and assumed
@@ -24,10 +24,10 @@
 
 // NamedVersions are the named versions of one model, oldest first. The zero value is
 // empty. NamedVersions are immutable; Add returns a new value.
-type Names []Named
+type NamedVersions []NamedVersion
 
 // Newest returns the newest version, which is the wanted one; 0 if none was named.
-func (n Names) Newest() uint64 {
+func (n NamedVersions) Newest() uint64 {
 	if len(n) == 0 {
 		return 0
 	}
@@ -37,8 +37,8 @@
 // Add returns the versions with one more, and whether that changed them. For a
 // version that is already present the earlier time is kept, unless the times differ by
 // at most skew; an assumed time is replaced by a known one.
-func (n Names) Add(added Named, skew time.Duration) (Names, bool) {
-	at, found := slices.BinarySearchFunc(n, added.Version, func(have Named, version uint64) int {
+func (n NamedVersions) Add(added NamedVersion, skew time.Duration) (NamedVersions, bool) {
+	at, found := slices.BinarySearchFunc(n, added.Version, func(have NamedVersion, version uint64) int {
 		return cmp.Compare(have.Version, version)
 	})
 	if found && !n[at].yieldsTo(added, skew) {
@@ -53,7 +53,7 @@
 	return next[max(0, len(next)-maxNamed):], true
 }
 
-func (n Named) yieldsTo(to Named, skew time.Duration) bool {
+func (n NamedVersion) yieldsTo(to NamedVersion, skew time.Duration) bool {
 	if n.Assumed != to.Assumed {
 		return n.Assumed
 	}
@@ -66,7 +66,7 @@
 //
 // An assumed time is wrong for a version that was not present a moment ago. If a newer
 // version is already known, the reported one was named before it.
-func (n Names) Correct(reported, now Named) Named {
+func (n NamedVersions) Reconcile(reported, now NamedVersion) NamedVersion {
 	if !reported.Assumed || n.has(reported.Version) {
 		return reported
 	}
@@ -77,18 +77,18 @@
 	case newer.Assumed:
 		return reported
 	default:
-		return Named{Version: reported.Version, Since: newer.Since}
+		return NamedVersion{Version: reported.Version, Since: newer.Since}
 	}
 }
 
-func (n Names) has(version uint64) bool {
-	return slices.ContainsFunc(n, func(have Named) bool { return have.Version == version })
+func (n NamedVersions) has(version uint64) bool {
+	return slices.ContainsFunc(n, func(have NamedVersion) bool { return have.Version == version })
 }
 
-func (n Names) firstAfter(version uint64) (Named, bool) {
-	at := slices.IndexFunc(n, func(have Named) bool { return have.Version > version })
+func (n NamedVersions) firstAfter(version uint64) (NamedVersion, bool) {
+	at := slices.IndexFunc(n, func(have NamedVersion) bool { return have.Version > version })
 	if at < 0 {
-		return Named{}, false
+		return NamedVersion{}, false
 	}
 	return n[at], true
 }
@@ -98,7 +98,7 @@
 //
 // The first newer version counts. A further version named while that one is still being
 // distributed gives no additional time to an engine that has loaded neither.
-func (n Names) OutdatedSince(loaded uint64) (time.Time, bool) {
+func (n NamedVersions) OutdatedSince(loaded uint64) (time.Time, bool) {
 	newer, found := n.firstAfter(loaded)
 	return newer.Since, found
 }
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -134,8 +134,8 @@
 }
 
 // heardNow is a version that was not named when this process last knew.
-func (g *Gateway) heardNow(now time.Time, version uint64) loading.Named {
-	return loading.Named{
+func (g *Gateway) heardNow(now time.Time, version uint64) loading.NamedVersion {
+	return loading.NamedVersion{
 		Version: version,
 		Since:   g.contact.newSince(now, g.opts.SoundTime),
 		Assumed: !g.contact.knowsChanges(),
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -87,7 +87,7 @@
 	snapshot catalog.Snapshot
 	table    *routing.Table
 	tableOf  catalog.Revision
-	names    map[string]loading.Names // by model
+	names    map[string]loading.NamedVersions // by model
 	replicas map[netip.Addr]replica
 	readyAt  map[netip.Addr]time.Time // when engines are expected to be ready
 	started  time.Time
@@ -173,7 +173,7 @@
 // view is what calls see. It is never changed.
 type view struct {
 	table   *routing.Table
-	names   map[string]loading.Names
+	names   map[string]loading.NamedVersions
 	entries []mesh.Entry
 	// rank is this entry's place among those of its region.
 	rank int
@@ -203,7 +203,7 @@
 		board:       placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Off),
 		log:         newRequestLog(now, opts.Logger, opts.Metrics),
 		answerer:    addressing.New(addressing.Options{Rand: chance.Shared{}}),
-		names:       make(map[string]loading.Names),
+		names:       make(map[string]loading.NamedVersions),
 		replicas:    make(map[netip.Addr]replica),
 		readyAt:     make(map[netip.Addr]time.Time),
 		started:     now,
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -302,7 +302,7 @@
 	It("gives the next engine no more than the time of its version", func() {
 		begin(routing.Stream, true)
 		named := time.Now()
-		g.names["m"] = loading.Names{{Version: 2, Since: named}}
+		g.names["m"] = loading.NamedVersions{{Version: 2, Since: named}}
 		tell(first, 2, true)
 		from.give(1)
 		Eventually(backend.orders).Should(HaveLen(2))
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -41,7 +41,7 @@
 		s.Config.Services[0].Engine = engine
 		s.Wanted = []catalog.Wanted{{Model: "m", Version: 2}}
 		g.adopt(now, s, "platform")
-		g.names["m"] = loading.Names{{Version: 2, Since: now.Add(-named)}}
+		g.names["m"] = loading.NamedVersions{{Version: 2, Since: now.Add(-named)}}
 		g.publish(now)
 		t := choose(now)
 		call := &Call{ID: "c", Arrived: now.Add(-time.Second)}
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -196,7 +196,7 @@
 func (g *Gateway) heardWanted(now time.Time, w wire.WantedVersion) {
 	named := w.Named(now)
 	if g.tableOf != 0 {
-		named = g.names[w.Model].Correct(named, g.heardNow(now, w.Version))
+		named = g.names[w.Model].Reconcile(named, g.heardNow(now, w.Version))
 	}
 	g.setWanted(w.Model, named)
 }
@@ -205,7 +205,7 @@
 // knowledge counts as equally old.
 const wantedSkew = 50 * time.Millisecond
 
-func (g *Gateway) setWanted(model string, named loading.Named) {
+func (g *Gateway) setWanted(model string, named loading.NamedVersion) {
 	names, changed := g.names[model].Add(named, wantedSkew)
 	if !changed {
 		return
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -54,7 +54,7 @@
 
 // versionEnd returns when the use of an outdated version ends; false if it is
 // not outdated.
-func (g *Gateway) versionEnd(names loading.Names, v placement.ModelVersion) (time.Time, bool) {
+func (g *Gateway) versionEnd(names loading.NamedVersions, v placement.ModelVersion) (time.Time, bool) {
 	since, outdated := names.OutdatedSince(uint64(v))
 	return since.Add(g.opts.VersionTime - heardLate - onTheWay), outdated
 }
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -100,7 +100,7 @@
 		now := time.Now()
 		g.adopt(now, s, "platform")
 		named = now.Add(-passed)
-		g.names["m"] = loading.Names{{Version: 2, Since: named}}
+		g.names["m"] = loading.NamedVersions{{Version: 2, Since: named}}
 		g.publish(now)
 		call := &Call{ID: "c", Host: "a.example", Path: "/", Arrived: now, Patience: timeout, LastEvent: -1, Expected: expected}
 		g.Serve(context.Background(), call, &reader{})
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -54,7 +54,7 @@
 		}
 		g.adopt(failed, s, "platform")
 		if named > 0 {
-			g.names["m"] = loading.Names{{Version: 2, Since: failed.Add(-named)}}
+			g.names["m"] = loading.NamedVersions{{Version: 2, Since: failed.Add(-named)}}
 		}
 		g.publish(failed)
 		placed := failed.Add(-waited)
--- a/daemon/loader/catalog.go
+++ b/daemon/loader/catalog.go
@@ -83,7 +83,7 @@
 	if w, named := s.WantedVersion(plan.Supply.Model); named && l.plan.Wanted() < w.Version {
 		// Since when it is wanted is not known here; an entry tells, and until
 		// then it is taken for long ago.
-		l.want(now, loading.Named{Version: w.Version, Since: now.Add(-l.opts.VersionTime), Assumed: true})
+		l.want(now, loading.NamedVersion{Version: w.Version, Since: now.Add(-l.opts.VersionTime), Assumed: true})
 	}
 	l.advance(now)
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -269,13 +269,13 @@
 	}
 }
 
-func (l *Loader) want(now time.Time, named loading.Named) {
-	if !l.plan.Want(named) {
+func (l *Loader) want(now time.Time, named loading.NamedVersion) {
+	if !l.plan.AddWanted(named) {
 		return
 	}
 	l.opts.Logger.Info("version_wanted", zap.Uint64("version", named.Version),
 		zap.Duration("age", now.Sub(named.Since)), zap.Bool("assumed", named.Assumed), zap.Uint64("loaded", l.engine.Loaded))
-	l.resolveAt = now.Add(l.plan.ReadAfter(0))
+	l.resolveAt = now.Add(l.plan.ManifestReadDelay(0))
 	l.heardManifest(now, l.lastManifest)
 	l.advance(now)
 }
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -35,7 +35,7 @@
 func (l *Loader) resolved(now time.Time, version uint64, named fleet.Version, raw []byte, err error) {
 	l.resolving = false
 	if err != nil {
-		l.resolveAt = now.Add(l.plan.ReadAfter(resolveAgain))
+		l.resolveAt = now.Add(l.plan.ManifestReadDelay(resolveAgain))
 		l.opts.Logger.Warn("manifest_failed", zap.Uint64("wanted", l.plan.Wanted()), zap.Error(err))
 		return
 	}
@@ -63,7 +63,7 @@
 // found follows a manifest that was read or heard.
 func (l *Loader) found(now time.Time, version uint64, named fleet.Version) {
 	if l.plan.Wanted() == 0 {
-		l.plan.Want(loading.Named{Version: version, Since: now})
+		l.plan.AddWanted(loading.NamedVersion{Version: version, Since: now})
 	}
 	if version != l.plan.Wanted() || l.isGathered(version) {
 		return // another version was named meanwhile
@@ -75,7 +75,7 @@
 // little has left the origin is given up; else it is finished.
 func (l *Loader) gather(now time.Time, version uint64, named fleet.Version) {
 	for _, older := range l.gathers {
-		if l.plan.GivesUp(l.swarm.Unseen(older.named.Manifest)) {
+		if l.plan.ShouldAbandon(l.swarm.Unseen(older.named.Manifest)) {
 			l.swarm.Stop(older.named.Manifest)
 		}
 	}
@@ -127,5 +127,5 @@
 // was last seen to answer at a moment.
 func (l *Loader) isLeavingOrigin(now time.Time, g gathering, answered time.Time) bool {
 	unseen := l.swarm.Unseen(g.named.Manifest)
-	return l.plan.FinishesFirst(now, g.version, unseen) && l.stage.isArriving(now, g, answered)
+	return l.plan.ShouldFinishFirst(now, g.version, unseen) && l.stage.isArriving(now, g, answered)
 }
--- a/daemon/loader/order.go
+++ b/daemon/loader/order.go
@@ -101,7 +101,7 @@
 		return false, err
 	}
 	switch loading.OutcomeOf(o.version.number, o.before, now) {
-	case loading.Taken:
+	case loading.Accepted:
 		return true, nil
 	case loading.Lost:
 		return true, failure.Unavailable.New("the engine's process was replaced before it took the order")
@@ -112,6 +112,6 @@
 	err = s.give(ctx, o)
 	// Declined for its number, the order was taken before, which the next report
 	// shows. Declined for the engine's state, an earlier one may still be taken.
-	isDeclined := errorx.IsOfType(err, Declined) && !o.before.Orders.Told
+	isDeclined := errorx.IsOfType(err, Declined) && !o.before.Orders.Reported
 	return err == nil || isDeclined, err
 }
--- a/daemon/loader/order_test.go
+++ b/daemon/loader/order_test.go
@@ -28,7 +28,7 @@
 	BeforeEach(func() {
 		ctx, cancel = context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Told: true}}, unanswered: 1}
+		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}, unanswered: 1}
 		s = newStage(e, &origin{}, zap.NewNop())
 		given, read = 0, 0
 		e.onLoad = func() { given++ }
@@ -128,7 +128,7 @@
 	})
 
 	Describe("from an engine that does not tell how many it has accepted", func() {
-		BeforeEach(func() { e.reports.Orders.Told = false })
+		BeforeEach(func() { e.reports.Orders.Reported = false })
 
 		It("is settled by a report of the version", func() {
 			e.onReport = after(&read, 2, e.takeWaiting)
--- a/daemon/loader/outdated.go
+++ b/daemon/loader/outdated.go
@@ -25,7 +25,7 @@
 		l.opts.Logger.Info("outdated_work_ended", zap.Uint64("loaded", o.loaded), zap.Uint64("holds", e.Loaded),
 			zap.Duration("after", now.Sub(o.end)))
 	}
-	end, isOver := l.plan.OutOfTime(now, e)
+	end, isOver := l.plan.ExpiredSince(now, e)
 	if !isOver {
 		l.outdated = outdated{}
 		return
--- a/daemon/loader/outdated_test.go
+++ b/daemon/loader/outdated_test.go
@@ -30,7 +30,7 @@
 		core, logged := observer.New(zap.InfoLevel)
 		lines = logged
 		l = &Loader{opts: Options{Logger: zap.New(core)}, plan: loading.NewPlan("10.0.0.1", within, policy.Off{})}
-		l.plan.Want(loading.Named{Version: 2, Since: start})
+		l.plan.AddWanted(loading.NamedVersion{Version: 2, Since: start})
 	})
 
 	// report has the engine report so long after version 2 was named. Entries know
@@ -85,7 +85,7 @@
 
 	// A newer version may be wanted before the one between is replaced.
 	It("tells of each version that it held too long", func() {
-		l.plan.Want(loading.Named{Version: 3, Since: start.Add(time.Second)})
+		l.plan.AddWanted(loading.NamedVersion{Version: 3, Since: start.Add(time.Second)})
 		report(8100*time.Millisecond, loading.Engine{Loaded: 1})
 		report(8800*time.Millisecond, loading.Engine{Loaded: 2})
 		report(9200*time.Millisecond, loading.Engine{Loaded: 2, Queued: 1})
--- a/daemon/loader/stage.go
+++ b/daemon/loader/stage.go
@@ -141,7 +141,7 @@
 func (s *stage) restTime(now time.Time, g gathering, linkBytes int64) time.Duration {
 	v, err := s.numbered(g.version)
 	if err != nil || linkBytes <= 0 {
-		return loading.Far
+		return loading.NotExpected
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +152,7 @@
 		}
 	}
 	if missing > 0 && g.started && now.Sub(g.from) > stalledAfter && now.Sub(v.last) > stalledAfter {
-		return loading.Far
+		return loading.NotExpected
 	}
 	return time.Duration(float64(missing) / (weightsShare * float64(linkBytes)) * float64(time.Second))
 }
--- a/daemon/loader/stage_test.go
+++ b/daemon/loader/stage_test.go
@@ -56,7 +56,7 @@
 	defer e.mu.Unlock()
 	report := e.reports
 	report.Loaded = e.holds
-	if report.Orders.Told {
+	if report.Orders.Reported {
 		report.Orders.Count = e.orders
 	}
 	return report, nil
@@ -128,7 +128,7 @@
 }
 
 func (e *engine) take(version uint64, after loading.Orders) error {
-	if after.Told && after.Count != e.orders {
+	if after.Reported && after.Count != e.orders {
 		return Declined.New("%d orders, not %d", e.orders, after.Count)
 	}
 	e.orders++
@@ -180,7 +180,7 @@
 	var s *stage
 
 	BeforeEach(func() {
-		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Told: true}}}
+		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}}
 		s = newStage(e, &origin{}, zap.NewNop())
 	})
 
@@ -357,7 +357,7 @@
 		g := gathering{started: true, version: 2, named: named, from: time.Now()}
 		const linkBytes = 1000
 		Expect(s.restTime(time.Now(), g, linkBytes)).To(BeNumerically(">", 0))
-		Expect(s.restTime(time.Now().Add(time.Minute), g, linkBytes)).To(Equal(loading.Far))
+		Expect(s.restTime(time.Now().Add(time.Minute), g, linkBytes)).To(Equal(loading.NotExpected))
 		gather(2, named)
 		Expect(s.restTime(time.Now().Add(time.Minute), g, linkBytes)).To(BeZero())
 		Expect(s.missing(2)).To(BeZero())
--- a/daemon/loader/steps.go
+++ b/daemon/loader/steps.go
@@ -50,14 +50,14 @@
 	l.known = true
 	if e.Born.Replaces(l.engine.Born) {
 		l.opts.Logger.Warn("engine_started_anew", zap.Int64("born", int64(e.Born)), zap.Int64("before", int64(l.engine.Born)))
-		l.plan.StartedAnew()
+		l.plan.MarkRestarted()
 	}
 	if e.Loaded != l.engine.Loaded {
 		l.opts.Logger.Info("engine_holds", zap.Uint64("version", e.Loaded), zap.Uint64("before", l.engine.Loaded))
 	}
 	l.engine = e
 	l.noteOutdated(now, e)
-	if l.plan.Changing(e) || e.Busy {
+	if l.plan.IsReloading(e) || e.Busy {
 		l.nextReport = now.Add(reportSoon)
 	}
 	l.tell(now)
@@ -69,9 +69,9 @@
 	state := l.told
 	state.Loaded = l.engine.Loaded
 	state.Born = l.engine.Born
-	state.Changing = l.plan.Changing(l.engine)
+	state.Changing = l.plan.IsReloading(l.engine)
 	state.Down = l.failures >= downAfter
-	state.Pace = coarsePace(l.engine.Pace)
+	state.Pace = coarsePace(l.engine.Slowdown)
 	state.ReadyInMS = l.readyIn(now).Milliseconds()
 	same := state
 	same.ReadyInMS = l.told.ReadyInMS
@@ -102,14 +102,14 @@
 	}
 	load := time.Duration(l.supply.LoadMS)*time.Millisecond + reportLag
 	switch step := l.plan.Next(now, l.engine, l.wantedIn(now)); {
-	case step == loading.Rest:
+	case step == loading.Idle:
 		return 0
-	case l.plan.Changing(l.engine) && l.engine.Loaded != 0:
+	case l.plan.IsReloading(l.engine) && l.engine.Loaded != 0:
 		return load + max(0, drainTime-now.Sub(l.plan.OrderedAt()))
-	case l.plan.Changing(l.engine):
+	case l.plan.IsReloading(l.engine):
 		return max(reportLag, load-now.Sub(l.plan.OrderedAt()))
-	case step == loading.Gather:
-		return min(loading.Far, load+l.wantedIn(now))
+	case step == loading.Fetch:
+		return min(loading.NotExpected, load+l.wantedIn(now))
 	default:
 		return load
 	}
@@ -123,7 +123,7 @@
 			return l.stage.restTime(now, g, l.opts.LinkBytes)
 		}
 	}
-	return loading.Far
+	return loading.NotExpected
 }
 
 // coarsePace rounds a pace to what is worth telling.
@@ -161,7 +161,7 @@
 		if g.named != version {
 			continue
 		}
-		l.plan.Staged(now, g.version)
+		l.plan.MarkStaged(now, g.version)
 		drawn := l.swarm.Drawn()
 		l.opts.Logger.Info("version_staged", zap.Uint64("version", g.version), zap.Duration("took", now.Sub(g.from)),
 			zap.Int64("origin_bytes", drawn.OriginBytes), zap.Int64("peer_bytes", drawn.PeerBytes))
@@ -174,7 +174,7 @@
 	l.ordering = true
 	version := l.plan.Target(now, l.engine, l.wantedIn(now))
 	supply := *l.supply
-	l.plan.Ordered(now, version)
+	l.plan.MarkOrdered(now, version)
 	l.tell(now)
 	go func() {
 		err := l.stage.load(l.ctx, supply, version)
@@ -186,13 +186,13 @@
 	l.ordering = false
 	l.nextReport = now
 	if err == nil {
-		l.plan.Accepted(now)
+		l.plan.MarkAccepted(now)
 		l.opts.Logger.Info("load_ordered", zap.Uint64("version", version), zap.Uint64("loaded", l.engine.Loaded))
 		return
 	}
 	l.opts.Logger.Warn("load_not_ordered", zap.Uint64("version", version), zap.Error(err))
 	if errorx.IsOfType(err, Declined) {
-		l.plan.Declined(now)
+		l.plan.MarkDeclined(now)
 		l.tell(now)
 	}
 }
--- a/daemon/wire/beat.go
+++ b/daemon/wire/beat.go
@@ -152,9 +152,9 @@
 }
 
 // Named returns the version as the receiver sees it.
-func (w WantedVersion) Named(now time.Time) loading.Named {
+func (w WantedVersion) Named(now time.Time) loading.NamedVersion {
 	since := now.Add(-time.Duration(w.AgeMS) * time.Millisecond)
-	return loading.Named{Version: w.Version, Since: since, Assumed: w.Assumed}
+	return loading.NamedVersion{Version: w.Version, Since: since, Assumed: w.Assumed}
 }
 
 // Replica is what the agent beside an engine knows of it.
