--- a/core/admission/concurrency.go
+++ b/core/admission/concurrency.go
@@ -27,7 +27,7 @@
 // too many requests it falls by a fixed factor; otherwise it rises by one if the limit
 // was needed. It settles at the point beyond which further requests only wait longer,
 // without knowing the server's capacity.
-type Concurrency struct {
+type ConcurrencyLimit struct {
 	options ConcurrencyOptions
 
 	mu       sync.Mutex
@@ -70,7 +70,7 @@
 )
 
 // NewConcurrencyLimit returns a limit at its initial value.
-func NewConcurrency(now time.Time, o ConcurrencyOptions) *Concurrency {
+func NewConcurrencyLimit(now time.Time, o ConcurrencyOptions) *ConcurrencyLimit {
 	const (
 		defaultMin       = 2
 		defaultMax       = 256
@@ -84,7 +84,7 @@
 	defaults.Set(&o.Tolerance, defaultTolerance)
 	defaults.Set(&o.Window, defaultWindow)
 	initial := float64(min(max(o.Initial, o.Min), o.Max))
-	return &Concurrency{options: o, limit: initial, window: window{began: now}}
+	return &ConcurrencyLimit{options: o, limit: initial, window: window{began: now}}
 }
 
 // Sample is the measurement of one completed request.
@@ -98,14 +98,14 @@
 }
 
 // Limit returns the current limit.
-func (c *Concurrency) Limit() int {
+func (c *ConcurrencyLimit) Limit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return int(c.limit)
 }
 
 // Observe records one completed request.
-func (c *Concurrency) Observe(now time.Time, s Sample) {
+func (c *ConcurrencyLimit) Observe(now time.Time, s Sample) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := &c.window
@@ -125,7 +125,7 @@
 }
 
 // adapt adjusts the limit at the end of a window.
-func (c *Concurrency) adapt() {
+func (c *ConcurrencyLimit) adapt() {
 	w := &c.window
 	factor := 1.0
 	if float64(w.declined) > declinedShare*float64(w.results+w.declined) {
@@ -145,7 +145,7 @@
 
 // gradient returns the ratio of the tolerated latency to the mean latency, at most 1,
 // and updates the unloaded latency.
-func (c *Concurrency) gradient(mean float64) float64 {
+func (c *ConcurrencyLimit) gradient(mean float64) float64 {
 	if c.unloaded == 0 {
 		c.unloaded = mean
 		return 1
--- a/core/admission/concurrency_test.go
+++ b/core/admission/concurrency_test.go
@@ -22,7 +22,7 @@
 }
 
 // load keeps a server as busy as its limit and the demand allow, in the seconds [from, to).
-func load(c *admission.Concurrency, s server, from, to, demand int) {
+func load(c *admission.ConcurrencyLimit, s server, from, to, demand int) {
 	for second := from; second < to; second++ {
 		inFlight := min(c.Limit(), demand)
 		for i := range 20 {
@@ -33,8 +33,8 @@
 }
 
 var _ = Describe("ConcurrencyLimit", func() {
-	newLimit := func() *admission.Concurrency {
-		return admission.NewConcurrency(start, admission.ConcurrencyOptions{Initial: 4})
+	newLimit := func() *admission.ConcurrencyLimit {
+		return admission.NewConcurrencyLimit(start, admission.ConcurrencyOptions{Initial: 4})
 	}
 
 	// If the limit is above the server's capacity, requests wait there although other
@@ -80,7 +80,7 @@
 	})
 
 	It("stays within its bounds", func() {
-		c := admission.NewConcurrency(start, admission.ConcurrencyOptions{Max: 10, Initial: 100})
+		c := admission.NewConcurrencyLimit(start, admission.ConcurrencyOptions{Max: 10, Initial: 100})
 		Expect(c.Limit()).To(Equal(10))
 		load(c, server{64, 100 * time.Millisecond}, 0, 100, 1000)
 		Expect(c.Limit()).To(Equal(10))
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -7,13 +7,13 @@
 
 // ClockReading is a reading of a process's monotonic clock. Only readings of the same
 // incarnation of a process can be compared.
-type Reading struct {
-	Life    uint64        `cbor:"1,keyasint"` // changes with each start of the process
-	Elapsed time.Duration `cbor:"2,keyasint"` // since the start of the process
+type ClockReading struct {
+	Incarnation uint64        `cbor:"1,keyasint"` // changes with each start of the process
+	Elapsed     time.Duration `cbor:"2,keyasint"` // since the start of the process
 }
 
 // IsZero reports whether r is the zero value, which is not a reading.
-func (r Reading) IsZero() bool { return r == Reading{} }
+func (r ClockReading) IsZero() bool { return r == ClockReading{} }
 
 // Deadline is the deadline of a request that is sent from an entry to an agent. It is
 // expressed in the agent's clock alone: the agent's reports contain a ClockReading, and
@@ -21,7 +21,7 @@
 type Deadline struct {
 	// Sent is a lower bound of the agent's clock at the time when the entry sent the
 	// request.
-	Sent Reading `cbor:"1,keyasint"`
+	Sent ClockReading `cbor:"1,keyasint"`
 	// Waited is how long the request had been at the entry at that time.
 	Waited time.Duration `cbor:"2,keyasint"`
 	// Remaining is the time left to the client's deadline at that time.
@@ -36,8 +36,8 @@
 // received a response in another way. Since Sent is a lower bound, a late request is
 // never treated as timely, whatever the clocks of the machines show. A timely one may be
 // refused if the report that the entry's estimate is based on was delayed.
-func (d Deadline) Lateness(here Reading) (time.Duration, bool) {
-	if d.Sent.IsZero() || d.Sent.Life != here.Life {
+func (d Deadline) Lateness(here ClockReading) (time.Duration, bool) {
+	if d.Sent.IsZero() || d.Sent.Incarnation != here.Incarnation {
 		return 0, false
 	}
 	age := here.Elapsed - d.Sent.Elapsed
@@ -46,7 +46,7 @@
 
 // Expired reports whether an agent must refuse the request as not run because its
 // deadline has passed or is unknown.
-func (d Deadline) Expired(here Reading) bool {
+func (d Deadline) Expired(here ClockReading) bool {
 	late, ok := d.Lateness(here)
 	return !ok || late >= 0
 }
@@ -54,8 +54,8 @@
 // ReceivedAt returns a lower bound of the time at which the entry received the request,
 // by the clock of the agent that started at started. It is zero if the deadline refers to
 // another incarnation of the agent.
-func (d Deadline) Asked(started time.Time, here Reading) time.Time {
-	if d.Sent.IsZero() || d.Sent.Life != here.Life {
+func (d Deadline) ReceivedAt(started time.Time, here ClockReading) time.Time {
+	if d.Sent.IsZero() || d.Sent.Incarnation != here.Incarnation {
 		return time.Time{}
 	}
 	return started.Add(d.Sent.Elapsed - d.Waited)
@@ -73,7 +73,7 @@
 //
 // Of the readings of the last two windows it uses the one that was in transit for the
 // shortest time, which gives the tightest lower bound.
-type Echo struct {
+type RemoteClock struct {
 	mu       sync.Mutex
 	current  sample
 	previous sample
@@ -81,15 +81,15 @@
 }
 
 type sample struct {
-	reading  Reading
+	reading  ClockReading
 	received time.Time
 }
 
 // Observe records a reading received at received.
-func (e *Echo) Observe(reading Reading, received time.Time) {
+func (e *RemoteClock) Observe(reading ClockReading, received time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reading.Life != e.current.reading.Life {
+	if reading.Incarnation != e.current.reading.Incarnation {
 		e.current, e.previous = sample{reading, received}, sample{}
 		e.since = received
 		return
@@ -106,17 +106,17 @@
 
 // At returns a lower bound of the agent's clock at now; false if no reading has been
 // received.
-func (e *Echo) At(now time.Time) (Reading, bool) {
+func (e *RemoteClock) At(now time.Time) (ClockReading, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.current.reading.IsZero() {
-		return Reading{}, false
+		return ClockReading{}, false
 	}
 	best := e.current.at(now)
-	if e.previous.reading.Life == e.current.reading.Life {
+	if e.previous.reading.Incarnation == e.current.reading.Incarnation {
 		best = max(best, e.previous.at(now))
 	}
-	return Reading{Life: e.current.reading.Life, Elapsed: best}, true
+	return ClockReading{Incarnation: e.current.reading.Incarnation, Elapsed: best}, true
 }
 
 // at returns the reading plus the time since it was received, less the maximum drift.
@@ -128,7 +128,7 @@
 
 // Deadline returns the deadline to send with a request that was received at receivedAt
 // and is sent now; false if no reading of the agent has been received.
-func (e *Echo) Deadline(now, receivedAt, deadline time.Time) (Deadline, bool) {
+func (e *RemoteClock) Deadline(now, receivedAt, deadline time.Time) (Deadline, bool) {
 	sent, ok := e.At(now)
 	if !ok {
 		return Deadline{}, false
--- a/core/admission/deadline_test.go
+++ b/core/admission/deadline_test.go
@@ -15,15 +15,15 @@
 	const incarnation = 7
 	// The agent started an hour before start on the entry's clock. Its wall clock does
 	// not matter.
-	reading := func(seconds float64) admission.Reading {
-		return admission.Reading{Life: incarnation, Elapsed: time.Hour + time.Duration(seconds*float64(time.Second))}
+	reading := func(seconds float64) admission.ClockReading {
+		return admission.ClockReading{Incarnation: incarnation, Elapsed: time.Hour + time.Duration(seconds*float64(time.Second))}
 	}
 
 	// The entry is paused while it holds a request. Its client gives up and sends the
 	// request to another entry. Then the first entry resumes and sends the request.
 	DescribeTable("refuses a request that arrives after its client gave up",
 		func(reportTook, pause, transit float64, expired bool) {
-			var clock admission.Echo
+			var clock admission.RemoteClock
 			clock.Observe(reading(0), after(reportTook))
 			d, ok := clock.Deadline(after(reportTook), after(reportTook-1), after(reportTook+10))
 			Expect(ok).To(BeTrue())
@@ -40,24 +40,24 @@
 
 	// After a restart of the agent, earlier readings of its clock are meaningless.
 	It("refuses a request with a reading of an earlier incarnation of the agent", func() {
-		var clock admission.Echo
+		var clock admission.RemoteClock
 		clock.Observe(reading(0), start)
 		d, _ := clock.Deadline(start, start, after(10))
-		Expect(d.Expired(admission.Reading{Life: incarnation + 1, Elapsed: time.Second})).To(BeTrue())
-		Expect(d.Asked(start, admission.Reading{Life: incarnation + 1})).To(BeZero())
+		Expect(d.Expired(admission.ClockReading{Incarnation: incarnation + 1, Elapsed: time.Second})).To(BeTrue())
+		Expect(d.ReceivedAt(start, admission.ClockReading{Incarnation: incarnation + 1})).To(BeZero())
 		Expect(admission.Deadline{}.Expired(reading(0))).To(BeTrue())
 	})
 
 	It("is unknown before a report has been received", func() {
-		var clock admission.Echo
+		var clock admission.RemoteClock
 		_, ok := clock.Deadline(start, start, after(10))
 		Expect(ok).To(BeFalse())
 	})
 
 	It("follows the agent into its next incarnation", func() {
-		var clock admission.Echo
+		var clock admission.RemoteClock
 		clock.Observe(reading(0), start)
-		next := admission.Reading{Life: incarnation + 1, Elapsed: time.Second}
+		next := admission.ClockReading{Incarnation: incarnation + 1, Elapsed: time.Second}
 		clock.Observe(next, after(1))
 		shown, ok := clock.At(after(1))
 		Expect(ok).To(BeTrue())
@@ -65,7 +65,7 @@
 	})
 
 	It("uses the report with the shortest transit time", func() {
-		var clock admission.Echo
+		var clock admission.RemoteClock
 		clock.Observe(reading(0), after(0.01))
 		clock.Observe(reading(1), after(4))
 		now, _ := clock.At(after(5))
@@ -80,7 +80,7 @@
 	const drift = 0.0002
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		var clock admission.Echo
+		var clock admission.RemoteClock
 		seconds := func(label string, limit int) float64 {
 			return float64(rapid.IntRange(0, limit*1000).Draw(t, label)) / 1000
 		}
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now += seconds("gap", 30)
 			sent := now - seconds("under way", 5)
-			clock.Observe(admission.Reading{Life: 1, Elapsed: agent(sent)}, after(now))
+			clock.Observe(admission.ClockReading{Incarnation: 1, Elapsed: agent(sent)}, after(now))
 			now += seconds("later", 30)
 			shown, ok := clock.At(after(now))
 			g.Expect(ok).To(BeTrue())
--- a/core/admission/nearest.go
+++ b/core/admission/nearest.go
@@ -10,7 +10,7 @@
 )
 
 // Peer is another entry that shares the limits.
-type Other struct {
+type Peer struct {
 	ID fleet.InstanceID
 	fleet.Place
 }
@@ -19,7 +19,7 @@
 // in the same region, then the rest. Among equally near peers each entry chooses
 // differently, by hash: ordered by ID, all entries of a large fleet would follow the same
 // few peers.
-func Nearest(self fleet.InstanceID, here fleet.Place, peers []Other, limit int) []fleet.InstanceID {
+func Nearest(self fleet.InstanceID, here fleet.Place, peers []Peer, limit int) []fleet.InstanceID {
 	type candidate struct {
 		id       fleet.InstanceID
 		distance fleet.Distance
--- a/core/admission/nearest_test.go
+++ b/core/admission/nearest_test.go
@@ -17,7 +17,7 @@
 	here := place("lagos", "hall-a")
 
 	It("returns the entries of the same zone, then of the same region, then others", func() {
-		others := []admission.Other{
+		others := []admission.Peer{
 			{ID: "1-far", Place: place("kano", "hall-k")},
 			{ID: "2-region", Place: place("lagos", "hall-b")},
 			{ID: "3-zone", Place: here},
@@ -34,10 +34,10 @@
 		const entries, limit = 100, 8
 		followers := make(map[fleet.InstanceID]int)
 		for self := range entries {
-			var others []admission.Other
+			var others []admission.Peer
 			for other := range entries {
 				if other != self {
-					others = append(others, admission.Other{ID: id(other), Place: here})
+					others = append(others, admission.Peer{ID: id(other), Place: here})
 				}
 			}
 			chosen := admission.Nearest(id(self), here, others, limit)
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -29,7 +29,7 @@
 )
 
 // QueueOptions configure a Queue. Zero fields take the default.
-type RoomOptions struct {
+type QueueOptions struct {
 	// Rand is the source of jitter for pauses; required.
 	Rand Rand
 	// Slots is how many requests run concurrently. The default is 16.
@@ -38,7 +38,7 @@
 	MaxWaiting int
 	// ServiceTime is the initial estimate of how long a request runs. The default is
 	// 1 s.
-	Took time.Duration
+	ServiceTime time.Duration
 }
 
 // Queue admits requests to a server's slots and holds those that wait, ordered by
@@ -51,7 +51,7 @@
 // before them, are shed.
 //
 // T is the caller's handle of a request, such as a channel to wake it.
-type Room[T any] struct {
+type Queue[T any] struct {
 	rnd        Rand
 	maxWaiting int
 
@@ -71,16 +71,16 @@
 }
 
 // Decision is the outcome of Offer.
-type Entrance uint8
+type Decision uint8
 
 const (
 	// Refused: the request is not run; see OfferResult.RetryAfter.
-	Refused Entrance = iota
+	Refused Decision = iota
 	// Started: the request has a slot, which Done releases.
 	Started
 	// Queued: the request will appear in Changes.Started or Changes.Shed later, unless
 	// it is removed with Cancel.
-	Waits
+	Queued
 )
 
 // Shed is a request that was queued and is not run.
@@ -96,14 +96,14 @@
 }
 
 // OfferResult is the result of Offer.
-type Offered[T any] struct {
-	Entrance   Entrance
+type OfferResult[T any] struct {
+	Decision   Decision
 	RetryAfter time.Duration // for a refused request
 	Changes    Changes[T]
 }
 
 // NewQueue returns an empty queue.
-func NewRoom[T any](o RoomOptions) *Room[T] {
+func NewQueue[T any](o QueueOptions) *Queue[T] {
 	const (
 		defaultSlots       = 16
 		defaultServiceTime = time.Second
@@ -111,18 +111,18 @@
 	)
 	defaults.Set(&o.Slots, defaultSlots)
 	defaults.Set(&o.MaxWaiting, waitingPerSlot*o.Slots)
-	defaults.Set(&o.Took, defaultServiceTime)
-	return &Room[T]{
+	defaults.Set(&o.ServiceTime, defaultServiceTime)
+	return &Queue[T]{
 		rnd:         o.Rand,
 		maxWaiting:  o.MaxWaiting,
 		slots:       o.Slots,
-		serviceTime: o.Took.Seconds(),
-		deviation:   initialDeviation * o.Took.Seconds(),
+		serviceTime: o.ServiceTime.Seconds(),
+		deviation:   initialDeviation * o.ServiceTime.Seconds(),
 	}
 }
 
 // SetSlots changes the number of slots and starts the requests that then have one.
-func (q *Room[T]) SetSlots(now time.Time, slots int) Changes[T] {
+func (q *Queue[T]) SetSlots(now time.Time, slots int) Changes[T] {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.slots = max(1, slots)
@@ -132,17 +132,17 @@
 }
 
 // Load returns the numbers of running and waiting requests.
-func (q *Room[T]) Load() (running, waiting int) {
+func (q *Queue[T]) Load() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.running, q.count
 }
 
 // Offer requests a slot. ticket identifies the request in Cancel.
-func (q *Room[T]) Offer(now time.Time, u Urgency, ticket uint64, handle T) Offered[T] {
+func (q *Queue[T]) Offer(now time.Time, u Urgency, ticket uint64, handle T) OfferResult[T] {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var offered Offered[T]
+	var offered OfferResult[T]
 	priority := min(max(u.Priority, 0), priorities-1)
 	ahead := q.ahead(priority)
 	if !q.inTime(now, ahead, u.Deadline) || !q.makeSpace(priority, &offered.Changes) {
@@ -151,18 +151,18 @@
 	}
 	if q.running < q.slots && ahead == 0 {
 		q.running++
-		offered.Entrance = Started
+		offered.Decision = Started
 		return offered
 	}
 	q.waiting[priority] = append(q.waiting[priority], waiter[T]{handle: handle, ticket: ticket, deadline: u.Deadline})
 	q.count++
-	offered.Entrance = Waits
+	offered.Decision = Queued
 	q.settle(now, &offered.Changes)
 	return offered
 }
 
 // Done releases the slot of a request that ran for serviceTime.
-func (q *Room[T]) Done(now time.Time, serviceTime time.Duration) Changes[T] {
+func (q *Queue[T]) Done(now time.Time, serviceTime time.Duration) Changes[T] {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
@@ -175,7 +175,7 @@
 
 // Expire sheds the requests that can no longer finish in time. The caller runs it every
 // few tens of milliseconds, so that they are refused even while no slot becomes free.
-func (q *Room[T]) Expire(now time.Time) Changes[T] {
+func (q *Queue[T]) Expire(now time.Time) Changes[T] {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var changes Changes[T]
@@ -185,7 +185,7 @@
 
 // Cancel removes a queued request whose client disconnected. It returns false if the
 // request is no longer queued.
-func (q *Room[T]) Leave(ticket uint64) bool {
+func (q *Queue[T]) Cancel(ticket uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for priority, queue := range q.waiting {
@@ -202,7 +202,7 @@
 
 // ahead returns the number of queued requests that run before a new one of the given
 // priority.
-func (q *Room[T]) ahead(priority int) int {
+func (q *Queue[T]) ahead(priority int) int {
 	n := 0
 	for _, queue := range q.waiting[:priority+1] {
 		n += len(queue)
@@ -212,7 +212,7 @@
 
 // inTime reports whether a request with ahead others before it will probably finish by
 // its deadline.
-func (q *Room[T]) inTime(now time.Time, ahead int, deadline time.Time) bool {
+func (q *Queue[T]) inTime(now time.Time, ahead int, deadline time.Time) bool {
 	if deadline.IsZero() {
 		return true
 	}
@@ -225,7 +225,7 @@
 
 // makeSpace reports whether one more request may be queued. If the queue is full, it
 // sheds the newest request of the lowest priority below the given one.
-func (q *Room[T]) makeSpace(priority int, changes *Changes[T]) bool {
+func (q *Queue[T]) makeSpace(priority int, changes *Changes[T]) bool {
 	if q.count < q.maxWaiting {
 		return true
 	}
@@ -244,7 +244,7 @@
 
 // settle starts the queued requests for which there is a slot and sheds those that would
 // finish too late, in order of priority.
-func (q *Room[T]) settle(now time.Time, changes *Changes[T]) {
+func (q *Queue[T]) settle(now time.Time, changes *Changes[T]) {
 	ahead := 0
 	for priority, queue := range q.waiting {
 		kept := queue[:0]
@@ -266,13 +266,13 @@
 	}
 }
 
-func (q *Room[T]) shed(handle T, changes *Changes[T]) {
+func (q *Queue[T]) shed(handle T, changes *Changes[T]) {
 	q.count--
 	changes.Shed = append(changes.Shed, Shed[T]{Handle: handle, RetryAfter: q.pause()})
 }
 
 // pause returns a pause of about the time until the queued requests have run, with jitter.
-func (q *Room[T]) pause() time.Duration {
+func (q *Queue[T]) pause() time.Duration {
 	drain := float64(q.count) * q.serviceTime / float64(q.slots)
 	return jitter(time.Duration(drain*float64(time.Second)), q.rnd)
 }
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -44,7 +44,7 @@
 
 // model is a discrete-event simulation of a server with slots behind a Queue.
 type model struct {
-	queue      *admission.Room[*request]
+	queue      *admission.Queue[*request]
 	running    endHeap
 	byPriority [8]counts
 	busy       time.Duration // total run time of the requests that ended in time
@@ -57,7 +57,7 @@
 		m.runUntil(r.arrives)
 		m.byPriority[r.priority].offered++
 		offered := m.queue.Offer(r.arrives, admission.Urgency{Priority: r.priority, Deadline: r.deadline}, uint64(i), r)
-		switch offered.Entrance {
+		switch offered.Decision {
 		case admission.Started:
 			m.start(r.arrives, r)
 		case admission.Refused:
@@ -116,8 +116,8 @@
 
 var _ = Describe("Queue", func() {
 	const slots, seconds = 16, 120
-	newQueue := func() *admission.Room[*request] {
-		return admission.NewRoom[*request](admission.RoomOptions{Rand: newRand(1), Slots: slots})
+	newQueue := func() *admission.Queue[*request] {
+		return admission.NewQueue[*request](admission.QueueOptions{Rand: newRand(1), Slots: slots})
 	}
 
 	// The offered load is at least twice the server's capacity. In a FIFO queue every
@@ -147,9 +147,9 @@
 		Expect(refused).To(BeNumerically("<=", (m.byPriority[1].offered+m.byPriority[4].offered)/100))
 	})
 
-	fill := func(r *admission.Room[*request], n int) {
+	fill := func(r *admission.Queue[*request], n int) {
 		for range n {
-			Expect(r.Offer(start, admission.Urgency{}, 0, nil).Entrance).To(Equal(admission.Started))
+			Expect(r.Offer(start, admission.Urgency{}, 0, nil).Decision).To(Equal(admission.Started))
 		}
 	}
 
@@ -159,7 +159,7 @@
 		r := newQueue()
 		fill(r, slots)
 		offered := r.Offer(start, admission.Urgency{Deadline: after(1)}, 1, nil)
-		Expect(offered.Entrance).To(Equal(admission.Refused))
+		Expect(offered.Decision).To(Equal(admission.Refused))
 		Expect(offered.RetryAfter).To(And(BeNumerically(">=", time.Second), BeNumerically("<", 3*time.Second)))
 	})
 
@@ -170,22 +170,22 @@
 		fill(r, slots)
 		low := &request{priority: 7}
 		need := 1.5 + 1.0/slots + 0.01
-		Expect(r.Offer(start, admission.Urgency{Priority: 7, Deadline: after(need)}, 1, low).Entrance).To(Equal(admission.Waits))
+		Expect(r.Offer(start, admission.Urgency{Priority: 7, Deadline: after(need)}, 1, low).Decision).To(Equal(admission.Queued))
 		offered := r.Offer(start, admission.Urgency{Priority: 0, Deadline: after(5)}, 2, nil)
-		Expect(offered.Entrance).To(Equal(admission.Waits))
+		Expect(offered.Decision).To(Equal(admission.Queued))
 		Expect(offered.Changes.Shed).To(HaveLen(1))
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(low))
 	})
 
 	It("sheds the newest request of the lowest priority when it is full", func() {
-		r := admission.NewRoom[*request](admission.RoomOptions{Rand: newRand(1), Slots: 1, MaxWaiting: 2})
+		r := admission.NewQueue[*request](admission.QueueOptions{Rand: newRand(1), Slots: 1, MaxWaiting: 2})
 		fill(r, 1)
 		first, second := &request{}, &request{}
 		r.Offer(start, admission.Urgency{Priority: 5}, 1, first)
 		r.Offer(start, admission.Urgency{Priority: 5}, 2, second)
-		Expect(r.Offer(start, admission.Urgency{Priority: 5}, 3, nil).Entrance).To(Equal(admission.Refused))
+		Expect(r.Offer(start, admission.Urgency{Priority: 5}, 3, nil).Decision).To(Equal(admission.Refused))
 		offered := r.Offer(start, admission.Urgency{Priority: 4}, 4, nil)
-		Expect(offered.Entrance).To(Equal(admission.Waits))
+		Expect(offered.Decision).To(Equal(admission.Queued))
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(second))
 	})
 
@@ -193,7 +193,7 @@
 		r := newQueue()
 		fill(r, slots)
 		waiting := &request{}
-		Expect(r.Offer(start, admission.Urgency{Deadline: after(3)}, 1, waiting).Entrance).To(Equal(admission.Waits))
+		Expect(r.Offer(start, admission.Urgency{Deadline: after(3)}, 1, waiting).Decision).To(Equal(admission.Queued))
 		Expect(r.Expire(after(1)).Shed).To(BeEmpty())
 		Expect(r.Expire(after(2)).Shed).To(HaveLen(1))
 		_, left := r.Load()
@@ -218,8 +218,8 @@
 		r := newQueue()
 		fill(r, slots)
 		r.Offer(start, admission.Urgency{}, 1, &request{})
-		Expect(r.Leave(1)).To(BeTrue())
-		Expect(r.Leave(1)).To(BeFalse())
+		Expect(r.Cancel(1)).To(BeTrue())
+		Expect(r.Cancel(1)).To(BeFalse())
 		Expect(r.Done(start, time.Second).Started).To(BeEmpty())
 	})
 
@@ -237,7 +237,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
-		r := admission.NewRoom[int](admission.RoomOptions{Rand: newRand(1), Slots: slots, MaxWaiting: 5})
+		r := admission.NewQueue[int](admission.QueueOptions{Rand: newRand(1), Slots: slots, MaxWaiting: 5})
 		now := start
 		running := 0
 		waits := map[int]bool{}
@@ -259,10 +259,10 @@
 				u := admission.Urgency{Priority: rapid.IntRange(-1, 9).Draw(t, "priority")}
 				u.Deadline = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "left")) * time.Millisecond)
 				offered := r.Offer(now, u, uint64(id), id)
-				switch offered.Entrance {
+				switch offered.Decision {
 				case admission.Started:
 					running++
-				case admission.Waits:
+				case admission.Queued:
 					waits[id] = true
 				}
 				apply(offered.Changes)
@@ -274,7 +274,7 @@
 			case 3:
 				apply(r.Expire(now))
 			default:
-				left := r.Leave(uint64(id / 2))
+				left := r.Cancel(uint64(id / 2))
 				g.Expect(left).To(Equal(waits[id/2]))
 				delete(waits, id/2)
 			}
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -31,7 +31,7 @@
 	// Loaded is the version of the weights that the server serves, 0 for none.
 	// The registration lags behind the server by one or two seconds.
 	Loaded uint64
-	Born   fleet.Start
+	Born   fleet.StartTime
 }
 
 // Wanted is the version of a model that the operator named most recently.
--- a/core/fleet/start_test.go
+++ b/core/fleet/start_test.go
@@ -8,7 +8,7 @@
 
 func TestStartReplaces(t *testing.T) {
 	for _, c := range []struct {
-		before, now fleet.Start
+		before, now fleet.StartTime
 		want        bool
 	}{
 		{1000, 1000, false},
--- a/core/linking/linking.go
+++ b/core/linking/linking.go
@@ -109,7 +109,7 @@
 // sortBy orders members by a hash that differs by name.
 func sortBy(name fleet.InstanceID, members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(fleet.RankOf(name, a.ID), fleet.RankOf(name, b.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(fleet.RendezvousRank(name, a.ID), fleet.RendezvousRank(name, b.ID)), cmp.Compare(a.ID, b.ID))
 	})
 }
 
--- a/core/loading/loading.go
+++ b/core/loading/loading.go
@@ -49,7 +49,7 @@
 	// Slowdown is the factor by which passes exceed their published duration;
 	// 1 is normal.
 	Slowdown float64
-	Born     fleet.Start
+	Born     fleet.StartTime
 	// Queued and Running are the numbers of waiting and running calls.
 	Queued, Running int
 	Orders          Orders
--- a/core/placement/anew_test.go
+++ b/core/placement/anew_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("A server that started anew under its id", func() {
 	const before, after = 1764720000000, 1764720004000
 
-	bornAt := func(born fleet.Start) []placement.Server {
+	bornAt := func(born fleet.StartTime) []placement.Server {
 		list := servers(1)
 		list[0].Born = born
 		return list
@@ -48,7 +48,7 @@
 
 	It("is not left out for what its predecessor failed", func() {
 		b := placement.New(chanceOfHalf{}, policy.Off{})
-		list := func(born fleet.Start) []placement.Server {
+		list := func(born fleet.StartTime) []placement.Server {
 			all := servers(2)
 			all[0].Born = born
 			return all
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -42,7 +42,7 @@
 	Connections int
 	// Loaded is the version that a model engine answers from.
 	Loaded ModelVersion
-	Born   fleet.Start
+	Born   fleet.StartTime
 	// Leaving servers get no new requests.
 	Leaving bool
 	// Changing servers are loading weights, or are about to, and take nothing.
@@ -240,7 +240,7 @@
 }
 
 func (b *Board) newState(id fleet.InstanceID) *state {
-	return &state{own: make(map[*Ticket]struct{}), hash: fleet.RankOf(b.self, id)}
+	return &state{own: make(map[*Ticket]struct{}), hash: fleet.RendezvousRank(b.self, id)}
 }
 
 // Heard notes that another entry was heard, with the servers at which its load
--- a/core/serverlimit/share.go
+++ b/core/serverlimit/share.go
@@ -21,10 +21,10 @@
 func Share(perSecond float64, server, self fleet.InstanceID, others []fleet.InstanceID) float64 {
 	perSecond = max(perSecond, minPerSecond)
 	users := int(min(perSecond+extraUsers, float64(1+len(others))))
-	ownRank := fleet.RankOf(server, self)
+	ownRank := fleet.RendezvousRank(server, self)
 	rank := 0
 	for _, id := range others {
-		if otherRank := fleet.RankOf(server, id); otherRank < ownRank || otherRank == ownRank && id < self {
+		if otherRank := fleet.RendezvousRank(server, id); otherRank < ownRank || otherRank == ownRank && id < self {
 			rank++
 		}
 	}
--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -39,7 +39,7 @@
 		return decided(notRun(req, err))
 	}
 	now := time.Now()
-	facts := once.Facts{Asked: req.Deadline.Asked(a.started, a.clock())}
+	facts := once.Facts{Asked: req.Deadline.ReceivedAt(a.started, a.clock())}
 	digest := digestOf(req, body)
 	version, refused := a.admit(now, req)
 	if refused != nil {
--- a/daemon/agent/room.go
+++ b/daemon/agent/room.go
@@ -28,15 +28,15 @@
 // important ones in front. The engine's own queue stays empty: what waits
 // there cannot be passed by a more important request.
 type room struct {
-	waiting *admission.Room[*turn]
-	limit   *admission.Concurrency
+	waiting *admission.Queue[*turn]
+	limit   *admission.ConcurrencyLimit
 	tickets atomic.Uint64
 }
 
 func newRoom(now time.Time) *room {
 	return &room{
-		waiting: admission.NewRoom[*turn](admission.RoomOptions{Rand: sharedRand{}}),
-		limit:   admission.NewConcurrency(now, admission.ConcurrencyOptions{}),
+		waiting: admission.NewQueue[*turn](admission.QueueOptions{Rand: sharedRand{}}),
+		limit:   admission.NewConcurrencyLimit(now, admission.ConcurrencyOptions{}),
 	}
 }
 
@@ -61,10 +61,10 @@
 	ticket := r.tickets.Add(1)
 	offered := r.waiting.Offer(began, admission.Urgency{Priority: priority, Deadline: r.judgedBy(deadline)}, ticket, t)
 	apply(offered.Changes)
-	switch offered.Entrance {
+	switch offered.Decision {
 	case admission.Refused:
 		return nil, overloaded(offered.RetryAfter)
-	case admission.Waits:
+	case admission.Queued:
 		if err := r.wait(ctx, ticket, t); err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 	case <-ctx.Done():
 	}
 	gone := failure.WithOutcome(calls.DeadlinePassed.Wrap(ctx.Err(), "waited for a slot"), failure.NotRun)
-	if r.waiting.Leave(ticket) {
+	if r.waiting.Cancel(ticket) {
 		return gone
 	}
 	if err := <-t.decided; err != nil {
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -80,8 +80,8 @@
 }
 
 // clock is the agent's own clock, which entries echo.
-func (a *Agent) clock() admission.Reading {
-	return admission.Reading{Life: a.opts.Incarnation, Elapsed: time.Since(a.started)}
+func (a *Agent) clock() admission.ClockReading {
+	return admission.ClockReading{Incarnation: a.opts.Incarnation, Elapsed: time.Since(a.started)}
 }
 
 func (a *Agent) serveRequest(ctx context.Context, from keys.Identity, s *peer.Stream) {
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -38,7 +38,7 @@
 		const waited = 20 * time.Millisecond
 		Eventually(func() time.Duration { return r.entry.Report().Clock.Elapsed }).Should(BeNumerically(">", 2*waited))
 		req := wire.Request{ID: "late", Service: orders, Deadline: admission.Deadline{
-			Sent: admission.Reading{Life: r.entry.Report().Clock.Life, Elapsed: 1}, Remaining: waited}}
+			Sent: admission.ClockReading{Incarnation: r.entry.Report().Clock.Incarnation, Elapsed: 1}, Remaining: waited}}
 		if once {
 			req.NonIdempotent = true
 			req.IdempotencyKey = r.key(1)
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -245,7 +245,7 @@
 }
 
 // exchange sends the request to an agent and hands the answer to the caller.
-func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.Echo) (calls.End, error) {
+func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.End, error) {
 	s, err := a.entry.opts.Endpoint.Open(ctx, server.Addr, server.ID, peer.KindRequest)
 	if err != nil {
 		return calls.End{}, err
@@ -274,7 +274,7 @@
 
 // send sends the request and its body. Once the first byte is out, only the
 // agent can say that the request was not run.
-func (a *attempt) send(ctx context.Context, s *peer.Stream, clock *admission.Echo) error {
+func (a *attempt) send(ctx context.Context, s *peer.Stream, clock *admission.RemoteClock) error {
 	deadline, ok := clock.Deadline(time.Now(), a.asked, a.request.Deadline)
 	if !ok {
 		return notRun(failure.Unavailable.New("%s has not reported yet", a.server), notReadyRetry)
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -394,7 +394,7 @@
 		Expect(tries).To(HaveLen(2))
 		slices.SortFunc(tries, func(a, b wire.Request) int { return cmp.Compare(a.Deadline.Waited, b.Deadline.Waited) })
 		Expect(tries).To(HaveEach(HaveField("Deadline.Sent", SatisfyAll(
-			HaveField("Life", BeEquivalentTo(1)), HaveField("Elapsed", BeNumerically(">", 0))))))
+			HaveField("Incarnation", BeEquivalentTo(1)), HaveField("Elapsed", BeNumerically(">", 0))))))
 		Expect(tries[0].Deadline.Waited).To(BeNumerically("<", tries[1].Deadline.Waited))
 		Expect(tries[0].Deadline.Remaining).To(BeNumerically(">", tries[1].Deadline.Remaining))
 	})
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -89,7 +89,7 @@
 	config  *revision.State // nil while no text is in force
 	servers *balance.Snapshot
 	entries []addressing.Entry
-	clocks  map[fleet.InstanceID]*admission.Echo
+	clocks  map[fleet.InstanceID]*admission.RemoteClock
 }
 
 // New returns an entry. What it starts ends with ctx.
@@ -146,7 +146,7 @@
 	p := &picture{
 		config:  e.node.InForce(),
 		entries: e.entries(),
-		clocks:  make(map[fleet.InstanceID]*admission.Echo, len(e.subs)),
+		clocks:  make(map[fleet.InstanceID]*admission.RemoteClock, len(e.subs)),
 	}
 	var servers []balance.Server
 	for id, s := range e.subs {
--- a/daemon/entry/keys.go
+++ b/daemon/entry/keys.go
@@ -63,6 +63,6 @@
 	if !ok {
 		return "", notRun(failure.Unavailable.New("%s has not reported yet", choice.Server.ID), notReadyRetry)
 	}
-	life := once.Incarnation(clock.Life)
+	life := once.Incarnation(clock.Incarnation)
 	return once.Issue("", choice.Server.ID, life, now, rand.Uint64()).Text, nil
 }
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -167,10 +167,10 @@
 	}
 }
 
-func placesOf(peers []gossip.Peer) []admission.Other {
-	others := make([]admission.Other, len(peers))
+func placesOf(peers []gossip.Peer) []admission.Peer {
+	others := make([]admission.Peer, len(peers))
 	for i, p := range peers {
-		others[i] = admission.Other{ID: p.ID, Place: p.Place}
+		others[i] = admission.Peer{ID: p.ID, Place: p.Place}
 	}
 	return others
 }
--- a/daemon/entry/subscription.go
+++ b/daemon/entry/subscription.go
@@ -28,8 +28,8 @@
 type subscription struct {
 	member   gossip.Peer
 	cancel   context.CancelFunc
-	echo     *admission.Echo // of the agent's clock
-	reported bool            // a report came on the present stream
+	echo     *admission.RemoteClock // of the agent's clock
+	reported bool                   // a report came on the present stream
 	report   wire.Report
 	received time.Time
 }
@@ -99,7 +99,7 @@
 
 func (e *Entry) startSubscription(p gossip.Peer) {
 	ctx, cancel := context.WithCancel(e.ctx)
-	s := &subscription{member: p, cancel: cancel, echo: &admission.Echo{}}
+	s := &subscription{member: p, cancel: cancel, echo: &admission.RemoteClock{}}
 	e.subs[p.ID] = s
 	go e.follow(ctx, s, p)
 }
--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -73,7 +73,7 @@
 		g.apply(start, []catalog.Change{{Revision: 6, Server: &again}}, 6)
 		listed(g, backend, start)
 		Expect(backend.listed[0].Loaded).To(BeZero())
-		Expect(backend.listed[0].Born).To(Equal(fleet.Start(5000)))
+		Expect(backend.listed[0].Born).To(Equal(fleet.StartTime(5000)))
 		tell(at(time.Second), wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1, Born: 5000})
 		listed(g, backend, at(time.Second))
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -115,7 +115,7 @@
 		a.mu.Lock()
 		report, mute := a.report, a.mute
 		a.mu.Unlock()
-		report.Clock = admission.Reading{Life: 1, Elapsed: time.Since(a.started)}
+		report.Clock = admission.ClockReading{Incarnation: 1, Elapsed: time.Since(a.started)}
 		if mute || s.Send(report) != nil {
 			s.Abort()
 			return
--- a/daemon/mesh/dial.go
+++ b/daemon/mesh/dial.go
@@ -145,7 +145,7 @@
 	for _, c := range m.contacts {
 		all = append(all, c)
 	}
-	weight := func(c *contact) uint64 { return fleet.RankOf(m.opts.Self, IDOf(c.addr)) }
+	weight := func(c *contact) uint64 { return fleet.RendezvousRank(m.opts.Self, IDOf(c.addr)) }
 	far := func(c *contact) int {
 		switch {
 		case c.last.ID != "" && (c.last.Place.Region != m.opts.Place.Region || c.last.Leaving):
--- a/daemon/wire/beat.go
+++ b/daemon/wire/beat.go
@@ -174,7 +174,7 @@
 	// percent; 0 if that is not known.
 	Pace int `cbor:"8,keyasint,omitzero"`
 	// Born is the engine's and not the agent's.
-	Born fleet.Start `cbor:"9,keyasint,omitzero"`
+	Born fleet.StartTime `cbor:"9,keyasint,omitzero"`
 	// AgeMS is for how long the agent has run.
 	AgeMS int64 `cbor:"10,keyasint,omitzero"`
 }
--- a/daemon/wire/wire.go
+++ b/daemon/wire/wire.go
@@ -163,5 +163,5 @@
 	Load      serving.Load  `cbor:"6,keyasint"`
 	// Clock is the agent's own, read just before sending. Its Life is the
 	// agent's incarnation, part of the keys that are issued for it.
-	Clock admission.Reading `cbor:"7,keyasint"`
+	Clock admission.ClockReading `cbor:"7,keyasint"`
 }
--- a/standin/bench/slopes/routing.go
+++ b/standin/bench/slopes/routing.go
@@ -84,7 +84,7 @@
 func reportOf(service fleet.ServiceName, version fleet.Version, i int) wire.Report {
 	const life = 1_900_000_000_000
 	return wire.Report{Service: service, State: gossip.StateServing, Admitting: true, Serving: version, Load: loadOf(i),
-		Clock: admission.Reading{Life: life, Elapsed: time.Duration(i+1) * reportEvery}}
+		Clock: admission.ClockReading{Incarnation: life, Elapsed: time.Duration(i+1) * reportEvery}}
 }
 
 // demandOf is what ten workspaces ask of an entry.
