--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -16,11 +16,11 @@
 
 // request is one request of the queue model.
 type request struct {
-	priority int
-	arrives  time.Time
-	deadline time.Time
-	took     time.Duration // how long it runs
-	started  time.Time
+	priority    int
+	arrives     time.Time
+	deadline    time.Time
+	serviceTime time.Duration
+	started     time.Time
 }
 
 // endHeap is a heap of running requests ordered by their end.
@@ -37,7 +37,7 @@
 	return r
 }
 
-func (r *request) end() time.Time { return r.started.Add(r.took) }
+func (r *request) end() time.Time { return r.started.Add(r.serviceTime) }
 
 // counts are the outcomes of the requests of one priority.
 type counts struct{ offered, inTime, late, refused, shed int }
@@ -76,9 +76,9 @@
 			m.byPriority[r.priority].late++
 		} else {
 			m.byPriority[r.priority].inTime++
-			m.busy += r.took
+			m.busy += r.serviceTime
 		}
-		m.apply(r.end(), m.queue.Done(r.end(), r.took))
+		m.apply(r.end(), m.queue.Done(r.end(), r.serviceTime))
 	}
 }
 
@@ -108,7 +108,7 @@
 			r.priority = 1
 		}
 		r.deadline = r.arrives.Add(3 * time.Second)
-		r.took = time.Duration((0.5 + rnd.Float64()) * float64(time.Second))
+		r.serviceTime = time.Duration((0.5 + rnd.Float64()) * float64(time.Second))
 		requests = append(requests, r)
 	}
 	return requests
@@ -147,18 +147,18 @@
 		Expect(refused).To(BeNumerically("<=", (m.byPriority[1].offered+m.byPriority[4].offered)/100))
 	})
 
-	fill := func(r *admission.Queue[*request], n int) {
+	fill := func(q *admission.Queue[*request], n int) {
 		for range n {
-			Expect(r.Offer(start, admission.Urgency{}, 0, nil).Decision).To(Equal(admission.Started))
+			Expect(q.Offer(start, admission.Urgency{}, 0, nil).Decision).To(Equal(admission.Started))
 		}
 	}
 
 	// Otherwise the client would wait until its deadline and then be refused, although the
 	// outcome was known from the start.
 	It("refuses immediately a request that cannot finish in time", func() {
-		r := newQueue()
-		fill(r, slots)
-		offered := r.Offer(start, admission.Urgency{Deadline: after(1)}, 1, nil)
+		q := newQueue()
+		fill(q, slots)
+		offered := q.Offer(start, admission.Urgency{Deadline: after(1)}, 1, nil)
 		Expect(offered.Decision).To(Equal(admission.Refused))
 		Expect(offered.RetryAfter).To(And(BeNumerically(">=", time.Second), BeNumerically("<", 3*time.Second)))
 	})
@@ -166,68 +166,68 @@
 	// An urgent request delays a queued one beyond its deadline. That one's client would
 	// wait in vain.
 	It("sheds immediately a request that an urgent one delays too long", func() {
-		r := newQueue()
-		fill(r, slots)
+		q := newQueue()
+		fill(q, slots)
 		low := &request{priority: 7}
 		need := 1.5 + 1.0/slots + 0.01
-		Expect(r.Offer(start, admission.Urgency{Priority: 7, Deadline: after(need)}, 1, low).Decision).To(Equal(admission.Queued))
-		offered := r.Offer(start, admission.Urgency{Priority: 0, Deadline: after(5)}, 2, nil)
+		Expect(q.Offer(start, admission.Urgency{Priority: 7, Deadline: after(need)}, 1, low).Decision).To(Equal(admission.Queued))
+		offered := q.Offer(start, admission.Urgency{Priority: 0, Deadline: after(5)}, 2, nil)
 		Expect(offered.Decision).To(Equal(admission.Queued))
 		Expect(offered.Changes.Shed).To(HaveLen(1))
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(low))
 	})
 
 	It("sheds the newest request of the lowest priority when it is full", func() {
-		r := admission.NewQueue[*request](admission.QueueOptions{Rand: newRand(1), Slots: 1, MaxWaiting: 2})
-		fill(r, 1)
+		q := admission.NewQueue[*request](admission.QueueOptions{Rand: newRand(1), Slots: 1, MaxWaiting: 2})
+		fill(q, 1)
 		first, second := &request{}, &request{}
-		r.Offer(start, admission.Urgency{Priority: 5}, 1, first)
-		r.Offer(start, admission.Urgency{Priority: 5}, 2, second)
-		Expect(r.Offer(start, admission.Urgency{Priority: 5}, 3, nil).Decision).To(Equal(admission.Refused))
-		offered := r.Offer(start, admission.Urgency{Priority: 4}, 4, nil)
+		q.Offer(start, admission.Urgency{Priority: 5}, 1, first)
+		q.Offer(start, admission.Urgency{Priority: 5}, 2, second)
+		Expect(q.Offer(start, admission.Urgency{Priority: 5}, 3, nil).Decision).To(Equal(admission.Refused))
+		offered := q.Offer(start, admission.Urgency{Priority: 4}, 4, nil)
 		Expect(offered.Decision).To(Equal(admission.Queued))
 		Expect(offered.Changes.Shed[0].Handle).To(BeIdenticalTo(second))
 	})
 
 	It("sheds queued requests even while no slot becomes free", func() {
-		r := newQueue()
-		fill(r, slots)
+		q := newQueue()
+		fill(q, slots)
 		waiting := &request{}
-		Expect(r.Offer(start, admission.Urgency{Deadline: after(3)}, 1, waiting).Decision).To(Equal(admission.Queued))
-		Expect(r.Expire(after(1)).Shed).To(BeEmpty())
-		Expect(r.Expire(after(2)).Shed).To(HaveLen(1))
-		_, left := r.Load()
+		Expect(q.Offer(start, admission.Urgency{Deadline: after(3)}, 1, waiting).Decision).To(Equal(admission.Queued))
+		Expect(q.Expire(after(1)).Shed).To(BeEmpty())
+		Expect(q.Expire(after(2)).Shed).To(HaveLen(1))
+		_, left := q.Load()
 		Expect(left).To(BeZero())
 	})
 
 	It("starts queued requests in order of priority, then of arrival", func() {
-		r := newQueue()
-		fill(r, slots)
+		q := newQueue()
+		fill(q, slots)
 		late, early, urgent := &request{}, &request{}, &request{}
-		r.Offer(start, admission.Urgency{Priority: 3}, 1, early)
-		r.Offer(start, admission.Urgency{Priority: 3}, 2, late)
-		r.Offer(start, admission.Urgency{Priority: 0}, 3, urgent)
+		q.Offer(start, admission.Urgency{Priority: 3}, 1, early)
+		q.Offer(start, admission.Urgency{Priority: 3}, 2, late)
+		q.Offer(start, admission.Urgency{Priority: 0}, 3, urgent)
 		for _, want := range []*request{urgent, early, late} {
-			started := r.Done(start, time.Second).Started
+			started := q.Done(start, time.Second).Started
 			Expect(started).To(HaveLen(1))
 			Expect(started[0]).To(BeIdenticalTo(want))
 		}
 	})
 
 	It("removes a cancelled request", func() {
-		r := newQueue()
-		fill(r, slots)
-		r.Offer(start, admission.Urgency{}, 1, &request{})
-		Expect(r.Cancel(1)).To(BeTrue())
-		Expect(r.Cancel(1)).To(BeFalse())
-		Expect(r.Done(start, time.Second).Started).To(BeEmpty())
+		q := newQueue()
+		fill(q, slots)
+		q.Offer(start, admission.Urgency{}, 1, &request{})
+		Expect(q.Cancel(1)).To(BeTrue())
+		Expect(q.Cancel(1)).To(BeFalse())
+		Expect(q.Done(start, time.Second).Started).To(BeEmpty())
 	})
 
 	It("starts queued requests when it gets more slots", func() {
-		r := newQueue()
-		fill(r, slots)
-		r.Offer(start, admission.Urgency{}, 1, &request{})
-		Expect(r.SetSlots(start, slots+1).Started).To(HaveLen(1))
+		q := newQueue()
+		fill(q, slots)
+		q.Offer(start, admission.Urgency{}, 1, &request{})
+		Expect(q.SetSlots(start, slots+1).Started).To(HaveLen(1))
 	})
 })
 
@@ -237,7 +237,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
-		r := admission.NewQueue[int](admission.QueueOptions{Rand: newRand(1), Slots: slots, MaxWaiting: 5})
+		q := admission.NewQueue[int](admission.QueueOptions{Rand: newRand(1), Slots: slots, MaxWaiting: 5})
 		now := start
 		running := 0
 		waits := map[int]bool{}
@@ -258,7 +258,7 @@
 			case 0, 1:
 				u := admission.Urgency{Priority: rapid.IntRange(-1, 9).Draw(t, "priority")}
 				u.Deadline = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "left")) * time.Millisecond)
-				offered := r.Offer(now, u, uint64(id), id)
+				offered := q.Offer(now, u, uint64(id), id)
 				switch offered.Decision {
 				case admission.Started:
 					running++
@@ -269,16 +269,16 @@
 			case 2:
 				if running > 0 {
 					running--
-					apply(r.Done(now, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond))
+					apply(q.Done(now, time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*time.Millisecond))
 				}
 			case 3:
-				apply(r.Expire(now))
+				apply(q.Expire(now))
 			default:
-				left := r.Cancel(uint64(id / 2))
+				left := q.Cancel(uint64(id / 2))
 				g.Expect(left).To(Equal(waits[id/2]))
 				delete(waits, id/2)
 			}
-			nowRunning, nowWaiting := r.Load()
+			nowRunning, nowWaiting := q.Load()
 			g.Expect(nowRunning).To(Equal(running))
 			g.Expect(nowWaiting).To(Equal(len(waits)))
 			g.Expect(running).To(BeNumerically("<=", slots))
--- a/core/serverlimit/share_test.go
+++ b/core/serverlimit/share_test.go
@@ -35,14 +35,14 @@
 }
 
 func newSaturatingEntries(perSecond float64, ids []fleet.InstanceID, othersOf func(i int) []fleet.InstanceID) *saturatingEntries {
-	g := &saturatingEntries{}
+	entries := &saturatingEntries{}
 	for i, self := range ids {
 		b := placement.New(rand.New(rand.NewPCG(1, uint64(i))), policy.Off{})
 		b.SetServers(start, []placement.Server{{ID: server, Service: "pool", Slots: 16}})
 		b.SetLimits(start, map[fleet.InstanceID]float64{server: serverlimit.Share(perSecond, server, self, othersOf(i))})
-		g.boards = append(g.boards, b)
+		entries.boards = append(entries.boards, b)
 	}
-	return g
+	return entries
 }
 
 func (g *saturatingEntries) run(span, step time.Duration) {
@@ -81,11 +81,11 @@
 	DescribeTable("together stay within the limit and use it", func(perSecond float64) {
 		for _, size := range []int{1, 2, 8, 100, 410} {
 			ids := entryIDs(size)
-			g := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
+			entries := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
 			span := max(20*time.Second, time.Duration(10/perSecond*float64(time.Second)))
-			g.run(span, span/1000)
-			Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%d entries", size)
-			Expect(float64(len(g.sent))).To(BeNumerically(">=", 0.7*perSecond*span.Seconds()), "%d entries", size)
+			entries.run(span, span/1000)
+			Expect(entries.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%d entries", size)
+			Expect(float64(len(entries.sent))).To(BeNumerically(">=", 0.7*perSecond*span.Seconds()), "%d entries", size)
 		}
 	},
 		Entry("of 0.1 per second", 0.1), Entry("of 1 per second", 1.0), Entry("of 1.8 per second", 1.8),
@@ -96,10 +96,10 @@
 	// the server.
 	It("are not zero for every entry", func() {
 		ids := entryIDs(8)
-		g := newSaturatingEntries(0, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
-		g.run(60*time.Second, 100*time.Millisecond)
-		Expect(g.sent).NotTo(BeEmpty())
-		Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(0)))
+		entries := newSaturatingEntries(0, ids, func(i int) []fleet.InstanceID { return without(ids, i) })
+		entries.run(60*time.Second, 100*time.Millisecond)
+		Expect(entries.sent).NotTo(BeEmpty())
+		Expect(entries.maxWithin(window)).To(BeNumerically("<=", allowed(0)))
 	})
 
 	// Entries that have lost contact to some others, or do not know new ones yet, rank
@@ -107,13 +107,13 @@
 	It("stay within the limit while entries know different sets of others", func() {
 		ids := entryIDs(8)
 		for _, perSecond := range []float64{1, 1.8, 10} {
-			g := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID {
+			entries := newSaturatingEntries(perSecond, ids, func(i int) []fleet.InstanceID {
 				others := without(ids, i)
 				lost := i % len(others)
 				return slices.Delete(others, lost, lost+1)
 			})
-			g.run(20*time.Second, 20*time.Millisecond)
-			Expect(g.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%v per second", perSecond)
+			entries.run(20*time.Second, 20*time.Millisecond)
+			Expect(entries.maxWithin(window)).To(BeNumerically("<=", allowed(perSecond)), "%v per second", perSecond)
 		}
 	})
 })
