--- a/core/quarantine/unresolved.go
+++ b/core/quarantine/unresolved.go
@@ -29,7 +29,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unresolved = append(r.unresolved, unresolvedAttempt{request, server, now})
-	r.dropUnresolved(func(d unresolvedAttempt) bool { return now.Sub(d.at) >= unresolvedTTL })
+	r.dropUnresolved(func(attempt unresolvedAttempt) bool { return now.Sub(attempt.at) >= unresolvedTTL })
 	if over := len(r.unresolved) - maxUnresolved; over > 0 {
 		r.unresolved = append([]unresolvedAttempt(nil), r.unresolved[over:]...)
 	}
@@ -39,8 +39,8 @@
 func (r *Registry) HasUnresolved(now time.Time, server fleet.InstanceID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, d := range r.unresolved {
-		if d.server == server && now.Sub(d.at) < unresolvedTTL {
+	for _, attempt := range r.unresolved {
+		if attempt.server == server && now.Sub(attempt.at) < unresolvedTTL {
 			return true
 		}
 	}
@@ -53,26 +53,26 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var quarantined []Fingerprint
-	for _, d := range r.unresolved {
-		if d.server != server || now.Sub(d.at) >= unresolvedTTL {
+	for _, attempt := range r.unresolved {
+		if attempt.server != server || now.Sub(attempt.at) >= unresolvedTTL {
 			continue
 		}
-		rec := r.record(now, d.request)
+		rec := r.record(now, attempt.request)
 		wasQuarantined := rec.status().IsQuarantined()
-		r.add(rec, observation{server: server, at: d.at}, feed.Local)
+		r.add(rec, observation{server: server, at: attempt.at}, feed.Local)
 		if !wasQuarantined && rec.status().IsQuarantined() {
-			quarantined = append(quarantined, d.request)
+			quarantined = append(quarantined, attempt.request)
 		}
 	}
-	r.dropUnresolved(func(d unresolvedAttempt) bool { return d.server == server })
+	r.dropUnresolved(func(attempt unresolvedAttempt) bool { return attempt.server == server })
 	return quarantined
 }
 
-func (r *Registry) dropUnresolved(isOver func(unresolvedAttempt) bool) {
+func (r *Registry) dropUnresolved(isDone func(unresolvedAttempt) bool) {
 	kept := r.unresolved[:0]
-	for _, d := range r.unresolved {
-		if !isOver(d) {
-			kept = append(kept, d)
+	for _, attempt := range r.unresolved {
+		if !isDone(attempt) {
+			kept = append(kept, attempt)
 		}
 	}
 	r.unresolved = kept
