--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("A mark", func() {
-	DescribeTable("is due once, to those which others did not send it", func(from, to feed.Source, due bool) {
+	DescribeTable("is due once, to peers that do not receive it from others", func(from, to feed.Source, due bool) {
 		var c feed.Counter
 		sent := c.Cursor()
 		m := c.Mark(from)
@@ -16,23 +16,23 @@
 		Expect(m.IsDue(m.Cursor(), to)).To(BeFalse())
 		Expect(m.IsDue(0, to)).To(BeTrue())
 	},
-		Entry("own, to a near one", feed.Own, feed.Near, true),
-		Entry("own, to a far one", feed.Own, feed.Far, true),
-		Entry("near, to a near one", feed.Near, feed.Near, false),
-		Entry("near, to a far one", feed.Near, feed.Far, true),
-		Entry("far, to a near one", feed.Far, feed.Near, true),
-		Entry("far, to a far one", feed.Far, feed.Far, false),
+		Entry("local, to a peer of the same group", feed.Local, feed.SameGroup, true),
+		Entry("local, to a peer of another group", feed.Local, feed.OtherGroup, true),
+		Entry("same group, to a peer of the same group", feed.SameGroup, feed.SameGroup, false),
+		Entry("same group, to a peer of another group", feed.SameGroup, feed.OtherGroup, true),
+		Entry("another group, to a peer of the same group", feed.OtherGroup, feed.SameGroup, true),
+		Entry("another group, to a peer of another group", feed.OtherGroup, feed.OtherGroup, false),
 	)
 
 	It("is never due if nothing was learned", func() {
-		Expect(feed.Mark{}.IsDue(0, feed.Near)).To(BeFalse())
+		Expect(feed.Mark{}.IsDue(0, feed.SameGroup)).To(BeFalse())
 	})
 
 	It("comes after everything that was sent before", func() {
 		var c feed.Counter
-		first := c.Mark(feed.Own)
+		first := c.Mark(feed.Local)
 		sent := c.Cursor()
-		Expect(first.IsDue(sent, feed.Near)).To(BeFalse())
-		Expect(c.Mark(feed.Own).IsDue(sent, feed.Near)).To(BeTrue())
+		Expect(first.IsDue(sent, feed.SameGroup)).To(BeFalse())
+		Expect(c.Mark(feed.Local).IsDue(sent, feed.SameGroup)).To(BeTrue())
 	})
 })
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -44,7 +44,7 @@
 	// LoadedVersion is the version of the weights that a model engine serves; 0 if
 	// it serves none.
 	LoadedVersion ModelVersion
-	Born          fleet.Start
+	Born          fleet.StartTime
 	// Leaving servers get no new requests.
 	Leaving bool
 	// Reloading is true while the server loads weights or is about to; it then
@@ -253,7 +253,7 @@
 }
 
 func (b *Balancer) newState(id fleet.InstanceID) *serverState {
-	return &serverState{own: make(map[*Assignment]struct{}), hash: fleet.RankOf(b.self, id)}
+	return &serverState{own: make(map[*Assignment]struct{}), hash: fleet.RendezvousRank(b.self, id)}
 }
 
 // UpdateEntryLoads records a report of another entry, with the servers at which its
--- a/core/placement/restart_test.go
+++ b/core/placement/restart_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("A server that restarted under the same ID", func() {
 	const before, after = 1764720000000, 1764720004000
 
-	startedAt := func(born fleet.Start) []placement.Server {
+	startedAt := func(born fleet.StartTime) []placement.Server {
 		list := servers(1)
 		list[0].Born = born
 		return list
@@ -48,7 +48,7 @@
 
 	It("is not ejected for the failures of its predecessor", func() {
 		b := placement.New(constantRand{}, policy.Disabled{})
-		list := func(born fleet.Start) []placement.Server {
+		list := func(born fleet.StartTime) []placement.Server {
 			all := servers(2)
 			all[0].Born = born
 			return all
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -89,7 +89,7 @@
 	snapshot      catalog.Snapshot
 	table         *routing.Table
 	tableRevision catalog.Revision
-	names         map[string]loading.Names // by model
+	names         map[string]loading.NamedVersions // by model
 	replicas      map[netip.Addr]replica
 	readyAt       map[netip.Addr]time.Time // when engines are expected to be ready
 	started       time.Time
@@ -178,7 +178,7 @@
 // view is the immutable state that calls read.
 type view struct {
 	table   *routing.Table
-	names   map[string]loading.Names
+	names   map[string]loading.NamedVersions
 	entries []mesh.Entry
 	// rank is this entry's rank among the entries of its region.
 	rank int
@@ -207,7 +207,7 @@
 		scheduler:         placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Disabled),
 		log:               newRequestLog(now, opts.Logger, opts.Metrics),
 		answerer:          addressing.New(addressing.Options{Rand: chance.Shared{}}),
-		names:             make(map[string]loading.Names),
+		names:             make(map[string]loading.NamedVersions),
 		replicas:          make(map[netip.Addr]replica),
 		readyAt:           make(map[netip.Addr]time.Time),
 		started:           now,
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -26,7 +26,7 @@
 type successor struct {
 	assignment *placement.Assignment
 	response   Response
-	attempt    *delivery.Run
+	attempt    *delivery.Attempt
 	deadline   time.Time // the server's own deadline for the call
 }
 
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -304,7 +304,7 @@
 	It("gives the next engine a deadline within the time of its version", func() {
 		begin(routing.Stream, true)
 		named := time.Now()
-		g.names["m"] = loading.Names{{Version: 2, Since: named}}
+		g.names["m"] = loading.NamedVersions{{Version: 2, Since: named}}
 		report(first, 2, true)
 		from.release(1)
 		Eventually(backend.orders).Should(HaveLen(2))
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -104,7 +104,7 @@
 // shouldRetry reports whether to retry the call after an attempt that a server may have run.
 func (j *job) shouldRetry(ctx context.Context, now time.Time) bool {
 	return ctx.Err() == nil && !j.g.opts.Disabled.Repeat && j.isRetryable() && j.attempts < j.route.MaxAttempts &&
-		j.deadline.Sub(now) > minAttemptTime && j.standing(now).MayRepeat()
+		j.deadline.Sub(now) > minAttemptTime && j.standing(now).CanRetry()
 }
 
 // handleDeclined handles a response which says that the server did not run the call, or
@@ -323,7 +323,7 @@
 
 // forwardEvent forwards an event of a server, unless the caller has it already. It fails
 // if the event is out of order or the caller has disconnected.
-func (j *job) forwardEvent(assignment *placement.Assignment, response Response, attempt *delivery.Run, event eventstream.Event) error {
+func (j *job) forwardEvent(assignment *placement.Assignment, response Response, attempt *delivery.Attempt, event eventstream.Event) error {
 	j.progressAt = time.Now()
 	assignment.AddTokens(j.tokensPerEvent())
 	passed, err := j.reply.event(response, attempt, event)
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -198,7 +198,7 @@
 func (g *Gateway) heardWanted(now time.Time, w wire.WantedVersion) {
 	named := w.Named(now)
 	if g.tableRevision != 0 {
-		named = g.names[w.Model].Correct(named, g.heardNow(now, w.Version))
+		named = g.names[w.Model].Reconcile(named, g.heardNow(now, w.Version))
 	}
 	g.setWanted(w.Model, named)
 }
@@ -207,7 +207,7 @@
 // knowledge counts as equally old.
 const wantedSkew = 50 * time.Millisecond
 
-func (g *Gateway) setWanted(model string, named loading.Named) {
+func (g *Gateway) setWanted(model string, named loading.NamedVersion) {
 	names, changed := g.names[model].Add(named, wantedSkew)
 	if !changed {
 		return
@@ -341,7 +341,7 @@
 	g.noteReplaced(now, list)
 	g.scheduler.SetServers(now, list)
 	g.limitsChanged = true // those of servers that are listed anew
-	g.limits.Keep(now, func(id fleet.InstanceID) bool {
+	g.limits.DropUnlisted(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
 	})
 	g.opts.Backend.Retain(list)
--- a/daemon/gateway/reply.go
+++ b/daemon/gateway/reply.go
@@ -27,7 +27,7 @@
 
 // accept starts the attempt of a server. It fails if the server's response cannot
 // continue what the caller has received.
-func (r *reply) accept(response Response) (*delivery.Run, error) {
+func (r *reply) accept(response Response) (*delivery.Attempt, error) {
 	attempt, err := r.progress.Accept(headerOf(response))
 	return attempt, r.checkStep(err)
 }
@@ -39,7 +39,7 @@
 // event forwards an event unless the caller has it already, with the header before the
 // first one. It fails with delivery.OutOfOrder if the event is out of order, and with the
 // write error if the caller has disconnected; the response is aborted in that case.
-func (r *reply) event(response Response, attempt *delivery.Run, event eventstream.Event) (passed bool, err error) {
+func (r *reply) event(response Response, attempt *delivery.Attempt, event eventstream.Event) (passed bool, err error) {
 	if isComment(event) {
 		return r.comment(event)
 	}
@@ -78,7 +78,7 @@
 }
 
 // complete ends a stream after its last event.
-func (r *reply) complete(response Response, attempt *delivery.Run) error {
+func (r *reply) complete(response Response, attempt *delivery.Attempt) error {
 	isFirst := !r.progress.HasStarted()
 	if err := r.checkStep(r.progress.Finish(attempt)); err != nil {
 		return err
@@ -93,7 +93,7 @@
 
 // whole sends a response with its complete body.
 func (r *reply) whole(response Response, body []byte) error {
-	if err := r.checkStep(r.progress.Whole()); err != nil {
+	if err := r.checkStep(r.progress.FinishUnstreamed()); err != nil {
 		return err
 	}
 	return r.caller.WriteResponse(response, body)
@@ -101,21 +101,21 @@
 
 // refuse sends an error response of this entry.
 func (r *reply) refuse(v ErrorResponse) {
-	if r.checkStep(r.progress.Whole()) == nil {
+	if r.checkStep(r.progress.FinishUnstreamed()) == nil {
 		r.caller.Refuse(v)
 	}
 }
 
 // abort ends the response so that the caller sees it as truncated.
-func (r *reply) abort() { r.progress.Cut() }
+func (r *reply) abort() { r.progress.Abort() }
 
 // isAborted reports whether the response was aborted, so that nothing more can be sent.
-func (r *reply) isAborted() bool { return r.progress.Stage() == delivery.Cut }
+func (r *reply) isAborted() bool { return r.progress.Stage() == delivery.Aborted }
 
 // checkStep logs a step that the stage of the response does not allow and aborts the
 // response. It returns err.
 func (r *reply) checkStep(err error) error {
-	if err != nil && errorx.IsOfType(err, delivery.Illegal) {
+	if err != nil && errorx.IsOfType(err, delivery.IllegalTransition) {
 		r.log.illegalStep(r.id, err)
 		r.abort()
 	}
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -65,7 +65,7 @@
 	lastEventAt  time.Time
 	// lastAttempt is the response of the last server, endFramed whether that server
 	// marks the end of it.
-	lastAttempt *delivery.Run
+	lastAttempt *delivery.Attempt
 	endFramed   bool
 	// progressAt is when the server last made progress: when its last event came,
 	// or when the request was sent to it.
@@ -368,7 +368,7 @@
 // stream.
 func (j *job) isRetryable() bool {
 	if j.hasStarted() {
-		return j.route.MayResume() && j.reply.progress.MayResume()
+		return j.route.MayResume() && j.reply.progress.CanResume()
 	}
 	return j.route.Idempotent()
 }
--- a/daemon/gateway/versiontime.go
+++ b/daemon/gateway/versiontime.go
@@ -56,7 +56,7 @@
 
 // versionEnd returns when an outdated version may no longer be used. It returns false if
 // the version is not outdated.
-func (g *Gateway) versionEnd(names loading.Names, v placement.ModelVersion) (time.Time, bool) {
+func (g *Gateway) versionEnd(names loading.NamedVersions, v placement.ModelVersion) (time.Time, bool) {
 	since, outdated := names.OutdatedSince(uint64(v))
 	return since.Add(g.opts.VersionTime - maxNamingDelay - networkDelay), outdated
 }
--- a/daemon/wire/beat.go
+++ b/daemon/wire/beat.go
@@ -152,9 +152,9 @@
 }
 
 // Named returns the version as the receiver sees it.
-func (w WantedVersion) Named(now time.Time) loading.Named {
+func (w WantedVersion) Named(now time.Time) loading.NamedVersion {
 	since := now.Add(-time.Duration(w.AgeMS) * time.Millisecond)
-	return loading.Named{Version: w.Version, Since: since, Assumed: w.Assumed}
+	return loading.NamedVersion{Version: w.Version, Since: since, Assumed: w.Assumed}
 }
 
 // Replica is what the agent beside an engine knows of it.
@@ -174,7 +174,7 @@
 	// percent; 0 if that is not known.
 	Pace int `cbor:"8,keyasint,omitzero"`
 	// Born is the engine's and not the agent's.
-	Born fleet.Start `cbor:"9,keyasint,omitzero"`
+	Born fleet.StartTime `cbor:"9,keyasint,omitzero"`
 	// AgeMS is for how long the agent has run.
 	AgeMS int64 `cbor:"10,keyasint,omitzero"`
 }
