--- a/core/feed/feedtest/feedtest.go
+++ b/core/feed/feedtest/feedtest.go
@@ -45,7 +45,7 @@
 	f := &Fleet[R, C, T]{Now: now}
 	for i, self := range members {
 		others := append(append([]linking.Member(nil), members[:i]...), members[i+1:]...)
-		f.entries = append(f.entries, entry{self.ID, linking.For(self, others), make(map[fleet.InstanceID]feed.Cursor)})
+		f.entries = append(f.entries, entry{self.ID, linking.NewPlan(self, others), make(map[fleet.InstanceID]feed.Cursor)})
 		f.Registries = append(f.Registries, newRegistry())
 	}
 	return f
@@ -53,7 +53,7 @@
 
 // sourceOf returns what another entry is to e.
 func (e entry) sourceOf(other entry) feed.Source {
-	if e.plan.Near[other.id] {
+	if e.plan.SameGroup[other.id] {
 		return feed.Near
 	}
 	return feed.Far
@@ -66,7 +66,7 @@
 	count := 0
 	for i, from := range f.entries {
 		for j, to := range f.entries {
-			if i == j || !from.plan.Wants(to.id) && !to.plan.Wants(from.id) {
+			if i == j || !from.plan.Includes(to.id) && !to.plan.Includes(from.id) {
 				continue
 			}
 			reports, sent := f.Registries[i].Since(f.Now, from.sent[to.id], from.sourceOf(to))
--- a/core/gossip/cost_test.go
+++ b/core/gossip/cost_test.go
@@ -78,14 +78,14 @@
 	var list []fleet.Instance
 	for i := range 3910 {
 		r := member(fleet.InstanceID(fmt.Sprintf("i-%019d", i)), zones[i%len(zones)])
-		r.Change = 1
+		r.StateSeq = 1
 		all = append(all, r)
 		list = append(list, instance(r))
 	}
 	table.SetListed(now, list)
 	for i := range links {
 		table.Merge(now, all[i].ID, all)
-		table.Sent(now, all[i].ID, all)
+		table.Acknowledge(now, all[i].ID, all)
 	}
 	var memory runtime.MemStats
 	runtime.GC()
@@ -95,12 +95,12 @@
 	b.ResetTimer()
 	for n := range b.N {
 		now = now.Add(time.Second)
-		table.Beat(now)
+		table.Heartbeat(now)
 		table.Neighbours(now)
 		for i := range links {
 			from := all[i].ID
 			table.Merge(now, from, heartbeats(all, n, i))
-			table.Sent(now, from, table.Delta(now, from))
+			table.Acknowledge(now, from, table.Delta(now, from))
 		}
 		table.View(now)
 	}
@@ -111,7 +111,7 @@
 	var message []gossip.Record
 	for i := range 20 {
 		r := all[(n*20+i)*9%len(all)]
-		message = append(message, gossip.Record{ID: r.ID, Incarnation: r.Incarnation, Change: r.Change, Beat: uint64(n + 1)})
+		message = append(message, gossip.Record{ID: r.ID, Incarnation: r.Incarnation, StateSeq: r.StateSeq, HeartbeatSeq: uint64(n + 1)})
 	}
 	return message
 }
@@ -119,8 +119,8 @@
 // BenchmarkEncode reports the encoded size of each form of a record.
 func BenchmarkEncode(b *testing.B) {
 	whole := member("i-0a1b2c3d4e5f60718", places(1, 1)[0])
-	whole.Change, whole.Beat = 100, 100_000
-	heartbeat := gossip.Record{ID: whole.ID, Incarnation: whole.Incarnation, Change: whole.Change, Beat: whole.Beat, Revision: whole.Revision}
+	whole.StateSeq, whole.HeartbeatSeq = 100, 100_000
+	heartbeat := gossip.Record{ID: whole.ID, Incarnation: whole.Incarnation, StateSeq: whole.StateSeq, HeartbeatSeq: whole.HeartbeatSeq, Revision: whole.Revision}
 	update := heartbeat
 	update.State, update.Serving, update.Target = whole.State, whole.Serving, whole.Target
 	for range b.N {
--- a/core/gossip/duplicate.go
+++ b/core/gossip/duplicate.go
@@ -14,8 +14,8 @@
 // process's id. Two processes with one id overwrite each other's records in the
 // whole fleet, so the caller has to stop.
 func (t *Table) Duplicate() (Record, bool) {
-	n := t.duplicate
-	return n.rec, n.rec.ID != "" && n.lastIncrease.Sub(n.since) > t.silentLimit()
+	d := t.duplicate
+	return d.rec, d.rec.ID != "" && d.lastIncrease.Sub(d.since) > t.silentLimit()
 }
 
 // mergeSelf never changes the process's own record. Counters lower than its own
@@ -33,19 +33,19 @@
 	t.duplicate.lastIncrease = now
 }
 
-// supersedePredecessor handles higher counters that have stopped rising. They are
-// left behind only by an earlier process with this id that has ended and whose
-// clock was ahead. While the process is listed, that record is never forgotten
-// and no peer would accept this process's record, so the incarnation is raised
-// above it. A live process with the same id keeps raising its counters and is
-// left alone: two processes that each raise their incarnation above the other's
-// would never stop.
+// supersedePredecessor handles higher counters that have stopped rising. They
+// are left behind only by an earlier process with this id that has ended and
+// whose clock was ahead. While the process is listed, that record is never
+// forgotten and no peer would accept this process's record, so the incarnation
+// is raised above it. A live process with the same id keeps raising its
+// counters and is left alone: two processes that each raise their incarnation
+// above the other's would never stop.
 func (t *Table) supersedePredecessor(now time.Time) {
-	n := t.duplicate
-	if n.rec.ID == "" || now.Sub(n.lastIncrease) <= t.silentLimit() {
+	d := t.duplicate
+	if d.rec.ID == "" || now.Sub(d.lastIncrease) <= t.silentLimit() {
 		return
 	}
-	t.self.rec.Incarnation = max(t.self.rec.Incarnation, n.rec.Incarnation+1)
-	t.self.rec.Turn = max(t.self.rec.Turn, t.self.rec.Incarnation, n.rec.Turn)
+	t.self.rec.Incarnation = max(t.self.rec.Incarnation, d.rec.Incarnation+1)
+	t.self.rec.RolloutOrder = max(t.self.rec.RolloutOrder, t.self.rec.Incarnation, d.rec.RolloutOrder)
 	t.duplicate = duplicate{}
 }
--- a/core/gossip/exchange.go
+++ b/core/gossip/exchange.go
@@ -27,7 +27,7 @@
 	switch {
 	case rec.ID == "":
 		return false
-	case rec.IsAsk():
+	case rec.IsRequest():
 		t.markRequested(l, rec.ID)
 		return false
 	case rec.ID == t.self.id:
@@ -96,13 +96,13 @@
 		return false
 	}
 	switch {
-	case rec.IsWhole():
+	case rec.IsComplete():
 		t.replace(e, rec)
 	case !e.hasRecord || held.incarnation != rec.Incarnation:
 		return false
 	case !rec.IsHeartbeat():
 		t.replace(e, e.rec.withHeartbeat(rec).withState(rec))
-	case held.change == rec.Change:
+	case held.stateSeq == rec.StateSeq:
 		e.rec = e.rec.withHeartbeat(rec)
 	}
 	return held.olderState(e.rec.version())
@@ -114,7 +114,7 @@
 		t.membersChanged()
 	}
 	if !e.hasRecord || before.Incarnation != rec.Incarnation || before.externalState() != rec.externalState() {
-		e.externalStateSeq = rec.Change
+		e.externalStateSeq = rec.StateSeq
 	}
 	e.rec = rec
 	e.hasRecord = true
@@ -126,7 +126,7 @@
 	e.lastUpdate = now
 	e.lost = false
 	if from == e.id {
-		e.lastDirect = now
+		e.lastDirectUpdate = now
 		delete(t.zoneFailures, e.zone())
 	}
 }
@@ -171,7 +171,7 @@
 // Delta returns the records to send to the neighbour to, at most
 // Options.MaxRecords: those of leaving processes first, then the process's own
 // record, then changes, requests and heartbeats. The remaining ones follow in
-// later calls. Records count as sent only once Sent is called.
+// later calls. Records count as sent only once Acknowledge is called.
 func (t *Table) Delta(now time.Time, to fleet.InstanceID) []Record {
 	t.advanceClock(now)
 	l := t.link(to)
@@ -208,22 +208,22 @@
 	return cmp.Compare(b.gained, a.gained)
 }
 
-// holdsOldIncarnation reports whether the neighbour holds e under an older incarnation. If e
-// is the neighbour itself, it has to learn of the newer one, see
-// supersedePredecessor.
+// holdsOldIncarnation reports whether the neighbour holds e under an older
+// incarnation. If e is the neighbour itself, it has to learn of the newer one,
+// see supersedePredecessor.
 func (l *link) holdsOldIncarnation(e *entry) bool {
 	mark, known := l.known[e]
 	return known && mark.incarnation < e.rec.Incarnation
 }
 
-// neighbourAhead reports whether the neighbour has shown a newer state of e than the
-// one held.
+// neighbourAhead reports whether the neighbour has shown a newer state of e
+// than the one held.
 func (t *Table) neighbourAhead(l *link, e *entry) bool {
 	return e.rec.version().olderState(l.known[e])
 }
 
 func (t *Table) noteRequest(now time.Time, rec Record) {
-	if !rec.IsAsk() {
+	if !rec.IsRequest() {
 		return
 	}
 	if e := t.entries[rec.ID]; e != nil {
@@ -262,7 +262,8 @@
 	}
 }
 
-// outgoingFor returns what to send to the neighbour about e, and how urgent it is.
+// outgoingFor returns what to send to the neighbour about e, and how urgent it
+// is.
 //
 // A new neighbour receives a heartbeat of every process and requests the
 // records it lacks, since most records are held by both. After that it receives
@@ -283,12 +284,12 @@
 	case known && mark.olderState(held):
 	case !known && local:
 		out.urgency = urgentHeartbeat
-		out.gained = held.beat
+		out.gained = held.heartbeatSeq
 	case !known:
 		out.urgency = urgentSummary
-	case local && !held.olderState(mark) && held.beat >= mark.beat+t.relayEvery():
+	case local && !held.olderState(mark) && held.heartbeatSeq >= mark.heartbeatSeq+t.relayEvery():
 		out.urgency = urgentHeartbeat
-		out.gained = held.beat - mark.beat
+		out.gained = held.heartbeatSeq - mark.heartbeatSeq
 	}
 	return out
 }
@@ -299,7 +300,7 @@
 	if local || m.incarnation != e.rec.Incarnation {
 		return m.olderState(e.rec.version())
 	}
-	return m.change < e.externalStateSeq
+	return m.stateSeq < e.externalStateSeq
 }
 
 func changeUrgency(rec Record) urgency {
@@ -309,22 +310,22 @@
 	return urgentChange
 }
 
-// shouldRequest reports whether to request e's record from the neighbour: it has
-// shown a newer state, or the platform lists e and no record is held.
+// shouldRequest reports whether to request e's record from the neighbour: it
+// has shown a newer state, or the platform lists e and no record is held.
 func (t *Table) shouldRequest(now time.Time, l *link, e *entry) bool {
 	if t.neighbourAhead(l, e) {
-		return e.requestedAt.IsZero() || now.Sub(e.requestedAt) >= t.opt.AskEvery
+		return e.requestedAt.IsZero() || now.Sub(e.requestedAt) >= t.opt.RequestInterval
 	}
 	return !e.hasRecord && e.listed && t.requestDue(now, e)
 }
 
-// listedRequestFactor times AskEvery is the interval between requests for a process
-// that is listed and that no neighbour has shown: usually it has not started
-// yet.
+// listedRequestFactor times RequestInterval is the interval between requests
+// for a process that is listed and that no neighbour has shown: usually it has
+// not started yet.
 const listedRequestFactor = 15
 
 func (t *Table) requestDue(now time.Time, e *entry) bool {
-	return e.requestedAt.IsZero() || now.Sub(e.requestedAt) >= listedRequestFactor*t.opt.AskEvery
+	return e.requestedAt.IsZero() || now.Sub(e.requestedAt) >= listedRequestFactor*t.opt.RequestInterval
 }
 
 // requestMissing spreads the requests over the neighbours at random, so that
@@ -337,16 +338,16 @@
 	}
 }
 
-// Sent records that the neighbour has acknowledged records of a Delta.
-func (t *Table) Sent(now time.Time, to fleet.InstanceID, records []Record) {
+// Acknowledge records that the neighbour has acknowledged records of a Delta.
+func (t *Table) Acknowledge(now time.Time, to fleet.InstanceID, records []Record) {
 	t.advanceClock(now)
 	l := t.link(to)
 	for _, rec := range records {
 		e := t.find(rec.ID)
-		if e == nil || rec.IsAsk() {
+		if e == nil || rec.IsRequest() {
 			continue
 		}
-		if rec.IsWhole() {
+		if rec.IsComplete() {
 			delete(l.requested, e)
 		}
 		if l.known[e].older(rec.version()) {
@@ -355,9 +356,9 @@
 	}
 }
 
-// PeerReset discards what a neighbour is known to hold. It is called when a
+// ResetPeer discards what a neighbour is known to hold. It is called when a
 // connection opens, since the remote process may be a new one, and when a
 // connection closes.
-func (t *Table) PeerReset(to fleet.InstanceID) {
+func (t *Table) ResetPeer(to fleet.InstanceID) {
 	delete(t.links, to)
 }
--- a/core/gossip/group_test.go
+++ b/core/gossip/group_test.go
@@ -52,13 +52,13 @@
 // group runs the tables of several processes on one clock. Messages sent in a
 // tick arrive in the same tick and are relayed in the next.
 type group struct {
-	now    time.Time
-	tables map[fleet.InstanceID]*gossip.Table
-	dead   map[fleet.InstanceID]bool
-	frozen map[fleet.InstanceID]bool
-	links  map[pair]bool
-	cut    func(a, b fleet.InstanceID) bool
-	list   []fleet.Instance
+	now     time.Time
+	tables  map[fleet.InstanceID]*gossip.Table
+	crashed map[fleet.InstanceID]bool
+	frozen  map[fleet.InstanceID]bool
+	links   map[pair]bool
+	cut     func(a, b fleet.InstanceID) bool
+	list    []fleet.Instance
 
 	zoneNeighbours int
 
@@ -73,12 +73,12 @@
 // number of neighbours in the zone.
 func newGroupOf(each int, in []fleet.Place, prefix string, zoneNeighbours int) *group {
 	g := &group{
-		now:    time.Now(),
-		tables: map[fleet.InstanceID]*gossip.Table{},
-		dead:   map[fleet.InstanceID]bool{},
-		frozen: map[fleet.InstanceID]bool{},
-		links:  map[pair]bool{},
-		cut:    func(_, _ fleet.InstanceID) bool { return false },
+		now:     time.Now(),
+		tables:  map[fleet.InstanceID]*gossip.Table{},
+		crashed: map[fleet.InstanceID]bool{},
+		frozen:  map[fleet.InstanceID]bool{},
+		links:   map[pair]bool{},
+		cut:     func(_, _ fleet.InstanceID) bool { return false },
 
 		zoneNeighbours: zoneNeighbours,
 	}
@@ -98,7 +98,7 @@
 func (g *group) ids() []fleet.InstanceID {
 	var list []fleet.InstanceID
 	for id := range g.tables {
-		if !g.dead[id] && !g.frozen[id] {
+		if !g.crashed[id] && !g.frozen[id] {
 			list = append(list, id)
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 func (g *group) up(id fleet.InstanceID) bool {
-	return g.tables[id] != nil && !g.dead[id] && !g.frozen[id]
+	return g.tables[id] != nil && !g.crashed[id] && !g.frozen[id]
 }
 
 // publish passes the platform's list to every live table.
@@ -126,7 +126,7 @@
 func (g *group) tick() {
 	g.now = g.now.Add(time.Second)
 	for _, id := range g.ids() {
-		g.tables[id].Beat(g.now)
+		g.tables[id].Heartbeat(g.now)
 	}
 	g.connect()
 	type message struct {
@@ -141,7 +141,7 @@
 	for _, m := range sent {
 		g.count(m.records)
 		g.tables[m.to].Merge(g.now, m.from, m.records)
-		g.tables[m.from].Sent(g.now, m.to, m.records)
+		g.tables[m.from].Acknowledge(g.now, m.to, m.records)
 	}
 }
 
@@ -169,8 +169,8 @@
 }
 
 func (g *group) reset(p pair) {
-	g.tables[p.a].PeerReset(p.b)
-	g.tables[p.b].PeerReset(p.a)
+	g.tables[p.a].ResetPeer(p.b)
+	g.tables[p.b].ResetPeer(p.a)
 }
 
 func (g *group) sortedLinks() []pair {
@@ -219,9 +219,9 @@
 	return len(reached) == len(live)
 }
 
-// converged reports whether every live table holds the required data of every live
-// process: the current state in its own zone, and elsewhere whether the process
-// serves and which version.
+// converged reports whether every live table holds the required data of every
+// live process: the current state in its own zone, and elsewhere whether the
+// process serves and which version.
 func (g *group) converged() bool {
 	ids := g.ids()
 	truth := map[fleet.InstanceID]gossip.Record{}
@@ -242,7 +242,7 @@
 
 func current(held, truth gossip.Record, sameZone bool) bool {
 	if sameZone {
-		return held.Incarnation == truth.Incarnation && held.Change == truth.Change
+		return held.Incarnation == truth.Incarnation && held.StateSeq == truth.StateSeq
 	}
 	out := func(r gossip.Record) bool {
 		return r.State == gossip.StateStarting || r.State == gossip.StateChanging
--- a/core/gossip/overlay.go
+++ b/core/gossip/overlay.go
@@ -99,8 +99,8 @@
 	return append(chosen, probe)
 }
 
-// appendZoneNeighbours appends the next member of the ring and the members with the
-// highest weights.
+// appendZoneNeighbours appends the next member of the ring and the members with
+// the highest weights.
 func (t *Table) appendZoneNeighbours(chosen, members []*entry) []*entry {
 	if len(members) == 0 || t.opt.ZoneNeighbours <= 0 {
 		return chosen
@@ -162,8 +162,8 @@
 	return cmp.Compare(a.id, b.id)
 }
 
-// setNeighbours stores the chosen neighbours and, for new ones, the time from which a
-// heartbeat is expected.
+// setNeighbours stores the chosen neighbours and, for new ones, the time from
+// which a heartbeat is expected.
 func (t *Table) setNeighbours(now time.Time, chosen []*entry) []Contact {
 	contacts := make([]Contact, 0, len(chosen))
 	former := t.neighbours
--- a/core/gossip/record.go
+++ b/core/gossip/record.go
@@ -31,7 +31,7 @@
 
 // Record is what one process reports of itself. It has three kinds of fields:
 // the identity, which is constant for an incarnation; the state, whose changes
-// raise Change; and the frequently changing fields Beat, Revision and
+// raise StateSeq; and the frequently changing fields HeartbeatSeq, Revision and
 // ConfigDigest.
 //
 // On the wire a Record may be partial. A complete one has all fields; an update
@@ -43,10 +43,10 @@
 	// processes with one id, the newer has the higher number. It is 0 in a
 	// request.
 	Incarnation uint64 `cbor:"2,keyasint,omitzero"`
-	// Change counts the changes of the state.
-	Change uint64 `cbor:"3,keyasint,omitzero"`
-	// Beat counts heartbeats. It never decreases within an incarnation.
-	Beat uint64 `cbor:"4,keyasint,omitzero"`
+	// StateSeq counts the changes of the state.
+	StateSeq uint64 `cbor:"3,keyasint,omitzero"`
+	// HeartbeatSeq counts heartbeats. It never decreases within an incarnation.
+	HeartbeatSeq uint64 `cbor:"4,keyasint,omitzero"`
 
 	Role        fleet.Role        `cbor:"5,keyasint,omitzero"`
 	Service     fleet.ServiceName `cbor:"6,keyasint,omitzero"`
@@ -60,10 +60,10 @@
 	Serving fleet.Version `cbor:"12,keyasint,omitzero"`
 	// Target is the version that the active configuration pins for the process.
 	Target fleet.Version `cbor:"13,keyasint,omitzero"`
-	// Turn is the replica's position in the order of a rollout, see package
-	// rollout. It never decreases: a new process starts with its Incarnation,
-	// which is higher than any value its predecessor reached.
-	Turn uint64 `cbor:"14,keyasint,omitzero"`
+	// RolloutOrder is the replica's position in the order of a rollout, see
+	// package rollout. It never decreases: a new process starts with its
+	// Incarnation, which is higher than any value its predecessor reached.
+	RolloutOrder uint64 `cbor:"14,keyasint,omitzero"`
 
 	// Revision is the revision of the operator's configuration that the process
 	// follows.
@@ -72,28 +72,29 @@
 	ConfigDigest fleet.Digest `cbor:"16,keyasint,omitzero"`
 }
 
-// RecordOf returns the initial record of a process: its identity.
-func RecordOf(self fleet.Instance, incarnation uint64) Record {
+// NewRecord returns the initial record of a process: its identity.
+func NewRecord(self fleet.Instance, incarnation uint64) Record {
 	return Record{
 		ID: self.ID, Incarnation: incarnation, Role: self.Role, Service: self.Service,
 		Place: self.Place, PeerAddr: self.PeerAddr, CallerAddr: self.CallerAddr,
 	}
 }
 
-// IsWhole reports whether r is complete, that is, carries identity and state.
-func (r Record) IsWhole() bool { return r.Role != "" && r.State != "" }
+// IsComplete reports whether r is complete, that is, carries identity and
+// state.
+func (r Record) IsComplete() bool { return r.Role != "" && r.State != "" }
 
-// IsAsk reports whether r is a request for the complete record of r.ID, which
-// the sender does not hold.
-func (r Record) IsAsk() bool { return r.Incarnation == 0 }
+// IsRequest reports whether r is a request for the complete record of r.ID,
+// which the sender does not hold.
+func (r Record) IsRequest() bool { return r.Incarnation == 0 }
 
 // IsHeartbeat reports whether r carries no state. The state is then the one of
-// r.Change.
-func (r Record) IsHeartbeat() bool { return r.State == "" && !r.IsAsk() }
+// r.StateSeq.
+func (r Record) IsHeartbeat() bool { return r.State == "" && !r.IsRequest() }
 
 // heartbeat returns the form for receivers that already hold r's state.
 func (r Record) heartbeat() Record {
-	return Record{ID: r.ID, Incarnation: r.Incarnation, Change: r.Change, Beat: r.Beat, Revision: r.Revision}
+	return Record{ID: r.ID, Incarnation: r.Incarnation, StateSeq: r.StateSeq, HeartbeatSeq: r.HeartbeatSeq, Revision: r.Revision}
 }
 
 // update returns the form for receivers that already hold r's identity.
@@ -101,11 +102,11 @@
 	return r.heartbeat().withState(r)
 }
 
-// withHeartbeat returns r with the frequently changing fields of newer. Only the
-// process itself sends the digest of its configuration, so a relayed revision
-// has none; an old digest must not be combined with a new revision.
+// withHeartbeat returns r with the frequently changing fields of newer. Only
+// the process itself sends the digest of its configuration, so a relayed
+// revision has none; an old digest must not be combined with a new revision.
 func (r Record) withHeartbeat(newer Record) Record {
-	r.Beat = newer.Beat
+	r.HeartbeatSeq = newer.HeartbeatSeq
 	if r.Revision != newer.Revision || !newer.ConfigDigest.IsZero() {
 		r.ConfigDigest = newer.ConfigDigest
 	}
@@ -115,19 +116,20 @@
 
 // withState returns r with the state of newer.
 func (r Record) withState(newer Record) Record {
-	r.Change = newer.Change
+	r.StateSeq = newer.StateSeq
 	r.Leaving = newer.Leaving
 	r.State = newer.State
 	r.Serving = newer.Serving
 	r.Target = newer.Target
-	r.Turn = newer.Turn
+	r.RolloutOrder = newer.RolloutOrder
 	return r
 }
 
-// stableFields returns r without the frequently changing fields and the counters.
+// stableFields returns r without the frequently changing fields and the
+// counters.
 func (r Record) stableFields() Record {
-	r.Change = 0
-	r.Beat = 0
+	r.StateSeq = 0
+	r.HeartbeatSeq = 0
 	r.Revision = 0
 	r.ConfigDigest = fleet.Digest{}
 	return r
@@ -159,14 +161,14 @@
 }
 
 func (r Record) version() recordVersion {
-	return recordVersion{incarnation: r.Incarnation, change: r.Change, beat: r.Beat}
+	return recordVersion{incarnation: r.Incarnation, stateSeq: r.StateSeq, heartbeatSeq: r.HeartbeatSeq}
 }
 
 // recordVersion is the version of a record that a process holds.
 type recordVersion struct {
-	incarnation uint64
-	change      uint64
-	beat        uint64
+	incarnation  uint64
+	stateSeq     uint64
+	heartbeatSeq uint64
 }
 
 // olderState reports whether m's state is older than other's.
@@ -174,7 +176,7 @@
 	if m.incarnation != other.incarnation {
 		return m.incarnation < other.incarnation
 	}
-	return m.change < other.change
+	return m.stateSeq < other.stateSeq
 }
 
 // older reports whether m is older than other in state or heartbeats.
@@ -182,7 +184,7 @@
 	if m.olderState(other) {
 		return true
 	}
-	return !other.olderState(m) && m.beat < other.beat
+	return !other.olderState(m) && m.heartbeatSeq < other.heartbeatSeq
 }
 
 // Rendezvous returns the rendezvous-hash weight of id for key. All processes
--- a/core/gossip/table.go
+++ b/core/gossip/table.go
@@ -16,21 +16,22 @@
 	// Rand is the source of retry jitter and of the choice of records that do
 	// not fit into a full message.
 	Rand *rand.Rand
-	// BeatEvery is the interval between calls of Beat; default 1 s.
-	BeatEvery time.Duration
-	// SilentAfter is how long no new record of a process may arrive before it
-	// counts as silent; default 5 s. In large zones the relay interval is
+	// HeartbeatInterval is the interval between calls of Heartbeat; default 1
+	// s.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is how long no new record of a process may arrive before
+	// it counts as silent; default 5 s. In large zones the relay interval is
 	// added, see Table.silentLimit.
-	SilentAfter time.Duration
+	SilenceTimeout time.Duration
 	// ForgetAfter is how long a silent process that the platform does not list
 	// is kept; default 60 s.
 	ForgetAfter time.Duration
-	// AskEvery is the interval between two requests for the same record;
+	// RequestInterval is the interval between two requests for the same record;
 	// default 2 s.
-	AskEvery time.Duration
-	// AvoidFor is how long a neighbour from which nothing was received is left
-	// out of the overlay; default 30 s.
-	AvoidFor time.Duration
+	RequestInterval time.Duration
+	// NeighbourBackoff is how long a neighbour from which nothing was received
+	// is left out of the overlay; default 30 s.
+	NeighbourBackoff time.Duration
 	// MaxRecords is the maximum number of records in one Delta; default 256.
 	MaxRecords int
 	// ZoneNeighbours is the number of neighbours chosen in the own
@@ -39,11 +40,11 @@
 }
 
 func (o *Options) applyDefaults() {
-	setDefault(&o.BeatEvery, time.Second)
-	setDefault(&o.SilentAfter, 5*time.Second)
+	setDefault(&o.HeartbeatInterval, time.Second)
+	setDefault(&o.SilenceTimeout, 5*time.Second)
 	setDefault(&o.ForgetAfter, 60*time.Second)
-	setDefault(&o.AskEvery, 2*time.Second)
-	setDefault(&o.AvoidFor, 30*time.Second)
+	setDefault(&o.RequestInterval, 2*time.Second)
+	setDefault(&o.NeighbourBackoff, 30*time.Second)
 	setDefault(&o.MaxRecords, 256)
 	setDefault(&o.ZoneNeighbours, 3)
 	if o.Rand == nil {
@@ -58,8 +59,8 @@
 	}
 }
 
-// maxRelayedPerSecond limits the relayed heartbeats per second on one link within
-// a zone, independently of the size of the zone.
+// maxRelayedPerSecond limits the relayed heartbeats per second on one link
+// within a zone, independently of the size of the zone.
 const maxRelayedPerSecond = 20
 
 // Table is one process's soft-state copy of the fleet.
@@ -88,20 +89,20 @@
 	id        fleet.InstanceID
 	rec       Record // ID only until a complete record was received
 	hasRecord bool   // rec is complete
-	// externalStateSeq is the value of Change at the last change of the state that is
-	// relevant outside the zone.
+	// externalStateSeq is the value of StateSeq at the last change of the state
+	// that is relevant outside the zone.
 	externalStateSeq uint64
 	listed           bool
 	instance         fleet.Instance // the platform's list entry, zero if never listed
 
-	// silentSince is when a newer record was last received, or when waiting for one
-	// began.
-	silentSince time.Time
-	firstSeen   time.Time
-	lastUpdate  time.Time // zero if never
-	lastDirect  time.Time // last heartbeat from the process itself
-	unlistedAt  time.Time // when it was removed from the list, or else firstSeen
-	lost        bool      // was chosen as a neighbour, but nothing was received
+	// silentSince is when a newer record was last received, or when waiting for
+	// one began.
+	silentSince      time.Time
+	firstSeen        time.Time
+	lastUpdate       time.Time // zero if never
+	lastDirectUpdate time.Time // last heartbeat from the process itself
+	unlistedAt       time.Time // when it was removed from the list, or else firstSeen
+	lost             bool      // was chosen as a neighbour, but nothing was received
 
 	requestedAt  time.Time // last request for the complete record
 	chosenAt     time.Time // when it was chosen as a neighbour
@@ -144,10 +145,10 @@
 	if rec.State == "" {
 		rec.State = StateStarting
 	}
-	if rec.Change == 0 {
-		rec.Change = 1
+	if rec.StateSeq == 0 {
+		rec.StateSeq = 1
 	}
-	rec.Turn = max(rec.Turn, rec.Incarnation)
+	rec.RolloutOrder = max(rec.RolloutOrder, rec.Incarnation)
 	t.self = t.newEntry(rec.ID)
 	t.self.rec = rec
 	t.self.hasRecord = true
@@ -167,23 +168,23 @@
 func (t *Table) Self() Record { return t.self.rec }
 
 // UpdateSelf applies edit to the process's own record. A change of the state
-// raises Change; a change of the identity, such as an address, starts a new
-// incarnation. Changes of ID and the counters are ignored, and Turn cannot
-// decrease.
+// raises StateSeq; a change of the identity, such as an address, starts a new
+// incarnation. Changes of ID and the counters are ignored, and RolloutOrder
+// cannot decrease.
 func (t *Table) UpdateSelf(edit func(*Record)) {
 	before := t.self.rec
 	after := before
 	edit(&after)
 	after.ID = before.ID
 	after.Incarnation = before.Incarnation
-	after.Change = before.Change
-	after.Beat = before.Beat
-	after.Turn = max(after.Turn, before.Turn)
+	after.StateSeq = before.StateSeq
+	after.HeartbeatSeq = before.HeartbeatSeq
+	after.RolloutOrder = max(after.RolloutOrder, before.RolloutOrder)
 	if after.State == "" {
 		after.State = before.State
 	}
 	if after.stableFields() != before.stableFields() {
-		after.Change++
+		after.StateSeq++
 	}
 	if after.identity() != before.identity() {
 		after.Incarnation++
@@ -191,11 +192,11 @@
 	t.self.rec = after
 }
 
-// Beat counts one heartbeat. It is to be called every Options.BeatEvery; the
-// caller then sends each neighbour its Delta.
-func (t *Table) Beat(now time.Time) {
+// Heartbeat counts one heartbeat. It is to be called every
+// Options.HeartbeatInterval; the caller then sends each neighbour its Delta.
+func (t *Table) Heartbeat(now time.Time) {
 	t.advanceClock(now)
-	t.self.rec.Beat++
+	t.self.rec.HeartbeatSeq++
 	t.supersedePredecessor(now)
 	t.forget(now)
 }
@@ -254,7 +255,7 @@
 // every replica as out of service. Processes that were not silent before the
 // pause get the full time limit again.
 func (t *Table) advanceClock(now time.Time) {
-	paused := !t.lastCall.IsZero() && now.Sub(t.lastCall) > t.opt.SilentAfter
+	paused := !t.lastCall.IsZero() && now.Sub(t.lastCall) > t.opt.SilenceTimeout
 	if paused {
 		t.restartSilence(now)
 	}
@@ -278,13 +279,13 @@
 // are not relayed across zones, so there is no other way to detect this.
 func (t *Table) markLost(now time.Time) {
 	for e := range t.neighbours {
-		heard := latest(e.chosenAt, e.lastDirect)
-		if now.Sub(heard) <= t.opt.SilentAfter {
+		heard := latest(e.chosenAt, e.lastDirectUpdate)
+		if now.Sub(heard) <= t.opt.SilenceTimeout {
 			continue
 		}
 		delete(t.neighbours, e)
-		e.avoidUntil = now.Add(t.jitter(t.opt.AvoidFor))
-		e.lost = now.Sub(latest(e.silentSince, e.chosenAt)) > t.opt.SilentAfter
+		e.avoidUntil = now.Add(t.jitter(t.opt.NeighbourBackoff))
+		e.lost = now.Sub(latest(e.silentSince, e.chosenAt)) > t.opt.SilenceTimeout
 		t.zoneFailures[e.zone()]++
 	}
 }
@@ -305,7 +306,7 @@
 // stays at maxRelayedPerSecond heartbeats.
 func (t *Table) relayEvery() uint64 {
 	t.countZone()
-	perBeat := max(1, int(maxRelayedPerSecond*t.opt.BeatEvery/time.Second))
+	perBeat := max(1, int(maxRelayedPerSecond*t.opt.HeartbeatInterval/time.Second))
 	return uint64(max(1, (t.zoneSize+perBeat-1)/perBeat))
 }
 
@@ -313,8 +314,8 @@
 // arrive: the configured time plus one and a half relay intervals, since a
 // heartbeat may just have missed a relay.
 func (t *Table) silentLimit() time.Duration {
-	relay := time.Duration(t.relayEvery()) * t.opt.BeatEvery
-	return t.opt.SilentAfter + relay + relay/2
+	relay := time.Duration(t.relayEvery()) * t.opt.HeartbeatInterval
+	return t.opt.SilenceTimeout + relay + relay/2
 }
 
 func (t *Table) countZone() {
--- a/core/gossip/table_test.go
+++ b/core/gossip/table_test.go
@@ -19,7 +19,8 @@
 	return p
 }
 
-// convergedGroup returns a group in which all processes hold each other's records.
+// convergedGroup returns a group in which all processes hold each other's
+// records.
 func convergedGroup(each int, in []fleet.Place) *group {
 	GinkgoHelper()
 	g := newGroup(each, in)
@@ -46,7 +47,7 @@
 		Expect(first).To(HaveLen(2))
 		Expect(first[1].IsHeartbeat()).To(BeTrue())
 		b.Merge(now, "a", first)
-		a.Sent(now, "b", first)
+		a.Acknowledge(now, "b", first)
 		a.Merge(now, "b", b.Delta(now, "a"))
 		Expect(b.Merge(now, "a", a.Delta(now, "b"))).To(ContainElement(fleet.InstanceID("c")))
 		held, known := b.View(now).Peer("c")
@@ -54,14 +55,14 @@
 		Expect(held.Serving).To(Equal(c.Self().Serving))
 	})
 
-	// A replica crashes. Its neighbours miss its heartbeats after SilentAfter,
-	// the rest of the zone when no relayed heartbeat has arrived either. The
-	// platform lists it for another minute. If it were not found silent before
-	// that, callers would be sent to it and a rollout would not count it as
-	// out.
+	// A replica crashes. Its neighbours miss its heartbeats after
+	// SilenceTimeout, the rest of the zone when no relayed heartbeat has
+	// arrived either. The platform lists it for another minute. If it were not
+	// found silent before that, callers would be sent to it and a rollout would
+	// not count it as out.
 	It("detects a crashed process of the zone as silent while it is still listed", func() {
 		g := convergedGroup(6, places(1, 1))
-		g.dead[g.ids()[0]] = true
+		g.crashed[g.ids()[0]] = true
 		crashed, at := fleet.InstanceID("i-region-0-zone-0-0000"), g.ids()[0]
 		g.ticks(4)
 		Expect(peer(g, at, crashed).Silent).To(BeFalse())
@@ -102,13 +103,13 @@
 		var all []gossip.Record
 		for _, id := range []fleet.InstanceID{"b", "c", "d", "e", "f"} {
 			r := member(id, zone)
-			r.Change = 1
+			r.StateSeq = 1
 			all = append(all, r)
 		}
 		a.Merge(now, "b", all)
-		a.Sent(now, "g", all)
+		a.Acknowledge(now, "g", all)
 		for i := range all {
-			all[i].Change = 2
+			all[i].StateSeq = 2
 			all[i].Leaving = all[i].ID == "f"
 			all[i].State = gossip.StateChanging
 		}
@@ -127,7 +128,7 @@
 		g := convergedGroup(3, places(1, 1))
 		crashed, at := g.ids()[0], g.ids()[1]
 		old := g.tables[crashed].Self()
-		g.dead[crashed] = true
+		g.crashed[crashed] = true
 		g.list = g.list[1:]
 		g.publish()
 		g.ticks(70)
@@ -152,7 +153,7 @@
 		other.Incarnation++
 		for range 20 {
 			g.tick()
-			other.Beat++
+			other.HeartbeatSeq++
 			g.tables[at].Merge(g.now, g.ids()[1], []gossip.Record{other})
 		}
 		found, duplicate := g.tables[at].Duplicate()
@@ -163,15 +164,15 @@
 
 	// A process restarts with a clock that is behind that of its predecessor.
 	// All processes hold the predecessor's record, which has the higher
-	// incarnation and, being listed, is never deleted. Without supersedePredecessor
-	// no process ever accepted the new record, and it stayed silent
-	// permanently.
+	// incarnation and, being listed, is never deleted. Without
+	// supersedePredecessor no process ever accepted the new record, and it
+	// stayed silent permanently.
 	It("supersedes an ended predecessor whose clock was ahead", func() {
 		g := convergedGroup(3, places(1, 1))
 		at := g.ids()[0]
 		restarted := g.tables[at].Self()
 		restarted.Incarnation -= 1000
-		restarted.Beat = 0
+		restarted.HeartbeatSeq = 0
 		g.tables[at] = gossip.New(gossip.Options{Self: restarted})
 		for _, id := range g.ids()[1:] {
 			g.reset(pairOf(at, id))
@@ -250,7 +251,7 @@
 		zones := places(1, 3)
 		g := convergedGroup(40, zones)
 		for _, id := range g.ids() {
-			g.dead[id] = g.tables[id].Self().Zone == zones[1].Zone
+			g.crashed[id] = g.tables[id].Self().Zone == zones[1].Zone
 		}
 		g.ticks(20)
 		for _, id := range g.ids() {
@@ -265,9 +266,9 @@
 		now := time.Now()
 		a := gossip.New(gossip.Options{Self: member("a", places(1, 1)[0])})
 		r := member("b", places(1, 1)[0])
-		r.Change = 1
+		r.StateSeq = 1
 		a.Merge(now, "b", []gossip.Record{r})
-		a.Merge(now, "c", []gossip.Record{{ID: "b", Incarnation: r.Incarnation, Change: 1, Beat: 1, Revision: r.Revision + 1}})
+		a.Merge(now, "c", []gossip.Record{{ID: "b", Incarnation: r.Incarnation, StateSeq: 1, HeartbeatSeq: 1, Revision: r.Revision + 1}})
 		held, _ := a.View(now).Peer("b")
 		Expect(held.Revision).To(Equal(r.Revision + 1))
 		Expect(held.ConfigDigest.IsZero()).To(BeTrue())
@@ -287,11 +288,11 @@
 		a := gossip.New(gossip.Options{Self: member("a", places(1, 1)[0])})
 		before := a.Self()
 		a.UpdateSelf(func(r *gossip.Record) { r.Revision++ })
-		Expect(a.Self().Change).To(Equal(before.Change))
-		a.UpdateSelf(func(r *gossip.Record) { r.Turn = r.Incarnation + 7; r.State = gossip.StateStaged })
-		Expect(a.Self().Change).To(Equal(before.Change + 1))
-		a.UpdateSelf(func(r *gossip.Record) { r.Turn = 0; r.ID = "x"; r.Incarnation = 1 })
-		Expect(a.Self().Turn).To(Equal(before.Incarnation + 7))
+		Expect(a.Self().StateSeq).To(Equal(before.StateSeq))
+		a.UpdateSelf(func(r *gossip.Record) { r.RolloutOrder = r.Incarnation + 7; r.State = gossip.StateStaged })
+		Expect(a.Self().StateSeq).To(Equal(before.StateSeq + 1))
+		a.UpdateSelf(func(r *gossip.Record) { r.RolloutOrder = 0; r.ID = "x"; r.Incarnation = 1 })
+		Expect(a.Self().RolloutOrder).To(Equal(before.Incarnation + 7))
 		Expect(a.Self().ID).To(Equal(fleet.InstanceID("a")))
 		a.UpdateSelf(func(r *gossip.Record) { r.CallerAddr = r.PeerAddr })
 		Expect(a.Self().Incarnation).To(Equal(before.Incarnation + 1))
@@ -311,12 +312,12 @@
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			r := member("b", zone)
 			r.Incarnation = rapid.Uint64Range(1, 3).Draw(t, "incarnation")
-			r.Change = rapid.Uint64Range(1, 4).Draw(t, "change")
-			r.Beat = rapid.Uint64Range(0, 6).Draw(t, "beat")
-			r.Turn = r.Change
+			r.StateSeq = rapid.Uint64Range(1, 4).Draw(t, "change")
+			r.HeartbeatSeq = rapid.Uint64Range(0, 6).Draw(t, "beat")
+			r.RolloutOrder = r.StateSeq
 			switch rapid.IntRange(0, 2).Draw(t, "form") {
 			case 0:
-				r = gossip.Record{ID: r.ID, Incarnation: r.Incarnation, Change: r.Change, Beat: r.Beat}
+				r = gossip.Record{ID: r.ID, Incarnation: r.Incarnation, StateSeq: r.StateSeq, HeartbeatSeq: r.HeartbeatSeq}
 			case 1:
 				r.Role = ""
 			}
@@ -328,8 +329,8 @@
 			if before(held.Record, last) {
 				t.Fatalf("went back from %+v to %+v", last, held.Record)
 			}
-			if held.Turn != held.Change {
-				t.Fatalf("state of change %d shown under change %d", held.Turn, held.Change)
+			if held.RolloutOrder != held.StateSeq {
+				t.Fatalf("state of change %d shown under change %d", held.RolloutOrder, held.StateSeq)
 			}
 			last = held.Record
 		}
@@ -340,10 +341,10 @@
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation < b.Incarnation
 	}
-	if a.Change != b.Change {
-		return a.Change < b.Change
+	if a.StateSeq != b.StateSeq {
+		return a.StateSeq < b.StateSeq
 	}
-	return a.Beat < b.Beat
+	return a.HeartbeatSeq < b.HeartbeatSeq
 }
 
 // TestOverlayConnected crashes arbitrary processes of arbitrary fleets,
@@ -364,11 +365,11 @@
 		g.publish()
 		g.ticks(12)
 		for _, id := range g.ids() {
-			g.dead[id] = rapid.IntRange(0, 3).Draw(t, "dies") == 0
+			g.crashed[id] = rapid.IntRange(0, 3).Draw(t, "dies") == 0
 		}
 		if down := rapid.IntRange(-1, len(zones)-1).Draw(t, "zone down"); down >= 0 {
 			for _, id := range g.ids() {
-				g.dead[id] = g.dead[id] || g.tables[id].Self().Zone == zones[down].Zone
+				g.crashed[id] = g.crashed[id] || g.tables[id].Self().Zone == zones[down].Zone
 			}
 		}
 		g.ticks(60)
--- a/core/gossip/view.go
+++ b/core/gossip/view.go
@@ -19,17 +19,19 @@
 	Listed bool
 	// ListedLeaving: the list marks the process as leaving.
 	ListedLeaving bool
-	// Behind: a neighbour holds a newer state of the process than this Record.
-	Behind bool
-	// FirstSeen is when the process was first listed or a record of it received.
+	// Outdated: a neighbour holds a newer state of the process than this
+	// Record.
+	Outdated bool
+	// FirstSeen is when the process was first listed or a record of it
+	// received.
 	FirstSeen time.Time
-	// LastHeard is when a newer record was last received; zero if never.
-	LastHeard time.Time
+	// LastUpdate is when a newer record was last received; zero if never.
+	LastUpdate time.Time
 }
 
-// Going reports whether the process is leaving, according to its own record or
-// the platform's list.
-func (p Peer) Going() bool { return p.Leaving || p.ListedLeaving }
+// IsLeaving reports whether the process is leaving, according to its own record
+// or the platform's list.
+func (p Peer) IsLeaving() bool { return p.Leaving || p.ListedLeaving }
 
 type serviceZone struct {
 	service fleet.ServiceName
@@ -123,9 +125,9 @@
 		Silent:        t.silent(e, now),
 		Listed:        e.listed,
 		ListedLeaving: e.listed && e.instance.Leaving,
-		Behind:        behind,
+		Outdated:      behind,
 		FirstSeen:     e.firstSeen,
-		LastHeard:     e.lastUpdate,
+		LastUpdate:    e.lastUpdate,
 	}
 	if !e.hasRecord {
 		p.Role = e.instance.Role
--- a/core/linking/linking.go
+++ b/core/linking/linking.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// fullMeshLimit is the number of entries up to which all are linked with each
-	// other: relaying would add delay and save nothing.
+	// fullMeshLimit is the number of entries up to which all are linked with
+	// each other: relaying would add delay and save nothing.
 	fullMeshLimit = 12
-	// maxGroupSize is the maximum size of a group. A region with more entries has
-	// several groups.
+	// maxGroupSize is the maximum size of a group. A region with more entries
+	// has several groups.
 	maxGroupSize = 32
-	// linksPerGroupPair is the number of links between two groups; if one is lost,
-	// another remains.
+	// linksPerGroupPair is the number of links between two groups; if one is
+	// lost, another remains.
 	linksPerGroupPair = 2
 )
 
@@ -37,26 +37,26 @@
 type Plan struct {
 	// Group is the name of the entry's own group.
 	Group string
-	// Near are the other members of the own group, Far the linked members of
-	// other groups.
-	Near, Far map[fleet.InstanceID]bool
+	// SameGroup are the other members of the own group, OtherGroups the linked
+	// members of other groups.
+	SameGroup, OtherGroups map[fleet.InstanceID]bool
 }
 
-// Wants reports whether the plan has a link to an entry.
-func (p Plan) Wants(id fleet.InstanceID) bool { return p.Near[id] || p.Far[id] }
+// Includes reports whether the plan has a link to an entry.
+func (p Plan) Includes(id fleet.InstanceID) bool { return p.SameGroup[id] || p.OtherGroups[id] }
 
-// For returns the plan of an entry that knows these others.
-func For(self Member, others []Member) Plan {
+// NewPlan returns the plan of an entry that knows these others.
+func NewPlan(self Member, others []Member) Plan {
 	all := append(slices.Clone(others), self)
 	if len(all) <= fullMeshLimit {
-		return Plan{Group: "all", Near: setOf(others)}
+		return Plan{Group: "all", SameGroup: setOf(others)}
 	}
 	groups := groupsOf(all)
 	own := slices.IndexFunc(groups, func(g group) bool { return g.contains(self.ID) })
-	p := Plan{Group: groups[own].name, Near: make(map[fleet.InstanceID]bool), Far: make(map[fleet.InstanceID]bool)}
+	p := Plan{Group: groups[own].name, SameGroup: make(map[fleet.InstanceID]bool), OtherGroups: make(map[fleet.InstanceID]bool)}
 	for _, m := range groups[own].members {
 		if m.ID != self.ID {
-			p.Near[m.ID] = true
+			p.SameGroup[m.ID] = true
 		}
 	}
 	for i, other := range groups {
@@ -64,7 +64,7 @@
 			continue
 		}
 		for _, id := range linkedMembers(self.ID, groups[own], other) {
-			p.Far[id] = true
+			p.OtherGroups[id] = true
 		}
 	}
 	return p
@@ -115,9 +115,9 @@
 	})
 }
 
-// linkedMembers returns the members of another group to which self keeps the links
-// between the two groups. Both groups choose the same links, and each pair of
-// groups has different members, so that no member has many links.
+// linkedMembers returns the members of another group to which self keeps the
+// links between the two groups. Both groups choose the same links, and each
+// pair of groups has different members, so that no member has many links.
 func linkedMembers(self fleet.InstanceID, own, other group) []fleet.InstanceID {
 	here := lowestRanked(linksPerGroupPair, own.members, other.name)
 	there := lowestRanked(linksPerGroupPair, other.members, own.name)
--- a/core/linking/linking_test.go
+++ b/core/linking/linking_test.go
@@ -25,7 +25,7 @@
 
 func planOf(self linking.Member, all []linking.Member) linking.Plan {
 	others := slices.DeleteFunc(slices.Clone(all), func(m linking.Member) bool { return m.ID == self.ID })
-	return linking.For(self, others)
+	return linking.NewPlan(self, others)
 }
 
 // reached returns the number of links between an entry and the farthest one,
@@ -35,7 +35,7 @@
 	for todo := []linking.Member{from}; len(todo) > 0; todo = todo[1:] {
 		plan := planOf(todo[0], all)
 		for _, m := range all {
-			if _, known := distance[m.ID]; !known && plan.Wants(m.ID) {
+			if _, known := distance[m.ID]; !known && plan.Includes(m.ID) {
 				distance[m.ID] = distance[todo[0].ID] + 1
 				hops = max(hops, distance[m.ID])
 				todo = append(todo, m)
@@ -56,8 +56,8 @@
 			var links, far int
 			for _, m := range all {
 				plan := planOf(m, all)
-				links = max(links, len(plan.Near)+len(plan.Far))
-				far += len(plan.Far)
+				links = max(links, len(plan.SameGroup)+len(plan.OtherGroups))
+				far += len(plan.OtherGroups)
 			}
 			Expect(links).To(BeNumerically("<=", 45))
 			Expect(far).To(BeNumerically("<=", 4*n), "on average")
@@ -69,7 +69,7 @@
 
 	It("connect all entries of a small fleet", func() {
 		all := entries(8, 3)
-		Expect(planOf(all[0], all).Near).To(HaveLen(7))
+		Expect(planOf(all[0], all).SameGroup).To(HaveLen(7))
 	})
 
 	It("are planned by both ends", func() {
@@ -77,7 +77,7 @@
 		for _, a := range all {
 			plan := planOf(a, all)
 			for _, b := range all {
-				Expect(plan.Wants(b.ID)).To(Equal(planOf(b, all).Wants(a.ID)))
+				Expect(plan.Includes(b.ID)).To(Equal(planOf(b, all).Includes(a.ID)))
 			}
 		}
 	})
@@ -98,9 +98,9 @@
 		var links, kept int
 		for _, m := range before {
 			was, is := planOf(m, before), planOf(m, after)
-			for id := range was.Near {
+			for id := range was.SameGroup {
 				links++
-				if is.Wants(id) {
+				if is.Includes(id) {
 					kept++
 				}
 			}
--- a/core/linkshare/linkshare.go
+++ b/core/linkshare/linkshare.go
@@ -21,17 +21,17 @@
 
 // Settings of a Share. Zero fields are replaced by the defaults.
 type Settings struct {
-	// LinkBytes is the link's rate in bytes per second, each way. If it is 0,
-	// the rate is unknown and weight transfers are not limited.
-	LinkBytes int64
+	// LinkBytesPerSecond is the link's rate in bytes per second, each way. If
+	// it is 0, the rate is unknown and weight transfers are not limited.
+	LinkBytesPerSecond int64
 	// BusyShare is the maximum share while live requests run; default 0.8.
 	BusyShare float64
 	// IdleShare is the share when no live request has run for IdleAfter;
 	// default 0.95.
 	IdleShare float64
-	// FloorShare is the minimum share, however busy the link is, so that a new
+	// MinShare is the minimum share, however busy the link is, so that a new
 	// version is fetched eventually; default 0.1.
-	FloorShare float64
+	MinShare float64
 	// IdleAfter is the time without live requests after which the link counts
 	// as idle; default 2 s.
 	IdleAfter time.Duration
@@ -55,8 +55,8 @@
 	if s.IdleShare == 0 {
 		s.IdleShare = defaultIdleShare
 	}
-	if s.FloorShare == 0 {
-		s.FloorShare = defaultMinShare
+	if s.MinShare == 0 {
+		s.MinShare = defaultMinShare
 	}
 	if s.IdleAfter == 0 {
 		s.IdleAfter = defaultIdleAfter
@@ -72,16 +72,16 @@
 	if inFlight > 0 {
 		s.lastLive = now
 	}
-	if s.settings.LinkBytes == 0 {
+	if s.settings.LinkBytesPerSecond == 0 {
 		return 0
 	}
-	link := float64(s.settings.LinkBytes)
+	link := float64(s.settings.LinkBytesPerSecond)
 	if s.lastLive.IsZero() || now.Sub(s.lastLive) >= s.settings.IdleAfter {
 		return int64(link * s.settings.IdleShare)
 	}
 	free := link - liveHeadroom*s.liveRate
 	free = min(free, link*s.settings.BusyShare)
-	free = max(free, link*s.settings.FloorShare)
+	free = max(free, link*s.settings.MinShare)
 	return int64(free)
 }
 
--- a/core/linkshare/linkshare_test.go
+++ b/core/linkshare/linkshare_test.go
@@ -17,7 +17,7 @@
 	var share *linkshare.Share
 
 	BeforeEach(func() {
-		share = linkshare.New(linkshare.Settings{LinkBytes: link})
+		share = linkshare.New(linkshare.Settings{LinkBytesPerSecond: link})
 	})
 
 	It("is not limited when the link's rate is unknown", func() {
--- a/core/revision/candidate.go
+++ b/core/revision/candidate.go
@@ -6,9 +6,9 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// TextName is the file name reported in the faults of a configuration that came
+// FileName is the file name reported in the faults of a configuration that came
 // from the platform or from a peer.
-const TextName = "fleet.ini"
+const FileName = "fleet.ini"
 
 // Origin is the source of a candidate.
 type Origin string
@@ -42,7 +42,7 @@
 	if doc.Revision == 0 {
 		return c
 	}
-	f, err := fleettext.Reload(TextName, doc.Text, base)
+	f, err := fleettext.Reload(FileName, doc.Text, base)
 	if err != nil {
 		c.Digest = fleet.DigestOf(doc.Text)
 		c.Refusal = fleettext.AsCheckError(err)
@@ -65,7 +65,7 @@
 		return Candidate{}, failure.Corrupt.New("peer %s sent the text %s for %s", claim.Peer, delta.Result, claim.Digest)
 	}
 	c := Candidate{Revision: claim.Revision, From: FromPeer, Peer: claim.Peer, Digest: delta.Result}
-	f, err := fleettext.Apply(TextName, base, delta)
+	f, err := fleettext.Apply(FileName, base, delta)
 	if err == nil {
 		c.Fleet = f
 		return c, nil
@@ -85,9 +85,9 @@
 	Digest   fleet.Digest
 }
 
-// Want is a configuration that is active in peers and missing in this process:
-// any of Peers can be asked for it.
-type Want struct {
+// FetchRequest is a configuration that is active in peers and missing in this
+// process: any of Peers can be asked for it.
+type FetchRequest struct {
 	Revision Revision
 	Digest   fleet.Digest
 	Peers    []fleet.InstanceID // sorted
@@ -97,38 +97,38 @@
 type Reason string
 
 const (
-	// Taken: it is now active.
-	Taken Reason = "taken"
+	// Accepted: it is now active.
+	Accepted Reason = "taken"
 	// Duplicate: it was active already.
 	Duplicate Reason = "duplicate"
 	// Stale: a higher revision is active.
 	Stale Reason = "stale"
 	// Conflicting: its revision is active with another digest.
 	Conflicting Reason = "conflicting"
-	// RefusedText: it failed validation.
-	RefusedText Reason = "refused"
+	// Invalid: it failed validation.
+	Invalid Reason = "refused"
 	// Waiting: no configuration is active and the start condition is not met.
 	Waiting Reason = "waiting"
-	// Behind: a higher revision is active in a peer; see Keeper.Want.
+	// Behind: a higher revision is active in a peer; see Selector.NextFetch.
 	Behind Reason = "behind"
-	// Nothing: the sender holds no configuration, or Tick had nothing to do.
-	Nothing Reason = "nothing"
+	// NoChange: the sender holds no configuration, or Tick had nothing to do.
+	NoChange Reason = "nothing"
 )
 
-// Decision is the result of one event passed to a Keeper.
+// Decision is the result of one event passed to a Selector.
 type Decision struct {
-	// InForce is true if the event's configuration is active after the call.
-	InForce bool
-	Reason  Reason
+	// Active is true if the event's configuration is active after the call.
+	Active bool
+	Reason Reason
 	// Events are to be logged and counted, in order. Each is reported once.
 	Events []Event
 }
 
-// Event is one of Raised, Refused and Conflict.
+// Event is one of Activated, Refused and Conflict.
 type Event interface{ event() }
 
-// Raised reports that a configuration became active.
-type Raised struct {
+// Activated reports that a configuration became active.
+type Activated struct {
 	From, To Revision // From is 0 for the first one
 	Digest   fleet.Digest
 	Source   Origin
@@ -159,6 +159,6 @@
 	Peer     fleet.InstanceID
 }
 
-func (Raised) event()   {}
-func (Refused) event()  {}
-func (Conflict) event() {}
+func (Activated) event() {}
+func (Refused) event()   {}
+func (Conflict) event()  {}
--- a/core/revision/property_test.go
+++ b/core/revision/property_test.go
@@ -25,10 +25,10 @@
 
 // subject is the implementation under test.
 type subject interface {
-	Offer(now time.Time, c revision.Candidate) revision.Decision
-	Hear(now time.Time, claim revision.Claim) revision.Decision
+	HandleCandidate(now time.Time, c revision.Candidate) revision.Decision
+	HandleClaim(now time.Time, claim revision.Claim) revision.Decision
 	Tick(now time.Time) revision.Decision
-	InForce() (revision.State, bool)
+	Active() (revision.State, bool)
 }
 
 type opKind int
@@ -107,7 +107,7 @@
 		h.offer(o, fromPeer(o.peer, o.revision, o.variant))
 	case opPeerClaim:
 		h.claims[o.peer] = receivedClaim{revision: o.revision, at: h.now}
-		h.subject.Hear(h.now, claim(o.peer, o.revision, o.variant))
+		h.subject.HandleClaim(h.now, claim(o.peer, o.revision, o.variant))
 	case opAdvance:
 		h.advance()
 	case opRestart:
@@ -121,7 +121,7 @@
 	} else {
 		h.offered = max(h.offered, o.revision)
 	}
-	h.subject.Offer(h.now, c)
+	h.subject.HandleCandidate(h.now, c)
 }
 
 // advance advances the clock as for a process that is not paused.
@@ -133,7 +133,7 @@
 }
 
 func (h *history) check() string {
-	state, ready := h.subject.InForce()
+	state, ready := h.subject.Active()
 	switch {
 	case !ready && h.last.Fleet != nil:
 		return "no configuration is active any more"
@@ -178,20 +178,21 @@
 	accept func(state revision.State, c revision.Candidate) bool
 }
 
-func (m *mutant) Offer(_ time.Time, c revision.Candidate) revision.Decision {
+func (m *mutant) HandleCandidate(_ time.Time, c revision.Candidate) revision.Decision {
 	if c.Fleet != nil && m.accept(m.state, c) {
 		m.state = revision.State{Revision: c.Revision, Digest: c.Digest, Fleet: c.Fleet}
 	}
 	return revision.Decision{}
 }
 
-func (m *mutant) Hear(time.Time, revision.Claim) revision.Decision { return revision.Decision{} }
-func (m *mutant) Tick(time.Time) revision.Decision                 { return revision.Decision{} }
-func (m *mutant) InForce() (revision.State, bool)                  { return m.state, m.state.Fleet != nil }
+func (m *mutant) HandleClaim(time.Time, revision.Claim) revision.Decision { return revision.Decision{} }
+func (m *mutant) Tick(time.Time) revision.Decision                        { return revision.Decision{} }
+func (m *mutant) Active() (revision.State, bool)                          { return m.state, m.state.Fleet != nil }
 
-// newWithMinimalWaits is the real implementation with minimal waits and one witness.
+// newWithMinimalWaits is the real implementation with minimal waits and one
+// witness.
 func newWithMinimalWaits(now time.Time) subject {
-	return revision.New(now, revision.Options{Witnesses: 1, Wait: 1, LongWait: 1, ClaimTTL: 1})
+	return revision.New(now, revision.Options{MinPeers: 1, ShortWait: 1, LongWait: 1, ClaimTTL: 1})
 }
 
 func TestPropertyFindsEachMissingSafeguard(t *testing.T) {
--- a/core/revision/readplan.go
+++ b/core/revision/readplan.go
@@ -77,10 +77,10 @@
 	return p.retryWait(err)
 }
 
-// FallBehind returns the wait before a read when a process that was up to date
-// learns of a higher revision. Meanwhile it asks its peers, and reads only if
-// they did not answer.
-func (p *ReadPlan) FallBehind() time.Duration {
+// NextWhenBehind returns the wait before a read when a process that was up to
+// date learns of a higher revision. Meanwhile it asks its peers, and reads only
+// if they did not answer.
+func (p *ReadPlan) NextWhenBehind() time.Duration {
 	p.retries = 0
 	return p.retryWait(nil)
 }
@@ -96,8 +96,8 @@
 	return max(0, p.opts.MinWatchPeriod-took)
 }
 
-// retryWait picks a wait from a window that doubles with each retry until it would
-// reach that of normal operation.
+// retryWait picks a wait from a window that doubles with each retry until it
+// would reach that of normal operation.
 func (p *ReadPlan) retryWait(err error) time.Duration {
 	low := p.opts.Retry
 	for range p.retries {
--- a/core/revision/readplan_test.go
+++ b/core/revision/readplan_test.go
@@ -74,7 +74,7 @@
 			peak: rateLimit * 3 / 10, mean: 20,
 			next: func(p *revision.ReadPlan, call int, _ time.Duration) time.Duration {
 				if call == 0 {
-					return p.FallBehind()
+					return p.NextWhenBehind()
 				}
 				return p.Next(nil, true)
 			},
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -5,9 +5,9 @@
 // configuration, and the platform's configuration service may be stale, so the
 // process does not activate the first configuration that it receives: it waits
 // for sufficient information from the platform and from its peers, and
-// activates the highest revision. Keeper implements the rules, Watchers selects
-// the processes of an availability zone that watch the platform, and ReadPlan
-// schedules the reads that a process makes itself.
+// activates the highest revision. Selector implements the rules, Watchers
+// selects the processes of an availability zone that watch the platform, and
+// ReadPlan schedules the reads that a process makes itself.
 //
 // Until a configuration is active, a process is not ready. An entry instance
 // answers every request immediately as not run, with a retry time, and is not
--- a/core/revision/revision_suite_test.go
+++ b/core/revision/revision_suite_test.go
@@ -31,7 +31,7 @@
 }
 
 func load(variant string) *fleettext.Fleet {
-	f, err := fleettext.Load(revision.TextName, text(variant))
+	f, err := fleettext.Load(revision.FileName, text(variant))
 	if err != nil {
 		panic(err)
 	}
@@ -63,18 +63,18 @@
 
 // tickUntil advances the clock without pauses until a configuration is
 // activated or the time is over.
-func tickUntil(k *revision.Keeper, seconds float64) revision.Decision {
+func tickUntil(k *revision.Selector, seconds float64) revision.Decision {
 	var last revision.Decision
 	for now := 0.0; now <= seconds; now += 0.5 {
 		last = k.Tick(at(now))
-		if last.Reason == revision.Taken {
+		if last.Reason == revision.Accepted {
 			return last
 		}
 	}
 	return last
 }
 
-func inForce(k *revision.Keeper) revision.Revision {
-	state, _ := k.InForce()
+func inForce(k *revision.Selector) revision.Revision {
+	state, _ := k.Active()
 	return state.Revision
 }
--- a/core/revision/startup.go
+++ b/core/revision/startup.go
@@ -8,39 +8,40 @@
 	"chivespindle.example/core/fleet"
 )
 
-// advanceClock advances the clock. A pause of the process does not count as waiting:
-// messages received meanwhile are still unread in its sockets, and after
-// LongWait it would activate the platform's stale configuration just before
-// reading that its peers are ahead. So at most MaxGap of a long gap counts: too
-// little to reach Wait, and enough for a slow process to finish its start.
-func (k *Keeper) advanceClock(now time.Time) {
-	if gap := now.Sub(k.lastCall); gap > k.opts.MaxGap {
-		k.started = k.started.Add(gap - k.opts.MaxGap)
-	}
-	k.lastCall = now
-	for peer, claim := range k.claims {
-		if now.Sub(claim.at) > k.opts.ClaimTTL {
-			delete(k.claims, peer)
+// advanceClock advances the clock. A pause of the process does not count as
+// waiting: messages received meanwhile are still unread in its sockets, and
+// after LongWait it would activate the platform's stale configuration just
+// before reading that its peers are ahead. So at most MaxGap of a long gap
+// counts: too little to reach ShortWait, and enough for a slow process to
+// finish its start.
+func (s *Selector) advanceClock(now time.Time) {
+	if gap := now.Sub(s.lastCall); gap > s.opts.MaxGap {
+		s.started = s.started.Add(gap - s.opts.MaxGap)
+	}
+	s.lastCall = now
+	for peer, claim := range s.claims {
+		if now.Sub(claim.at) > s.opts.ClaimTTL {
+			delete(s.claims, peer)
 		}
 	}
 }
 
 // storeClaim stores a claim if it can be relevant: any claim until a
 // configuration is active, then only those of a higher revision.
-func (k *Keeper) storeClaim(now time.Time, claim Claim) {
-	if claim.Revision == 0 || k.ready() && claim.Revision <= k.inForce.Revision {
-		delete(k.claims, claim.Peer)
+func (s *Selector) storeClaim(now time.Time, claim Claim) {
+	if claim.Revision == 0 || s.ready() && claim.Revision <= s.active.Revision {
+		delete(s.claims, claim.Peer)
 		return
 	}
-	k.claims[claim.Peer] = storedClaim{Claim: claim, at: now}
-	if len(k.claims) > maxClaims {
-		delete(k.claims, k.lowestClaimant())
+	s.claims[claim.Peer] = storedClaim{Claim: claim, at: now}
+	if len(s.claims) > maxClaims {
+		delete(s.claims, s.lowestClaimant())
 	}
 }
 
-func (k *Keeper) lowestClaimant() fleet.InstanceID {
+func (s *Selector) lowestClaimant() fleet.InstanceID {
 	var lowest *storedClaim
-	for _, claim := range k.claims {
+	for _, claim := range s.claims {
 		if lowest == nil || claim.Revision < lowest.Revision ||
 			claim.Revision == lowest.Revision && claim.Peer > lowest.Peer {
 			lowest = &claim
@@ -49,54 +50,54 @@
 	return lowest.Peer
 }
 
-// storeCandidate stores a validated configuration until the start condition is met: those
-// of the highest revision, one for each digest.
-func (k *Keeper) storeCandidate(c Candidate) {
-	if len(k.candidates) > 0 && c.Revision > k.candidates[0].Revision {
-		k.candidates = nil
+// storeCandidate stores a validated configuration until the start condition is
+// met: those of the highest revision, one for each digest.
+func (s *Selector) storeCandidate(c Candidate) {
+	if len(s.candidates) > 0 && c.Revision > s.candidates[0].Revision {
+		s.candidates = nil
 	}
-	if len(k.candidates) > 0 && c.Revision < k.candidates[0].Revision {
+	if len(s.candidates) > 0 && c.Revision < s.candidates[0].Revision {
 		return
 	}
-	i := slices.IndexFunc(k.candidates, func(l Candidate) bool { return l.Digest == c.Digest })
+	i := slices.IndexFunc(s.candidates, func(l Candidate) bool { return l.Digest == c.Digest })
 	switch {
 	case i >= 0 && c.From == FromPlatform:
-		k.candidates[i] = c
-	case i < 0 && len(k.candidates) < maxReported:
-		k.candidates = append(k.candidates, c)
+		s.candidates[i] = c
+	case i < 0 && len(s.candidates) < maxReported:
+		s.candidates = append(s.candidates, c)
 	}
 }
 
-// startConditionMet reports whether the start condition of Keeper is met.
-func (k *Keeper) startConditionMet() bool {
-	waited := k.lastCall.Sub(k.started)
-	peers := len(k.claims)
-	many := peers >= k.opts.Witnesses
+// startConditionMet reports whether the start condition of Selector is met.
+func (s *Selector) startConditionMet() bool {
+	waited := s.lastCall.Sub(s.started)
+	peers := len(s.claims)
+	many := peers >= s.opts.MinPeers
 	switch {
-	case k.platformAnswered && many:
+	case s.platformAnswered && many:
 		return true
-	case many, k.platformAnswered && peers > 0:
-		return waited >= k.opts.Wait
-	case k.platformAnswered, peers > 0:
-		return waited >= k.opts.LongWait
+	case many, s.platformAnswered && peers > 0:
+		return waited >= s.opts.ShortWait
+	case s.platformAnswered, peers > 0:
+		return waited >= s.opts.LongWait
 	default:
 		return false
 	}
 }
 
-// activateIfReady activates a configuration if none is active, the start condition
-// is met and the configuration is available; otherwise it returns d.
-func (k *Keeper) activateIfReady(d Decision) Decision {
-	if k.ready() || !k.startConditionMet() {
+// activateIfReady activates a configuration if none is active, the start
+// condition is met and the configuration is available; otherwise it returns d.
+func (s *Selector) activateIfReady(d Decision) Decision {
+	if s.ready() || !s.startConditionMet() {
 		return d
 	}
-	ranked := k.ranked()
+	ranked := s.ranked()
 	if len(ranked) == 0 || ranked[0].text == nil {
 		return d
 	}
-	taken := k.activate(*ranked[0].text)
+	taken := s.activate(*ranked[0].text)
 	for _, other := range ranked[1:] {
-		k.reportConflict(&taken, other.candidate())
+		s.reportConflict(&taken, other.candidate())
 	}
 	taken.Events = append(d.Events, taken.Events...)
 	return taken
@@ -120,23 +121,23 @@
 
 // ranked returns the digests of the highest revision known, in order of
 // preference.
-func (k *Keeper) ranked() []contender {
+func (s *Selector) ranked() []contender {
 	byDigest := map[fleet.Digest]*contender{}
-	highest := k.highestKnown()
+	highest := s.highestKnown()
 	at := func(digest fleet.Digest) *contender {
 		if byDigest[digest] == nil {
 			byDigest[digest] = &contender{revision: highest, digest: digest}
 		}
 		return byDigest[digest]
 	}
-	for _, claim := range k.claims {
+	for _, claim := range s.claims {
 		if claim.Revision == highest {
 			c := at(claim.Digest)
 			c.peers = append(c.peers, claim.Peer)
 		}
 	}
-	for i := range k.candidates {
-		if text := &k.candidates[i]; text.Revision == highest {
+	for i := range s.candidates {
+		if text := &s.candidates[i]; text.Revision == highest {
 			c := at(text.Digest)
 			c.text = text
 			c.platform = text.From == FromPlatform
@@ -151,12 +152,12 @@
 	return list
 }
 
-func (k *Keeper) highestKnown() Revision {
+func (s *Selector) highestKnown() Revision {
 	var highest Revision
-	for _, claim := range k.claims {
+	for _, claim := range s.claims {
 		highest = max(highest, claim.Revision)
 	}
-	for _, text := range k.candidates {
+	for _, text := range s.candidates {
 		highest = max(highest, text.Revision)
 	}
 	return highest
@@ -178,19 +179,19 @@
 	return bytes.Compare(a.digest[:], b.digest[:])
 }
 
-// Want returns a configuration that is active in peers and missing here, and
-// whether there is one. Configurations that this process refuses are left out.
-// The caller requests it from one of the peers, or another one if that fails,
-// and passes the answer to Offer.
-func (k *Keeper) Want(now time.Time) (Want, bool) {
-	k.advanceClock(now)
-	for _, c := range k.ranked() {
+// NextFetch returns a configuration that is active in peers and missing here,
+// and whether there is one. Configurations that this process refuses are left
+// out. The caller requests it from one of the peers, or another one if that
+// fails, and passes the answer to HandleCandidate.
+func (s *Selector) NextFetch(now time.Time) (FetchRequest, bool) {
+	s.advanceClock(now)
+	for _, c := range s.ranked() {
 		if c.text != nil {
 			break
 		}
-		if !k.isRefused(c.revision, c.digest) {
-			return Want{Revision: c.revision, Digest: c.digest, Peers: c.peers}, true
+		if !s.isRefused(c.revision, c.digest) {
+			return FetchRequest{Revision: c.revision, Digest: c.digest, Peers: c.peers}, true
 		}
 	}
-	return Want{}, false
+	return FetchRequest{}, false
 }
--- a/core/rollout/model_test.go
+++ b/core/rollout/model_test.go
@@ -58,9 +58,9 @@
 	return m
 }
 
-func (m *model) request(i int) rollout.Question {
+func (m *model) request(i int) rollout.Request {
 	a := m.agents[i]
-	q := rollout.Question{
+	q := rollout.Request{
 		Self: a.current().ID, Target: a.current().Target, TargetSince: a.since, MaxUnavailable: m.limit,
 		ServingNothing: a.current().Serving.IsZero(),
 	}
@@ -75,8 +75,8 @@
 	return q
 }
 
-// receive lets one agent receive some of the states that the others have reported
-// since.
+// receive lets one agent receive some of the states that the others have
+// reported since.
 func (m *model) receive(t *rapid.T) {
 	a := m.draw(t)
 	for j, other := range m.agents {
@@ -129,10 +129,10 @@
 	switch {
 	case a.crashed:
 	case a.current().State == gossip.StateFetching && a.stuck:
-		a.report(func(now *rollout.Replica) { now.Turn = rollout.Turn(q) })
+		a.report(func(now *rollout.Replica) { now.Order = rollout.NextOrder(q) })
 	case a.current().State == gossip.StateFetching:
-		a.report(func(now *rollout.Replica) { now.Turn = rollout.Turn(q); now.State = gossip.StateStaged })
-	case a.current().State == gossip.StateStaged && rollout.Decide(q).Go:
+		a.report(func(now *rollout.Replica) { now.Order = rollout.NextOrder(q); now.State = gossip.StateStaged })
+	case a.current().State == gossip.StateStaged && rollout.Decide(q).Allowed:
 		a.out = !q.ServingNothing
 		a.report(func(now *rollout.Replica) { now.State = gossip.StateChanging })
 	}
@@ -147,7 +147,7 @@
 	a.report(func(now *rollout.Replica) { now.State = gossip.StateServing; now.Serving = now.Target })
 }
 
-// restart restarts the process of an agent, with its start time for Turn. It
+// restart restarts the process of an agent, with its start time for Order. It
 // then serves the target, or a version that others still serve, or nothing.
 func (m *model) restart(t *rapid.T) {
 	a := m.draw(t)
@@ -156,7 +156,7 @@
 	a.since = a.current().Revision
 	known := rapid.Bool().Draw(t, "known")
 	a.report(func(now *rollout.Replica) {
-		now.Turn = m.starts
+		now.Order = m.starts
 		if now.Serving == now.Target && now.State != gossip.StateChanging {
 			return
 		}
@@ -200,7 +200,7 @@
 // after 1,948 with staged replicas first, after 2,679 when states under older
 // configurations were trusted, after 236 when states with other targets were
 // trusted too, after 14,732 when only the order counted and not which replicas
-// are out, and after 52,644 when a restart began with Turn 0. Without Turn, a
+// are out, and after 52,644 when a restart began with Order 0. Without Order, a
 // replica without chunks blocked the others (15).
 func TestStaleViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -6,7 +6,7 @@
 //
 // Replicas are counted per availability zone, so that the parts of a
 // partitioned fleet can both make progress. The replicas of a zone with the
-// same target are ordered by Turn, then by rendezvous hash of target and id. A
+// same target are ordered by Order, then by rendezvous hash of target and id. A
 // replica may go out of service only if fewer than max_unavailable others may
 // be out: those before it that are not known to serve the target, and those
 // behind it that are out or not known to follow the same target.
@@ -19,8 +19,8 @@
 // target even now, so no view, however old, showed them serving it; and those
 // that follow an older target had not shown the newer one while in service. So
 // they are at most max_unavailable. This requires that a replica never goes
-// back within the period of one target, that its Turn never decreases, not even
-// when its process restarts, and that it keeps its Turn while it is out.
+// back within the period of one target, that its Order never decreases, not
+// even when its process restarts, and that it keeps its Order while it is out.
 package rollout
 
 import (
@@ -47,20 +47,20 @@
 	Silent    bool
 	SilentFor time.Duration
 	Leaving   bool
-	// Behind: a neighbour holds a newer state of the replica.
-	Behind  bool
-	State   gossip.State
-	Serving fleet.Version
-	Target  fleet.Version
-	// Turn is the replica's position in the order, see the function Turn.
-	Turn uint64
+	// Outdated: a neighbour holds a newer state of the replica.
+	Outdated bool
+	State    gossip.State
+	Serving  fleet.Version
+	Target   fleet.Version
+	// Order is the replica's position in the order, see NextOrder.
+	Order uint64
 	// Revision is the revision of the configuration that the replica followed
 	// when it reported this state.
 	Revision revision.Revision
 }
 
-// Question is the request of one replica to leave service for a change.
-type Question struct {
+// Request is the request of one replica to leave service for a change.
+type Request struct {
 	Self   fleet.InstanceID
 	Target fleet.Version
 	// TargetSince is the oldest revision known to this process since which the
@@ -80,11 +80,12 @@
 
 // Decision is the result of Decide.
 type Decision struct {
-	Go bool
+	Allowed bool
 	// Reason is for logs and status.
 	Reason string
-	// Waiting are the replicas that were counted as possibly out, sorted by id.
-	Waiting []fleet.InstanceID
+	// WaitingFor are the replicas that were counted as possibly out, sorted by
+	// id.
+	WaitingFor []fleet.InstanceID
 	// Blocked: one of them has been silent for more than BlockedAfter and the
 	// platform still lists it. Only an operator can determine whether it is
 	// gone, so an alarm is required.
@@ -92,60 +93,60 @@
 }
 
 // Decide reports whether the requesting replica may leave service now.
-func Decide(q Question) Decision {
-	self, found := find(q.Replicas, q.Self)
+func Decide(req Request) Decision {
+	self, found := find(req.Replicas, req.Self)
 	switch {
-	case q.Target.IsZero():
+	case req.Target.IsZero():
 		return Decision{Reason: "no target"}
 	case !found:
 		return Decision{Reason: "this replica is not among the replicas"}
 	case self.Leaving:
 		return Decision{Reason: "this replica is leaving"}
-	case self.Serving == q.Target && !q.ServingNothing:
+	case self.Serving == req.Target && !req.ServingNothing:
 		return Decision{Reason: "the target is served"}
-	case q.ServingNothing:
-		return Decision{Go: true, Reason: "nothing is served, so nothing is lost"}
+	case req.ServingNothing:
+		return Decision{Allowed: true, Reason: "nothing is served, so nothing is lost"}
 	}
-	counted := q.possiblyOut(self)
-	limit := max(1, q.MaxUnavailable)
+	counted := req.possiblyOut(self)
+	limit := max(1, req.MaxUnavailable)
 	decision := Decision{
-		Go:      len(counted) < limit,
-		Waiting: ids(counted),
-		Blocked: slices.ContainsFunc(counted, longSilent),
+		Allowed:    len(counted) < limit,
+		WaitingFor: ids(counted),
+		Blocked:    slices.ContainsFunc(counted, longSilent),
 	}
 	decision.Reason = reason(decision, counted, limit)
-	decision.Blocked = decision.Blocked && !decision.Go
+	decision.Blocked = decision.Blocked && !decision.Allowed
 	return decision
 }
 
-// Turn returns the Turn that the requesting replica should publish: its own or
-// a higher one.
+// NextOrder returns the Order that the requesting replica should publish: its
+// own or a higher one.
 //
 // A replica that has not yet fetched its chunks lets those behind it that have
 // go first; otherwise one stalled link would block its zone. Moving back is
 // safe with stale knowledge, since others still see the replica further ahead
-// and wait; moving ahead would not be, so a Turn never decreases.
-func Turn(q Question) uint64 {
-	self, found := find(q.Replicas, q.Self)
+// and wait; moving ahead would not be, so an Order never decreases.
+func NextOrder(req Request) uint64 {
+	self, found := find(req.Replicas, req.Self)
 	if !found {
 		return 0
 	}
-	if self.State != gossip.StateFetching || q.ServingNothing {
-		return self.Turn
+	if self.State != gossip.StateFetching || req.ServingNothing {
+		return self.Order
 	}
-	turn := self.Turn
-	for _, r := range q.zonePeers(self) {
-		ready := r.State == gossip.StateStaged && r.Target == q.Target && !r.Silent
-		if ready && q.before(self, r) {
-			turn = max(turn, r.Turn+1)
+	order := self.Order
+	for _, r := range req.zonePeers(self) {
+		ready := r.State == gossip.StateStaged && r.Target == req.Target && !r.Silent
+		if ready && req.before(self, r) {
+			order = max(order, r.Order+1)
 		}
 	}
-	return turn
+	return order
 }
 
-func (q Question) zonePeers(self Replica) []Replica {
+func (req Request) zonePeers(self Replica) []Replica {
 	var zone []Replica
-	for _, r := range q.Replicas {
+	for _, r := range req.Replicas {
 		if r.Zone == self.Zone && r.ID != self.ID {
 			zone = append(zone, r)
 		}
@@ -153,33 +154,34 @@
 	return zone
 }
 
-// possiblyOut returns the other replicas of the zone that may be out of service.
-func (q Question) possiblyOut(self Replica) []Replica {
+// possiblyOut returns the other replicas of the zone that may be out of
+// service.
+func (req Request) possiblyOut(self Replica) []Replica {
 	var out []Replica
-	for _, r := range q.zonePeers(self) {
-		if q.countsAsOut(self, r) {
+	for _, r := range req.zonePeers(self) {
+		if req.countsAsOut(self, r) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (q Question) countsAsOut(self, r Replica) bool {
-	if !r.inService() || r.Behind || r.Revision < q.TargetSince {
+func (req Request) countsAsOut(self, r Replica) bool {
+	if !r.inService() || r.Outdated || r.Revision < req.TargetSince {
 		return true
 	}
-	if r.Serving == q.Target {
+	if r.Serving == req.Target {
 		return false
 	}
-	return r.Target != q.Target || q.before(r, self)
+	return r.Target != req.Target || req.before(r, self)
 }
 
 // before reports whether a precedes b in the order for the target.
-func (q Question) before(a, b Replica) bool {
-	if a.Turn != b.Turn {
-		return a.Turn < b.Turn
+func (req Request) before(a, b Replica) bool {
+	if a.Order != b.Order {
+		return a.Order < b.Order
 	}
-	key := q.Target.Name + "\x00" + q.Target.Manifest.String()
+	key := req.Target.Name + "\x00" + req.Target.Manifest.String()
 	weightA := gossip.Rendezvous(key, a.ID)
 	weightB := gossip.Rendezvous(key, b.ID)
 	if weightA != weightB {
@@ -224,7 +226,7 @@
 }
 
 func reason(d Decision, counted []Replica, limit int) string {
-	if d.Go {
+	if d.Allowed {
 		return fmt.Sprintf("%d of at most %d replicas may be out", len(counted), limit)
 	}
 	const shown = 3
--- a/core/rollout/view.go
+++ b/core/rollout/view.go
@@ -26,8 +26,8 @@
 	return replicas
 }
 
-// Served returns the versions that live replicas other than self serve.
-func Served(replicas []Replica, self fleet.InstanceID) []fleet.Version {
+// ServedVersions returns the versions that live replicas other than self serve.
+func ServedVersions(replicas []Replica, self fleet.InstanceID) []fleet.Version {
 	var versions []fleet.Version
 	for _, r := range replicas {
 		counts := r.ID != self && r.inService() && !r.Serving.IsZero()
@@ -41,10 +41,10 @@
 // lastContact returns when a newer record of p was last received, or when p was
 // first seen if none was.
 func lastContact(p gossip.Peer) time.Time {
-	if p.LastHeard.IsZero() {
+	if p.LastUpdate.IsZero() {
 		return p.FirstSeen
 	}
-	return p.LastHeard
+	return p.LastUpdate
 }
 
 func replicaOf(p gossip.Peer) Replica {
@@ -52,12 +52,12 @@
 		ID:       p.ID,
 		Place:    p.Place,
 		Silent:   p.Silent,
-		Leaving:  p.Going(),
-		Behind:   p.Behind,
+		Leaving:  p.IsLeaving(),
+		Outdated: p.Outdated,
 		State:    p.State,
 		Serving:  p.Serving,
 		Target:   p.Target,
-		Turn:     p.Turn,
+		Order:    p.RolloutOrder,
 		Revision: p.Revision,
 	}
 }
--- a/daemon/agent/change.go
+++ b/daemon/agent/change.go
@@ -176,7 +176,7 @@
 	self := a.opts.Self
 	members := []spread.Member{{ID: self.ID, Place: self.Place, Addr: self.PeerAddr}}
 	for _, p := range a.node.View().Peers {
-		if p.Role != fleet.RoleAgent || p.Going() {
+		if p.Role != fleet.RoleAgent || p.IsLeaving() {
 			continue
 		}
 		if service, ok := text.Service(p.Service); ok && service.Version == a.service.Version {
@@ -198,8 +198,8 @@
 		return
 	}
 	question := a.question()
-	turn := rollout.Turn(question)
-	a.node.UpdateSelf(now, func(r *gossip.Record) { r.Turn = turn })
+	turn := rollout.NextOrder(question)
+	a.node.UpdateSelf(now, func(r *gossip.Record) { r.RolloutOrder = turn })
 	if a.turnFor.IsZero() {
 		a.reason = ""
 		return
@@ -211,7 +211,7 @@
 	decision := rollout.Decide(question)
 	a.reason = decision.Reason
 	a.alarmIfBlocked(decision)
-	if !decision.Go {
+	if !decision.Allowed {
 		return
 	}
 	version := a.turnFor
@@ -219,8 +219,8 @@
 	a.step(now, serving.TurnGranted{Version: version})
 }
 
-func (a *Agent) question() rollout.Question {
-	return rollout.Question{
+func (a *Agent) question() rollout.Request {
+	return rollout.Request{
 		Self:           a.opts.Self.ID,
 		Target:         a.change.Target(),
 		TargetSince:    a.targetSince,
@@ -242,7 +242,7 @@
 		replicas[i].State = self.State
 		replicas[i].Serving = self.Serving
 		replicas[i].Target = self.Target
-		replicas[i].Turn = self.Turn
+		replicas[i].Order = self.RolloutOrder
 		replicas[i].Leaving = self.Leaving
 		replicas[i].Revision = self.Revision
 	}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -169,7 +169,7 @@
 		if p.Role != fleet.RoleEntry || !p.CallerAddr.IsValid() {
 			continue
 		}
-		all = append(all, addressing.Entry{ID: p.ID, Place: p.Place, Addr: p.CallerAddr, Leaving: p.Going(), Silent: p.Silent})
+		all = append(all, addressing.Entry{ID: p.ID, Place: p.Place, Addr: p.CallerAddr, Leaving: p.IsLeaving(), Silent: p.Silent})
 	}
 	return all
 }
@@ -227,7 +227,7 @@
 
 func member(p gossip.Peer) status.Member {
 	return status.Member{ID: p.ID, Role: p.Role, Service: p.Service, Place: p.Place, State: p.State,
-		Serving: p.Serving, Revision: p.Revision, Leaving: p.Going(), Silent: p.Silent}
+		Serving: p.Serving, Revision: p.Revision, Leaving: p.IsLeaving(), Silent: p.Silent}
 }
 
 func serviceStatus(state *revision.State, view *gossip.View) []status.Service {
@@ -239,7 +239,7 @@
 			switch {
 			case p.Silent:
 				s.Silent++
-			case p.Going():
+			case p.IsLeaving():
 				s.Leaving++
 			case p.State == gossip.StateServing && p.Serving == service.Version:
 				s.Serving++
--- a/daemon/entry/explain.go
+++ b/daemon/entry/explain.go
@@ -119,7 +119,7 @@
 	switch {
 	case r.Silent:
 		return "its agent is silent"
-	case r.Going():
+	case r.IsLeaving():
 		return "it leaves"
 	case replicas > subsetSize:
 		return "no load report; this entry follows a part of the replicas only"
--- a/daemon/entry/explain_test.go
+++ b/daemon/entry/explain_test.go
@@ -69,7 +69,7 @@
 	var listed []fleet.Instance
 	for _, id := range []fleet.InstanceID{"api-1", "api-2", "api-3", "api-4", "api-5"} {
 		records = append(records, gossip.Record{
-			ID: id, Incarnation: 1, Change: 1, Beat: 1, Role: fleet.RoleAgent, Service: "workshop-api",
+			ID: id, Incarnation: 1, StateSeq: 1, HeartbeatSeq: 1, Role: fleet.RoleAgent, Service: "workshop-api",
 			Place: explainPlace, State: gossip.StateServing, Leaving: id == "api-5",
 		})
 	}
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -119,7 +119,7 @@
 func (e *Entry) otherEntries() []gossip.Peer {
 	var others []gossip.Peer
 	for _, p := range e.node.View().Peers {
-		if p.Role == fleet.RoleEntry && !p.Silent && !p.Going() {
+		if p.Role == fleet.RoleEntry && !p.Silent && !p.IsLeaving() {
 			others = append(others, p)
 		}
 	}
--- a/daemon/entry/subscription.go
+++ b/daemon/entry/subscription.go
@@ -43,7 +43,7 @@
 		Service:  s.report.Service,
 		Version:  s.report.Serving,
 		Report:   balance.Report{Load: s.report.Load, Received: s.received},
-		Draining: s.report.Leaving || !s.report.Admitting || s.member.Going(),
+		Draining: s.report.Leaving || !s.report.Admitting || s.member.IsLeaving(),
 	}
 }
 
--- a/daemon/gateway/model_links_test.go
+++ b/daemon/gateway/model_links_test.go
@@ -81,7 +81,7 @@
 
 func (l *modelLinks) peer(k *modelLink) mesh.Peer {
 	id := k.to.g.opts.Self
-	return mesh.Peer{ID: id, Role: fleet.RoleEntry, Near: l.plan.Near[id] && !k.to.isHidden(l.e.m.now), Region: k.region, AsOf: k.asOf}
+	return mesh.Peer{ID: id, Role: fleet.RoleEntry, Near: l.plan.SameGroup[id] && !k.to.isHidden(l.e.m.now), Region: k.region, AsOf: k.asOf}
 }
 
 func (l *modelLinks) send(now time.Time, k *modelLink, form mesh.Form) {
@@ -131,7 +131,7 @@
 	}
 	l.planLinks(now)
 	for _, k := range l.sorted {
-		near := l.plan.Near[k.to.g.opts.Self]
+		near := l.plan.SameGroup[k.to.g.opts.Self]
 		switch {
 		case !k.up:
 		case now.Sub(k.beaten) >= modelBeatEvery:
@@ -153,7 +153,7 @@
 			others = append(others, linking.Member{ID: k.last.ID, Region: k.last.Place.Region})
 		}
 	}
-	l.plan = linking.For(linking.Member{ID: l.e.g.opts.Self, Region: l.e.g.opts.Place.Region}, others)
+	l.plan = linking.NewPlan(linking.Member{ID: l.e.g.opts.Self, Region: l.e.g.opts.Place.Region}, others)
 }
 
 func (l *modelLinks) Flush(now time.Time) {
@@ -164,7 +164,7 @@
 
 func (l *modelLinks) FlushNear(now time.Time) {
 	for _, k := range l.sorted {
-		if l.plan.Near[k.to.g.opts.Self] {
+		if l.plan.SameGroup[k.to.g.opts.Self] {
 			l.send(now, k, mesh.Whole)
 		}
 	}
@@ -175,7 +175,7 @@
 	for _, k := range l.sorted {
 		if b := k.last; b.ID != "" {
 			all = append(all, mesh.Entry{ID: b.ID, Place: b.Place, Ready: b.Ready, Leaving: b.Leaving, Reaches: b.Reaches,
-				TurnedAway: b.TurnedAway, Silent: now.Sub(k.heardOf) > modelSilentAfter, Near: l.plan.Near[b.ID]})
+				TurnedAway: b.TurnedAway, Silent: now.Sub(k.heardOf) > modelSilentAfter, Near: l.plan.SameGroup[b.ID]})
 		}
 	}
 	return all
--- a/daemon/internal/daemontest/platform.go
+++ b/daemon/internal/daemontest/platform.go
@@ -98,7 +98,7 @@
 // DigestOf returns the digest of a text as processes tell it each other.
 func DigestOf(text string) fleet.Digest {
 	ginkgo.GinkgoHelper()
-	parsed, err := fleettext.Load(revision.TextName, []byte(text))
+	parsed, err := fleettext.Load(revision.FileName, []byte(text))
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	return parsed.Digest()
 }
--- a/daemon/internal/daemontest/process.go
+++ b/daemon/internal/daemontest/process.go
@@ -117,7 +117,7 @@
 		changed = func(time.Time) {}
 	}
 	p.Node = node.New(p.ctx, time.Now(), node.Options{
-		Self:      gossip.RecordOf(p.Self, p.Incarnation),
+		Self:      gossip.NewRecord(p.Self, p.Incarnation),
 		Loop:      p.Loop,
 		Endpoint:  p.Endpoint,
 		Config:    p.Text,
--- a/daemon/mesh/beats.go
+++ b/daemon/mesh/beats.go
@@ -13,7 +13,7 @@
 
 // isNear reports whether a link leads to an entry of the own group.
 func (m *Mesh) isNear(l *link) bool {
-	return m.opts.Role == fleet.RoleEntry && l.role == fleet.RoleEntry && m.plan.Near[l.id]
+	return m.opts.Role == fleet.RoleEntry && l.role == fleet.RoleEntry && m.plan.SameGroup[l.id]
 }
 
 // beat sends what is due on a link.
@@ -38,7 +38,7 @@
 // briefPause grows with the number of links, so that what an entry sends does
 // not.
 func (m *Mesh) briefPause(l *link) time.Duration {
-	pause := min(briefMax, max(briefMin, time.Duration(len(m.plan.Near))*briefEvery))
+	pause := min(briefMax, max(briefMin, time.Duration(len(m.plan.SameGroup))*briefEvery))
 	if m.opts.FarLess && l.place.Region != m.opts.Place.Region {
 		pause = min(briefMax, farTimes*pause)
 	}
--- a/daemon/mesh/contacts.go
+++ b/daemon/mesh/contacts.go
@@ -41,7 +41,7 @@
 // and the silence of one whose link ought to be there as well.
 func (m *Mesh) standing(now time.Time, c *contact) (standing, bool) {
 	direct := c.last.ID != "" && now.Sub(c.heard) <= silentAfter
-	ought := c.last.ID != "" && m.plan.Near[IDOf(c.addr)]
+	ought := c.last.ID != "" && m.plan.SameGroup[IDOf(c.addr)]
 	switch {
 	case direct:
 		return standing{EntryState: c.last.State(c.addr)}, true
@@ -92,7 +92,7 @@
 		all = append(all, Entry{
 			ID: IDOf(c.addr), Place: s.Place, CallerAddr: s.CallerAddr,
 			Ready: s.Ready, Leaving: s.Leaving, Reaches: s.Reaches, TurnedAway: s.TurnedAway,
-			Silent: s.silent, Near: m.plan.Near[IDOf(c.addr)],
+			Silent: s.silent, Near: m.plan.SameGroup[IDOf(c.addr)],
 		})
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
--- a/daemon/mesh/dial.go
+++ b/daemon/mesh/dial.go
@@ -23,9 +23,9 @@
 			others = append(others, linking.Member{ID: IDOf(c.addr), Region: s.Place.Region})
 		}
 	}
-	m.plan = linking.For(self, others)
+	m.plan = linking.NewPlan(self, others)
 	for _, l := range m.links {
-		if l.role != fleet.RoleEntry || m.plan.Wants(l.id) {
+		if l.role != fleet.RoleEntry || m.plan.Includes(l.id) {
 			l.unwantedSince = time.Time{}
 			continue
 		}
@@ -49,7 +49,7 @@
 			delete(m.contacts, addr)
 			continue
 		}
-		planned := m.plan.Wants(id)
+		planned := m.plan.Includes(id)
 		if id == m.opts.Self || m.links[id] != nil || !planned && !m.isLostSeed(now, c) {
 			c.wantedSince = time.Time{}
 			continue
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -29,10 +29,10 @@
 	for _, e := range d.Events {
 		n.logEvent(e)
 	}
-	if d.Reason != revision.Taken {
+	if d.Reason != revision.Accepted {
 		return
 	}
-	state, _ := n.keeper.InForce()
+	state, _ := n.keeper.Active()
 	n.inForce.Store(&state)
 	n.opts.Metrics.Gauge("config_revision").Update(float64(state.Revision))
 	n.table.UpdateSelf(func(r *gossip.Record) {
@@ -45,7 +45,7 @@
 
 func (n *Node) logEvent(e revision.Event) {
 	switch e := e.(type) {
-	case revision.Raised:
+	case revision.Activated:
 		n.opts.Logger.Info("text_in_force",
 			zap.Uint64("revision", uint64(e.To)), zap.Uint64("before", uint64(e.From)),
 			zap.Stringer("digest", e.Digest), zap.String("source", string(e.Source)), zap.String("peer", string(e.Peer)))
@@ -66,7 +66,7 @@
 	if n.asking {
 		return
 	}
-	want, behind := n.keeper.Want(now)
+	want, behind := n.keeper.NextFetch(now)
 	if !behind {
 		return
 	}
@@ -77,7 +77,7 @@
 	n.asking = true
 	n.askCount++
 	var base *fleettext.Fleet
-	if state, ready := n.keeper.InForce(); ready {
+	if state, ready := n.keeper.Active(); ready {
 		base = state.Fleet
 	}
 	go n.fetchText(contact, base)
@@ -103,7 +103,7 @@
 			n.opts.Logger.Warn("text_not_fetched", zap.String("peer", string(from.ID)), zap.Error(err))
 			return
 		}
-		n.apply(now, n.keeper.Offer(now, candidate))
+		n.apply(now, n.keeper.HandleCandidate(now, candidate))
 	})
 }
 
@@ -165,7 +165,7 @@
 	var head wire.ConfigHead
 	var delta fleettext.Delta
 	err := n.opts.Loop.Do(ctx, func(time.Time) {
-		state, ready := n.keeper.InForce()
+		state, ready := n.keeper.Active()
 		if !ready {
 			return
 		}
--- a/daemon/node/gossip.go
+++ b/daemon/node/gossip.go
@@ -121,7 +121,7 @@
 	}
 	n.links[l.id] = l
 	l.heard = now
-	n.table.PeerReset(l.id)
+	n.table.ResetPeer(l.id)
 	go n.read(l)
 	go n.write(l)
 	n.send(now, l)
@@ -133,7 +133,7 @@
 		return
 	}
 	delete(n.links, l.id)
-	n.table.PeerReset(l.id)
+	n.table.ResetPeer(l.id)
 	n.retryAt[l.id] = now.Add(redialAfter)
 }
 
@@ -174,7 +174,7 @@
 	if len(changed) > 0 {
 		n.changed(now)
 	}
-	n.apply(now, n.keeper.Hear(now, revision.Claim{Peer: l.id, Revision: m.Revision, Digest: m.Digest}))
+	n.apply(now, n.keeper.HandleClaim(now, revision.Claim{Peer: l.id, Revision: m.Revision, Digest: m.Digest}))
 	n.askForText(now)
 }
 
@@ -189,13 +189,13 @@
 func (n *Node) send(now time.Time, l *link) {
 	records := n.table.Delta(now, l.id)
 	m := wire.Gossip{Records: records}
-	if state, ready := n.keeper.InForce(); ready {
+	if state, ready := n.keeper.Active(); ready {
 		m.Revision = state.Revision
 		m.Digest = state.Digest
 	}
 	select {
 	case l.out <- m:
-		n.table.Sent(now, l.id, records)
+		n.table.Acknowledge(now, l.id, records)
 		n.opts.Metrics.Counter("gossip_records_sent").Inc(int64(len(records)))
 	default:
 	}
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -66,7 +66,7 @@
 	opts      Options
 	ctx       context.Context
 	table     *gossip.Table
-	keeper    *revision.Keeper
+	keeper    *revision.Selector
 	links     map[fleet.InstanceID]*link
 	retryAt   map[fleet.InstanceID]time.Time
 	dialing   map[fleet.InstanceID]bool
@@ -90,7 +90,7 @@
 	n := &Node{
 		opts:    opts,
 		ctx:     ctx,
-		table:   gossip.New(gossip.Options{Self: opts.Self, Rand: opts.Rand, BeatEvery: beatEvery}),
+		table:   gossip.New(gossip.Options{Self: opts.Self, Rand: opts.Rand, HeartbeatInterval: beatEvery}),
 		keeper:  revision.New(now, revision.Options{}),
 		links:   make(map[fleet.InstanceID]*link),
 		retryAt: make(map[fleet.InstanceID]time.Time),
@@ -115,9 +115,9 @@
 // UpdateSelf changes the process's own record and tells the neighbours soon.
 // It must be called on the control loop.
 func (n *Node) UpdateSelf(now time.Time, edit func(*gossip.Record)) {
-	before := n.table.Self().Change
+	before := n.table.Self().StateSeq
 	n.table.UpdateSelf(edit)
-	if n.table.Self().Change != before {
+	if n.table.Self().StateSeq != before {
 		n.changed(now)
 	}
 }
@@ -139,7 +139,7 @@
 	n.askForText(now)
 	if !now.Before(n.nextBeat) {
 		n.nextBeat = now.Add(beatEvery)
-		n.table.Beat(now)
+		n.table.Heartbeat(now)
 		n.checkDuplicate()
 		n.connect(now)
 		n.flush(now)
--- a/daemon/node/platform.go
+++ b/daemon/node/platform.go
@@ -67,7 +67,7 @@
 	for ctx.Err() == nil {
 		behind := n.isBehind()
 		if behind && !wasBehind {
-			nextRead = time.Now().Add(plan.FallBehind())
+			nextRead = time.Now().Add(plan.NextWhenBehind())
 		}
 		wasBehind = behind
 		if !time.Now().Before(nextRead) {
@@ -126,7 +126,7 @@
 		base = state.Fleet
 	}
 	candidate := revision.ReadDocument(doc, base)
-	n.post(func(now time.Time) { n.apply(now, n.keeper.Offer(now, candidate)) })
+	n.post(func(now time.Time) { n.apply(now, n.keeper.HandleCandidate(now, candidate)) })
 }
 
 // Reread reads the platform's text once more and reports whether the world has
@@ -164,7 +164,7 @@
 	members := []fleet.Instance{{ID: self.ID, Role: self.Role, Place: self.Place, Leaving: self.Leaving}}
 	for _, p := range view.Peers {
 		if p.Zone == self.Zone && !p.Silent {
-			members = append(members, fleet.Instance{ID: p.ID, Role: p.Role, Place: p.Place, Leaving: p.Going()})
+			members = append(members, fleet.Instance{ID: p.ID, Role: p.Role, Place: p.Place, Leaving: p.IsLeaving()})
 		}
 	}
 	for _, id := range revision.Watchers(members, revision.DefaultWatchers) {
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -70,7 +70,7 @@
 		Loop:         p.loop,
 		Fetches:      s.Agent.Fetches,
 		UploadSlots:  s.Agent.UploadSlots,
-		Link:         linkshare.Settings{LinkBytes: s.Link.BytesPerSecond, BusyShare: s.Link.WeightsShare},
+		Link:         linkshare.Settings{LinkBytesPerSecond: s.Link.BytesPerSecond, BusyShare: s.Link.WeightsShare},
 		MaxInFlight:  s.Limits.MaxInFlight,
 		MaxBody:      maxAgentBody,
 		DrainTimeout: s.Limits.DrainTimeout,
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -142,7 +142,7 @@
 	self := s.Self()
 	self.PeerAddr = b.endpoint.Addr()
 	b.node = node.New(b.ctx, time.Now(), node.Options{
-		Self:        gossip.RecordOf(self, b.incarnation),
+		Self:        gossip.NewRecord(self, b.incarnation),
 		Loop:        b.loop,
 		Endpoint:    b.endpoint,
 		Config:      config,
--- a/standin/bench/slopes/crowd.go
+++ b/standin/bench/slopes/crowd.go
@@ -136,7 +136,7 @@
 func (c *crowd) heartbeats() []gossip.Record {
 	short := make([]gossip.Record, len(c.records))
 	for i, r := range c.records {
-		short[i] = heartbeat(r, r.Beat)
+		short[i] = heartbeat(r, r.HeartbeatSeq)
 	}
 	return short
 }
--- a/standin/bench/slopes/membership.go
+++ b/standin/bench/slopes/membership.go
@@ -54,7 +54,7 @@
 	k.table.SetListed(k.now, list[1:])
 	for i := range neighbours {
 		k.table.Merge(k.now, k.from(i), k.records)
-		k.table.Sent(k.now, k.from(i), k.records)
+		k.table.Acknowledge(k.now, k.from(i), k.records)
 	}
 	k.view = k.table.View(k.now)
 	return k
@@ -67,11 +67,11 @@
 func (k *known) second() {
 	k.now = k.now.Add(time.Second)
 	k.beat++
-	k.table.Beat(k.now)
+	k.table.Heartbeat(k.now)
 	k.table.Neighbours(k.now)
 	for i := range neighbours {
 		k.table.Merge(k.now, k.from(i), k.message(i))
-		k.table.Sent(k.now, k.from(i), k.table.Delta(k.now, k.from(i)))
+		k.table.Acknowledge(k.now, k.from(i), k.table.Delta(k.now, k.from(i)))
 	}
 	for range 2 {
 		k.view = k.table.View(k.now)
--- a/standin/bench/slopes/phantom.go
+++ b/standin/bench/slopes/phantom.go
@@ -63,7 +63,7 @@
 // recordOf is the whole record of a phantom that serves.
 func recordOf(i fleet.Instance, s said) gossip.Record {
 	r := gossip.Record{
-		ID: i.ID, Incarnation: 1_900_000_000_000, Change: 1, Beat: firstBeat, Role: i.Role, Service: i.Service,
+		ID: i.ID, Incarnation: 1_900_000_000_000, StateSeq: 1, HeartbeatSeq: firstBeat, Role: i.Role, Service: i.Service,
 		Place: i.Place, PeerAddr: i.PeerAddr, CallerAddr: i.CallerAddr,
 		State: gossip.StateServing, Revision: s.Revision, ConfigDigest: s.Digest,
 	}
@@ -83,5 +83,5 @@
 
 // heartbeat is the short form of a record, for those who hold it.
 func heartbeat(r gossip.Record, beat uint64) gossip.Record {
-	return gossip.Record{ID: r.ID, Incarnation: r.Incarnation, Change: r.Change, Beat: beat, Revision: r.Revision}
+	return gossip.Record{ID: r.ID, Incarnation: r.Incarnation, StateSeq: r.StateSeq, HeartbeatSeq: beat, Revision: r.Revision}
 }
--- a/standin/bench/slopes/rollout.go
+++ b/standin/bench/slopes/rollout.go
@@ -16,7 +16,7 @@
 		question := questionOf(n)
 		s.Points = append(s.Points, Point{float64(n), perCall(func() {
 			q := question()
-			rollout.Turn(q)
+			rollout.NextOrder(q)
 			rollout.Decide(q)
 		})})
 	}
@@ -25,11 +25,11 @@
 
 // questionOf returns what an agent does to ask: it reads the replicas from the
 // view, all of one service.
-func questionOf(n int) func() rollout.Question {
+func questionOf(n int) func() rollout.Request {
 	view := viewOf(n)
 	target := fleet.Version{Name: "next", Manifest: fleet.DigestOf([]byte("next"))}
-	return func() rollout.Question {
-		return rollout.Question{Self: view.Self.ID, Target: target, MaxUnavailable: 1,
+	return func() rollout.Request {
+		return rollout.Request{Self: view.Self.ID, Target: target, MaxUnavailable: 1,
 			Replicas: rollout.ReplicasOf(view, serviceOf(0))}
 	}
 }
--- a/standin/bench/slopes/stub.go
+++ b/standin/bench/slopes/stub.go
@@ -145,7 +145,7 @@
 		}
 		var wanted []gossip.Record
 		for _, r := range message.Records {
-			if whole, known := s.crowd.byID[r.ID]; known && r.IsAsk() {
+			if whole, known := s.crowd.byID[r.ID]; known && r.IsRequest() {
 				wanted = append(wanted, whole)
 			}
 		}
@@ -201,7 +201,7 @@
 		if r.Role != fleet.RoleAgent || r.ID == s.self.ID {
 			continue
 		}
-		r.Change, r.Beat = beat, beat
+		r.StateSeq, r.HeartbeatSeq = beat, beat
 		r.State = gossip.StateChanging
 		records = append(records, r)
 	}
--- a/standin/bench/slopes/zone.go
+++ b/standin/bench/slopes/zone.go
@@ -55,7 +55,7 @@
 func (z *zone) tick() error {
 	z.now = z.now.Add(time.Second)
 	for _, id := range z.ids {
-		z.tables[id].Beat(z.now)
+		z.tables[id].Heartbeat(z.now)
 	}
 	z.connect()
 	type message struct {
@@ -72,7 +72,7 @@
 			return err
 		}
 		z.tables[m.to].Merge(z.now, m.from, m.records)
-		z.tables[m.from].Sent(z.now, m.to, m.records)
+		z.tables[m.from].Acknowledge(z.now, m.to, m.records)
 	}
 	return nil
 }
@@ -99,8 +99,8 @@
 }
 
 func (z *zone) reset(p pair) {
-	z.tables[p.a].PeerReset(p.b)
-	z.tables[p.b].PeerReset(p.a)
+	z.tables[p.a].ResetPeer(p.b)
+	z.tables[p.b].ResetPeer(p.a)
 }
 
 // count adds the encoded size of a message.
@@ -229,7 +229,7 @@
 		id := z.ids[(tick*changesPerTick+i)%len(z.ids)]
 		z.tables[id].UpdateSelf(func(r *gossip.Record) {
 			r.State = gossip.StateChanging
-			r.Turn++
+			r.RolloutOrder++
 		})
 	}
 }
