--- a/core/gossip/exchange.go
+++ b/core/gossip/exchange.go
@@ -212,8 +212,8 @@
 // incarnation. If e is the neighbour itself, it has to learn of the newer one,
 // see supersedePredecessor.
 func (l *link) holdsOldIncarnation(e *entry) bool {
-	mark, known := l.known[e]
-	return known && mark.incarnation < e.rec.Incarnation
+	peerHolds, known := l.known[e]
+	return known && peerHolds.incarnation < e.rec.Incarnation
 }
 
 // neighbourAhead reports whether the neighbour has shown a newer state of e
@@ -248,14 +248,14 @@
 // neighbour. If the neighbour lacks more than is known here, it sends a
 // request.
 func (t *Table) shortest(l *link, e *entry) Record {
-	mark, known := l.known[e]
+	peerHolds, known := l.known[e]
 	held := e.rec.version()
 	switch {
 	case !known && e != t.self && !e.rec.Leaving:
 		return e.rec.heartbeat()
-	case l.requested[e] || mark.incarnation < held.incarnation:
+	case l.requested[e] || peerHolds.incarnation < held.incarnation:
 		return e.rec
-	case mark.olderState(held):
+	case peerHolds.olderState(held):
 		return e.rec.update()
 	default:
 		return e.rec.heartbeat()
@@ -271,7 +271,7 @@
 // relevant outside the zone. Heartbeats are relayed within the zone only, and
 // only when they have advanced by relayEvery.
 func (t *Table) outgoingFor(now time.Time, l *link, e *entry) outgoing {
-	mark, known := l.known[e]
+	peerHolds, known := l.known[e]
 	held := e.rec.version()
 	local := l.inZone && e.zone() == t.self.rec.Zone
 	out := outgoing{urgency: urgentNothing, rec: t.shortest(l, e)}
@@ -279,17 +279,17 @@
 	case t.shouldRequest(now, l, e):
 		return outgoing{urgency: urgentRequest, rec: Record{ID: e.id}}
 	case !e.hasRecord:
-	case l.requested[e], known && t.changedFor(mark, e, local), !known && e.rec.Leaving:
+	case l.requested[e], known && t.changedFor(peerHolds, e, local), !known && e.rec.Leaving:
 		out.urgency = changeUrgency(e.rec)
-	case known && mark.olderState(held):
+	case known && peerHolds.olderState(held):
 	case !known && local:
 		out.urgency = urgentHeartbeat
 		out.gained = held.heartbeatSeq
 	case !known:
 		out.urgency = urgentSummary
-	case local && !held.olderState(mark) && held.heartbeatSeq >= mark.heartbeatSeq+t.relayEvery():
+	case local && !held.olderState(peerHolds) && held.heartbeatSeq >= peerHolds.heartbeatSeq+t.relayEvery():
 		out.urgency = urgentHeartbeat
-		out.gained = held.heartbeatSeq - mark.heartbeatSeq
+		out.gained = held.heartbeatSeq - peerHolds.heartbeatSeq
 	}
 	return out
 }
--- a/core/revision/candidate.go
+++ b/core/revision/candidate.go
@@ -62,7 +62,7 @@
 // another revision would be stored under this one.
 func ReadDelta(claim Claim, base *fleettext.Fleet, delta fleettext.Delta) (Candidate, error) {
 	if delta.Result != claim.Digest {
-		return Candidate{}, failure.Corrupt.New("peer %s sent the text %s for %s", claim.Peer, delta.Result, claim.Digest)
+		return Candidate{}, failure.Corrupt.New("peer %s sent configuration %s, want %s", claim.Peer, delta.Result, claim.Digest)
 	}
 	c := Candidate{Revision: claim.Revision, From: FromPeer, Peer: claim.Peer, Digest: delta.Result}
 	f, err := fleettext.Apply(FileName, base, delta)
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -40,7 +40,7 @@
 	r.SilentFor = rollout.BlockedAfter + time.Second
 }
 func leaving(r *rollout.Replica)        { r.Leaving = true }
-func behind(r *rollout.Replica)         { r.Outdated = true }
+func outdated(r *rollout.Replica)       { r.Outdated = true }
 func laterOrder(r *rollout.Replica)     { r.Order = 1 }
 func first(r *rollout.Replica)          { r.Order = 0 }
 func changed(r *rollout.Replica)        { r.State = gossip.StateServing; r.Serving = v2 }
@@ -73,7 +73,7 @@
 		Entry("behind one that has changed", 1, true, staged("a", first, changed)),
 		Entry("behind one that changed under an older configuration", 1, false, staged("a", first, changed, oldRevision)),
 		Entry("behind one that changed and crashed", 1, false, staged("a", first, changed, silent)),
-		Entry("behind one whose known state is outdated", 1, false, staged("a", first, changed, behind)),
+		Entry("behind one whose known state is outdated", 1, false, staged("a", first, changed, outdated)),
 		Entry("before one that waits", 1, true, staged("a", func(r *rollout.Replica) { r.Order = 2 })),
 		Entry("before one that crashed", 1, false, staged("a", silent, func(r *rollout.Replica) { r.Order = 2 })),
 		Entry("before one that is leaving", 1, false, staged("a", leaving, func(r *rollout.Replica) { r.Order = 2 })),
