--- a/core/gossip/cost_test.go
+++ b/core/gossip/cost_test.go
@@ -12,16 +12,16 @@
 	"chivespindle.example/core/gossip"
 )
 
-// measure reports what control costs each process of a group: the ticks until
-// all know all, bytes in quiet times, and the bytes of one change, each sent
-// plus received.
+// measure reports the control traffic of each process of a group: the ticks
+// until all processes agree, bytes per second when idle, and the bytes of one
+// change, each sent plus received.
 func measure(b *testing.B, each int, in []fleet.Place) {
 	for range b.N {
 		g := newGroup(each, in)
 		size := float64(len(g.tables))
 		g.publish()
 		ticks := 0
-		for !g.agreed() {
+		for !g.converged() {
 			g.tick()
 			ticks++
 		}
@@ -44,12 +44,12 @@
 			g.tick()
 		}
 		b.ReportMetric(2*(float64(g.bytes)-quiet)/size/seconds/perTick, "change-B")
-		for !g.agreed() {
+		for !g.converged() {
 			g.tick()
 		}
 		g.tables[g.ids()[0]].UpdateSelf(func(r *gossip.Record) { r.Leaving = true })
 		hops := 0
-		for !g.agreed() {
+		for !g.converged() {
 			g.tick()
 			hops++
 		}
@@ -58,15 +58,16 @@
 	}
 }
 
-// BenchmarkZone is one zone of the target size.
+// BenchmarkZone measures one zone of the target size.
 func BenchmarkZone(b *testing.B) { measure(b, 434, places(1, 1)) }
 
-// BenchmarkFleet is nine zones in three regions; links are those of the target.
+// BenchmarkFleet measures nine zones in three regions; the number of links is
+// that of the target.
 func BenchmarkFleet(b *testing.B) { measure(b, 30, places(3, 3)) }
 
-// BenchmarkSecond is the work of one process in one second at the target size
-// of 3,910 processes: twelve neighbours, of whom six are of the zone and pass
-// on twenty heartbeats each, and one view.
+// BenchmarkSecond measures the work of one process in one second at the target
+// size of 3,910 processes: twelve neighbours, six of them in its zone and
+// relaying twenty heartbeats each, and one view.
 func BenchmarkSecond(b *testing.B) {
 	const links = 12
 	zones := places(3, 3)
@@ -77,14 +78,14 @@
 	var list []fleet.Instance
 	for i := range 3910 {
 		r := member(fleet.InstanceID(fmt.Sprintf("i-%019d", i)), zones[i%len(zones)])
-		r.Change = 1
+		r.StateSeq = 1
 		all = append(all, r)
 		list = append(list, instance(r))
 	}
 	table.SetListed(now, list)
 	for i := range links {
 		table.Merge(now, all[i].ID, all)
-		table.Sent(now, all[i].ID, all)
+		table.Acknowledge(now, all[i].ID, all)
 	}
 	var memory runtime.MemStats
 	runtime.GC()
@@ -94,23 +95,23 @@
 	b.ResetTimer()
 	for n := range b.N {
 		now = now.Add(time.Second)
-		table.Beat(now)
+		table.Heartbeat(now)
 		table.Neighbours(now)
 		for i := range links {
 			from := all[i].ID
-			table.Merge(now, from, beats(all, n, i))
-			table.Sent(now, from, table.Delta(now, from))
+			table.Merge(now, from, heartbeats(all, n, i))
+			table.Acknowledge(now, from, table.Delta(now, from))
 		}
 		table.View(now)
 	}
 	b.ReportMetric(heap, "heap-B")
 }
 
-func beats(all []gossip.Record, n, link int) []gossip.Record {
+func heartbeats(all []gossip.Record, n, link int) []gossip.Record {
 	var message []gossip.Record
 	for i := range 20 {
 		r := all[(n*20+i)*9%len(all)]
-		message = append(message, gossip.Record{ID: r.ID, Incarnation: r.Incarnation, Change: r.Change, Beat: uint64(n + 1)})
+		message = append(message, gossip.Record{ID: r.ID, Incarnation: r.Incarnation, StateSeq: r.StateSeq, HeartbeatSeq: uint64(n + 1)})
 	}
 	return message
 }
@@ -118,8 +119,8 @@
 // BenchmarkEncode reports the encoded size of each form of a record.
 func BenchmarkEncode(b *testing.B) {
 	whole := member("i-0a1b2c3d4e5f60718", places(1, 1)[0])
-	whole.Change, whole.Beat = 100, 100_000
-	heartbeat := gossip.Record{ID: whole.ID, Incarnation: whole.Incarnation, Change: whole.Change, Beat: whole.Beat, Revision: whole.Revision}
+	whole.StateSeq, whole.HeartbeatSeq = 100, 100_000
+	heartbeat := gossip.Record{ID: whole.ID, Incarnation: whole.Incarnation, StateSeq: whole.StateSeq, HeartbeatSeq: whole.HeartbeatSeq, Revision: whole.Revision}
 	update := heartbeat
 	update.State, update.Serving, update.Target = whole.State, whole.Serving, whole.Target
 	for range b.N {
--- a/core/revision/startup.go
+++ b/core/revision/startup.go
@@ -8,39 +8,40 @@
 	"chivespindle.example/core/fleet"
 )
 
-// advance takes note of the time. A process that was paused has not waited:
-// what others said meanwhile lies unread in its sockets, and after LongWait
-// it would take the platform's stale text a moment before it reads that its
-// peers are ahead. So of a long gap only MaxGap counts: too little to reach
-// Wait, and enough for a slow process to come to its end.
-func (k *Keeper) advance(now time.Time) {
-	if gap := now.Sub(k.lastCall); gap > k.opts.MaxGap {
-		k.started = k.started.Add(gap - k.opts.MaxGap)
-	}
-	k.lastCall = now
-	for peer, claim := range k.claims {
-		if now.Sub(claim.at) > k.opts.ClaimTTL {
-			delete(k.claims, peer)
+// advanceClock advances the clock. A pause of the process does not count as
+// waiting: messages received meanwhile are still unread in its sockets, and
+// after LongWait it would activate the platform's stale configuration just
+// before reading that its peers are ahead. So at most MaxGap of a long gap
+// counts: too little to reach ShortWait, and enough for a slow process to
+// finish its start.
+func (s *Selector) advanceClock(now time.Time) {
+	if gap := now.Sub(s.lastCall); gap > s.opts.MaxGap {
+		s.started = s.started.Add(gap - s.opts.MaxGap)
+	}
+	s.lastCall = now
+	for peer, claim := range s.claims {
+		if now.Sub(claim.at) > s.opts.ClaimTTL {
+			delete(s.claims, peer)
 		}
 	}
 }
 
-// remember keeps a claim if it can matter: any before a text is in force,
-// then only those that are ahead.
-func (k *Keeper) remember(now time.Time, claim Claim) {
-	if claim.Revision == 0 || k.ready() && claim.Revision <= k.inForce.Revision {
-		delete(k.claims, claim.Peer)
+// storeClaim stores a claim if it can be relevant: any claim until a
+// configuration is active, then only those of a higher revision.
+func (s *Selector) storeClaim(now time.Time, claim Claim) {
+	if claim.Revision == 0 || s.ready() && claim.Revision <= s.active.Revision {
+		delete(s.claims, claim.Peer)
 		return
 	}
-	k.claims[claim.Peer] = heardClaim{Claim: claim, at: now}
-	if len(k.claims) > maxClaims {
-		delete(k.claims, k.lowestClaimant())
+	s.claims[claim.Peer] = storedClaim{Claim: claim, at: now}
+	if len(s.claims) > maxClaims {
+		delete(s.claims, s.lowestClaimant())
 	}
 }
 
-func (k *Keeper) lowestClaimant() fleet.InstanceID {
-	var lowest *heardClaim
-	for _, claim := range k.claims {
+func (s *Selector) lowestClaimant() fleet.InstanceID {
+	var lowest *storedClaim
+	for _, claim := range s.claims {
 		if lowest == nil || claim.Revision < lowest.Revision ||
 			claim.Revision == lowest.Revision && claim.Peer > lowest.Peer {
 			lowest = &claim
@@ -49,66 +50,66 @@
 	return lowest.Peer
 }
 
-// load keeps a checked text until enough was heard: those of the highest
-// revision, one for each digest.
-func (k *Keeper) load(c Candidate) {
-	if len(k.loaded) > 0 && c.Revision > k.loaded[0].Revision {
-		k.loaded = nil
+// storeCandidate stores a validated configuration until the start condition is
+// met: those of the highest revision, one for each digest.
+func (s *Selector) storeCandidate(c Candidate) {
+	if len(s.candidates) > 0 && c.Revision > s.candidates[0].Revision {
+		s.candidates = nil
 	}
-	if len(k.loaded) > 0 && c.Revision < k.loaded[0].Revision {
+	if len(s.candidates) > 0 && c.Revision < s.candidates[0].Revision {
 		return
 	}
-	i := slices.IndexFunc(k.loaded, func(l Candidate) bool { return l.Digest == c.Digest })
+	i := slices.IndexFunc(s.candidates, func(l Candidate) bool { return l.Digest == c.Digest })
 	switch {
 	case i >= 0 && c.From == FromPlatform:
-		k.loaded[i] = c
-	case i < 0 && len(k.loaded) < maxReported:
-		k.loaded = append(k.loaded, c)
+		s.candidates[i] = c
+	case i < 0 && len(s.candidates) < maxReported:
+		s.candidates = append(s.candidates, c)
 	}
 }
 
-// enough applies the start rules of Keeper.
-func (k *Keeper) enough() bool {
-	waited := k.lastCall.Sub(k.started)
-	peers := len(k.claims)
-	many := peers >= k.opts.Witnesses
+// startConditionMet reports whether the start condition of Selector is met.
+func (s *Selector) startConditionMet() bool {
+	waited := s.lastCall.Sub(s.started)
+	peers := len(s.claims)
+	many := peers >= s.opts.MinPeers
 	switch {
-	case k.platformAnswered && many:
+	case s.platformAnswered && many:
 		return true
-	case many, k.platformAnswered && peers > 0:
-		return waited >= k.opts.Wait
-	case k.platformAnswered, peers > 0:
-		return waited >= k.opts.LongWait
+	case many, s.platformAnswered && peers > 0:
+		return waited >= s.opts.ShortWait
+	case s.platformAnswered, peers > 0:
+		return waited >= s.opts.LongWait
 	default:
 		return false
 	}
 }
 
-// reconsider puts a text in force if none is, enough was heard and the text
-// is here; otherwise it returns d.
-func (k *Keeper) reconsider(d Decision) Decision {
-	if k.ready() || !k.enough() {
+// activateIfReady activates a configuration if none is active, the start
+// condition is met and the configuration is available; otherwise it returns d.
+func (s *Selector) activateIfReady(d Decision) Decision {
+	if s.ready() || !s.startConditionMet() {
 		return d
 	}
-	ranked := k.ranked()
+	ranked := s.ranked()
 	if len(ranked) == 0 || ranked[0].text == nil {
 		return d
 	}
-	taken := k.take(*ranked[0].text)
+	taken := s.activate(*ranked[0].text)
 	for _, other := range ranked[1:] {
-		k.alarm(&taken, other.candidate())
+		s.reportConflict(&taken, other.candidate())
 	}
 	taken.Events = append(d.Events, taken.Events...)
 	return taken
 }
 
-// contender is one digest of the highest revision heard.
+// contender is one digest of the highest revision known.
 type contender struct {
 	revision Revision
 	digest   fleet.Digest
-	peers    []fleet.InstanceID // that have it in force, sorted
+	peers    []fleet.InstanceID // in which it is active, sorted
 	platform bool
-	text     *Candidate // nil until it is here
+	text     *Candidate // nil until it was received
 }
 
 func (c contender) candidate() Candidate {
@@ -118,25 +119,25 @@
 	return Candidate{Revision: c.revision, Digest: c.digest, From: FromPeer, Peer: c.peers[0]}
 }
 
-// ranked returns the digests of the highest revision heard, the one to take
-// first.
-func (k *Keeper) ranked() []contender {
+// ranked returns the digests of the highest revision known, in order of
+// preference.
+func (s *Selector) ranked() []contender {
 	byDigest := map[fleet.Digest]*contender{}
-	highest := k.highestHeard()
+	highest := s.highestKnown()
 	at := func(digest fleet.Digest) *contender {
 		if byDigest[digest] == nil {
 			byDigest[digest] = &contender{revision: highest, digest: digest}
 		}
 		return byDigest[digest]
 	}
-	for _, claim := range k.claims {
+	for _, claim := range s.claims {
 		if claim.Revision == highest {
 			c := at(claim.Digest)
 			c.peers = append(c.peers, claim.Peer)
 		}
 	}
-	for i := range k.loaded {
-		if text := &k.loaded[i]; text.Revision == highest {
+	for i := range s.candidates {
+		if text := &s.candidates[i]; text.Revision == highest {
 			c := at(text.Digest)
 			c.text = text
 			c.platform = text.From == FromPlatform
@@ -151,19 +152,20 @@
 	return list
 }
 
-func (k *Keeper) highestHeard() Revision {
+func (s *Selector) highestKnown() Revision {
 	var highest Revision
-	for _, claim := range k.claims {
+	for _, claim := range s.claims {
 		highest = max(highest, claim.Revision)
 	}
-	for _, text := range k.loaded {
+	for _, text := range s.candidates {
 		highest = max(highest, text.Revision)
 	}
 	return highest
 }
 
-// compareContenders puts first what most peers have in force, then what the
-// platform holds, then the lesser digest, so that all starts decide alike.
+// compareContenders prefers the configuration that is active in the most peers,
+// then the platform's, then the lower digest, so that all starting processes
+// choose alike.
 func compareContenders(a, b contender) int {
 	if len(a.peers) != len(b.peers) {
 		return len(b.peers) - len(a.peers)
@@ -177,19 +179,19 @@
 	return bytes.Compare(a.digest[:], b.digest[:])
 }
 
-// Want returns the text that peers have in force and this process has not,
-// and whether there is one. Texts that this process refuses are left out.
-// The caller asks one of the peers, another one if that fails, and passes the
-// answer to Offer.
-func (k *Keeper) Want(now time.Time) (Want, bool) {
-	k.advance(now)
-	for _, c := range k.ranked() {
+// NextFetch returns a configuration that is active in peers and missing here,
+// and whether there is one. Configurations that this process refuses are left
+// out. The caller requests it from one of the peers, or another one if that
+// fails, and passes the answer to HandleCandidate.
+func (s *Selector) NextFetch(now time.Time) (FetchRequest, bool) {
+	s.advanceClock(now)
+	for _, c := range s.ranked() {
 		if c.text != nil {
 			break
 		}
-		if !k.isRefused(c.revision, c.digest) {
-			return Want{Revision: c.revision, Digest: c.digest, Peers: c.peers}, true
+		if !s.isRefused(c.revision, c.digest) {
+			return FetchRequest{Revision: c.revision, Digest: c.digest, Peers: c.peers}, true
 		}
 	}
-	return Want{}, false
+	return FetchRequest{}, false
 }
--- a/core/rollout/view.go
+++ b/core/rollout/view.go
@@ -8,8 +8,8 @@
 	"chivespindle.example/core/gossip"
 )
 
-// ReplicasOf returns the replicas of a service as a view shows them, the
-// viewing process included if it is one.
+// ReplicasOf returns the replicas of a service in a view, including the viewing
+// process if it is one.
 func ReplicasOf(view *gossip.View, service fleet.ServiceName) []Replica {
 	peers := view.Service(service)
 	replicas := make([]Replica, 0, len(peers)+1)
@@ -19,15 +19,15 @@
 	for _, p := range peers {
 		r := replicaOf(p)
 		if p.Silent {
-			r.SilentFor = view.At.Sub(lastSign(p))
+			r.SilentFor = view.At.Sub(lastContact(p))
 		}
 		replicas = append(replicas, r)
 	}
 	return replicas
 }
 
-// Served returns the versions that live replicas other than self serve.
-func Served(replicas []Replica, self fleet.InstanceID) []fleet.Version {
+// ServedVersions returns the versions that live replicas other than self serve.
+func ServedVersions(replicas []Replica, self fleet.InstanceID) []fleet.Version {
 	var versions []fleet.Version
 	for _, r := range replicas {
 		counts := r.ID != self && r.inService() && !r.Serving.IsZero()
@@ -38,12 +38,13 @@
 	return versions
 }
 
-// lastSign returns when p was heard last, or first seen if it never spoke.
-func lastSign(p gossip.Peer) time.Time {
-	if p.LastHeard.IsZero() {
+// lastContact returns when a newer record of p was last received, or when p was
+// first seen if none was.
+func lastContact(p gossip.Peer) time.Time {
+	if p.LastUpdate.IsZero() {
 		return p.FirstSeen
 	}
-	return p.LastHeard
+	return p.LastUpdate
 }
 
 func replicaOf(p gossip.Peer) Replica {
@@ -51,12 +52,12 @@
 		ID:       p.ID,
 		Place:    p.Place,
 		Silent:   p.Silent,
-		Leaving:  p.Going(),
-		Behind:   p.Behind,
+		Leaving:  p.IsLeaving(),
+		Outdated: p.Outdated,
 		State:    p.State,
 		Serving:  p.Serving,
 		Target:   p.Target,
-		Turn:     p.Turn,
+		Order:    p.RolloutOrder,
 		Revision: p.Revision,
 	}
 }
