--- a/core/enginemodel/enginemodel.go
+++ b/core/enginemodel/enginemodel.go
@@ -13,23 +13,27 @@
 
 // Profile is the set of performance figures that the operator publishes for an
 // engine.
+// The tags keep the field names that other processes expect.
 type Profile struct {
 	// Slots is the number of requests that run concurrently.
 	Slots int
 	// StepTime is the time of one token step, StepTimePerSequence what each running
 	// request adds to it, and StepTimePer1000Context what 1,000 tokens of context
 	// add.
-	StepTime, StepTimePerSequence, StepTimePer1000Context time.Duration
+	StepTime               time.Duration `cbor:"Step"`
+	StepTimePerSequence    time.Duration `cbor:"PerSequence"`
+	StepTimePer1000Context time.Duration `cbor:"ContextPer1000"`
 	// PrefillTokensPerSecond is the number of prompt tokens prefilled per second,
 	// and PrefillTimePerMillionPairs the additional time for a million pairs of a
 	// token and an earlier token.
-	PrefillTokensPerSecond     float64
-	PrefillTimePerMillionPairs time.Duration
+	PrefillTokensPerSecond     float64       `cbor:"ReadPerSecond"`
+	PrefillTimePerMillionPairs time.Duration `cbor:"PairsPerMillion"`
 	// StepsPerPass is the number of steps of a pass in which output is decoded,
 	// and thus the number of tokens of one event.
-	StepsPerPass int
+	StepsPerPass int `cbor:"Stride"`
 	// MeanPromptTokens and MeanOutputTokens are the mean token counts of requests.
-	MeanPromptTokens, MeanOutputTokens int
+	MeanPromptTokens int `cbor:"UsualPrompt"`
+	MeanOutputTokens int `cbor:"UsualAnswer"`
 	// MemoryTokens is the number of tokens that all running requests together may
 	// hold in memory.
 	MemoryTokens int
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -48,6 +48,7 @@
 }
 
 // Route sends the requests for a host and a path prefix to services.
+// The tags keep the field names that other processes expect.
 type Route struct {
 	Name   string
 	Host   string
@@ -59,10 +60,10 @@
 	Timeout time.Duration
 	// TargetLatency is the longest time to the complete response, or to the first
 	// event of a stream, that still counts as on time.
-	TargetLatency time.Duration
+	TargetLatency time.Duration `cbor:"Aim"`
 	// TargetPause is the longest pause between two events that still counts as on
 	// time.
-	TargetPause time.Duration
+	TargetPause time.Duration `cbor:"PauseAim"`
 	// MaxAttempts is the maximum number of servers that a request is sent to.
 	MaxAttempts int
 	// Priority is the priority of the requests; 0 is the highest.
