--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -13,7 +13,7 @@
 	"chivespindle.example/daemon/wire"
 )
 
-var _ = Describe("What agents tell", func() {
+var _ = Describe("A report of an agent", func() {
 	var g *Gateway
 	var backend *rejectingBackend
 	addr := netip.MustParseAddr("10.0.1.1")
@@ -23,136 +23,137 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 	})
 
-	tell := func(now time.Time, r wire.Replica) {
-		g.heard(now, nearEntry, wire.Beat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
+	report := func(now time.Time, r wire.Replica) {
+		g.receive(now, nearEntry, wire.Beat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
 	}
 
-	It("goes before the registration, which lags", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Changing: true})
+	It("takes precedence over the registration, which is updated later", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Changing: true})
 		listed(g, backend, start)
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(2)))
 		Expect(backend.listed[0].Changing).To(BeTrue())
 	})
 
-	It("counts no more once the agent is silent", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
+	It("expires once the agent is silent", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
 		listed(g, backend, at(5*time.Second))
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
 	})
 
-	It("does not go back to what was told before", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 5, Loaded: 3, AgeMS: 9000})
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 4, Loaded: 2, AgeMS: 8600})
+	It("is not replaced by an older report", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 5, Loaded: 3, AgeMS: 9000})
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 4, Loaded: 2, AgeMS: 8600})
 		listed(g, backend, start)
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(3)))
-		tell(start, wire.Replica{Addr: addr, Incarnation: 2, Seq: 1, AgeMS: 100})
+		report(start, wire.Replica{Addr: addr, Incarnation: 2, Seq: 1, AgeMS: 100})
 		listed(g, backend, start)
 		Expect(backend.listed[0].Loaded).To(BeZero())
 	})
 
-	// The agent's machine had its time of day set back, and the agent started
-	// again: its incarnation, a time of day, is the lesser one. It is the younger
-	// process all the same, and what it says holds at once.
-	It("is believed of an agent that started again after its clock was set back", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 9000, Seq: 7, Loaded: 1, AgeMS: 20_000})
-		tell(at(time.Second), wire.Replica{Addr: addr, Incarnation: 7000, Seq: 1, AgeMS: 300})
+	// Guards against outdated weights in use if the time of day of an agent's machine is
+	// set back and the agent restarts. Its incarnation, a time of day, is then lower than
+	// before. It is the newer process all the same, and its report takes effect
+	// immediately.
+	It("is accepted from an agent that restarted after its clock was set back", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 9000, Seq: 7, Loaded: 1, AgeMS: 20_000})
+		report(at(time.Second), wire.Replica{Addr: addr, Incarnation: 7000, Seq: 1, AgeMS: 300})
 		listed(g, backend, at(time.Second))
 		Expect(backend.listed[0].Loaded).To(BeZero())
-		tell(at(1100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 9000, Seq: 8, Loaded: 1, AgeMS: 21_100})
+		report(at(1100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 9000, Seq: 8, Loaded: 1, AgeMS: 21_100})
 		listed(g, backend, at(1100*time.Millisecond))
-		Expect(backend.listed[0].Loaded).To(BeZero(), "its predecessor's word may come late, through another entry")
+		Expect(backend.listed[0].Loaded).To(BeZero(), "a report of its predecessor may arrive late, through another entry")
 	})
 
-	// The engine crashed and started again under its id; its agent is cut off, and
-	// what it told last would count for two seconds. The registration is of the
-	// later start: the engine holds nothing.
-	It("does not go before the registration of a later start of the server", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 1000})
-		again := server("i-1", "10.0.1.1:80", 6)
-		again.Born, again.Loaded = 5000, 0
-		g.apply(start, []catalog.Change{{Revision: 6, Server: &again}}, 6)
+	// Guards against calls to an engine without weights that crashed and restarted under
+	// its id while its agent was cut off. The agent's last report would count for two
+	// more seconds, but the registration is of the later start.
+	It("does not take precedence over the registration of a later start of the server", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 1000})
+		restarted := server("i-1", "10.0.1.1:80", 6)
+		restarted.Born, restarted.Loaded = 5000, 0
+		g.apply(start, []catalog.Change{{Revision: 6, Server: &restarted}}, 6)
 		listed(g, backend, start)
 		Expect(backend.listed[0].Loaded).To(BeZero())
 		Expect(backend.listed[0].Born).To(Equal(fleet.Start(5000)))
-		tell(at(time.Second), wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1, Born: 5000})
+		report(at(time.Second), wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1, Born: 5000})
 		listed(g, backend, at(time.Second))
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
 	})
 
 	// Guards against calls to the predecessor of a restarted server, which its successor
-	// declines under its new ID: repeats used up the fleet's retry budget.
-	It("takes the registration of an earlier start out of use", func() {
+	// declines under its new ID: their retries used up the fleet's retry budget.
+	It("stops the use of a registration of an earlier start", func() {
 		earlier := server("i-1", "10.0.1.1:80", 6)
 		earlier.Born = 1000
 		g.apply(start, []catalog.Change{{Revision: 6, Server: &earlier}}, 6)
-		g.sourceAnswered(start)
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
+		g.sourceResponded(start)
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
 		listed(g, backend, start)
 		Expect(backend.listed[0].Changing).To(BeTrue())
 
-		again := server("i-9", "10.0.1.1:80", 7)
-		again.Born = 5000
-		g.apply(start, []catalog.Change{{Revision: 7, Server: &again}}, 7)
+		restarted := server("i-9", "10.0.1.1:80", 7)
+		restarted.Born = 5000
+		g.apply(start, []catalog.Change{{Revision: 7, Server: &restarted}}, 7)
 		Expect(listed(g, backend, start)).To(ConsistOf(fleet.InstanceID("i-9")))
 		Expect(backend.listed[0].Changing).To(BeFalse())
 	})
 
-	// A server may also start again under its ID. Its registration does not change
-	// while the platform is away, and it would stand idle for that time.
-	It("uses a server that started again while the platform does not answer", func() {
+	// Guards against a server that is idle because it restarted under its ID while the
+	// platform is unavailable, so that its registration does not change.
+	It("allows the use of a restarted server while the platform does not respond", func() {
 		earlier := server("i-1", "10.0.1.1:80", 6)
 		earlier.Born = 1000
 		g.apply(start, []catalog.Change{{Revision: 6, Server: &earlier}}, 6)
-		g.sourceAnswered(start)
-		now := at(sureFor)
-		tell(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
+		g.sourceResponded(start)
+		now := at(maxContactAge)
+		report(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1, Born: 5000})
 		listed(g, backend, now)
 		Expect(backend.listed[0].Changing).To(BeFalse())
 	})
 
-	// Guards against calls to engines that lost their weights with the power, and are
-	// still listed with them when the entries are back.
-	It("is waited for by an entry that has just started, once a registration proved wrong", func() {
+	// Guards against calls to engines that lost their weights in a power failure and are
+	// still listed with them when the entries have restarted.
+	It("is awaited by an entry that has just started, once a registration has proved wrong", func() {
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		listed(g, backend, start)
-		Expect(backend.listed[0].Changing).To(BeFalse(), "the engines may have lived on")
+		Expect(backend.listed[0].Changing).To(BeFalse(), "the engines may not have restarted")
 		g.handleDeclined(start, backend.listed[0])
 		listed(g, backend, start)
 		Expect(backend.listed[0].Changing).To(BeTrue())
-		Expect(g.soonest(start)).To(HaveKey(fleet.ServiceName("pool")), "calls wait for it")
-		tell(at(100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
+		Expect(g.nextReadyTimes(start)).To(HaveKey(fleet.ServiceName("pool")), "calls wait for it")
+		report(at(100*time.Millisecond), wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
 		listed(g, backend, at(100*time.Millisecond))
 		Expect(backend.listed[0].Changing).To(BeFalse())
 	})
 
-	It("is not waited for since an engine declines that its agent has reported", func() {
+	It("is not awaited if an engine that its agent has reported declines a call", func() {
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)), "platform")
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 1})
 		listed(g, backend, start)
 		g.handleDeclined(start, backend.listed[0])
 		listed(g, backend, start)
 		Expect(backend.listed[1].Changing).To(BeFalse())
 	})
 
-	// Guards against callers refused for want of any engine in the second in which all
-	// engines load again after a loss of power.
-	It("has calls wait for engines that load after a restart of all", func() {
+	// Guards against callers that are refused for lack of an engine in the second in
+	// which all engines load again after a power failure.
+	It("makes calls wait for engines that load after a restart of the whole fleet", func() {
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1})
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1})
 		listed(g, backend, start)
 		now := at(allAgentsReportWithin)
-		Expect(g.soonest(now)).To(HaveKeyWithValue(fleet.ServiceName("pool"), at(typicalLoadTime)))
-		Expect(g.soonest(at(newEntryPeriod))).NotTo(HaveKey(fleet.ServiceName("pool")), "they do not come")
+		Expect(g.nextReadyTimes(now)).To(HaveKeyWithValue(fleet.ServiceName("pool"), at(typicalLoadTime)))
+		Expect(g.nextReadyTimes(at(newEntryPeriod))).NotTo(HaveKey(fleet.ServiceName("pool")), "they are no longer expected")
 
-		tell(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1})
+		report(now, wire.Replica{Addr: addr, Incarnation: 1, Seq: 2, Loaded: 1})
 		listed(g, backend, now)
-		Expect(g.soonest(now)).NotTo(HaveKey(fleet.ServiceName("pool")), "one is there")
+		Expect(g.nextReadyTimes(now)).NotTo(HaveKey(fleet.ServiceName("pool")), "one is ready")
 	})
 
-	It("is not waited for any longer than it takes to hear of all agents", func() {
+	It("is not awaited for longer than all agents need to report", func() {
 		g, backend = newGatewayAtStart()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		listed(g, backend, start)
@@ -162,14 +163,14 @@
 		Expect(backend.listed[0].Changing).To(BeFalse())
 	})
 
-	// After a pause of the process the engines may all have changed.
-	It("is forgotten when the process wakes up", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
+	// After a pause of the process, all engines may have changed.
+	It("is discarded after a pause of the process", func() {
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2})
 		g.resumeAfterPause(at(time.Second), 4*time.Second)
 		listed(g, backend, at(time.Second))
 		Expect(backend.listed[0].Loaded).To(Equal(placement.ModelVersion(1)))
 		Expect(g.Ready()).To(BeFalse())
-		g.sourceAnswered(at(time.Second))
+		g.sourceResponded(at(time.Second))
 		g.publish(at(time.Second))
 		Expect(g.Ready()).To(BeTrue())
 	})
--- a/daemon/gateway/backendregion_test.go
+++ b/daemon/gateway/backendregion_test.go
@@ -15,14 +15,14 @@
 
 // startRegionWith starts entries of one region that send calls to engines of the service
 // "pool", which backend simulates.
-func startRegionWith(backend Backend, c *routing.Config, entries, engineCount int) *fleetOf {
-	p := newPublisher(c)
+func startRegionWith(backend Backend, c *routing.Config, entries, engineCount int) *testRegion {
+	p := newPlatformStub(c)
 	for i := range engineCount {
 		p.register(&catalog.Server{ID: fleet.InstanceID(fmt.Sprintf("i-%d", i)), Service: "pool", Zone: "sharada", Slots: 16,
 			Loaded: 1, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.9.%d:80", i+1))})
 	}
 	region := startRegion(p, entries)
-	region.haveInForce(1)
+	region.expectActive(1)
 	for _, m := range region.members {
 		Expect(m.loop.Do(context.Background(), func(time.Time) { m.gateway.opts.Backend = backend })).To(Succeed())
 	}
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -13,8 +13,9 @@
 	"chivespindle.example/core/routing"
 )
 
-// adoptList takes of a whole catalog what is not older than the own one.
-func (g *Gateway) adoptList(now time.Time, s catalog.Snapshot, r reading) {
+// adoptSnapshot merges a complete snapshot of the catalog into the known one. Parts that
+// are older than the known ones are ignored.
+func (g *Gateway) adoptSnapshot(now time.Time, s catalog.Snapshot, r reading) {
 	g.stale = false
 	before := g.snapshot
 	if err := s.CheckList(); err != nil {
@@ -22,35 +23,36 @@
 	}
 	g.snapshot = g.snapshot.Newest(s)
 	if g.snapshot.AsOf > before.AsOf {
-		g.feed.restart(g.snapshot.AsOf)
+		g.feed.reset(g.snapshot.AsOf)
 	}
-	g.noteReading(now, before.AsOf, s.AsOf, r, zap.Bool("whole", true), zap.Int("servers", len(s.Servers)))
+	g.recordReading(now, before.AsOf, s.AsOf, r, zap.Bool("whole", true), zap.Int("servers", len(s.Servers)))
 	for _, old := range before.Servers {
 		if current, ok := findServer(g.snapshot.Servers, old.ID); !ok {
-			g.removed(now, old)
+			g.handleRemoved(now, old)
 		} else if current.Draining && !old.Draining {
 			g.readings.leaving(current)
 		}
 	}
-	g.settle(now, r)
+	g.handleCatalogChange(now, r)
 }
 
-// adoptChanges takes changes that are complete up to asOf. Some may be known from a
-// peer; applied again they change nothing, since the last one of a thing decides.
+// adoptChanges applies changes that are complete up to asOf. Some may be known from a
+// peer already; applying them again has no effect, since the latest change of an item
+// decides.
 func (g *Gateway) adoptChanges(now time.Time, changes []catalog.Change, asOf catalog.Revision, r reading) {
-	g.adoptServers(now, changes, asOf, r)
+	g.adoptServerChanges(now, changes, asOf, r)
 	g.snapshot.OperatorAsOf = max(g.snapshot.OperatorAsOf, asOf)
 }
 
-// adoptServers takes changes that are complete for the servers only.
-func (g *Gateway) adoptServers(now time.Time, changes []catalog.Change, asOf catalog.Revision, r reading) {
+// adoptServerChanges applies changes that are complete up to asOf for servers only.
+func (g *Gateway) adoptServerChanges(now time.Time, changes []catalog.Change, asOf catalog.Revision, r reading) {
 	if asOf <= 0 {
 		g.readings.refused(catalog.CheckOrder(g.snapshot.AsOf, asOf), r, asOf, g.snapshot.AsOf)
 		return
 	}
 	slices.SortStableFunc(changes, func(a, b catalog.Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	g.feed.note(changes, asOf)
-	g.noteReading(now, g.snapshot.AsOf, asOf, r, zap.Bool("whole", false), zap.Int("changes", len(changes)))
+	g.feed.add(changes, asOf)
+	g.recordReading(now, g.snapshot.AsOf, asOf, r, zap.Bool("whole", false), zap.Int("changes", len(changes)))
 	if len(changes) == 0 {
 		g.snapshot.AsOf = max(g.snapshot.AsOf, asOf)
 		return
@@ -59,19 +61,19 @@
 	if err := before.CheckKnown(changes); err != nil {
 		g.readings.refused(err, r, asOf, before.AsOf)
 	}
-	next, gone := g.snapshot.ApplyServers(changes, asOf)
+	next, removed := g.snapshot.ApplyServers(changes, asOf)
 	g.snapshot = next
-	for _, old := range gone {
-		g.removed(now, old)
+	for _, old := range removed {
+		g.handleRemoved(now, old)
 	}
-	g.noteLeaving(before, changes)
+	g.logLeaving(before, changes)
 	g.groupFlushDue = g.groupFlushDue || r.origin == fromStore
-	g.settle(now, r)
+	g.handleCatalogChange(now, r)
 }
 
-// removed notes a registration that ended. If it may only have lapsed, the
-// server is kept, unless it said that it leaves.
-func (g *Gateway) removed(now time.Time, s catalog.Server) {
+// handleRemoved handles the end of a server's registration. If it may only have lapsed,
+// the server stays in use, unless it had announced that it leaves.
+func (g *Gateway) handleRemoved(now time.Time, s catalog.Server) {
 	keep := g.contact.mayHaveLapsed(now) && !s.Draining
 	if keep {
 		g.lapsed[s.ID] = s
@@ -80,7 +82,7 @@
 		zap.Bool("kept", keep))
 }
 
-func (g *Gateway) endLapses(now time.Time) {
+func (g *Gateway) expireLapsed(now time.Time) {
 	if len(g.lapsed) == 0 {
 		return
 	}
@@ -93,10 +95,11 @@
 	}
 }
 
-// settle draws the conclusions from a changed catalog.
-func (g *Gateway) settle(now time.Time, r reading) {
+// handleCatalogChange updates the state that is derived from the catalog. A new
+// configuration becomes active, unless it is invalid.
+func (g *Gateway) handleCatalogChange(now time.Time, r reading) {
 	g.changed = true
-	g.noteWanted(now)
+	g.recordWantedVersions(now)
 	if g.snapshot.Config == nil || g.snapshot.ConfigRevision == g.tableRevision {
 		return
 	}
@@ -108,37 +111,38 @@
 	}
 	g.table = table
 	g.tableRevision = g.snapshot.ConfigRevision
-	g.opts.Logger.Info("config_in_force", zap.Int64("version", table.Version()), zap.String("from", r.giver()),
+	g.opts.Logger.Info("config_in_force", zap.Int64("version", table.Version()), zap.String("from", r.sourceName()),
 		zap.Int64("revision", int64(g.tableRevision)), zap.Int("routes", len(g.snapshot.Config.Routes)))
 	if r.origin == fromStore {
-		// The others of the region wait for this one's word; at the next beat it
-		// would reach them up to half a second later.
+		// The other entries of the region wait for this one's report. The next heartbeat
+		// would delay it by up to half a second.
 		g.mesh.FlushNear(now)
 	}
 }
 
-// noteWanted keeps when each version was first heard of. A process that has
-// just started cannot know it and believes whichever peer says otherwise; with
-// no catalog from a peer it takes what it finds for old.
-func (g *Gateway) noteWanted(now time.Time) {
+// recordWantedVersions records when each wanted version was first reported. A process
+// that has just started cannot know the time and accepts that of any peer. Without a
+// catalog from a peer, it assumes that the versions it finds were named VersionTime ago.
+func (g *Gateway) recordWantedVersions(now time.Time) {
 	for _, w := range g.snapshot.Wanted {
 		if g.names[w.Model].Newest() >= w.Version {
 			continue
 		}
-		named := g.heardNow(now, w.Version)
+		named := g.newlyNamedVersion(now, w.Version)
 		if g.tableRevision == 0 {
 			named.Since = now.Add(-g.opts.VersionTime)
 		}
-		g.setWanted(w.Model, named)
+		g.addWantedVersion(w.Model, named)
 	}
 }
 
-// heardNow is a version that was not named when this process last knew.
-func (g *Gateway) heardNow(now time.Time, version uint64) loading.Named {
+// newlyNamedVersion returns the record of a version that was not named when this process
+// last knew the catalog.
+func (g *Gateway) newlyNamedVersion(now time.Time, version uint64) loading.Named {
 	return loading.Named{
 		Version: version,
-		Since:   g.contact.newSince(now, g.opts.SoundTime),
-		Assumed: !g.contact.knowsChanges(),
+		Since:   g.contact.namedSince(now, g.opts.SoundTime),
+		Assumed: !g.contact.canDateChanges(),
 	}
 }
 
--- a/daemon/gateway/contact.go
+++ b/daemon/gateway/contact.go
@@ -8,165 +8,170 @@
 )
 
 const (
-	// sureFor is how long after the last word of the platform or of a peer an
-	// entry says of itself that a route or a key does not exist.
-	sureFor = 2500 * time.Millisecond
-	// lapseTime is how long after the platform's return a server stays in use
-	// whose registration ended meanwhile: those that live are registered again
-	// within two seconds.
-	lapseTime = 2200 * time.Millisecond
-	// longOutage is the time without an answer from which on the platform counts
-	// as having been away: the time in which a watch on a silent connection is found
-	// out, and backWithin more, which shows whether others are answered.
-	longOutage = 4500 * time.Millisecond
-	// backWithin is the time in which all entries are answered again once one of
-	// them is: the longest pause between two calls, and the word on its way.
-	backWithin = 1300 * time.Millisecond
+	// maxContactAge is how long after the platform's last response an entry states that a
+	// route or a key does not exist. The response may have been one to a peer that reads
+	// the platform for this entry.
+	maxContactAge = 2500 * time.Millisecond
+	// lapsedRetention is how long after the platform's return a server stays in use whose
+	// registration ended during the outage. Live servers are registered again within two
+	// seconds.
+	lapsedRetention = 2200 * time.Millisecond
+	// minOutage is the time without a response after which the platform counts as having
+	// been unavailable: the time in which a watch on a dead connection is detected, plus
+	// recoverySpread, which shows whether other entries get responses.
+	minOutage = 4500 * time.Millisecond
+	// recoverySpread is the time within which all entries get responses again once one of
+	// them does: the longest pause between two calls, plus the transit time of the
+	// report.
+	recoverySpread = 1300 * time.Millisecond
 )
 
-// contact is what an entry knows of its contact with the platform. It belongs
-// to the control loop.
+// contact records whether the platform responds to this entry. It belongs to the control
+// loop.
 type contact struct {
-	off   policy.Off
-	heard time.Time // last answer of the platform
+	disabled     policy.Off
+	lastResponse time.Time // of the platform
 	// failing is true from a failed call until the next one that succeeds.
 	failing bool
-	// othersAt is when another entry first told that the platform answers it
-	// while it fails here; zero if none did.
-	othersAt time.Time
-	// regained is when the platform answered again after the last outage, and
-	// silent for how long it had not answered; zero if there was none.
-	regained time.Time
-	silent   time.Duration
-	// answers is the number of answers since the start, up to 2.
-	answers int
+	// othersAnsweredAt is when another entry first reported that the platform responds to
+	// it while it fails here. It is zero if none has.
+	othersAnsweredAt time.Time
+	// outageEnd is when the last outage ended, and outageDuration how long the platform
+	// had not responded by then. They are zero if there was none.
+	outageEnd      time.Time
+	outageDuration time.Duration
+	// responses is the number of responses since the start, up to 2.
+	responses int
 }
 
-// fail notes a failed call and reports whether it is the first.
-func (c *contact) fail(now time.Time) bool {
+// recordFailure records a failed call and reports whether it is the first since the last
+// response.
+func (c *contact) recordFailure(now time.Time) bool {
 	if c.failing {
 		return false
 	}
 	c.failing = true
-	c.othersAt = time.Time{}
+	c.othersAnsweredAt = time.Time{}
 	return true
 }
 
-// succeed notes an answer and reports whether it is the first after a failure.
-func (c *contact) succeed(now time.Time) bool {
-	again := c.failing
-	if again && !c.alone(now) {
-		c.recordOutage(now, now.Sub(c.heard))
+// recordResponse records a response and reports whether it is the first after a failure.
+func (c *contact) recordResponse(now time.Time) bool {
+	recovered := c.failing
+	if recovered && !c.isCutOff(now) {
+		c.recordOutage(now, now.Sub(c.lastResponse))
 	}
 	c.failing = false
-	c.heard = now
-	c.answers = min(2, c.answers+1)
-	return again
+	c.lastResponse = now
+	c.responses = min(2, c.responses+1)
+	return recovered
 }
 
-// told returns the state for entries that do not read the platform.
-func (c *contact) told(now time.Time) wire.PlatformState {
-	t := wire.PlatformState{HeardAgoMS: now.Sub(c.heard).Milliseconds(), Failing: c.failing}
-	if c.silent > 0 {
-		t.RegainedAgoMS, t.SilentMS = now.Sub(c.regained).Milliseconds(), c.silent.Milliseconds()
+// state returns the state that is reported to entries that do not read the platform.
+func (c *contact) state(now time.Time) wire.PlatformState {
+	state := wire.PlatformState{HeardAgoMS: now.Sub(c.lastResponse).Milliseconds(), Failing: c.failing}
+	if c.outageDuration > 0 {
+		state.RegainedAgoMS, state.SilentMS = now.Sub(c.outageEnd).Milliseconds(), c.outageDuration.Milliseconds()
 	}
-	return t
+	return state
 }
 
-// follow takes over the state of an entry that reads the platform, of several
-// that of the one that was answered last.
-func (c *contact) follow(now time.Time, t wire.PlatformState) {
-	heard := now.Add(-time.Duration(t.HeardAgoMS) * time.Millisecond)
-	if heard.Before(c.heard) {
+// adoptState adopts the state that an entry which reads the platform reports. Of several
+// such entries, the one with the latest response decides.
+func (c *contact) adoptState(now time.Time, state wire.PlatformState) {
+	lastResponse := now.Add(-time.Duration(state.HeardAgoMS) * time.Millisecond)
+	if lastResponse.Before(c.lastResponse) {
 		return
 	}
-	if t.Failing {
-		c.fail(now)
+	if state.Failing {
+		c.recordFailure(now)
 	} else {
 		c.failing = false
-		c.answers = min(2, c.answers+1)
+		c.responses = min(2, c.responses+1)
 	}
-	c.heard = heard
-	c.recordOutage(now.Add(-time.Duration(t.RegainedAgoMS)*time.Millisecond), time.Duration(t.SilentMS)*time.Millisecond)
+	c.lastResponse = lastResponse
+	c.recordOutage(now.Add(-time.Duration(state.RegainedAgoMS)*time.Millisecond), time.Duration(state.SilentMS)*time.Millisecond)
 }
 
-// recordOutage notes the platform's return after it had not answered for so long. A
-// failed call is no outage, and does not end what is known of the last one.
-func (c *contact) recordOutage(regained time.Time, silent time.Duration) {
-	if silent >= longOutage {
-		c.regained, c.silent = regained, silent
+// recordOutage records the platform's return after a time without a response. A time
+// shorter than minOutage, such as that of a failed call, is no outage and does not
+// replace the record of the last one.
+func (c *contact) recordOutage(end time.Time, duration time.Duration) {
+	if duration >= minOutage {
+		c.outageEnd, c.outageDuration = end, duration
 	}
 }
 
-// outage returns when the last outage ended, now while one lasts; false if there
-// was none. An entry that was cut off from a platform that others reached has
+// lastOutage returns when the last outage ended, or now while one lasts. It returns false
+// if there was none. An entry that was cut off from a platform that others reached has
 // seen none.
-func (c *contact) outage(now time.Time) (time.Time, bool) {
+func (c *contact) lastOutage(now time.Time) (time.Time, bool) {
 	switch {
-	case c.alone(now):
+	case c.isCutOff(now):
 		return time.Time{}, false
-	case c.failing && now.Sub(c.heard) >= longOutage:
+	case c.failing && now.Sub(c.lastResponse) >= minOutage:
 		return now, true
 	default:
-		return c.regained, c.silent > 0
+		return c.outageEnd, c.outageDuration > 0
 	}
 }
 
-// othersReach notes that the platform answers another entry.
-func (c *contact) othersReach(now time.Time) {
-	if c.failing && c.othersAt.IsZero() {
-		c.othersAt = now
+// recordOthersAnswered records that the platform responds to another entry.
+func (c *contact) recordOthersAnswered(now time.Time) {
+	if c.failing && c.othersAnsweredAt.IsZero() {
+		c.othersAnsweredAt = now
 	}
 }
 
-// alone reports whether the platform fails here only. At the end of an outage
-// others may be answered a moment earlier.
-func (c *contact) alone(now time.Time) bool {
-	return c.failing && !c.othersAt.IsZero() && now.Sub(c.othersAt) >= backWithin
+// isCutOff reports whether the platform fails for this entry only. At the end of an
+// outage, other entries may get responses a moment earlier.
+func (c *contact) isCutOff(now time.Time) bool {
+	return c.failing && !c.othersAnsweredAt.IsZero() && now.Sub(c.othersAnsweredAt) >= recoverySpread
 }
 
-// woke follows a pause of the process: nothing has been heard since.
-func (c *contact) woke(now time.Time) {
-	c.fail(now)
-	c.heard = now.Add(-sureFor)
+// resetAfterPause handles a pause of the process, during which no response was received.
+func (c *contact) resetAfterPause(now time.Time) {
+	c.recordFailure(now)
+	c.lastResponse = now.Add(-maxContactAge)
 }
 
-// reaches reports whether the platform answers this entry.
-func (c *contact) reaches(now time.Time) bool { return !c.failing && c.recent(now) }
+// isReachable reports whether the platform responds to this entry.
+func (c *contact) isReachable(now time.Time) bool { return !c.failing && c.isRecent(now) }
 
-// recent reports whether the last answer is recent enough to say that a route
-// or a key does not exist.
-func (c *contact) recent(now time.Time) bool { return now.Sub(c.heard) < sureFor }
+// isRecent reports whether the last response is recent enough to state that a route or a
+// key does not exist.
+func (c *contact) isRecent(now time.Time) bool { return now.Sub(c.lastResponse) < maxContactAge }
 
-// mayHaveLapsed reports whether a registration that ends now, or has ended a moment
-// ago, may only have lapsed: servers that live are not all registered again.
+// mayHaveLapsed reports whether a registration that ends now, or ended a moment ago, may
+// only have lapsed, since not all live servers may be registered again after an outage.
 func (c *contact) mayHaveLapsed(now time.Time) bool {
-	end, seen := c.outage(now)
-	return seen && now.Sub(end) < lapseTime && !c.off.KeepLapsed
+	end, seen := c.lastOutage(now)
+	return seen && now.Sub(end) < lapsedRetention && !c.disabled.KeepLapsed
 }
 
-// knowsChanges reports whether what an answer tells beyond the catalog in hand
-// is new. In the first answer after a start it is not: that catalog may have
-// come from a peer, from before an outage whose length this process cannot tell.
-func (c *contact) knowsChanges() bool { return c.answers > 1 }
+// canDateChanges reports whether the differences between a response and the known catalog
+// are recent changes. In the first response after the start they may not be: the known
+// catalog may have come from a peer and date from before an outage whose length this
+// process does not know.
+func (c *contact) canDateChanges() bool { return c.responses > 1 }
 
-// newSince returns since when a version of weights counts as named that is
-// heard of now. soundTime is how long the platform must have answered to count
-// as sound.
+// namedSince returns since when a version of weights counts as named that is first
+// reported now. soundTime is how long the platform must have responded to count as
+// healthy.
 //
-// What was named during an outage reaches all processes at its end, when
-// callers come back too. The operator's time for a version runs while the
-// platform is sound, so the change need not begin at once: engines that change
-// in turns over the longer time leave more of them to serve. The return may have
-// been noticed late, which is taken off.
-func (c *contact) newSince(now time.Time, soundTime time.Duration) time.Time {
-	end, seen := c.outage(now)
-	if !seen || c.off.ShiftNaming {
+// What was named during an outage reaches all processes at its end, when callers return
+// as well. The operator's time for a version runs only while the platform is healthy, so
+// engines need not start to change versions immediately: if they change in turn over the
+// longer time, more of them keep serving. The end of the outage may have been detected
+// late, so maxRecoveryDelay is subtracted.
+func (c *contact) namedSince(now time.Time, soundTime time.Duration) time.Time {
+	end, seen := c.lastOutage(now)
+	if !seen || c.disabled.ShiftNaming {
 		return now
 	}
-	sound := end.Add(soundTime - noticedWithin)
-	if sound.Before(now) {
+	healthyAt := end.Add(soundTime - maxRecoveryDelay)
+	if healthyAt.Before(now) {
 		return now
 	}
-	return sound
+	return healthyAt
 }
--- a/daemon/gateway/crash.go
+++ b/daemon/gateway/crash.go
@@ -23,13 +23,13 @@
 type brokenAttempt struct {
 	fingerprint quarantine.Fingerprint
 	// server is the state of the server's process after the connection broke.
-	server   Liveness
-	standing quarantine.Standing
+	server Liveness
+	status quarantine.Standing
 }
 
-// brokenAt records whether the server of a failed attempt crashed. It returns nil
-// unless the connection broke during the call.
-func (j *job) brokenAt(ctx context.Context, server placement.Server, err error) *brokenAttempt {
+// recordBrokenAttempt records whether the server of a failed attempt crashed. It returns
+// nil unless the connection broke during the call.
+func (j *job) recordBrokenAttempt(ctx context.Context, server placement.Server, err error) *brokenAttempt {
 	if failure.OutcomeOf(err) == failure.NotRun || errorx.IsOfType(err, failure.Corrupt) {
 		return nil
 	}
@@ -41,9 +41,9 @@
 	switch now := time.Now(); {
 	case isPlanned:
 	case b.server == Down:
-		b.standing = j.g.quarantine.Crashed(now, b.fingerprint, server.ID)
+		b.status = j.g.quarantine.Crashed(now, b.fingerprint, server.ID)
 		j.g.log.serverCrashed(j, server, b)
-		if b.standing.IsQuarantined() {
+		if b.status.IsQuarantined() {
 			j.g.announceCrashes.Store(true)
 		}
 		j.g.serverCrashed(now, server.ID)
@@ -53,25 +53,25 @@
 	return b
 }
 
-// leftBehind records that the client disconnected while the call was at a server. If
-// the server crashes before it reads the cancellation, the call was in flight.
-func (j *job) leftBehind(now time.Time, server placement.Server) {
+// recordDisconnect records that the caller disconnected while the call was at a server.
+// If the server crashes before it reads the cancellation, the call was in flight.
+func (j *job) recordDisconnect(now time.Time, server placement.Server) {
 	if !j.g.scheduler.IsLeaving(server.ID) {
 		j.g.quarantine.Doubt(now, j.contentFingerprint(), server.ID)
 	}
 }
 
-// unreached checks the server of an attempt that could not be sent. It may have
-// crashed with calls in flight whose outcome is in doubt.
-func (j *job) unreached(ctx context.Context, now time.Time, server placement.Server) {
+// checkUnreached checks the server of an attempt that could not be sent. It may have
+// crashed with calls in flight whose outcome is unknown.
+func (j *job) checkUnreached(ctx context.Context, now time.Time, server placement.Server) {
 	if j.g.quarantine.IsDoubted(now, server.ID) && !j.g.scheduler.IsLeaving(server.ID) &&
 		j.g.opts.Backend.CheckLiveness(ctx, server.Addr) == Down {
 		j.g.serverCrashed(now, server.ID)
 	}
 }
 
-// serverCrashed counts a crash against the attempts at the server that ended without
-// their outcome.
+// serverCrashed counts a crash against the attempts at the server that ended without a
+// known outcome.
 func (g *Gateway) serverCrashed(now time.Time, server fleet.InstanceID) {
 	for _, request := range g.quarantine.ServerCrashed(now, server) {
 		g.announceCrashes.Store(true)
@@ -79,8 +79,9 @@
 	}
 }
 
-// noteReplaced counts a server as crashed if another one is registered at its address.
-func (g *Gateway) noteReplaced(now time.Time, list []placement.Server) {
+// detectReplaced counts a server as crashed if another one is registered at its address,
+// unless it was leaving.
+func (g *Gateway) detectReplaced(now time.Time, list []placement.Server) {
 	for _, s := range list {
 		before, ok := g.listed[s.Addr]
 		if ok && before.ID != s.ID && !before.Leaving {
@@ -93,8 +94,8 @@
 	}
 }
 
-// contentFingerprint identifies the call over its client's retries, which have
-// other request ids.
+// contentFingerprint identifies the call across its caller's retries, which have other
+// request ids.
 func (j *job) contentFingerprint() quarantine.Fingerprint {
 	if j.fingerprint == nil {
 		content := quarantine.Content{
@@ -106,15 +107,15 @@
 	return *j.fingerprint
 }
 
-func (j *job) standing(now time.Time) quarantine.Standing {
+func (j *job) quarantineStatus(now time.Time) quarantine.Standing {
 	if j.g.quarantine.IsEmpty() {
 		return quarantine.Standing{}
 	}
 	return j.g.quarantine.Standing(now, j.contentFingerprint())
 }
 
-// clearOfCrashes records that a server ran the call to its end.
-func (j *job) clearOfCrashes(now time.Time) {
+// recordSuccess records that a server ran the call to its end.
+func (j *job) recordSuccess(now time.Time) {
 	if !j.g.quarantine.IsEmpty() {
 		j.g.quarantine.Succeeded(now, j.contentFingerprint())
 	}
@@ -124,8 +125,8 @@
 	return g.crashReports.next(now, to, form)
 }
 
-// receiveCrashes merges the reports of another entry. A request that they quarantine
-// is reported on at once: each second more costs servers.
+// receiveCrashes merges the reports of another entry. A request that they quarantine is
+// reported to all peers without delay, since each further second costs servers.
 func (g *Gateway) receiveCrashes(now time.Time, from mesh.Peer, reports []quarantine.Report) {
 	for _, request := range g.quarantine.Merge(now, reports, sourceOf(from)) {
 		g.flushDue = true
@@ -143,24 +144,25 @@
 // serverCrashed logs a crash of a server with the call in flight.
 func (l *requestLog) serverCrashed(j *job, server placement.Server, b *brokenAttempt) {
 	l.metrics.Counter("calls_at_crashes").Inc(1)
-	if len(b.standing.Servers) > 1 && l.allowed() {
+	if len(b.status.Servers) > 1 && l.allowed() {
 		l.logger.Warn("suspect_request", callFields(j, zap.Stringer("fingerprint", b.fingerprint),
-			zap.String("server", string(server.ID)), zap.Int("crashes", len(b.standing.Servers)))...)
+			zap.String("server", string(server.ID)), zap.Int("crashes", len(b.status.Servers)))...)
 	}
-	if b.standing.IsQuarantined() {
-		l.quarantined(b.fingerprint, b.standing, "own")
+	if b.status.IsQuarantined() {
+		l.quarantined(b.fingerprint, b.status, "own")
 	}
 }
 
-// keptBack logs that a call is sent to no server since its content is quarantined.
-func (l *requestLog) keptBack(j *job, s quarantine.Standing) {
+// notPlacedQuarantined logs that a call is sent to no server since its content is
+// quarantined.
+func (l *requestLog) notPlacedQuarantined(j *job, s quarantine.Standing) {
 	if l.allowed() {
 		l.logger.Info("not_placed", callFields(j, zap.String("reason", reasonQuarantined),
 			zap.Stringer("fingerprint", j.contentFingerprint()), zap.String("servers", joinIDs(s.Servers)), zap.Time("until", s.Until))...)
 	}
 }
 
-// quarantined logs that a request reaches no server any more.
+// quarantined logs that a request is no longer sent to any server.
 func (l *requestLog) quarantined(request quarantine.Fingerprint, s quarantine.Standing, source string) {
 	l.metrics.Counter("requests_quarantined").Inc(1)
 	l.logger.Warn("request_quarantined", zap.Stringer("fingerprint", request), zap.String("servers", joinIDs(s.Servers)),
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -19,8 +19,8 @@
 	"chivespindle.example/daemon/control"
 )
 
-// fragileEngines crash on calls to one path. They are shared by all entries.
-type fragileEngines struct {
+// crashingEngines crash on calls to one path. They are shared by all entries.
+type crashingEngines struct {
 	mu      sync.Mutex
 	crashed map[netip.AddrPort]bool
 	reached int // engines that a crashing call was sent to
@@ -28,9 +28,9 @@
 
 const crashingPath = "/pool/crash"
 
-func (*fragileEngines) Retain([]placement.Server) {}
+func (*crashingEngines) Retain([]placement.Server) {}
 
-func (e *fragileEngines) CheckLiveness(_ context.Context, addr netip.AddrPort) Liveness {
+func (e *crashingEngines) CheckLiveness(_ context.Context, addr netip.AddrPort) Liveness {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed[addr] {
@@ -39,7 +39,7 @@
 	return Alive
 }
 
-func (e *fragileEngines) Send(_ context.Context, call *Call, o SendOptions) (Response, error) {
+func (e *crashingEngines) Send(_ context.Context, call *Call, o SendOptions) (Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed[o.Server.Addr] {
@@ -53,7 +53,7 @@
 	return nil, failure.WithOutcome(failure.Unavailable.New("unexpected EOF"), failure.Unknown)
 }
 
-func (e *fragileEngines) reachedBy() int {
+func (e *crashingEngines) reachedCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.reached
@@ -66,7 +66,7 @@
 
 	// Guards against a call that crashes engines through each entry in turn.
 	It("is refused by every entry once it has crashed three engines", func() {
-		backend := &fragileEngines{crashed: make(map[netip.AddrPort]bool)}
+		backend := &crashingEngines{crashed: make(map[netip.AddrPort]bool)}
 		c := manyRoutes(1, 1)
 		route := &c.Routes[len(c.Routes)-1]
 		route.Prefix = "/pool/"
@@ -78,12 +78,12 @@
 		for i := range allowed {
 			region.members[i].serveCall(crashingPath, fmt.Sprintf("first-%d", i))
 		}
-		Expect(backend.reachedBy()).To(Equal(allowed))
+		Expect(backend.reachedCount()).To(Equal(allowed))
 		for _, m := range region.members {
 			refused := func() Code { return m.serveCall(crashingPath, "again").Code }
 			Eventually(refused, "5s", "200ms").Should(Equal(Unavailable))
 		}
-		Expect(backend.reachedBy()).To(BeNumerically("<=", 2*allowed))
+		Expect(backend.reachedCount()).To(BeNumerically("<=", 2*allowed))
 		for _, m := range region.members {
 			Expect(m.serveCall("/pool/other", "other")).To(Equal(ErrorResponse{}))
 		}
@@ -94,31 +94,32 @@
 	var (
 		g       *Gateway
 		backend *rejectingBackend
-		target  string // of the calls that are placed
+		target  string // of the calls that place assigns
 	)
 	broken := failure.WithOutcome(failure.Unavailable.New("unexpected EOF"), failure.Unknown)
 
-	// place has a call sent to a server.
+	// place assigns a call to a server.
 	place := func(id fleet.InstanceID) (*job, *placement.Ticket) {
 		now := time.Now()
 		call := &Call{ID: "c", Method: "POST", Target: target, Arrived: now}
 		j := &job{g: g, call: call, view: g.view.Load(), reply: newReply(g, call, make(refusalRecorder, 1)),
 			route: g.table.Match("a.example", "/"), service: g.table.Service("pool"),
 			deadline: now.Add(time.Minute), serverDeadline: now.Add(time.Minute), attempts: 1}
-		ask := j.placementRequest(now)
-		ask.Exclude = slices.DeleteFunc([]fleet.InstanceID{"i-1", "i-2", "i-3"}, func(other fleet.InstanceID) bool { return other == id })
-		ticket, _ := g.scheduler.Choose(now, ask)
-		Expect(ticket).NotTo(BeNil())
-		return j, ticket
+		request := j.placementRequest(now)
+		request.Exclude = slices.DeleteFunc([]fleet.InstanceID{"i-1", "i-2", "i-3"}, func(other fleet.InstanceID) bool { return other == id })
+		assignment, _ := g.scheduler.Choose(now, request)
+		Expect(assignment).NotTo(BeNil())
+		return j, assignment
 	}
 
-	// fail returns a call that failed at a server after what happens in between.
-	fail := func(id fleet.InstanceID, err error, between ...func()) *job {
-		j, ticket := place(id)
-		for _, f := range between {
+	// fail returns a call whose attempt at a server failed, after it has run the given
+	// functions.
+	fail := func(id fleet.InstanceID, err error, beforeFailure ...func()) *job {
+		j, assignment := place(id)
+		for _, f := range beforeFailure {
 			f()
 		}
-		j.endFailedAttempt(context.Background(), time.Now(), ticket, err)
+		j.endFailedAttempt(context.Background(), time.Now(), assignment, err)
 		return j
 	}
 
@@ -140,77 +141,77 @@
 		backend.state = Down
 	})
 
-	DescribeTable("is no suspect", func(between func(), err error) {
-		Expect(fail("i-1", err, between).standing(time.Now()).IsSuspect()).To(BeFalse())
+	DescribeTable("is not a suspect", func(beforeFailure func(), err error) {
+		Expect(fail("i-1", err, beforeFailure).quarantineStatus(time.Now()).IsSuspect()).To(BeFalse())
 	},
-		Entry("if the server lives: only the connection was reset", func() { backend.state = Alive }, broken),
-		Entry("if the server was leaving: its end was planned", leave, broken),
+		Entry("if the server is alive: only the connection was reset", func() { backend.state = Alive }, broken),
+		Entry("if the server was leaving: its stop was planned", leave, broken),
 		Entry("if it could not be sent", func() {}, failure.WithOutcome(failure.Unavailable.New("connection refused"), failure.NotRun)),
-		Entry("if nothing came in time", func() {}, failure.WithOutcome(failure.Timeout.New("nothing came"), failure.Unknown)),
-		Entry("if another call's answer came", func() {}, failure.WithOutcome(failure.Corrupt.New("another"), failure.Unknown)),
+		Entry("if no response came in time", func() {}, failure.WithOutcome(failure.Timeout.New("no response in time"), failure.Unknown)),
+		Entry("if the response to another call came", func() {}, failure.WithOutcome(failure.Corrupt.New("response to another call"), failure.Unknown)),
 	)
 
-	It("is a suspect if the server ended", func() {
-		Expect(fail("i-1", broken).standing(time.Now()).IsSuspect()).To(BeTrue())
+	It("is a suspect if the server's process ended", func() {
+		Expect(fail("i-1", broken).quarantineStatus(time.Now()).IsSuspect()).To(BeTrue())
 	})
 
 	// Guards against an entry that crashes the last server before quarantine by its own retry.
-	It("is repeated after one crash and not after two", func() {
+	It("is retried after one crash and not after two", func() {
 		now := time.Now()
 		Expect(fail("i-1", broken).shouldRetry(context.Background(), now)).To(BeTrue())
 		Expect(fail("i-2", broken).shouldRetry(context.Background(), now)).To(BeFalse())
 		j := fail("i-3", broken)
-		Expect(j.standing(now).IsQuarantined()).To(BeTrue())
+		Expect(j.quarantineStatus(now).IsQuarantined()).To(BeTrue())
 		Expect(j.mayHandOver(nil)).To(BeFalse())
 	})
 
-	It("is repeated again once it has succeeded", func() {
+	It("is retried again once it has succeeded", func() {
 		now := time.Now()
 		fail("i-1", broken)
-		fail("i-2", broken).clearOfCrashes(now.Add(time.Second))
+		fail("i-2", broken).recordSuccess(now.Add(time.Second))
 		Expect(fail("i-3", broken).shouldRetry(context.Background(), now)).To(BeTrue())
 	})
 
-	// Guards against crashes that count for nobody: the client left just before, or
-	// the check after the break was lost on a bad link.
-	Describe("without its outcome being known", func() {
-		gone, cancel := context.WithCancel(context.Background())
+	// Guards against crashes that are not counted because the caller disconnected just
+	// before, or because the check after the break was lost on a bad link.
+	Describe("and whose outcome is unknown", func() {
+		disconnected, cancel := context.WithCancel(context.Background())
 		cancel()
 		refused := failure.WithOutcome(failure.Unavailable.New("connection refused"), failure.NotRun)
 
-		DescribeTable("is a suspect once the server turns out to have crashed", func(state Liveness, ctx context.Context, find func()) {
+		DescribeTable("is a suspect once the server is found to have crashed", func(state Liveness, ctx context.Context, detect func()) {
 			backend.state = state
-			j, ticket := place("i-1")
-			j.endFailedAttempt(ctx, time.Now(), ticket, broken)
-			Expect(j.standing(time.Now()).IsSuspect()).To(BeFalse())
+			j, assignment := place("i-1")
+			j.endFailedAttempt(ctx, time.Now(), assignment, broken)
+			Expect(j.quarantineStatus(time.Now()).IsSuspect()).To(BeFalse())
 			backend.state = Down
 			target = "/other"
-			find()
-			Expect(j.standing(time.Now()).IsSuspect()).To(BeTrue())
+			detect()
+			Expect(j.quarantineStatus(time.Now()).IsSuspect()).To(BeTrue())
 		},
-			Entry("since it refuses another call", LivenessUnknown, context.Background(), func() {
-				j, ticket := place("i-1")
-				j.handleSendError(context.Background(), ticket, refused)
+			Entry("because it refuses another call", LivenessUnknown, context.Background(), func() {
+				j, assignment := place("i-1")
+				j.handleSendError(context.Background(), assignment, refused)
 			}),
-			Entry("since it refuses another call, after the client had left", Alive, gone, func() {
-				j, ticket := place("i-1")
-				j.handleSendError(context.Background(), ticket, refused)
+			Entry("because it refuses another call, after the caller disconnected", Alive, disconnected, func() {
+				j, assignment := place("i-1")
+				j.handleSendError(context.Background(), assignment, refused)
 			}),
-			Entry("since the connection of another call breaks", Alive, gone, func() { fail("i-1", broken) }),
-			Entry("since another one is registered at its address", LivenessUnknown, context.Background(), func() {
+			Entry("because the connection of another call breaks", Alive, disconnected, func() { fail("i-1", broken) }),
+			Entry("because another server is registered at its address", LivenessUnknown, context.Background(), func() {
 				successor := server("i-4", "10.0.1.1:80", 10)
 				g.applyServers(time.Now(), []catalog.Change{{Revision: 10, Server: &successor}}, 10, "platform")
 				g.publish(time.Now())
 			}),
 		)
 
-		// Guards against a control loop that waits for room in its own queue.
-		It("is found by a registration also while the queue of events is full", func() {
+		// Guards against a control loop that blocks on its own full queue.
+		It("is found by a registration even while the control loop's queue is full", func() {
 			for _, id := range []fleet.InstanceID{"i-2", "i-3"} {
 				fail(id, broken)
 			}
-			j, ticket := place("i-1")
-			j.endFailedAttempt(gone, time.Now(), ticket, broken)
+			j, assignment := place("i-1")
+			j.endFailedAttempt(disconnected, time.Now(), assignment, broken)
 			full, stop := context.WithCancel(context.Background())
 			filled := make(chan struct{})
 			go func() {
@@ -222,20 +223,20 @@
 			found := make(chan struct{})
 			go func() {
 				defer close(found)
-				g.noteReplaced(time.Now(), []placement.Server{{ID: "i-4", Addr: netip.MustParseAddrPort("10.0.1.1:80")}})
+				g.detectReplaced(time.Now(), []placement.Server{{ID: "i-4", Addr: netip.MustParseAddrPort("10.0.1.1:80")}})
 			}()
 			Eventually(found, "5s").Should(BeClosed())
 			stop()
 			<-filled
-			Expect(j.standing(time.Now()).IsQuarantined()).To(BeTrue())
+			Expect(j.quarantineStatus(time.Now()).IsQuarantined()).To(BeTrue())
 		})
 
-		It("is no suspect if the server was leaving", func() {
-			j, ticket := place("i-1")
+		It("is not a suspect if the server was leaving", func() {
+			j, assignment := place("i-1")
 			leave()
-			j.endFailedAttempt(gone, time.Now(), ticket, broken)
+			j.endFailedAttempt(disconnected, time.Now(), assignment, broken)
 			fail("i-2", broken, func() { g.serverCrashed(time.Now(), "i-1") })
-			Expect(j.standing(time.Now()).Servers).To(Equal([]fleet.InstanceID{"i-2"}))
+			Expect(j.quarantineStatus(time.Now()).Servers).To(Equal([]fleet.InstanceID{"i-2"}))
 		})
 	})
 })
--- a/daemon/gateway/follow.go
+++ b/daemon/gateway/follow.go
@@ -14,142 +14,143 @@
 )
 
 const (
-	// watchWait is how long one watch waits for a change. A watch whose
-	// connection went silent is found out only by its end, and the operator's
-	// bounds are a few seconds.
+	// watchWait is how long a watch waits for a change. A watch on a dead connection is
+	// detected only at its end, and the operator's time limits are a few seconds.
 	watchWait = 1500 * time.Millisecond
-	// watchBriefly is the same while the platform may have been away: what was
-	// missed is there at once, and a return must not be noticed only at the end of
-	// a watch, nor a dead connection.
-	watchBriefly = 50 * time.Millisecond
-	// gatherChanges is the pause between two watches of the first reader of a
-	// region. Servers register and change many at a time; without it each of them
-	// costs a call.
-	gatherChanges = 250 * time.Millisecond
-	// gatherLonger is the pause of the others. They read so that the loss of the
-	// first is noticed by nobody.
-	gatherLonger = 900 * time.Millisecond
-	// idlePoll is how often an entry that does not read the platform looks whether
-	// it has to.
-	idlePoll = 20 * time.Millisecond
-	// sourcePauseMin doubles up to sourcePauseMax while the platform does not
-	// answer, so that a fleet does not come back to it at full rate.
-	sourcePauseMin = 100 * time.Millisecond
-	sourcePauseMax = 800 * time.Millisecond
-	maxDoublings   = 4 // enough to reach sourcePauseMax
-	// longestPause bounds what pauseAfter makes of sourcePauseMax.
-	longestPause = sourcePauseMax/2 + sourcePauseMax
-	// noticedWithin is the longest time from the platform's return to the answer
-	// that shows it: a call that it left without an answer, a pause, and a call.
-	noticedWithin = watchBriefly + catalog.AnswerTime + longestPause + watchBriefly
+	// briefWatchWait is the same while the platform may have been unavailable: missed
+	// changes are returned immediately, and neither the platform's return nor a dead
+	// connection may be detected only at the end of a long watch.
+	briefWatchWait = 50 * time.Millisecond
+	// firstReaderPause is the pause between two watches of the first reader of a region.
+	// Servers register and change many at a time; without the pause, each of them would
+	// cost a call.
+	firstReaderPause = 250 * time.Millisecond
+	// otherReaderPause is the pause of the other readers. They read so that the loss of
+	// the first reader goes unnoticed.
+	otherReaderPause = 900 * time.Millisecond
+	// idlePollInterval is how often an entry that does not read the platform checks
+	// whether it has to.
+	idlePollInterval = 20 * time.Millisecond
+	// minBackoff doubles up to maxBackoff while the platform does not respond, so that a
+	// fleet does not return to it at full rate.
+	minBackoff          = 100 * time.Millisecond
+	maxBackoff          = 800 * time.Millisecond
+	maxBackoffDoublings = 4 // enough to reach maxBackoff
+	// maxJitteredBackoff is the longest pause that backoff derives from maxBackoff.
+	maxJitteredBackoff = maxBackoff/2 + maxBackoff
+	// maxRecoveryDelay is the longest time from the platform's return to the response
+	// that reveals it: a call that got no response, a pause, and another call.
+	maxRecoveryDelay = briefWatchWait + catalog.AnswerTime + maxJitteredBackoff + briefWatchWait
 )
 
-// position is up to which revision Follow has read each part of the catalog.
+// position is the revision up to which Follow has read each part of the catalog.
 type position struct {
 	servers  catalog.Revision
 	operator catalog.Revision
-	// gone is true once the platform no longer has the changes since.
-	gone bool
-	// answered is true if the last call was answered, and no time has passed since
-	// in which none was to be made.
-	answered bool
+	// historyGone is true once the platform no longer keeps the changes after it.
+	historyGone bool
+	// isResponding is true if the last call got a response and the entry has not stopped
+	// reading the platform since.
+	isResponding bool
 }
 
 // Follow keeps the catalog up to date from the platform until ctx ends.
 func (g *Gateway) Follow(ctx context.Context) error {
-	var at position
+	var pos position
 	failures := 0
 	for ctx.Err() == nil {
-		call, end := g.reading.begin(ctx)
-		// Looked at once the call can be ended: before, a call that began at the moment
-		// in which there was none to make any more read one copy too many.
+		callCtx, cancel := g.platformCall.begin(ctx)
+		// Checked only after the call can be cancelled. Otherwise a call that starts at
+		// the moment in which this entry stops reading the platform would read a
+		// redundant copy.
 		if v := g.view.Load(); v == nil || !v.readsPlatform {
-			end()
-			at.answered = false
-			wait(ctx, idlePoll)
+			cancel()
+			pos.isResponding = false
+			wait(ctx, idlePollInterval)
 			continue
 		}
-		err := g.read(call, &at)
-		ended := call.Err() != nil
-		end()
+		err := g.read(callCtx, &pos)
+		cancelled := callCtx.Err() != nil
+		cancel()
 		switch {
 		case err == nil:
 			failures = 0
-			at.answered = true
+			pos.isResponding = true
 			wait(ctx, g.watchPause())
 			continue
-		case ended:
-			continue // by us, to read something else or anew
+		case cancelled:
+			continue // cancelled by this entry, to read something else or to start over
 		case errorx.IsOfType(err, catalog.HistoryGone):
-			g.opts.Logger.Warn("history_gone", zap.Int64("after", int64(min(at.servers, at.operator))))
-			at.gone = true
+			g.opts.Logger.Warn("history_gone", zap.Int64("after", int64(min(pos.servers, pos.operator))))
+			pos.historyGone = true
 			continue
 		}
 		failures++
-		at.answered = false
+		pos.isResponding = false
 		g.post(func(now time.Time) { g.sourceFailed(now, err) })
-		wait(ctx, pauseAfter(failures, err))
+		wait(ctx, backoff(failures, err))
 	}
 	return nil
 }
 
 // read makes one call to the platform.
-func (g *Gateway) read(ctx context.Context, at *position) error {
-	at.takeFromPeers(g.view.Load())
-	if at.gone || at.servers == 0 {
-		return g.list(ctx, at)
+func (g *Gateway) read(ctx context.Context, pos *position) error {
+	pos.skipKnown(g.view.Load())
+	if pos.historyGone || pos.servers == 0 {
+		return g.list(ctx, pos)
 	}
-	return g.watch(ctx, at)
+	return g.watch(ctx, pos)
 }
 
-// takeFromPeers leaves out what peers have told: an entry that comes back, or
-// begins to read for its region, would read again what its neighbours have.
-func (at *position) takeFromPeers(v *view) {
+// skipKnown advances to the revisions that peers have reported. An entry that has
+// restarted, or starts to read for its region, would otherwise read again what its peers
+// have.
+func (p *position) skipKnown(v *view) {
 	if v == nil || v.table == nil {
 		return
 	}
-	at.servers = max(at.servers, v.asOf)
-	at.operator = max(at.operator, v.operatorAsOf)
+	p.servers = max(p.servers, v.asOf)
+	p.operator = max(p.operator, v.operatorAsOf)
 }
 
-func (g *Gateway) list(ctx context.Context, at *position) error {
-	began := time.Now()
+func (g *Gateway) list(ctx context.Context, pos *position) error {
+	startedAt := time.Now()
 	snapshot, err := g.opts.Source.List(ctx)
 	if err != nil {
 		return err
 	}
-	if err := g.checkOrder(at.servers, snapshot.AsOf); err != nil {
+	if err := g.checkOrder(pos.servers, snapshot.AsOf); err != nil {
 		return err
 	}
 	g.post(func(now time.Time) {
-		g.sourceAnswered(now)
-		g.adoptList(now, snapshot, reading{origin: fromStore, readAt: began})
+		g.sourceResponded(now)
+		g.adoptSnapshot(now, snapshot, reading{origin: fromStore, readAt: startedAt})
 	})
-	at.servers, at.operator, at.gone = snapshot.AsOf, snapshot.AsOf, false
+	pos.servers, pos.operator, pos.historyGone = snapshot.AsOf, snapshot.AsOf, false
 	return nil
 }
 
-func (g *Gateway) watch(ctx context.Context, at *position) error {
-	began, patience := time.Now(), at.patience()
-	after := min(at.servers, at.operator)
-	changes, asOf, err := g.opts.Source.Watch(ctx, after, patience)
+func (g *Gateway) watch(ctx context.Context, pos *position) error {
+	startedAt, maxWait := time.Now(), pos.nextWait()
+	after := min(pos.servers, pos.operator)
+	changes, asOf, err := g.opts.Source.Watch(ctx, after, maxWait)
 	if err != nil {
 		return err
 	}
 	if err := g.checkOrder(after, asOf); err != nil {
 		return err
 	}
-	readAt := watchedAt(began, time.Now(), patience)
+	readAt := watchReadTime(startedAt, time.Now(), maxWait)
 	g.post(func(now time.Time) {
-		g.sourceAnswered(now)
+		g.sourceResponded(now)
 		g.adoptChanges(now, changes, asOf, reading{origin: fromStore, readAt: readAt})
 	})
-	at.servers, at.operator = max(at.servers, asOf), max(at.operator, asOf)
+	pos.servers, pos.operator = max(pos.servers, asOf), max(pos.operator, asOf)
 	return nil
 }
 
-// checkOrder returns the failure of a reading up to asOf, which began when the platform had
-// been read up to another revision.
+// checkOrder returns an error if a reading up to asOf has no revision, or an older one
+// than the platform had been read up to when the reading began.
 func (g *Gateway) checkOrder(after, asOf catalog.Revision) error {
 	err := catalog.CheckOrder(after, asOf)
 	if err != nil {
@@ -158,32 +159,32 @@
 	return err
 }
 
-// patience is how long the next watch waits for changes.
-func (at *position) patience() time.Duration {
-	if at.answered {
+// nextWait is how long the next watch waits for changes.
+func (p *position) nextWait() time.Duration {
+	if p.isResponding {
 		return watchWait
 	}
-	return watchBriefly
+	return briefWatchWait
 }
 
 // watchPause is the pause before the next watch.
 func (g *Gateway) watchPause() time.Duration {
 	v := g.view.Load()
 	if v == nil || g.opts.Disabled.FewWatchers {
-		return gatherChanges
+		return firstReaderPause
 	}
-	return pauseAt(v.rank)
+	return pauseForRank(v.rank)
 }
 
-func pauseAt(rank int) time.Duration {
+func pauseForRank(rank int) time.Duration {
 	if rank == 0 {
-		return gatherChanges
+		return firstReaderPause
 	}
-	return gatherLonger
+	return otherReaderPause
 }
 
-func pauseAfter(failures int, err error) time.Duration {
-	pause := min(sourcePauseMax, sourcePauseMin<<min(failures-1, maxDoublings))
+func backoff(failures int, err error) time.Duration {
+	pause := min(maxBackoff, minBackoff<<min(failures-1, maxBackoffDoublings))
 	pause = max(pause, failure.RetryAfter(err))
 	return pause/2 + rand.N(pause)
 }
@@ -198,19 +199,19 @@
 }
 
 func (g *Gateway) sourceFailed(now time.Time, err error) {
-	g.refusedUntil = now.Add(turnedAwayFor)
-	if g.contact.fail(now) {
-		g.opts.Logger.Warn("platform_lost", zap.Error(err), zap.Duration("heard_ago", now.Sub(g.contact.heard)))
+	g.refusedUntil = now.Add(refusalPeriod)
+	if g.contact.recordFailure(now) {
+		g.opts.Logger.Warn("platform_lost", zap.Error(err), zap.Duration("heard_ago", now.Sub(g.contact.lastResponse)))
 	}
 	g.opts.Metrics.Counter("platform_failures").Inc(1)
 }
 
-// sourceAnswered notes an answer.
-func (g *Gateway) sourceAnswered(now time.Time) {
+// sourceResponded records a response of the platform.
+func (g *Gateway) sourceResponded(now time.Time) {
 	g.stale = false
 	g.refusedUntil = time.Time{}
-	silent := now.Sub(g.contact.heard)
-	if g.contact.succeed(now) {
+	silent := now.Sub(g.contact.lastResponse)
+	if g.contact.recordResponse(now) {
 		g.opts.Logger.Info("platform_regained", zap.Duration("after", silent))
 	}
 }
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -21,11 +21,11 @@
 	var backend *rejectingBackend
 	one, two := server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)
 	removeTwo := []catalog.Change{{Revision: 9, Removed: "i-2"}}
-	broken := failure.Unavailable.New("turned away")
+	broken := failure.Unavailable.New("refused")
 
 	BeforeEach(func() {
 		g, backend = newGateway()
-		g.sourceAnswered(start)
+		g.sourceResponded(start)
 		g.adopt(start, snapshot(5, one, two), "platform")
 	})
 
@@ -34,33 +34,34 @@
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// The platform was down for all. Registrations lapsed meanwhile; those of
-	// servers that live are back within two seconds, the others never.
-	It("keeps servers for a while whose registration lapsed while the platform was down", func() {
+	// Guards against servers that are dropped because their registrations lapsed during
+	// an outage of the platform. Live servers are registered again within two seconds,
+	// others never.
+	It("keeps servers whose registration lapsed during an outage for a while", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.sourceAnswered(at(6 * time.Second))
+		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
 		Expect(listed(g, backend, at(6*time.Second))).To(HaveLen(2))
-		g.endLapses(at(9 * time.Second))
+		g.expireLapsed(at(9 * time.Second))
 		Expect(listed(g, backend, at(9*time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// The platform is back, and another entry was answered half a second earlier.
-	// Servers whose registration lapsed are not back yet; dropped here, they
-	// would be missing for two seconds.
-	It("keeps them also when another entry was answered a moment earlier", func() {
+	// Guards against lapsed servers that are dropped for two seconds because another
+	// entry got a response of the platform half a second earlier. Those servers are not
+	// registered again yet.
+	It("keeps them even if another entry got a response a moment earlier", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
 		other.Reaches = true
-		g.heard(at(5500*time.Millisecond), nearEntry, other)
-		g.sourceAnswered(at(6 * time.Second))
+		g.receive(at(5500*time.Millisecond), nearEntry, other)
+		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
 		Expect(listed(g, backend, at(6*time.Second))).To(HaveLen(2))
 	})
 
-	It("drops one at once that said that it leaves, also then", func() {
+	It("immediately drops a lapsed server that had announced that it leaves", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.sourceAnswered(at(6 * time.Second))
+		g.sourceResponded(at(6 * time.Second))
 		leaving := two
 		leaving.Draining = true
 		leaving.Revision = 8
@@ -68,19 +69,20 @@
 		Expect(listed(g, backend, at(6*time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// The platform turned this entry away and served the others. A server that
-	// leaves just after its return must get nothing more: it is no lapse.
-	It("finds no lapses after it was cut off alone", func() {
+	// Guards against requests to a server that leaves just after the platform responds to
+	// this entry again, while other entries had responses all the time: its removal is
+	// not a lapse.
+	It("keeps no lapsed servers if only this entry was cut off", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
 		other.Reaches = true
-		g.heard(at(2*time.Second), nearEntry, other)
-		g.sourceAnswered(at(6 * time.Second))
+		g.receive(at(2*time.Second), nearEntry, other)
+		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
 		Expect(listed(g, backend, at(6*time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	It("never goes back to an older one", func() {
+	It("never reverts to an older one", func() {
 		newer := snapshot(20, one)
 		newer.Config, newer.ConfigRevision = config(7), 18
 		g.adopt(at(time.Second), newer, "peer")
@@ -91,38 +93,39 @@
 		Expect(g.table.Version()).To(Equal(int64(7)))
 	})
 
-	// The process stood still for five seconds, and the operator dropped a key
-	// meanwhile. First a peer tells of servers only: taking callers on it, the
-	// entry would let the key in.
-	It("is doubted after a pause until the configuration has been read again", func() {
+	// Guards against access with a key that the operator dropped while the process was
+	// paused for five seconds. If the entry accepted calls after a peer's report on
+	// servers alone, it would still use the old configuration.
+	It("is stale after a pause until the configuration has been read again", func() {
 		g.publish(start)
 		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
-		g.heardReader(at(5*time.Second), wire.Beat{
+		g.receiveFromReader(at(5*time.Second), wire.Beat{
 			Platform: &wire.PlatformState{}, Servers: &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo},
 		})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(9)))
 		g.publish(at(5 * time.Second))
 		Expect(g.Ready()).To(BeFalse())
-		Expect(g.reads(at(5*time.Second), regionReaders)).To(BeTrue())
-		g.sourceAnswered(at(5 * time.Second))
+		Expect(g.shouldReadPlatform(at(5*time.Second), readersPerGroup)).To(BeTrue())
+		g.sourceResponded(at(5 * time.Second))
 		g.apply(at(5*time.Second), nil, 9)
 		g.publish(at(5 * time.Second))
 		Expect(g.Ready()).To(BeTrue())
-		Expect(g.reads(at(5*time.Second), regionReaders)).To(BeFalse())
+		Expect(g.shouldReadPlatform(at(5*time.Second), readersPerGroup)).To(BeFalse())
 	})
 
-	// Peers say that they have a newer configuration, and none gives it: their
-	// links are cut, say. The entry waits no longer than the operator's bound allows.
-	It("is read from the platform when no peer gives what it is ahead by", func() {
+	// Guards against an outdated configuration if peers report a newer one and none sends
+	// it, for example since their links are cut. The entry may not wait for longer than
+	// the operator's bound allows.
+	It("is read from the platform if no peer sends what is missing", func() {
 		g.behindSince = at(time.Second)
-		g.readerSeenAt, g.changesReadAt = at(2300*time.Millisecond), at(2300*time.Millisecond) // its readers are heard
-		Expect(g.reads(at(1900*time.Millisecond), regionReaders)).To(BeFalse())
-		Expect(g.reads(at(2100*time.Millisecond), regionReaders)).To(BeTrue())
-		Expect(g.reads(at(2100*time.Millisecond), regionReaders+1)).To(BeFalse())
-		Expect(g.reads(at(2300*time.Millisecond), regionReaders+1)).To(BeTrue())
+		g.readerSeenAt, g.changesReadAt = at(2300*time.Millisecond), at(2300*time.Millisecond) // its readers report
+		Expect(g.shouldReadPlatform(at(1900*time.Millisecond), readersPerGroup)).To(BeFalse())
+		Expect(g.shouldReadPlatform(at(2100*time.Millisecond), readersPerGroup)).To(BeTrue())
+		Expect(g.shouldReadPlatform(at(2100*time.Millisecond), readersPerGroup+1)).To(BeFalse())
+		Expect(g.shouldReadPlatform(at(2300*time.Millisecond), readersPerGroup+1)).To(BeTrue())
 	})
 
-	It("keeps the configuration in force when a newer one breaks a rule", func() {
+	It("keeps the active configuration if a newer one is invalid", func() {
 		bad := config(8)
 		bad.Routes[0].Prefix = "no slash"
 		g.apply(at(time.Second), []catalog.Change{{Revision: 9, Config: bad}}, 9)
@@ -130,8 +133,8 @@
 	})
 })
 
-var _ = Describe("Unused connections", func() {
-	DescribeTable("are this entry's part of what a server accepts",
+var _ = Describe("Idle connections", func() {
+	DescribeTable("are limited to this entry's share of what a server accepts",
 		func(accepts, kept int) {
 			g, backend := newGateway()
 			s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
@@ -140,165 +143,166 @@
 			listed(g, backend, start)
 			Expect(backend.listed[0].Connections).To(Equal(kept))
 		},
-		Entry("half, at a single entry", 48, 24),
-		Entry("one at least", 1, 1),
-		Entry("no more than are of use", 1000, 32),
-		Entry("the same where the service tells no limit", 0, 32),
+		Entry("half of them, at a single entry", 48, 24),
+		Entry("at least one", 1, 1),
+		Entry("at most as many as are of use", 1000, 32),
+		Entry("the same if the service has no limit", 0, 32),
 	)
 })
 
-var _ = Describe("Versions", func() {
+var _ = Describe("Wanted versions", func() {
 	wanted := func(version uint64) catalog.Snapshot {
 		s := snapshot(6, server("i-1", "10.0.1.1:80", 2))
 		s.Wanted = []catalog.Wanted{{Model: "m", Version: version}}
 		return s
 	}
 
-	// following returns an entry whose catalog is from the platform.
-	following := func() *Gateway {
+	// newFollower returns an entry whose catalog is from the platform.
+	newFollower := func() *Gateway {
 		g, _ := newGateway()
-		g.sourceAnswered(start)
+		g.sourceResponded(start)
 		g.adopt(start, snapshot(5), "platform")
-		g.sourceAnswered(start)
+		g.sourceResponded(start)
 		return g
 	}
 
-	It("are known since they were first heard of", func() {
-		g := following()
+	It("are known since they were first reported", func() {
+		g := newFollower()
 		g.adopt(at(time.Second), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(time.Second)))
 	})
 
-	// The platform is away for five seconds, a version is named meanwhile, and
-	// all entries hear of it when it is back. Callers that were refused are back
-	// then too, so engines change over the longer time that the operator gives.
-	It("that were named during an outage count from when the platform is sound again", func() {
-		g := following()
-		g.sourceFailed(at(time.Second), failure.Unavailable.New("turned away"))
-		g.sourceAnswered(at(6 * time.Second))
+	// A version is named while the platform is unavailable for five seconds, and all
+	// entries learn of it when the platform returns. Callers that were refused return
+	// then too, so engines change over the longer time that the operator allows.
+	It("that were named during an outage count from when the platform is healthy again", func() {
+		g := newFollower()
+		g.sourceFailed(at(time.Second), failure.Unavailable.New("refused"))
+		g.sourceResponded(at(6 * time.Second))
 		g.adopt(at(6*time.Second), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
-		Expect(since).To(Equal(at(6*time.Second + 3*time.Second - noticedWithin)))
+		Expect(since).To(Equal(at(6*time.Second + 3*time.Second - maxRecoveryDelay)))
 	})
 
-	// Guards against engines used with outdated weights after the operator's time,
-	// at an entry that notices the platform's return as late as it can.
-	It("that were named during an outage count in time, however late its end is noticed", func() {
+	// Guards against engines used with outdated weights after the operator's time, at an
+	// entry that detects the platform's return as late as possible.
+	It("that were named during an outage count early enough, however late its end is detected", func() {
 		returned := 6 * time.Second
-		paused := time.Duration(0)
+		longestPause := time.Duration(0)
 		for range 10_000 {
-			paused = max(paused, pauseAfter(maxDoublings+1, failure.Unavailable.New("reset")))
+			longestPause = max(longestPause, backoff(maxBackoffDoublings+1, failure.Unavailable.New("reset")))
 		}
-		noticed := returned + watchBriefly + catalog.AnswerTime + paused + watchBriefly
-		g := following()
+		detected := returned + briefWatchWait + catalog.AnswerTime + longestPause + briefWatchWait
+		g := newFollower()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("reset"))
-		g.sourceAnswered(at(noticed))
-		g.adopt(at(noticed), wanted(2), "platform")
+		g.sourceResponded(at(detected))
+		g.adopt(at(detected), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(BeTemporally("<=", at(returned+g.opts.SoundTime)))
 	})
 
-	// Entries are answered again one after the other. One that is not yet hears
-	// of the version from one that is, which may just have started: the outage
-	// was one for all the same.
-	It("that a peer tells of a moment before the platform answers here count as after an outage", func() {
-		g := following()
-		g.sourceFailed(at(time.Second), failure.Unavailable.New("turned away"))
+	// Entries get responses again one after the other. One that has none yet may learn of
+	// the version from one that has, which may just have started. The version was still
+	// named during an outage.
+	It("that a peer reports just before the platform responds here count as after an outage", func() {
+		g := newFollower()
+		g.sourceFailed(at(time.Second), failure.Unavailable.New("refused"))
 		other := beat("10.0.0.2")
 		other.Reaches = true
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, Assumed: true}}
-		g.heard(at(6*time.Second), nearEntry, other)
-		g.sourceAnswered(at(6500 * time.Millisecond))
+		g.receive(at(6*time.Second), nearEntry, other)
+		g.sourceResponded(at(6500 * time.Millisecond))
 		g.adopt(at(6500*time.Millisecond), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
-		Expect(since).To(Equal(at(6*time.Second + 3*time.Second - noticedWithin)))
+		Expect(since).To(Equal(at(6*time.Second + 3*time.Second - maxRecoveryDelay)))
 	})
 
-	// Guards against an entry that heard of a version late and uses outdated weights
-	// for longer than the entry that told it.
-	It("count from when the first of two entries heard of them", func() {
-		g := following()
+	// Guards against an entry that learned of a version late and uses outdated weights
+	// for longer than the entry that reported it.
+	It("count from when the first of two entries learned of them", func() {
+		g := newFollower()
 		g.adopt(at(time.Second), wanted(2), "platform")
 		other := beat("10.0.0.2")
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, AgeMS: 250}}
-		g.heard(at(1100*time.Millisecond), nearEntry, other)
+		g.receive(at(1100*time.Millisecond), nearEntry, other)
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(850 * time.Millisecond)))
 	})
 
-	// One call failed: a connection was reset. The platform was sound, so the
-	// operator's time runs, also where other entries saw no failure at all.
-	It("that are heard of after one failed call count at once", func() {
-		g := following()
+	// A single call failed because a connection was reset. The platform was healthy, so
+	// the operator's time runs, even if other entries saw no failure at all.
+	It("that are reported after one failed call count immediately", func() {
+		g := newFollower()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("reset"))
-		g.sourceAnswered(at(1200 * time.Millisecond))
+		g.sourceResponded(at(1200 * time.Millisecond))
 		g.adopt(at(1200*time.Millisecond), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(1200 * time.Millisecond)))
 	})
 
-	// An entry starts during an outage and has its catalog from a peer. For how
-	// long the platform has been away only the others know, so theirs counts:
-	// an outage that seemed short here would shorten the change for all.
-	It("that an entry hears of in its first answer count as its peers know", func() {
+	// An entry starts during an outage and has its catalog from a peer. Only the other
+	// entries know the length of the outage, so their time counts: an outage that seemed
+	// short here would shorten the change for all.
+	It("that an entry learns of in its first response count from the time known to its peers", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5), "peer")
 		g.sourceFailed(start, failure.Unavailable.New("busy"))
-		g.sourceAnswered(at(2 * time.Second))
+		g.sourceResponded(at(2 * time.Second))
 		g.adopt(at(2*time.Second), wanted(2), "platform")
 		other := beat("10.0.0.2")
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, AgeMS: -2000}}
-		g.heard(at(2*time.Second), nearEntry, other)
+		g.receive(at(2*time.Second), nearEntry, other)
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(4 * time.Second)))
 	})
 
-	// The platform turned this entry away and answered another. Had it failed
-	// for all, the version would have more time; it has not.
-	It("that were named while this entry alone was cut off count at once", func() {
-		g := following()
-		g.sourceFailed(at(time.Second), failure.Unavailable.New("turned away"))
+	// The platform refused this entry and responded to another. Only if it had failed for
+	// all would the version get more time.
+	It("that were named while only this entry was cut off count immediately", func() {
+		g := newFollower()
+		g.sourceFailed(at(time.Second), failure.Unavailable.New("refused"))
 		other := beat("10.0.0.2")
 		other.Reaches = true
-		g.heard(at(2*time.Second), nearEntry, other)
-		g.sourceAnswered(at(6 * time.Second))
+		g.receive(at(2*time.Second), nearEntry, other)
+		g.sourceResponded(at(6 * time.Second))
 		g.adopt(at(6*time.Second), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(6 * time.Second)))
 	})
 
-	// An entry starts in the middle of a change and cannot know when the version
-	// was named. It uses no old engine, and does not make the others leave them.
-	It("that were there at the start count as old, here only", func() {
+	// An entry starts in the middle of a change and cannot know when the version was
+	// named. It uses no engine with the old version, but must not make other entries stop
+	// using them.
+	It("that were known at the start count as old, at this entry only", func() {
 		g, _ := newGateway()
 		g.adopt(start, wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(-8 * time.Second)))
-		told := g.compose(start, nearEntry, mesh.First)
-		Expect(told.Wanted).To(HaveLen(1))
-		Expect(told.Wanted[0].Assumed).To(BeTrue())
+		report := g.compose(start, nearEntry, mesh.First)
+		Expect(report.Wanted).To(HaveLen(1))
+		Expect(report.Wanted[0].Assumed).To(BeTrue())
 		other := beat("10.0.0.2")
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, AgeMS: 1000}}
-		g.heard(start, nearEntry, other)
+		g.receive(start, nearEntry, other)
 		since, _ = g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(-time.Second)))
 	})
 
-	// The platform is away while a version is named, and an entry starts just as
-	// it comes back. It takes the version for old, and its word is here before
-	// the platform's. Old engines must stay in use: they change in turns, and
-	// left at once the service would stand still for seconds.
-	It("that only a starting peer tells of are new to an entry that had a catalog without them", func() {
-		g := following()
+	// Guards against a service without engines for seconds if a version is named while
+	// the platform is unavailable and an entry starts just as the platform returns. That
+	// entry assumes that the version is old, and its report arrives before the platform's
+	// response. Engines with the old version must stay in use, since they change in turn.
+	It("that only a starting peer reports are new to an entry that had a catalog without them", func() {
+		g := newFollower()
 		other := beat("10.0.0.2")
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, AgeMS: 8000, Assumed: true}}
-		g.heard(at(time.Second), nearEntry, other)
+		g.receive(at(time.Second), nearEntry, other)
 		g.adopt(at(2*time.Second), wanted(2), "platform")
 		since, _ := g.names["m"].OutdatedSince(1)
 		Expect(since).To(Equal(at(time.Second)))
-		told := g.compose(at(2*time.Second), nearEntry, mesh.First)
-		Expect(told.Wanted[0].Assumed).To(BeFalse())
+		report := g.compose(at(2*time.Second), nearEntry, mesh.First)
+		Expect(report.Wanted[0].Assumed).To(BeFalse())
 	})
 })
 
@@ -310,13 +314,13 @@
 }
 
 var _ = Describe("Addresses", func() {
-	It("are none while no configuration is known", func() {
+	It("are empty while no configuration is known", func() {
 		g, _ := newGateway()
 		g.publish(start)
 		Expect(g.Addresses(fleet.Place{})).To(BeEmpty())
 	})
 
-	It("name those near the caller first, and those that leave not at all", func() {
+	It("list entries near the caller first and omit those that leave", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5), "platform")
 		g.publish(start)
@@ -334,7 +338,7 @@
 		Expect(addresses[1].Addr().String()).To(Equal("10.0.0.1"))
 	})
 
-	It("leave out an entry that leaves", func() {
+	It("omit this entry once it leaves", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5), "platform")
 		g.publish(start)
@@ -346,8 +350,8 @@
 	})
 })
 
-var _ = Describe("Beats", func() {
-	It("tell an agent what it needs, and its neighbours only when they change", func() {
+var _ = Describe("Heartbeats", func() {
+	It("send an agent what it needs, and the list of members only when it changes", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2), server("i-2", "10.0.1.2:80", 3)), "platform")
 		first := g.compose(start, anAgent, mesh.First)
@@ -359,27 +363,27 @@
 		Expect(g.compose(start, anAgent, mesh.Whole).Members).To(HaveLen(1))
 	})
 
-	It("tell another entry only the loads that have changed", func() {
+	It("send another entry only the loads that have changed", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
 		Expect(g.compose(start, nearEntry, mesh.First).Loads).To(BeEmpty())
-		ticket, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
-		Expect(g.hasNews("10.0.0.2")).To(BeTrue())
+		assignment, _ := g.scheduler.Choose(start, placement.Ask{Service: "pool", Left: time.Second})
+		Expect(g.hasNewLoads("10.0.0.2")).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).Loads).To(HaveLen(1))
-		Expect(g.hasNews("10.0.0.2")).To(BeFalse())
+		Expect(g.hasNewLoads("10.0.0.2")).To(BeFalse())
 		Expect(g.compose(start, nearEntry, mesh.Brief).Loads).To(BeEmpty())
-		ticket.End(start, placement.Succeeded)
-		told := g.compose(start, nearEntry, mesh.Brief).Loads
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Running).To(BeZero())
+		assignment.End(start, placement.Succeeded)
+		report := g.compose(start, nearEntry, mesh.Brief).Loads
+		Expect(report).To(HaveLen(1))
+		Expect(report[0].Running).To(BeZero())
 	})
 
-	// All power is lost. Entries that come back know of few others at first, take
-	// them for near and tell them what they have; seconds later they know more and
-	// belong to other groups. What was told last stayed: callers were refused for
-	// ten seconds before engines that were half empty.
-	Context("of an entry that had an engine full", func() {
+	// Guards against callers that were refused for ten seconds while engines were half
+	// empty. After a power failure, entries know few others, count them as their group
+	// and send them their loads. Seconds later they know more entries and belong to other
+	// groups, but the last loads that they had sent were kept.
+	Context("from an entry that reported a full engine", func() {
 		var g *Gateway
 		full := wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
@@ -393,22 +397,22 @@
 			g, _ = newGateway()
 			g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 			g.publish(start)
-			g.heard(start, nearEntry, full)
+			g.receive(start, nearEntry, full)
 			Expect(isPlaced()).To(BeFalse())
 		})
 
-		It("void that once it is in another group", func() {
-			g.heard(start, mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}, beat("10.0.0.2"))
+		It("discard that report once the entry is in another group", func() {
+			g.receive(start, mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}, beat("10.0.0.2"))
 			Expect(isPlaced()).To(BeTrue())
 		})
 
-		It("void that when they tell of all loads anew", func() {
-			g.heard(start, nearEntry, wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, AllLoads: true})
+		It("discard that report if they contain all loads", func() {
+			g.receive(start, nearEntry, wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, AllLoads: true})
 			Expect(isPlaced()).To(BeTrue())
 		})
 	})
 
-	It("tell all loads anew on a new link, and to an entry that has been in another group", func() {
+	It("send all loads again over a new link, and to an entry that has been in another group", func() {
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
@@ -416,10 +420,10 @@
 		Expect(refusal.Reason).To(BeEmpty())
 		Expect(g.compose(start, nearEntry, mesh.First).AllLoads).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).AllLoads).To(BeFalse())
-		far := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}
-		Expect(g.compose(start, far, mesh.Whole).Loads).To(BeEmpty())
-		again := g.compose(start, nearEntry, mesh.Brief)
-		Expect(again.AllLoads).To(BeTrue())
-		Expect(again.Loads).To(HaveLen(1))
+		otherGroup := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}
+		Expect(g.compose(start, otherGroup, mesh.Whole).Loads).To(BeEmpty())
+		resent := g.compose(start, nearEntry, mesh.Brief)
+		Expect(resent.AllLoads).To(BeTrue())
+		Expect(resent.Loads).To(HaveLen(1))
 	})
 })
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -110,7 +110,8 @@
 	groupFlushDue      bool
 	requestingCatalog  bool
 	nextCatalogRequest time.Time
-	// startCatalogRequest requests the catalog of a peer. The result is passed to askEnded.
+	// startCatalogRequest requests the catalog of a peer. The result is passed to
+	// handleCatalogResponse.
 	startCatalogRequest func(addr netip.Addr, ask wire.CatalogAsk)
 	// newestPeerRevision is the newest configuration that a peer reported.
 	newestPeerRevision catalog.Revision
@@ -119,9 +120,9 @@
 	contact     contact
 	// stale is true after a pause of the process until the catalog has been read
 	// again from the platform or a peer.
-	stale   bool
-	reading running
-	packed  packedConfig
+	stale        bool
+	platformCall platformCall
+	packed       packedConfig
 	// lapsed holds servers whose registration ended while the platform was not
 	// healthy.
 	lapsed            map[fleet.InstanceID]catalog.Server
@@ -225,11 +226,11 @@
 		listed:            make(map[netip.AddrPort]placement.Server),
 		budgets:           make(map[fleet.ServiceName]*retry.Window),
 		holdLimiters:      make(map[fleet.ServiceName]*placement.HoldRoom),
-		contact:           contact{heard: now, off: opts.Disabled},
+		contact:           contact{lastResponse: now, disabled: opts.Disabled},
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
 	g.limitReports = newReportSender[serverlimit.Report](g.limits)
-	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogAsk) { go g.askPeer(addr, ask) }
+	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogAsk) { go g.requestCatalog(addr, ask) }
 	g.scheduler.SetSelf(opts.Self, opts.Place)
 	g.mesh = mesh.New(ctx, now, mesh.Options{
 		Self:       opts.Self,
@@ -243,8 +244,8 @@
 		Metrics:    opts.Metrics,
 		Compose:    g.compose,
 		GroupLoads: g.scheduler.RegionLoads,
-		HasNews:    g.hasNews,
-		Heard:      g.heard,
+		HasNews:    g.hasNewLoads,
+		Heard:      g.receive,
 		Lost:       g.dropPeer,
 		FarLess:    !opts.Disabled.FarLess,
 	})
@@ -256,9 +257,9 @@
 	delete(g.sentMembersDigest, id)
 	delete(g.sentLoads, id)
 	delete(g.sentServers, id)
-	g.crashReports.lost(id)
-	g.limitReports.lost(id)
-	g.manifests.lost(id)
+	g.crashReports.reset(id)
+	g.limitReports.reset(id)
+	g.manifests.reset(id)
 	g.scheduler.Forget(id)
 	g.changed = true // shares depend on the number of entries
 }
@@ -273,9 +274,9 @@
 
 func (g *Gateway) step(now time.Time) {
 	g.mesh.Tick(now)
-	g.askPeers(now)
-	g.endLapses(now)
-	g.publishDue(now)
+	g.requestNewerCatalog(now)
+	g.expireLapsed(now)
+	g.publishIfDue(now)
 	g.log.results.logDue(now, g.opts.Logger)
 	if g.announceCrashes.Swap(false) {
 		g.flushDue = true
@@ -299,13 +300,13 @@
 func (g *Gateway) resumeAfterPause(now time.Time, gap time.Duration) {
 	g.opts.Logger.Warn("woke", zap.Duration("after", gap))
 	g.stale = true
-	g.contact.woke(now)
+	g.contact.resetAfterPause(now)
 	g.changesReadAt = g.changesReadAt.Add(-gap) // the clock may not have counted the pause
 	g.replicas = make(map[netip.Addr]replica)
 	g.readyAt = make(map[netip.Addr]time.Time)
 	g.changed = true
 	g.mesh.Woke(now)
-	g.reading.end() // it may be waiting on a dead connection
+	g.platformCall.stop() // it may be waiting on a dead connection
 }
 
 // SetSeeds replaces the seeds.
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -73,7 +73,7 @@
 		next.End(time.Now(), placement.Abandoned)
 		return nil, err
 	}
-	j.noteLimit(now, next.Server, response)
+	j.recordLimit(now, next.Server, response)
 	if response.NotRun() || response.Misdirected() {
 		response.Close(response.NotRun())
 		next.End(time.Now(), placement.Declined)
@@ -108,7 +108,7 @@
 // mayHandOver reports whether the stream can be resumed on another server and has enough
 // left to be worth it.
 func (j *job) mayHandOver(assignment *placement.Ticket) bool {
-	if j.standing(time.Now()).IsQuarantined() {
+	if j.quarantineStatus(time.Now()).IsQuarantined() {
 		return false
 	}
 	if j.handoverTried || j.service.Engine == nil || !j.hasStarted() || !j.isRetryable() || j.attempts >= j.route.MaxAttempts {
--- a/daemon/gateway/lapses_test.go
+++ b/daemon/gateway/lapses_test.go
@@ -21,7 +21,7 @@
 
 	BeforeEach(func() {
 		g, backend = newGateway()
-		g.sourceAnswered(start)
+		g.sourceResponded(start)
 		g.adopt(start, snapshot(5, one, two), "platform")
 	})
 
@@ -36,17 +36,17 @@
 	// call failed while the platform was healthy.
 	It("drops a removed server immediately if only a single call failed", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.heard(at(1100*time.Millisecond), nearEntry, removal())
+		g.receive(at(1100*time.Millisecond), nearEntry, removal())
 		Expect(listed(g, backend, at(1100*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
-		g.sourceAnswered(at(1300 * time.Millisecond))
-		g.endLapses(at(1300 * time.Millisecond))
+		g.sourceResponded(at(1300 * time.Millisecond))
+		g.expireLapsed(at(1300 * time.Millisecond))
 		Expect(listed(g, backend, at(1300*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	// Guards against requests to a server that left while the process was paused.
 	It("drops a removed server immediately if a peer reports it after a pause of the process", func() {
 		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
-		g.heard(at(5100*time.Millisecond), nearEntry, removal())
+		g.receive(at(5100*time.Millisecond), nearEntry, removal())
 		Expect(listed(g, backend, at(5100*time.Millisecond))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
@@ -54,25 +54,25 @@
 	// lapses from a peer before the platform answers the entry itself.
 	It("keeps lapsed servers if a peer reports them before the platform answers", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.heard(at(6*time.Second), nearEntry, removal())
+		g.receive(at(6*time.Second), nearEntry, removal())
 		Expect(listed(g, backend, at(6*time.Second))).To(HaveLen(2))
-		g.sourceAnswered(at(6500 * time.Millisecond))
-		g.endLapses(at(8 * time.Second))
+		g.sourceResponded(at(6500 * time.Millisecond))
+		g.expireLapsed(at(8 * time.Second))
 		Expect(listed(g, backend, at(8*time.Second))).To(HaveLen(2))
-		g.endLapses(at(6500*time.Millisecond + lapseTime))
-		Expect(listed(g, backend, at(6500*time.Millisecond+lapseTime))).To(ConsistOf(fleet.InstanceID("i-1")))
+		g.expireLapsed(at(6500*time.Millisecond + lapsedRetention))
+		Expect(listed(g, backend, at(6500*time.Millisecond+lapsedRetention))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	// Guards against a failed call just after an outage that discards the record of the
 	// outage, so that live servers are dropped.
 	It("keeps lapsed servers if a call fails after the outage", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.sourceAnswered(at(6 * time.Second))
+		g.sourceResponded(at(6 * time.Second))
 		g.sourceFailed(at(6300*time.Millisecond), broken)
-		g.heard(at(6400*time.Millisecond), nearEntry, removal())
+		g.receive(at(6400*time.Millisecond), nearEntry, removal())
 		Expect(listed(g, backend, at(6400*time.Millisecond))).To(HaveLen(2))
-		g.sourceAnswered(at(6500 * time.Millisecond))
-		g.endLapses(at(7 * time.Second))
+		g.sourceResponded(at(6500 * time.Millisecond))
+		g.expireLapsed(at(7 * time.Second))
 		Expect(listed(g, backend, at(7*time.Second))).To(HaveLen(2))
 	})
 
@@ -80,20 +80,20 @@
 	// fails after an outage.
 	It("does not keep lapsed servers longer if a call fails after the outage", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.sourceAnswered(at(6 * time.Second))
+		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
 		g.sourceFailed(at(8*time.Second), broken)
-		g.endLapses(at(6*time.Second + lapseTime))
-		Expect(listed(g, backend, at(6*time.Second+lapseTime))).To(ConsistOf(fleet.InstanceID("i-1")))
+		g.expireLapsed(at(6*time.Second + lapsedRetention))
+		Expect(listed(g, backend, at(6*time.Second+lapsedRetention))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	// Guards against a failed call after which the next removal no longer counts as a
 	// lapse.
 	It("keeps a lapsed server whose removal is read after another failed call", func() {
 		g.sourceFailed(at(time.Second), broken)
-		g.sourceAnswered(at(6 * time.Second))
+		g.sourceResponded(at(6 * time.Second))
 		g.sourceFailed(at(6300*time.Millisecond), broken)
-		g.sourceAnswered(at(6500 * time.Millisecond))
+		g.sourceResponded(at(6500 * time.Millisecond))
 		g.apply(at(6500*time.Millisecond), removeTwo, 9)
 		Expect(listed(g, backend, at(6500*time.Millisecond))).To(HaveLen(2))
 	})
--- a/daemon/gateway/limit.go
+++ b/daemon/gateway/limit.go
@@ -12,12 +12,12 @@
 	"chivespindle.example/daemon/mesh"
 )
 
-// noteLimit records the limit that a response advertises. sent is when the call was sent.
-func (j *job) noteLimit(sent time.Time, server placement.Server, answer Response) {
-	if answer.Misdirected() {
+// recordLimit records the limit that a response advertises. sent is when the call was sent.
+func (j *job) recordLimit(sent time.Time, server placement.Server, response Response) {
+	if response.Misdirected() {
 		return // another server may have answered
 	}
-	limit := answer.Limit()
+	limit := response.Limit()
 	switch {
 	case limit.Malformed != "":
 		j.g.log.malformedLimit(server, limit.Malformed)
@@ -27,7 +27,7 @@
 			j.g.log.serverLimit(server.ID, limit.PerSecond, "own")
 			j.g.post(func(time.Time) { j.g.applyLimits(change == serverlimit.Started) })
 		}
-	case answer.Status() >= http.StatusMultipleChoices:
+	case response.Status() >= http.StatusMultipleChoices:
 		// An unsuccessful response may never advertise a limit.
 	case j.g.limits.NotAdvertised(sent, server.ID):
 		j.g.log.limitEnded(server.ID, "own")
@@ -35,8 +35,9 @@
 	}
 }
 
-// applyLimits has the shares of changed limits recomputed. Urgent changes are reported
-// to the group at once; a server may adjust its limit in each response.
+// applyLimits causes the shares of changed limits to be recomputed. Only urgent changes
+// are reported to the group without delay, since a server may adjust its limit in each
+// response.
 func (g *Gateway) applyLimits(urgent bool) {
 	g.limitsChanged = true
 	g.groupFlushDue = g.groupFlushDue || urgent
@@ -58,14 +59,15 @@
 	}
 }
 
-// sharesEvery is the longest pause until the shares are recomputed for the entries
+// sharesInterval is the maximum time until the shares are recomputed for the entries
 // known by then.
-const sharesEvery = time.Second
+const sharesInterval = time.Second
 
-// publishLimits computes this entry's shares of the limits for the board. Silent
-// entries keep theirs: they may live behind a partition and use them.
+// publishLimits computes this entry's shares of the limits and passes them to the
+// balancer. Silent entries keep their shares, since they may be alive behind a partition
+// and use them.
 func (g *Gateway) publishLimits(now time.Time, entries []mesh.Entry) {
-	if !g.limitsChanged && now.Sub(g.sharedAt) < sharesEvery {
+	if !g.limitsChanged && now.Sub(g.sharedAt) < sharesInterval {
 		return
 	}
 	g.limitsChanged = false
@@ -91,7 +93,7 @@
 	l.logger.Info("server_limit_ended", zap.String("server", string(server)), zap.String("source", source))
 }
 
-// malformedLimit logs a limit that is no number. The last valid one stays in force.
+// malformedLimit logs a limit that is not a number. The last valid limit stays in use.
 func (l *requestLog) malformedLimit(server placement.Server, text string) {
 	const shown = 40
 	l.metrics.Counter("server_limits_malformed").Inc(1)
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -16,7 +16,7 @@
 	"chivespindle.example/daemon/mesh"
 )
 
-// limitedEngines respond at once. Some advertise a limit. They are shared by all entries.
+// limitedEngines respond immediately. Some advertise a limit. They are shared by all entries.
 type limitedEngines struct {
 	mu      sync.Mutex
 	limits  map[fleet.InstanceID]float64
@@ -32,7 +32,7 @@
 	defer e.mu.Unlock()
 	e.reached[o.Server.ID]++
 	perSecond, isLimited := e.limits[o.Server.ID]
-	return limitedAnswer{limit: ServerLimit{Advertised: isLimited, PerSecond: perSecond}}, nil
+	return limitedResponse{limit: ServerLimit{Advertised: isLimited, PerSecond: perSecond}}, nil
 }
 
 func (e *limitedEngines) reachedAt(id fleet.InstanceID) int {
@@ -41,25 +41,25 @@
 	return e.reached[id]
 }
 
-type limitedAnswer struct {
+type limitedResponse struct {
 	emptyResponse
 	limit       ServerLimit
 	misdirected bool
 	status      int // 200 if it is 0
 }
 
-func (a limitedAnswer) Status() int { return cmp.Or(a.status, http.StatusOK) }
+func (r limitedResponse) Status() int { return cmp.Or(r.status, http.StatusOK) }
 
-func (a limitedAnswer) Misdirected() bool { return a.misdirected }
+func (r limitedResponse) Misdirected() bool { return r.misdirected }
 
-func (a limitedAnswer) Limit() ServerLimit { return a.limit }
+func (r limitedResponse) Limit() ServerLimit { return r.limit }
 
 var _ = Describe("A server that advertises a limit to twelve entries", func() {
 	const entries, perSecond, requests = 12, 1.0, 10
 	const allowed = 1.5*4*perSecond + 5 // in any four seconds
 
-	// Guards against entries that keep to a limit one by one and exceed it together.
-	It("gets no more than it takes from all of them together", func() {
+	// Guards against entries that each keep to a limit and exceed it together.
+	It("gets no more than its limit from all of them together", func() {
 		backend := &limitedEngines{limits: map[fleet.InstanceID]float64{"i-0": perSecond}, reached: make(map[fleet.InstanceID]int)}
 		c := manyRoutes(1, 1)
 		path := c.Routes[1].Prefix
@@ -87,49 +87,50 @@
 	var g *Gateway
 	const advertised = 1.5
 
-	note := func(sent time.Time, a limitedAnswer) {
+	recordLimit := func(sent time.Time, response limitedResponse) {
 		call := &Call{ID: "c"}
 		j := &job{g: g, call: call, reply: newReply(g, call, nil)}
-		j.noteLimit(sent, placement.Server{ID: "i-1"}, a)
+		j.recordLimit(sent, placement.Server{ID: "i-1"}, response)
 	}
 	limit := func() float64 { return g.limits.All(time.Now())["i-1"] }
 
 	BeforeEach(func() {
 		g, _ = newGateway()
-		note(time.Now(), limitedAnswer{limit: ServerLimit{Advertised: true, PerSecond: advertised}})
+		recordLimit(time.Now(), limitedResponse{limit: ServerLimit{Advertised: true, PerSecond: advertised}})
 		Expect(limit()).To(Equal(advertised))
 	})
 
-	// Guards against an overloaded server that is used freely again after another one's response.
-	DescribeTable("is kept", func(a limitedAnswer) {
-		note(time.Now().Add(time.Second), a)
+	// Guards against an overloaded server whose limit is dropped because of the response
+	// of another server.
+	DescribeTable("is kept", func(response limitedResponse) {
+		recordLimit(time.Now().Add(time.Second), response)
 		Expect(limit()).To(Equal(advertised))
 	},
-		Entry("after a malformed one", limitedAnswer{limit: ServerLimit{Malformed: "soon"}}),
-		Entry("after a response of another server", limitedAnswer{misdirected: true}),
-		Entry("after a response to a call that did not run", limitedAnswer{status: http.StatusServiceUnavailable}),
+		Entry("after a malformed one", limitedResponse{limit: ServerLimit{Malformed: "soon"}}),
+		Entry("after a response of another server", limitedResponse{misdirected: true}),
+		Entry("after a response to a call that did not run", limitedResponse{status: http.StatusServiceUnavailable}),
 	)
 
 	It("ends with a response without one to a later request", func() {
-		note(time.Now().Add(-time.Second), limitedAnswer{})
+		recordLimit(time.Now().Add(-time.Second), limitedResponse{})
 		Expect(limit()).To(Equal(advertised))
-		note(time.Now().Add(time.Second), limitedAnswer{})
+		recordLimit(time.Now().Add(time.Second), limitedResponse{})
 		Expect(limit()).To(BeZero())
 	})
 
 	It("is reported to other entries and merged from them", func() {
-		to := g.compose(time.Now(), nearEntry, mesh.First)
-		Expect(to.Limits).To(HaveLen(1))
+		report := g.compose(time.Now(), nearEntry, mesh.First)
+		Expect(report.Limits).To(HaveLen(1))
 		other, _ := newGateway()
-		other.heard(time.Now(), nearEntry, to)
+		other.receive(time.Now(), nearEntry, report)
 		Expect(other.limits.All(time.Now())).To(HaveKeyWithValue(fleet.InstanceID("i-1"), advertised))
 		Expect(g.compose(time.Now(), nearEntry, mesh.Whole).Limits).To(BeEmpty())
 	})
 })
 
-// Guards against clients that wait for a server that this entry may not use yet.
-var _ = Describe("A call that only servers with a used up limit could take", func() {
-	It("is refused at once, as not run", func() {
+// Guards against callers that wait for a server that this entry may not use yet.
+var _ = Describe("A call for which only servers with an exhausted limit are left", func() {
+	It("is refused immediately as not run", func() {
 		g, _ := newGateway()
 		now := time.Now()
 		s := snapshot(5, server("i-1", "10.0.1.1:80", 2))
--- a/daemon/gateway/links.go
+++ b/daemon/gateway/links.go
@@ -12,7 +12,7 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// links is what a gateway needs of a mesh.Mesh.
+// links is the part of mesh.Mesh that a gateway uses.
 type links interface {
 	Serve(ctx context.Context, from keys.Identity, s *peer.Stream)
 	Tick(now time.Time)
--- a/daemon/gateway/manifests.go
+++ b/daemon/gateway/manifests.go
@@ -10,91 +10,91 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// manifests are those of the newest versions, by model, with whom they were
-// told to. They belong to the control loop.
+// manifests holds the manifest of the newest version of each model, and the processes to
+// which it was sent. It belongs to the control loop.
 //
-// Each agent that reads a manifest at the origin takes a connection and a part
-// of its link. Read by all agents, it took every connection that the origin has,
-// and the time of a part of a copy. So a few read it, and the entries tell it to
-// the rest.
+// Each agent that reads a manifest from the origin uses a connection and a part of its
+// link. When all agents read it, they used every connection that the origin has, and the
+// time of a part of a copy. So a few agents read it, and the entries send it to the
+// others.
 type manifests struct {
 	newest map[string]knownManifest
-	told   map[toldManifest]bool
+	sent   map[sentManifest]bool
 }
 
 type knownManifest struct {
 	wire.Manifest
-	near bool // told by an entry of the own group
+	fromOwnGroup bool // sent by an entry of the own group
 }
 
-type toldManifest struct {
+type sentManifest struct {
 	to      fleet.InstanceID
 	model   string
 	version uint64
 }
 
 func newManifests() manifests {
-	return manifests{newest: make(map[string]knownManifest), told: make(map[toldManifest]bool)}
+	return manifests{newest: make(map[string]knownManifest), sent: make(map[sentManifest]bool)}
 }
 
-// take notes a manifest and reports whether it is news.
-func (m *manifests) take(heard wire.Manifest, near bool) bool {
-	known, ok := m.newest[heard.Model]
-	if ok && known.Version >= heard.Version {
+// add stores a manifest and reports whether it is newer than the known one.
+func (m *manifests) add(manifest wire.Manifest, near bool) bool {
+	known, ok := m.newest[manifest.Model]
+	if ok && known.Version >= manifest.Version {
 		return false
 	}
-	m.newest[heard.Model] = knownManifest{heard, near}
-	maps.DeleteFunc(m.told, func(key toldManifest, _ bool) bool { return key.model == heard.Model })
+	m.newest[manifest.Model] = knownManifest{manifest, near}
+	maps.DeleteFunc(m.sent, func(key sentManifest, _ bool) bool { return key.model == manifest.Model })
 	return true
 }
 
-// forEntry returns what another entry is to be told, nil for nothing. One of
-// the own group hears only what came from agents or other groups, so that no
-// manifest goes round in the group.
+// forEntry returns the manifest to send to another entry, nil for none. An entry of the
+// own group gets only those that came from agents or other groups, so that no manifest
+// circulates within the group.
 func (m *manifests) forEntry(to mesh.Peer) *wire.Manifest {
 	for name, known := range m.newest {
-		if known.near && to.Near {
+		if known.fromOwnGroup && to.Near {
 			continue
 		}
-		if told := m.tell(to.ID, name); told != nil {
-			return told
+		if unsent := m.nextUnsent(to.ID, name); unsent != nil {
+			return unsent
 		}
 	}
 	return nil
 }
 
-// forAgent returns what an agent is to be told, nil for nothing.
+// forAgent returns the manifest to send to an agent, nil for none.
 func (m *manifests) forAgent(to fleet.InstanceID, model string) *wire.Manifest {
-	return m.tell(to, model)
+	return m.nextUnsent(to, model)
 }
 
-// tell returns the newest manifest of a model the first time that it is called
-// for a process.
-func (m *manifests) tell(to fleet.InstanceID, model string) *wire.Manifest {
+// nextUnsent returns the newest manifest of a model the first time that it is called for
+// a process, and nil after that.
+func (m *manifests) nextUnsent(to fleet.InstanceID, model string) *wire.Manifest {
 	known, ok := m.newest[model]
-	key := toldManifest{to, model, known.Version}
-	if !ok || m.told[key] {
+	key := sentManifest{to, model, known.Version}
+	if !ok || m.sent[key] {
 		return nil
 	}
-	m.told[key] = true
+	m.sent[key] = true
 	return &known.Manifest
 }
 
-// lost forgets what a process was told whose link has ended.
-func (m *manifests) lost(id fleet.InstanceID) {
-	for key := range m.told {
+// reset causes the manifests to be sent again over the next link with a process.
+func (m *manifests) reset(id fleet.InstanceID) {
+	for key := range m.sent {
 		if key.to == id {
-			delete(m.told, key)
+			delete(m.sent, key)
 		}
 	}
 }
 
-// heardManifest passes a manifest on at once.
-func (g *Gateway) heardManifest(heard wire.Manifest, near bool) {
-	if !g.manifests.take(heard, near) {
+// receiveManifest stores a manifest of another process and forwards it without delay.
+func (g *Gateway) receiveManifest(manifest wire.Manifest, near bool) {
+	if !g.manifests.add(manifest, near) {
 		return
 	}
 	g.flushDue = true
-	g.opts.Logger.Info("manifest_heard", zap.String("model", heard.Model), zap.Uint64("version", heard.Version),
+	g.opts.Logger.Info("manifest_heard", zap.String("model", manifest.Model), zap.Uint64("version", manifest.Version),
 		zap.Bool("near", near))
 }
--- a/daemon/gateway/model_cost_test.go
+++ b/daemon/gateway/model_cost_test.go
@@ -9,21 +9,22 @@
 	"chivespindle.example/core/fleet"
 )
 
-// modelGroup is the most entries of a region in the model of the cost.
-const modelGroup = 30
+// modelGroupSize is the number of entries per region in the model of the cost.
+const modelGroupSize = 30
 
-// modelCost is what an entry sends, receives and asks for to know the servers, in the mean.
+// modelCost is the mean of what an entry sends, receives and requests to know the
+// servers.
 type modelCost struct{ calls, lists, bytes float64 }
 
-// costOfStart returns the cost an entry of the first seconds after a restart of all, while
-// servers leave and others take their places.
-func costOfStart(size int) modelCost {
+// startCost returns the cost per entry in the first seconds after a restart of all
+// entries, while servers leave and others replace them.
+func startCost(size int) modelCost {
 	const servers, span = 50, 4 * time.Second
 	const leaveEvery = 200 * time.Millisecond
 	m := newEmptyModel(1, servers)
 	for i := range size {
-		m.after(m.chance(time.Second), func(now time.Time) {
-			m.start(now, modelAddr(i), fleet.Region(rune('a'+i/modelGroup)))
+		m.after(m.randDuration(time.Second), func(now time.Time) {
+			m.startEntry(now, modelAddr(i), fleet.Region(rune('a'+i/modelGroupSize)))
 		})
 	}
 	for at := leaveEvery; at < span; at += leaveEvery {
@@ -35,21 +36,22 @@
 	m.runFor(span)
 	var sum modelCost
 	for _, e := range m.entries {
-		sum.calls += float64(e.follow.calls)
-		sum.lists += float64(e.follow.lists)
-		sum.bytes += float64(e.bytes + e.follow.bytes)
+		sum.calls += float64(e.follower.calls)
+		sum.lists += float64(e.follower.lists)
+		sum.bytes += float64(e.serverBytes + e.follower.bytes)
 	}
 	n := float64(size)
 	return modelCost{sum.calls / n, sum.lists / n, sum.bytes / n}
 }
 
-var _ = Describe("What it costs an entry to know the servers", func() {
-	// Guards against a cost that grows with the number of entries after a restart of all.
+var _ = Describe("The cost per entry of knowing the servers", func() {
+	// Guards against a cost per entry that grows with the number of entries after a
+	// restart of all.
 	It("is the same after a restart of 100 entries and of 410", func() {
-		small, large := costOfStart(100), costOfStart(410)
-		GinkgoWriter.Printf("8 entries: %+v\n100 entries: %+v\n410 entries: %+v\n", costOfStart(8), small, large)
-		const most = 1.3
-		Expect(large.bytes).To(BeNumerically("<", most*small.bytes))
-		Expect(large.calls).To(BeNumerically("<", most*small.calls))
+		small, large := startCost(100), startCost(410)
+		GinkgoWriter.Printf("8 entries: %+v\n100 entries: %+v\n410 entries: %+v\n", startCost(8), small, large)
+		const maxGrowth = 1.3
+		Expect(large.bytes).To(BeNumerically("<", maxGrowth*small.bytes))
+		Expect(large.calls).To(BeNumerically("<", maxGrowth*small.calls))
 	})
 })
--- a/daemon/gateway/model_links_test.go
+++ b/daemon/gateway/model_links_test.go
@@ -15,16 +15,16 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// Pauses and limits of the mesh.
+// Intervals and timeouts of the mesh.
 const (
-	modelBeatEvery   = 500 * time.Millisecond
-	modelBriefEvery  = 200 * time.Millisecond
-	modelSilentAfter = 900 * time.Millisecond
-	modelDeadAfter   = 1200 * time.Millisecond
-	modelPlanEvery   = 200 * time.Millisecond
+	modelBeatInterval   = 500 * time.Millisecond
+	modelBriefInterval  = 200 * time.Millisecond
+	modelSilenceTimeout = 900 * time.Millisecond
+	modelLinkTimeout    = 1200 * time.Millisecond
+	modelPlanInterval   = 200 * time.Millisecond
 )
 
-// modelLinks is the mesh of one entry in simulated time.
+// modelLinks simulates the mesh of one entry.
 type modelLinks struct {
 	e      *modelEntry
 	byID   map[fleet.InstanceID]*modelLink
@@ -37,16 +37,18 @@
 type modelLink struct {
 	to   *modelEntry
 	up   bool
-	last wire.Beat // the last whole one
-	// heard and asOf are of the link, heardOf of the entry.
-	heard, heardOf  time.Time
-	asOf            catalog.Revision
-	region          fleet.Region
-	beaten, briefed time.Time
-	// underWay is the number of beats on the way, arrives when the last of them does.
-	underWay int
-	arrives  time.Time
-	// epoch counts how often it went up; beats of an earlier one are lost.
+	last wire.Beat // the last complete one
+	// linkReceivedAt and asOf belong to the link, reportedAt to the entry at its other
+	// end.
+	linkReceivedAt, reportedAt time.Time
+	asOf                       catalog.Revision
+	region                     fleet.Region
+	beatSentAt, sentAt         time.Time
+	// inTransit is the number of heartbeats in transit, lastArrival the arrival time of the
+	// last one.
+	inTransit   int
+	lastArrival time.Time
+	// epoch counts how often the link went up. Heartbeats sent in an earlier epoch are lost.
 	epoch int
 }
 
@@ -66,9 +68,9 @@
 
 func (l *modelLinks) bringUp(now time.Time, to *modelEntry) {
 	k := l.link(to)
-	k.up, k.heard, k.asOf, k.region = true, now, 0, ""
+	k.up, k.linkReceivedAt, k.asOf, k.region = true, now, 0, ""
 	k.epoch++
-	k.underWay, k.arrives = 0, now
+	k.inTransit, k.lastArrival = 0, now
 	l.send(now, k, mesh.First)
 }
 
@@ -85,47 +87,47 @@
 }
 
 func (l *modelLinks) send(now time.Time, k *modelLink, form mesh.Form) {
-	const queued = 2 // one that waits behind one that is written
-	if !k.up || k.underWay >= queued {
+	const maxInTransit = 2 // one that is being written and one that waits for it
+	if !k.up || k.inTransit >= maxInTransit {
 		return
 	}
-	k.briefed = now
+	k.sentAt = now
 	if form != mesh.Brief {
-		k.beaten = now
+		k.beatSentAt = now
 	}
 	b := l.e.g.compose(now, l.peer(k), form)
 	l.e.countBeat(b)
 	if l.e.isCut(now) || !k.to.alive || k.to.isCut(now) {
 		return
 	}
-	k.underWay++
-	k.arrives = later(k.arrives, now.Add(l.e.m.beatWay()))
+	k.inTransit++
+	k.lastArrival = later(k.lastArrival, now.Add(l.e.m.beatDelay()))
 	epoch, back := k.epoch, k.to.links.link(l.e)
-	theirs := back.epoch
-	l.e.m.at(k.arrives, func(now time.Time) {
+	backEpoch := back.epoch
+	l.e.m.at(k.lastArrival, func(now time.Time) {
 		if k.epoch == epoch {
-			k.underWay--
+			k.inTransit--
 		}
-		if k.epoch == epoch && k.up && k.to.alive && back.up && (back.epoch == theirs || form == mesh.First) {
-			k.to.links.heard(now, back, b)
+		if k.epoch == epoch && k.up && k.to.alive && back.up && (back.epoch == backEpoch || form == mesh.First) {
+			k.to.links.receive(now, back, b)
 		}
 	})
 }
 
-func (l *modelLinks) heard(now time.Time, k *modelLink, b wire.Beat) {
-	k.heard = now
+func (l *modelLinks) receive(now time.Time, k *modelLink, b wire.Beat) {
+	k.linkReceivedAt = now
 	if !b.Brief {
-		k.asOf, k.region, k.last, k.heardOf = b.AsOf, b.Place.Region, b, now
+		k.asOf, k.region, k.last, k.reportedAt = b.AsOf, b.Place.Region, b, now
 	} else if k.last.ID != "" {
-		k.heardOf = now
+		k.reportedAt = now
 		k.last.ConfigRevision = max(k.last.ConfigRevision, b.ConfigRevision)
 	}
-	l.e.g.heard(now, l.peer(k), b)
+	l.e.g.receive(now, l.peer(k), b)
 }
 
 func (l *modelLinks) Tick(now time.Time) {
 	for _, k := range l.sorted {
-		if k.up && now.Sub(k.heard) > modelDeadAfter {
+		if k.up && now.Sub(k.linkReceivedAt) > modelLinkTimeout {
 			l.takeDown(now, k)
 		}
 	}
@@ -134,9 +136,9 @@
 		near := l.plan.Near[k.to.g.opts.Self]
 		switch {
 		case !k.up:
-		case now.Sub(k.beaten) >= modelBeatEvery:
+		case now.Sub(k.beatSentAt) >= modelBeatInterval:
 			l.send(now, k, mesh.Whole)
-		case near && now.Sub(k.briefed) >= modelBriefEvery:
+		case near && now.Sub(k.sentAt) >= modelBriefInterval:
 			l.send(now, k, mesh.Brief)
 		}
 	}
@@ -146,10 +148,10 @@
 	if now.Before(l.planAt) {
 		return
 	}
-	l.planAt = now.Add(modelPlanEvery)
+	l.planAt = now.Add(modelPlanInterval)
 	var others []linking.Member
 	for _, k := range l.sorted {
-		if k.last.ID != "" && now.Sub(k.heardOf) <= modelSilentAfter {
+		if k.last.ID != "" && now.Sub(k.reportedAt) <= modelSilenceTimeout {
 			others = append(others, linking.Member{ID: k.last.ID, Region: k.last.Place.Region})
 		}
 	}
@@ -175,20 +177,20 @@
 	for _, k := range l.sorted {
 		if b := k.last; b.ID != "" {
 			all = append(all, mesh.Entry{ID: b.ID, Place: b.Place, Ready: b.Ready, Leaving: b.Leaving, Reaches: b.Reaches,
-				TurnedAway: b.TurnedAway, Silent: now.Sub(k.heardOf) > modelSilentAfter, Near: l.plan.Near[b.ID]})
+				TurnedAway: b.TurnedAway, Silent: now.Sub(k.reportedAt) > modelSilenceTimeout, Near: l.plan.Near[b.ID]})
 		}
 	}
 	return all
 }
 
 func (l *modelLinks) Hears(now time.Time) bool {
-	return slices.ContainsFunc(l.sorted, func(k *modelLink) bool { return k.last.ID != "" && now.Sub(k.heardOf) <= modelSilentAfter })
+	return slices.ContainsFunc(l.sorted, func(k *modelLink) bool { return k.last.ID != "" && now.Sub(k.reportedAt) <= modelSilenceTimeout })
 }
 
 func (l *modelLinks) Ahead(now time.Time, isAhead func(wire.Beat) bool) (addr netip.Addr, near, ok bool) {
 	var all []*modelLink
 	for _, k := range l.sorted {
-		if k.last.ID != "" && now.Sub(k.heardOf) <= modelSilentAfter && isAhead(k.last) {
+		if k.last.ID != "" && now.Sub(k.reportedAt) <= modelSilenceTimeout && isAhead(k.last) {
 			all = append(all, k)
 		}
 	}
--- a/daemon/gateway/model_store_test.go
+++ b/daemon/gateway/model_store_test.go
@@ -12,28 +12,28 @@
 	"chivespindle.example/core/fleet"
 )
 
-// modelStore is the platform's store in simulated time. It remembers when servers
-// registered and when they began to leave.
+// modelStore simulates the platform's store. It records when servers registered and when
+// they started to leave.
 type modelStore struct {
 	m       *model
-	now     catalog.Snapshot
+	current catalog.Snapshot
 	history []catalog.Change
 	// first is the oldest revision whose successors are kept.
 	first   catalog.Revision
-	waiting []*modelWatch
-	// leftAt is when a server's leaving was acknowledged, liveSince since when another
-	// has been registered and does not leave.
+	watches []*modelWatch
+	// leftAt is when the store acknowledged that a server leaves, liveSince since when
+	// any other server has been registered without leaving.
 	leftAt, liveSince map[fleet.InstanceID]time.Time
-	// configAt is when the configuration in force was acknowledged.
+	// configAt is when the active configuration was acknowledged.
 	configAt time.Time
 	wroteAt  map[catalog.Revision]time.Time
-	next     int
+	lastID   int
 }
 
 // modelWatch is a watch that waits for a change.
 type modelWatch struct {
-	after  catalog.Revision
-	answer func(now time.Time, changes []catalog.Change, asOf catalog.Revision)
+	after   catalog.Revision
+	respond func(now time.Time, changes []catalog.Change, asOf catalog.Revision)
 }
 
 func newModelStore(m *model, servers int) *modelStore {
@@ -44,28 +44,28 @@
 	}
 	c := config(1)
 	c.Services[0].Engine = nil // servers without agents
-	s.now = catalog.Snapshot{AsOf: 100, OperatorAsOf: 100, Config: c, ConfigRevision: 90}
+	s.current = catalog.Snapshot{AsOf: 100, OperatorAsOf: 100, Config: c, ConfigRevision: 90}
 	for range servers {
 		s.registerNew(start)
 	}
-	s.first = s.now.AsOf
+	s.first = s.current.AsOf
 	s.history = nil
 	return s
 }
 
-// write makes a change.
+// write applies a change and reports it to the waiting watches.
 func (s *modelStore) write(now time.Time, c catalog.Change) {
-	c.Revision = s.now.AsOf + 1
+	c.Revision = s.current.AsOf + 1
 	if c.Server != nil {
 		c.Server.Revision = c.Revision
 	}
 	s.history = append(s.history, c)
 	s.wroteAt[c.Revision] = now
-	s.now = s.now.Apply([]catalog.Change{c}, c.Revision)
-	waited := s.waiting
-	s.waiting = nil
-	for _, w := range waited {
-		w.answer(now, []catalog.Change{c}, c.Revision)
+	s.current = s.current.Apply([]catalog.Change{c}, c.Revision)
+	watches := s.watches
+	s.watches = nil
+	for _, w := range watches {
+		w.respond(now, []catalog.Change{c}, c.Revision)
 	}
 }
 
@@ -77,16 +77,17 @@
 }
 
 func (s *modelStore) registerNew(now time.Time) {
-	s.next++
-	s.register(now, server(fleet.InstanceID(fmt.Sprintf("i-%d", s.next)), fmt.Sprintf("10.0.9.%d:80", s.next%200+1), 0))
+	s.lastID++
+	s.register(now, server(fleet.InstanceID(fmt.Sprintf("i-%d", s.lastID)), fmt.Sprintf("10.0.9.%d:80", s.lastID%200+1), 0))
 }
 
-// leave has a server begin to leave. Some say so, of others only the registration ends.
+// leave makes a server leave. Some servers announce it first; of others only the
+// registration ends.
 func (s *modelStore) leave(now time.Time, old catalog.Server, r *rand.Rand) {
 	delete(s.liveSince, old.ID)
 	s.leftAt[old.ID] = now
 	remove := func(now time.Time) {
-		if _, left := s.leftAt[old.ID]; left && hasServer(s.now.Servers, old.ID) {
+		if _, left := s.leftAt[old.ID]; left && hasServer(s.current.Servers, old.ID) {
 			s.write(now, catalog.Change{Removed: old.ID})
 		}
 	}
@@ -95,38 +96,38 @@
 	} else {
 		old.Draining = true
 		s.write(now, catalog.Change{Server: &old})
-		s.m.after(time.Second+s.m.chance(3*time.Second), remove)
+		s.m.after(time.Second+s.m.randDuration(3*time.Second), remove)
 	}
-	switch back := s.m.chance(4 * time.Second); r.IntN(4) {
-	case 0: // comes again
-		s.m.after(back, func(now time.Time) {
+	switch returnDelay := s.m.randDuration(4 * time.Second); r.IntN(4) {
+	case 0: // it returns
+		s.m.after(returnDelay, func(now time.Time) {
 			if _, left := s.leftAt[old.ID]; left {
 				s.register(now, old)
 			}
 		})
 	case 1:
-	default: // another takes its place
-		s.m.after(back, s.registerNew)
+	default: // another server replaces it
+		s.m.after(returnDelay, s.registerNew)
 	}
 }
 
-// compact forgets the history.
+// compact discards the history.
 func (s *modelStore) compact(time.Time) {
-	s.first = s.now.AsOf
+	s.first = s.current.AsOf
 }
 
-// crash has a server start again under another id at its address. Its first registration
-// ends later.
-func (s *modelStore) crash(now time.Time) {
+// restartServer makes a server restart under another id at its address. Its first
+// registration ends later.
+func (s *modelStore) restartServer(now time.Time) {
 	live := s.live()
 	if len(live) == 0 {
 		return
 	}
 	old := live[0]
 	delete(s.liveSince, old.ID)
-	s.next++
+	s.lastID++
 	next := old
-	next.ID = fleet.InstanceID(fmt.Sprintf("i-%d", s.next))
+	next.ID = fleet.InstanceID(fmt.Sprintf("i-%d", s.lastID))
 	s.register(now, next)
 	s.m.after(2*time.Second, func(now time.Time) {
 		s.leftAt[old.ID] = now
@@ -136,31 +137,32 @@
 
 // live returns the servers that do not leave.
 func (s *modelStore) live() []catalog.Server {
-	return slices.DeleteFunc(slices.Clone(s.now.Servers), func(server catalog.Server) bool { return server.Draining })
+	return slices.DeleteFunc(slices.Clone(s.current.Servers), func(server catalog.Server) bool { return server.Draining })
 }
 
 func (s *modelStore) publish(now time.Time) {
-	c := *s.now.Config
+	c := *s.current.Config
 	c.Version++
 	s.write(now, catalog.Change{Config: &c})
 	s.configAt = now
 }
 
-func (s *modelStore) name(now time.Time) {
+func (s *modelStore) nameVersion(now time.Time) {
 	version := uint64(1)
-	if w, ok := s.now.WantedVersion("m"); ok {
+	if w, ok := s.current.WantedVersion("m"); ok {
 		version = w.Version + 1
 	}
 	s.write(now, catalog.Change{Wanted: &catalog.Wanted{Model: "m", Version: version}})
 }
 
 func (s *modelStore) list() catalog.Snapshot {
-	all := s.now
+	all := s.current
 	all.Servers = slices.Clone(all.Servers)
 	return all
 }
 
-// watch answers at once if something happened, else at the next change or the end.
+// watch responds immediately if there are changes, otherwise at the next change or after
+// wait.
 func (s *modelStore) watch(now time.Time, w *modelWatch, wait time.Duration) error {
 	if w.after < s.first {
 		return catalog.HistoryGone.New("the history since %d is gone", w.after)
@@ -172,120 +174,120 @@
 		}
 	}
 	if len(changes) > 0 {
-		w.answer(now, changes, s.now.AsOf)
+		w.respond(now, changes, s.current.AsOf)
 		return nil
 	}
-	s.waiting = append(s.waiting, w)
+	s.watches = append(s.watches, w)
 	s.m.after(wait, func(now time.Time) {
-		if i := slices.Index(s.waiting, w); i >= 0 {
-			s.waiting = slices.Delete(s.waiting, i, i+1)
-			w.answer(now, nil, s.now.AsOf)
+		if i := slices.Index(s.watches, w); i >= 0 {
+			s.watches = slices.Delete(s.watches, i, i+1)
+			w.respond(now, nil, s.current.AsOf)
 		}
 	})
 	return nil
 }
 
-// follower is Follow of one entry in simulated time.
+// follower simulates Follow of one entry.
 type follower struct {
 	e        *modelEntry
-	at       position
+	position position
 	failures int
-	// call counts the calls; the answers of earlier ones are not taken.
-	call  int
-	ended func() bool // by the entry itself; nil while no call runs
-	calls int
-	lists int
-	bytes int
+	// callID counts the calls. Responses to earlier calls are ignored.
+	callID      int
+	isCancelled func() bool // whether the entry cancelled the call; nil while no call runs
+	calls       int
+	lists       int
+	bytes       int
 }
 
-func (f *follower) turn(now time.Time) {
+func (f *follower) step(now time.Time) {
 	e := f.e
 	if !e.alive {
 		return
 	}
-	ctx, _ := e.g.reading.begin(e.g.ctx)
+	ctx, _ := e.g.platformCall.begin(e.g.ctx)
 	v := e.g.view.Load()
 	if v == nil || !v.readsPlatform {
-		f.at.answered = false
-		e.m.after(idlePoll, f.turn)
+		f.position.isResponding = false
+		e.m.after(idlePollInterval, f.step)
 		return
 	}
-	f.call++
+	f.callID++
 	f.calls++
-	f.ended = func() bool { return ctx.Err() != nil }
-	call, began, patience := f.call, now, f.at.patience()
-	f.at.takeFromPeers(v)
-	out := e.m.storeWay(now, e)
+	f.isCancelled = func() bool { return ctx.Err() != nil }
+	callID, startedAt, maxWait := f.callID, now, f.position.nextWait()
+	f.position.skipKnown(v)
+	requestDelay := e.m.storeDelay(now, e)
 	if e.isCutFromStore(now) {
-		e.m.after(patience+catalog.AnswerTime, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
+		e.m.after(maxWait+catalog.AnswerTime, func(now time.Time) { f.handleFailure(now, callID, failure.Timeout.New("cut off")) })
 		return
 	}
-	if f.at.gone || f.at.servers == 0 {
+	if f.position.historyGone || f.position.servers == 0 {
 		f.lists++
-		e.m.after(out, func(now time.Time) {
+		e.m.after(requestDelay, func(now time.Time) {
 			s := e.m.store.list()
 			f.bytes += sizeOf(s)
-			e.m.after(e.m.storeWay(now, e), func(now time.Time) {
-				f.answered(now, call, func() {
-					e.g.adoptList(now, s, reading{origin: fromStore, readAt: began})
-					f.at.servers, f.at.operator, f.at.gone = s.AsOf, s.AsOf, false
+			e.m.after(e.m.storeDelay(now, e), func(now time.Time) {
+				f.handleResponse(now, callID, func() {
+					e.g.adoptSnapshot(now, s, reading{origin: fromStore, readAt: startedAt})
+					f.position.servers, f.position.operator, f.position.historyGone = s.AsOf, s.AsOf, false
 				})
 			})
 		})
 		return
 	}
-	after := min(f.at.servers, f.at.operator)
-	e.m.after(out, func(now time.Time) {
-		err := e.m.store.watch(now, &modelWatch{after: after, answer: func(now time.Time, changes []catalog.Change, asOf catalog.Revision) {
+	after := min(f.position.servers, f.position.operator)
+	e.m.after(requestDelay, func(now time.Time) {
+		err := e.m.store.watch(now, &modelWatch{after: after, respond: func(now time.Time, changes []catalog.Change, asOf catalog.Revision) {
 			f.bytes += sizeOf(changes)
-			e.m.after(e.m.storeWay(now, e), func(now time.Time) {
-				f.answered(now, call, func() {
-					e.g.adoptChanges(now, changes, asOf, reading{origin: fromStore, readAt: watchedAt(began, now, patience)})
-					f.at.servers, f.at.operator = max(f.at.servers, asOf), max(f.at.operator, asOf)
+			e.m.after(e.m.storeDelay(now, e), func(now time.Time) {
+				f.handleResponse(now, callID, func() {
+					e.g.adoptChanges(now, changes, asOf, reading{origin: fromStore, readAt: watchReadTime(startedAt, now, maxWait)})
+					f.position.servers, f.position.operator = max(f.position.servers, asOf), max(f.position.operator, asOf)
 				})
 			})
-		}}, patience)
+		}}, maxWait)
 		if err != nil {
-			f.at.gone = true
-			f.ended = nil
-			e.m.after(out, f.turn)
+			f.position.historyGone = true
+			f.isCancelled = nil
+			e.m.after(requestDelay, f.step)
 		}
 	})
 }
 
-func (f *follower) answered(now time.Time, call int, take func()) {
-	if !f.e.alive || call != f.call || f.ended == nil {
+func (f *follower) handleResponse(now time.Time, callID int, apply func()) {
+	if !f.e.alive || callID != f.callID || f.isCancelled == nil {
 		return
 	}
-	f.ended = nil
+	f.isCancelled = nil
 	if f.e.isCutFromStore(now) {
-		f.ended = func() bool { return false }
-		f.e.m.after(catalog.AnswerTime, func(now time.Time) { f.failed(now, call, failure.Timeout.New("cut off")) })
+		f.isCancelled = func() bool { return false }
+		f.e.m.after(catalog.AnswerTime, func(now time.Time) { f.handleFailure(now, callID, failure.Timeout.New("cut off")) })
 		return
 	}
-	f.e.g.sourceAnswered(now)
-	take()
+	f.e.g.sourceResponded(now)
+	apply()
 	f.failures = 0
-	f.at.answered = true
-	f.e.m.after(f.e.g.watchPause(), f.turn)
+	f.position.isResponding = true
+	f.e.m.after(f.e.g.watchPause(), f.step)
 }
 
-func (f *follower) failed(now time.Time, call int, err error) {
-	if !f.e.alive || call != f.call || f.ended == nil {
+func (f *follower) handleFailure(now time.Time, callID int, err error) {
+	if !f.e.alive || callID != f.callID || f.isCancelled == nil {
 		return
 	}
-	f.ended = nil
+	f.isCancelled = nil
 	f.failures++
-	f.at.answered = false
+	f.position.isResponding = false
 	f.e.g.sourceFailed(now, err)
-	f.e.m.after(sourcePauseMin+f.e.m.chance(sourcePauseMax), f.turn)
+	f.e.m.after(minBackoff+f.e.m.randDuration(maxBackoff), f.step)
 }
 
-// endIfCancelled goes on after a call that the entry ended itself.
+// endIfCancelled continues after a call that the entry cancelled itself.
 func (f *follower) endIfCancelled(now time.Time) {
-	if f.ended != nil && f.ended() {
-		f.ended = nil
-		f.turn(now)
+	if f.isCancelled != nil && f.isCancelled() {
+		f.isCancelled = nil
+		f.step(now)
 	}
 }
 
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -26,43 +26,44 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// The bounds that the model checks, and the time that it takes.
+// Bounds that the model checks, and its times.
 const (
-	modelDrain   = 2900 * time.Millisecond // 0.1 s are left for a request's way
-	modelForget  = 2 * time.Second
-	modelConfig  = 2900 * time.Millisecond
-	modelContact = 4 * time.Second // without trouble, until the bounds hold for an entry
-	modelFor     = 12 * time.Second
-	modelTick    = 20 * time.Millisecond
-	modelCheck   = 50 * time.Millisecond
-
-	// One seed in someSeeds each has an entry hidden, a store that forgets its history, or
-	// servers that crash and start again.
-	someSeeds    = 10
-	hiddenSeeds  = 5
-	compactSeeds = 7
-	crashSeeds   = 8
+	maxUseAfterLeave       = 2900 * time.Millisecond // leaves 0.1 s for the transit of a request
+	maxUnusedAfterRegister = 2 * time.Second
+	maxOperatorDelay       = 2900 * time.Millisecond
+	settleTime             = 4 * time.Second // time without faults after which the bounds hold for an entry
+	modelDuration          = 12 * time.Second
+	modelTickInterval      = 20 * time.Millisecond
+	modelCheckInterval     = 50 * time.Millisecond
+
+	// Of each seedPeriod seeds, one has a hidden entry, one a store that discards its
+	// history, and one servers that crash and restart.
+	seedPeriod  = 10
+	hiddenSeed  = 5
+	compactSeed = 7
+	crashSeed   = 8
 )
 
-// model is entries of one or two regions and the store, in simulated time and on one
-// goroutine. All that happens by chance is drawn from its seed.
+// model simulates the entries of one or two regions and the store, in simulated time and
+// on one goroutine. All random choices are derived from its seed.
 type model struct {
-	rand    *rand.Rand
-	now     time.Time
-	events  modelEvents
-	count   int
-	store   *modelStore
-	entries []*modelEntry
-	// noticed is when the last loss of readers that are still heard can be noticed.
-	noticed time.Time
-	// broken is the first thing that was seen and must not be.
-	broken string
+	rand       *rand.Rand
+	now        time.Time
+	events     modelEvents
+	eventCount int
+	store      *modelStore
+	entries    []*modelEntry
+	// lossDetectableAt is when the last loss of readers that still send reports can be
+	// detected.
+	lossDetectableAt time.Time
+	// violation describes the first violation of a bound.
+	violation string
 }
 
 type modelEvent struct {
 	at    time.Time
 	order int
-	do    func(now time.Time)
+	run   func(now time.Time)
 }
 
 type modelEvents []modelEvent
@@ -83,50 +84,51 @@
 }
 
 func (m *model) at(when time.Time, do func(now time.Time)) {
-	m.count++
-	heap.Push(&m.events, modelEvent{when, m.count, do})
+	m.eventCount++
+	heap.Push(&m.events, modelEvent{when, m.eventCount, do})
 }
 
 func (m *model) after(d time.Duration, do func(now time.Time)) { m.at(m.now.Add(d), do) }
 
-func (m *model) chance(most time.Duration) time.Duration {
-	return time.Duration(m.rand.Int64N(int64(most) + 1))
+func (m *model) randDuration(limit time.Duration) time.Duration {
+	return time.Duration(m.rand.Int64N(int64(limit) + 1))
 }
 
-// beatWay is a beat's time on the way: mostly short, at times that of a full link.
-func (m *model) beatWay() time.Duration {
+// beatDelay returns the transit time of a heartbeat: usually short, sometimes that of a full
+// link.
+func (m *model) beatDelay() time.Duration {
 	if m.rand.IntN(20) == 0 {
-		return m.chance(300 * time.Millisecond)
+		return m.randDuration(300 * time.Millisecond)
 	}
-	return time.Millisecond + m.chance(10*time.Millisecond)
+	return time.Millisecond + m.randDuration(10*time.Millisecond)
 }
 
-// storeWay is the time of one way to or from the store. While all start, the links are
-// full at times.
-func (m *model) storeWay(now time.Time, e *modelEntry) time.Duration {
-	if now.Sub(e.started) < modelContact/2 && m.rand.IntN(4) == 0 {
-		return m.chance(time.Second)
+// storeDelay returns the one-way transit time to or from the store. While all entries
+// start, the links are sometimes full.
+func (m *model) storeDelay(now time.Time, e *modelEntry) time.Duration {
+	if now.Sub(e.started) < settleTime/2 && m.rand.IntN(4) == 0 {
+		return m.randDuration(time.Second)
 	}
-	return time.Millisecond + m.chance(20*time.Millisecond)
+	return time.Millisecond + m.randDuration(20*time.Millisecond)
 }
 
-// modelEntry is an entry.
+// modelEntry is a simulated entry.
 type modelEntry struct {
-	m       *model
-	g       *Gateway
-	backend *rejectingBackend
-	links   *modelLinks
-	follow  *follower
-	alive   bool
-	started time.Time
-	// cutFrom and cutTo are when it reaches nobody.
+	m        *model
+	g        *Gateway
+	backend  *rejectingBackend
+	links    *modelLinks
+	follower *follower
+	alive    bool
+	started  time.Time
+	// cutFrom and cutTo bound the time in which it reaches no other process.
 	cutFrom, cutTo time.Time
-	// hiddenFrom and hiddenTo are when others take it for an entry of another group, and
-	// what it asks for does not come.
+	// hiddenFrom and hiddenTo bound the time in which others assign it to another group
+	// and its requests for catalogs time out.
 	hiddenFrom, hiddenTo time.Time
 	isCutFromStoreOnly   bool
 	version              int64
-	bytes                int
+	serverBytes          int
 }
 
 func (e *modelEntry) isCut(now time.Time) bool { return e.isCutFromStore(now) && !e.isCutFromStoreOnly }
@@ -139,18 +141,18 @@
 	return !now.Before(e.hiddenFrom) && now.Before(e.hiddenTo)
 }
 
-// isInTouch reports whether the bounds hold for it.
-func (e *modelEntry) isInTouch(now time.Time) bool {
+// isSettled reports whether the bounds apply to the entry.
+func (e *modelEntry) isSettled(now time.Time) bool {
 	from := later(e.started, e.cutTo)
 	if now.Before(e.cutFrom) {
 		from = e.started
 	}
-	return e.alive && now.Sub(from) >= modelContact
+	return e.alive && now.Sub(from) >= settleTime
 }
 
 func (e *modelEntry) countBeat(b wire.Beat) {
 	if b.Servers != nil {
-		e.bytes += sizeOf(b.Servers)
+		e.serverBytes += sizeOf(b.Servers)
 	}
 }
 
@@ -161,20 +163,20 @@
 	return m
 }
 
-// newModel lets entries start at random moments within a second.
+// newModel returns a model in which entries start at random moments within a second.
 func newModel(seed uint64, size int) *model {
 	m := newEmptyModel(seed, 0)
 	m.store = newModelStore(m, 4+m.rand.IntN(5))
 	regions := 1 + m.rand.IntN(2)
 	for i := range size {
 		region := fleet.Region([]string{"lagos", "kano"}[i%regions])
-		m.after(m.chance(time.Second), func(now time.Time) { m.start(now, modelAddr(i), region) })
+		m.after(m.randDuration(time.Second), func(now time.Time) { m.startEntry(now, modelAddr(i), region) })
 	}
-	m.after(modelCheck, m.check)
+	m.after(modelCheckInterval, m.check)
 	return m
 }
 
-func (m *model) start(now time.Time, addr netip.Addr, region fleet.Region) {
+func (m *model) startEntry(now time.Time, addr netip.Addr, region fleet.Region) {
 	e := &modelEntry{m: m, alive: true, started: now, backend: &rejectingBackend{}}
 	e.g = New(context.Background(), now, Options{
 		Self: fleet.InstanceID(addr.String()), Addr: addr, Place: fleet.Place{Zone: "hall", Region: region},
@@ -183,19 +185,19 @@
 		Budget:      RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
-	e.g.listDelay = m.chance(maxListDelay)
+	e.g.listDelay = m.randDuration(maxListDelay)
 	e.links = &modelLinks{e: e, byID: make(map[fleet.InstanceID]*modelLink)}
 	e.g.mesh = e.links
-	e.g.startCatalogRequest = e.ask
-	e.follow = &follower{e: e}
+	e.g.startCatalogRequest = e.requestCatalog
+	e.follower = &follower{e: e}
 	for _, other := range m.entries {
-		if other.alive && (other.g.opts.Place.Region == region || len(m.entries) <= modelGroup) {
-			m.after(m.chance(700*time.Millisecond), func(now time.Time) { m.connect(now, e, other) })
+		if other.alive && (other.g.opts.Place.Region == region || len(m.entries) <= modelGroupSize) {
+			m.after(m.randDuration(700*time.Millisecond), func(now time.Time) { m.connect(now, e, other) })
 		}
 	}
 	m.entries = append(m.entries, e)
-	m.after(0, e.follow.turn)
-	m.after(m.chance(modelTick), e.tick)
+	m.after(0, e.follower.step)
+	m.after(m.randDuration(modelTickInterval), e.tick)
 }
 
 // connect brings the link of two entries up, and again whenever it has gone down.
@@ -209,7 +211,7 @@
 		a.links.bringUp(now, b)
 		b.links.bringUp(now, a)
 	}
-	m.after(150*time.Millisecond+m.chance(300*time.Millisecond), func(now time.Time) { m.connect(now, a, b) })
+	m.after(150*time.Millisecond+m.randDuration(300*time.Millisecond), func(now time.Time) { m.connect(now, a, b) })
 }
 
 func (e *modelEntry) tick(now time.Time) {
@@ -217,36 +219,36 @@
 		return
 	}
 	e.g.step(now)
-	e.follow.endIfCancelled(now)
-	e.m.after(modelTick, e.tick)
+	e.follower.endIfCancelled(now)
+	e.m.after(modelTickInterval, e.tick)
 }
 
-// ask asks a peer for its catalog.
-func (e *modelEntry) ask(addr netip.Addr, ask wire.CatalogAsk) {
-	began := e.m.now
+// requestCatalog requests the catalog of a peer.
+func (e *modelEntry) requestCatalog(addr netip.Addr, request wire.CatalogAsk) {
+	startedAt := e.m.now
 	fail := func(now time.Time) {
 		if e.alive {
-			e.g.askEnded(now, addr, began, wire.CatalogAnswer{}, 0, failure.Timeout.New("no progress"))
+			e.g.handleCatalogResponse(now, addr, startedAt, wire.CatalogAnswer{}, 0, failure.Timeout.New("no progress"))
 		}
 	}
-	if e.isHidden(began) {
-		e.m.after(askWhole, fail)
+	if e.isHidden(startedAt) {
+		e.m.after(catalogRequestTimeout, fail)
 		return
 	}
 	for _, other := range e.m.entries {
-		if other.g.opts.Addr != addr || !other.alive || other.isCut(began) || e.isCut(began) {
+		if other.g.opts.Addr != addr || !other.alive || other.isCut(startedAt) || e.isCut(startedAt) {
 			continue
 		}
-		e.m.after(e.m.beatWay(), func(now time.Time) {
-			answer, config := newerThan(other.g.snapshot, ask)
-			answer.AgeMS = now.Sub(other.g.changesReadAt).Milliseconds()
+		e.m.after(e.m.beatDelay(), func(now time.Time) {
+			response, config := newerThan(other.g.snapshot, request)
+			response.AgeMS = now.Sub(other.g.changesReadAt).Milliseconds()
 			if config != nil {
-				answer.Snapshot.Config, answer.Snapshot.ConfigRevision = config, answer.ConfigRevision
+				response.Snapshot.Config, response.Snapshot.ConfigRevision = config, response.ConfigRevision
 			}
-			e.bytes += sizeOf(answer)
-			e.m.after(e.m.beatWay(), func(now time.Time) {
+			e.serverBytes += sizeOf(response)
+			e.m.after(e.m.beatDelay(), func(now time.Time) {
 				if e.alive && !e.isCut(now) {
-					e.g.askEnded(now, addr, began, answer, 0, nil)
+					e.g.handleCatalogResponse(now, addr, startedAt, response, 0, nil)
 				} else {
 					fail(now)
 				}
@@ -254,40 +256,41 @@
 		})
 		return
 	}
-	e.m.after(askStall, fail)
+	e.m.after(catalogStallTimeout, fail)
 }
 
-// disturb lets servers leave and register, links break, and entries be cut off or killed.
-func (m *model) disturb() {
+// injectFaults makes servers leave and register, links break, and entries be cut off or
+// killed.
+func (m *model) injectFaults() {
 	for range 6 + m.rand.IntN(12) {
-		m.after(m.chance(modelFor*2/3), func(now time.Time) {
+		m.after(m.randDuration(modelDuration*2/3), func(now time.Time) {
 			if live := m.store.live(); len(live) > 2 {
 				m.store.leave(now, live[m.rand.IntN(len(live))], m.rand)
 			}
 		})
 	}
 	for range m.rand.IntN(4) {
-		m.after(m.chance(modelFor), m.store.registerNew)
-		m.after(m.chance(modelFor), m.store.publish)
-		m.after(m.chance(modelFor), m.store.name)
+		m.after(m.randDuration(modelDuration), m.store.registerNew)
+		m.after(m.randDuration(modelDuration), m.store.publish)
+		m.after(m.randDuration(modelDuration), m.store.nameVersion)
 	}
 	for range m.rand.IntN(5) {
-		m.after(m.chance(modelFor), func(now time.Time) { m.breakLink(now) })
+		m.after(m.randDuration(modelDuration), func(now time.Time) { m.failLink(now) })
 	}
 	if m.rand.IntN(2) == 0 {
-		m.after(m.chance(modelFor), func(now time.Time) { m.loseReaders(now, modelLoss(m.rand.IntN(3))) })
+		m.after(m.randDuration(modelDuration), func(now time.Time) { m.failReaders(now, readerFault(m.rand.IntN(3))) })
 	}
 }
 
-// hide has one entry be told nothing by those that read the store.
-func (m *model) hide(now time.Time) {
+// hideEntry hides one entry from the readers, so that they report nothing to it.
+func (m *model) hideEntry(now time.Time) {
 	if len(m.entries) > 0 {
 		e := m.entries[len(m.entries)-1]
-		e.hiddenFrom, e.hiddenTo = now, now.Add(modelContact)
+		e.hiddenFrom, e.hiddenTo = now, now.Add(settleTime)
 	}
 }
 
-func (m *model) breakLink(now time.Time) {
+func (m *model) failLink(now time.Time) {
 	if len(m.entries) == 0 {
 		return
 	}
@@ -296,57 +299,57 @@
 		return
 	}
 	a.links.takeDown(now, a.links.link(b))
-	m.after(m.chance(300*time.Millisecond), func(now time.Time) { b.links.takeDown(now, b.links.link(a)) })
+	m.after(m.randDuration(300*time.Millisecond), func(now time.Time) { b.links.takeDown(now, b.links.link(a)) })
 }
 
-// modelLoss is how those that read the store are lost.
-type modelLoss int
+// readerFault is how the readers of the store fail.
+type readerFault int
 
 const (
-	readersKilled   modelLoss = iota
-	readersCut                // from everybody
-	readersStoreCut           // from the store only
+	readersKilled   readerFault = iota
+	readersCut                  // off from all processes
+	readersStoreCut             // off from the store only
 )
 
-func (m *model) loseReaders(now time.Time, loss modelLoss) {
+func (m *model) failReaders(now time.Time, fault readerFault) {
 	for _, e := range m.entries {
 		v := e.g.view.Load()
 		if !e.alive || v == nil || !v.readsPlatform || m.rand.IntN(4) == 0 {
 			continue
 		}
-		if loss != readersKilled {
-			e.cutFrom, e.cutTo = now, now.Add(500*time.Millisecond+m.chance(4*time.Second))
-			e.isCutFromStoreOnly = loss == readersStoreCut
+		if fault != readersKilled {
+			e.cutFrom, e.cutTo = now, now.Add(500*time.Millisecond+m.randDuration(4*time.Second))
+			e.isCutFromStoreOnly = fault == readersStoreCut
 			if e.isCutFromStoreOnly {
-				m.noticed = now.Add(watchWait + catalog.AnswerTime)
+				m.lossDetectableAt = now.Add(watchWait + catalog.AnswerTime)
 			}
 			continue
 		}
 		e.alive = false
 		addr, region := e.g.opts.Addr, e.g.opts.Place.Region
-		m.after(500*time.Millisecond+m.chance(2*time.Second), func(now time.Time) { m.start(now, addr, region) })
+		m.after(500*time.Millisecond+m.randDuration(2*time.Second), func(now time.Time) { m.startEntry(now, addr, region) })
 	}
 }
 
-// check looks for what must not be.
+// check looks for violations.
 func (m *model) check(now time.Time) {
 	for _, e := range m.entries {
 		if !e.alive {
 			continue
 		}
 		m.checkVersion(e)
-		if e.isInTouch(now) {
+		if e.isSettled(now) {
 			m.checkServers(now, e)
 			m.checkOperator(now, e)
 		}
 	}
-	m.after(modelCheck, m.check)
+	m.after(modelCheckInterval, m.check)
 }
 
-func (m *model) breaks(e *modelEntry, form string, args ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf("after %s, entry %s: ", m.now.Sub(start), e.g.opts.Self) + fmt.Sprintf(form, args...) +
-			fmt.Sprintf("; it holds revision %d, the store %d", e.g.snapshot.AsOf, m.store.now.AsOf)
+func (m *model) reportViolation(e *modelEntry, form string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf("after %s, entry %s: ", m.now.Sub(start), e.g.opts.Self) + fmt.Sprintf(form, args...) +
+			fmt.Sprintf("; it holds revision %d, the store %d", e.g.snapshot.AsOf, m.store.current.AsOf)
 	}
 }
 
@@ -354,59 +357,59 @@
 	used := make(map[fleet.InstanceID]bool)
 	for _, s := range e.backend.listed {
 		used[s.ID] = !s.Leaving
-		if at, left := m.store.leftAt[s.ID]; left && !s.Leaving && now.Sub(at) > modelDrain {
-			m.breaks(e, "uses %s, which left %s before", s.ID, now.Sub(at))
+		if at, left := m.store.leftAt[s.ID]; left && !s.Leaving && now.Sub(at) > maxUseAfterLeave {
+			m.reportViolation(e, "uses %s, which left %s before", s.ID, now.Sub(at))
 		}
 	}
-	couldKnow := m.noticed
+	detectableAt := m.lossDetectableAt
 	if e.isHidden(now) {
-		couldKnow = later(couldKnow, e.hiddenFrom.Add(readingMaxAge))
+		detectableAt = later(detectableAt, e.hiddenFrom.Add(maxReadingAge))
 	}
 	for id, since := range m.store.liveSince {
-		if now.Sub(later(since, couldKnow)) > modelForget && !used[id] && hasServer(m.store.now.Servers, id) {
-			m.breaks(e, "has forgotten %s, which registered %s before", id, now.Sub(since))
+		if now.Sub(later(since, detectableAt)) > maxUnusedAfterRegister && !used[id] && hasServer(m.store.current.Servers, id) {
+			m.reportViolation(e, "has forgotten %s, which registered %s before", id, now.Sub(since))
 		}
 	}
 }
 
-// checkVersion finds a configuration that goes back.
+// checkVersion reports a configuration that goes back.
 func (m *model) checkVersion(e *modelEntry) {
 	if e.g.table == nil {
 		return
 	}
 	if version := e.g.table.Version(); version < e.version {
-		m.breaks(e, "went back from configuration %d to %d", e.version, version)
+		m.reportViolation(e, "went back from configuration %d to %d", e.version, version)
 	} else {
 		e.version = version
 	}
 }
 
 func (m *model) checkOperator(now time.Time, e *modelEntry) {
-	if e.version != m.store.now.Config.Version && now.Sub(m.store.configAt) > modelConfig {
-		m.breaks(e, "has configuration %d in force and not %d", e.version, m.store.now.Config.Version)
+	if e.version != m.store.current.Config.Version && now.Sub(m.store.configAt) > maxOperatorDelay {
+		m.reportViolation(e, "has configuration %d in force and not %d", e.version, m.store.current.Config.Version)
 	}
 	for _, c := range m.store.history {
 		at := m.store.wroteAt[c.Revision]
-		if c.Wanted != nil && now.Sub(at) > modelConfig && e.g.names["m"].Newest() < c.Wanted.Version {
-			m.breaks(e, "does not know of version %d, named %s before", c.Wanted.Version, now.Sub(at))
+		if c.Wanted != nil && now.Sub(at) > maxOperatorDelay && e.g.names["m"].Newest() < c.Wanted.Version {
+			m.reportViolation(e, "does not know of version %d, named %s before", c.Wanted.Version, now.Sub(at))
 		}
 	}
 }
 
-// run returns what must not be and was seen.
+// run runs the model and returns the first violation, empty for none.
 func (m *model) run() string {
-	m.runFor(modelFor)
-	return m.broken
+	m.runFor(modelDuration)
+	return m.violation
 }
 
-func (m *model) runFor(span time.Duration) {
-	for m.broken == "" && len(m.events) > 0 {
+func (m *model) runFor(duration time.Duration) {
+	for m.violation == "" && len(m.events) > 0 {
 		next := heap.Pop(&m.events).(modelEvent)
-		if next.at.Sub(start) > span {
+		if next.at.Sub(start) > duration {
 			break
 		}
 		m.now = next.at
-		next.do(m.now)
+		next.run(m.now)
 	}
 }
 
@@ -416,45 +419,45 @@
 	return len(packed)
 }
 
-// seedsOfModel is a setting for long runs by hand.
-var seedsOfModel = flag.Uint64("model-seeds", 1000, "number of seeds with which the model of entries and a store runs")
+// modelSeedCount may be raised for long runs by hand.
+var modelSeedCount = flag.Uint64("model-seeds", 1000, "number of seeds with which the model of entries and a store runs")
 
-// disturbAtStart is what happens with each seed.
-func disturbAtStart(m *model, seed uint64) {
-	m.disturb()
-	if seed%someSeeds == hiddenSeeds {
-		m.after(m.chance(modelFor/2), m.hide)
+// injectEntryFaults injects the faults of entries and links that occur with the seed.
+func injectEntryFaults(m *model, seed uint64) {
+	m.injectFaults()
+	if seed%seedPeriod == hiddenSeed {
+		m.after(m.randDuration(modelDuration/2), m.hideEntry)
 	}
 }
 
-// disturbMore is disturbAtStart with troubles of the store and of servers.
-func disturbMore(m *model, seed uint64) {
-	disturbAtStart(m, seed)
-	switch seed % someSeeds {
-	case compactSeeds:
-		m.after(m.chance(modelFor/2), m.store.compact)
-		m.after(m.chance(modelFor/2), m.store.compact)
-	case crashSeeds:
-		m.after(m.chance(modelFor/2), m.store.crash)
-		m.after(m.chance(modelFor/2), m.store.crash)
+// injectAllFaults adds faults of the store and of servers to injectEntryFaults.
+func injectAllFaults(m *model, seed uint64) {
+	injectEntryFaults(m, seed)
+	switch seed % seedPeriod {
+	case compactSeed:
+		m.after(m.randDuration(modelDuration/2), m.store.compact)
+		m.after(m.randDuration(modelDuration/2), m.store.compact)
+	case crashSeed:
+		m.after(m.randDuration(modelDuration/2), m.store.restartServer)
+		m.after(m.randDuration(modelDuration/2), m.store.restartServer)
 	}
 }
 
-// breakingSeeds returns what was seen with each seed that breaks a bound.
-func breakingSeeds(seeds []uint64, disturb func(*model, uint64)) []string {
+// violatingSeeds returns a description of the violation of each seed that has one.
+func violatingSeeds(seeds []uint64, injectFaults func(*model, uint64)) []string {
 	next := make(chan uint64)
 	var mu sync.Mutex
-	var broken []string
-	var running sync.WaitGroup
+	var violations []string
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		running.Go(func() {
+		workers.Go(func() {
 			defer GinkgoRecover()
 			for seed := range next {
 				m := newModel(seed, 3+int(seed%8))
-				disturb(m, seed)
-				if seen := m.run(); seen != "" {
+				injectFaults(m, seed)
+				if violation := m.run(); violation != "" {
 					mu.Lock()
-					broken = append(broken, fmt.Sprintf("seed %d, %s", seed, seen))
+					violations = append(violations, fmt.Sprintf("seed %d, %s", seed, violation))
 					mu.Unlock()
 				}
 			}
@@ -464,33 +467,33 @@
 		next <- seed
 	}
 	close(next)
-	running.Wait()
-	slices.Sort(broken)
-	return broken
+	workers.Wait()
+	slices.Sort(violations)
+	return violations
 }
 
 var _ = Describe("Entries that start at random moments", func() {
 	// Guards against requests to servers that left, and live servers out of use, at
-	// entries that were told of changes by different processes in different order.
-	It("use no server that left longer ago than the bound, and forget none that lives", func() {
+	// entries that received changes from different processes in different orders.
+	It("use no server that left longer ago than the bound, and keep every live server in use", func() {
 		var seeds []uint64
-		for seed := range *seedsOfModel {
+		for seed := range *modelSeedCount {
 			seeds = append(seeds, seed)
 		}
-		broken := breakingSeeds(seeds, disturbMore)
-		Expect(len(broken)).To(BeZero(), "of %d seeds:\n%s", len(seeds), strings.Join(broken, "\n"))
+		violations := violatingSeeds(seeds, injectAllFaults)
+		Expect(len(violations)).To(BeZero(), "of %d seeds:\n%s", len(seeds), strings.Join(violations, "\n"))
 	})
 
-	// Guards against a change that is left out where a reader has no changes to tell, and
-	// against an old reading at an entry that is told nothing.
-	It("use no server that left with seeds that once broke the bound", func() {
+	// Guards against a change that is omitted if a reader has no changes to report, and
+	// against an old reading at an entry that receives no reports.
+	It("use no server that left, with seeds that once violated the bound", func() {
 		seeds := []uint64{55, 61, 101, 134, 140, 198, 206, 237, 244, 302, 339, 343, 446, 923}
-		Expect(breakingSeeds(seeds, disturbAtStart)).To(BeEmpty())
+		Expect(violatingSeeds(seeds, injectEntryFaults)).To(BeEmpty())
 	})
 
 	// Guards against servers that left in use at an entry that its readers do not know of
 	// and whose questions hang.
 	It("use no server that left where readers are heard and tell nothing", func() {
-		Expect(breakingSeeds([]uint64{1375, 2365, 2415}, disturbMore)).To(BeEmpty())
+		Expect(violatingSeeds([]uint64{1375, 2365, 2415}, injectAllFaults)).To(BeEmpty())
 	})
 })
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -29,7 +29,7 @@
 	notRun := failure.OutcomeOf(err) == failure.NotRun
 	j.endFailedAttempt(ctx, now, assignment, err)
 	if notRun {
-		j.unreached(ctx, now, assignment.Server)
+		j.checkUnreached(ctx, now, assignment.Server)
 		j.unsent++
 		if ctx.Err() == nil && j.unsent < maxUnsentAttempts {
 			return true
@@ -52,7 +52,7 @@
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		assignment.End(now, placement.Abandoned)
-		j.leftBehind(now, assignment.Server)
+		j.recordDisconnect(now, assignment.Server)
 	case j.isCallOver(ctx, now) && !j.isSilent(now):
 		assignment.End(now, placement.Abandoned)
 	case j.isCallOver(ctx, now):
@@ -65,7 +65,7 @@
 		assignment.End(now, placement.Failed)
 	default:
 		assignment.End(now, placement.Broken)
-		broken = j.brokenAt(ctx, assignment.Server, err)
+		broken = j.recordBrokenAttempt(ctx, assignment.Server, err)
 	}
 	j.g.log.attemptFailed(j, assignment, err, j.withdrawn(ctx, now, assignment, err), broken)
 }
@@ -104,7 +104,7 @@
 // shouldRetry reports whether to retry the call after an attempt that a server may have run.
 func (j *job) shouldRetry(ctx context.Context, now time.Time) bool {
 	return ctx.Err() == nil && !j.g.opts.Disabled.Repeat && j.isRetryable() && j.attempts < j.route.MaxAttempts &&
-		j.deadline.Sub(now) > minAttemptTime && j.standing(now).MayRepeat()
+		j.deadline.Sub(now) > minAttemptTime && j.quarantineStatus(now).MayRepeat()
 }
 
 // handleDeclined handles a response which says that the server did not run the call, or
@@ -243,7 +243,7 @@
 	}
 	if response.Status() < http.StatusInternalServerError {
 		assignment.End(now, placement.Succeeded)
-		j.clearOfCrashes(now)
+		j.recordSuccess(now)
 		j.forward(response, body)
 		return false
 	}
@@ -316,7 +316,7 @@
 func (j *job) endAbandonedStream(assignment *placement.Ticket, response Response) bool {
 	response.Close(false)
 	assignment.End(time.Now(), placement.Abandoned)
-	j.leftBehind(time.Now(), assignment.Server)
+	j.recordDisconnect(time.Now(), assignment.Server)
 	j.endAbandonedCall()
 	return false
 }
@@ -374,7 +374,7 @@
 	response.Close(true)
 	now := time.Now()
 	assignment.End(now, placement.Succeeded)
-	j.clearOfCrashes(now)
+	j.recordSuccess(now)
 	if err := j.reply.complete(response, j.lastAttempt); err != nil {
 		j.endAbandonedCall()
 		return false
--- a/daemon/gateway/peercatalog.go
+++ b/daemon/gateway/peercatalog.go
@@ -16,36 +16,38 @@
 )
 
 const (
-	// askEvery is the pause between two asks for a peer's catalog.
-	askEvery = 150 * time.Millisecond
-	// behindFor is how long a peer must be ahead before an entry asks it that
-	// reads the platform itself: mostly the platform's own word is on its way.
-	behindFor = 250 * time.Millisecond
-	// farBehindFor is how long only peers of other regions may be ahead before one
-	// is asked. One of the own region mostly has it by then, and what crosses
-	// between regions shares a narrow link.
-	farBehindFor = 500 * time.Millisecond
-	// askStall is how long an ask may bring nothing, askWhole how long it may take
-	// in all. Ended soon after they had begun, asks over a full link never came
-	// to their end, and each next one filled it again.
-	askStall = 600 * time.Millisecond
-	askWhole = 4 * time.Second
-	// configPiece is the size of the pieces in which a configuration is sent, each
-	// of which counts as progress.
-	configPiece = 16 << 10
-	// mostConfig bounds a configuration that a peer sends, uncompressed: the
-	// platform's largest item is 1 MB.
-	mostConfig = 8 << 20
+	// catalogRequestInterval is the minimum time between two requests for a peer's
+	// catalog.
+	catalogRequestInterval = 150 * time.Millisecond
+	// catalogRequestDelay is how long a peer must be ahead before an entry that reads the
+	// platform itself requests its catalog: usually the platform's own response is under
+	// way.
+	catalogRequestDelay = 250 * time.Millisecond
+	// remoteCatalogRequestDelay is how long only peers of other regions may be ahead
+	// before the catalog of one is requested. Usually a peer of the own region has it by
+	// then, and traffic between regions shares a narrow link.
+	remoteCatalogRequestDelay = 500 * time.Millisecond
+	// catalogStallTimeout is how long a request may make no progress,
+	// catalogRequestTimeout how long it may take in total. With shorter timeouts,
+	// requests over a full link never completed, and each new one filled it again.
+	catalogStallTimeout   = 600 * time.Millisecond
+	catalogRequestTimeout = 4 * time.Second
+	// configPieceBytes is the size of the pieces in which a configuration is sent. Each
+	// piece counts as progress.
+	configPieceBytes = 16 << 10
+	// maxConfigBytes bounds the uncompressed size of a configuration that a peer sends:
+	// the platform's largest item is 1 MB.
+	maxConfigBytes = 8 << 20
 )
 
-// askPeers asks a peer whose catalog is ahead, while the platform has not told
-// of it by itself: another entry reads it for this one, or the platform turns
-// this one away, or the watch has gone silent.
-func (g *Gateway) askPeers(now time.Time) {
+// requestNewerCatalog requests the catalog of a peer that is ahead, if the platform
+// itself has not reported the changes: another entry reads it for this one, the platform
+// refuses this one, or the connection of the watch is dead.
+func (g *Gateway) requestNewerCatalog(now time.Time) {
 	if g.requestingCatalog || now.Before(g.nextCatalogRequest) {
 		return
 	}
-	addr, near, ok := g.mesh.Ahead(now, func(b wire.Beat) bool {
+	addr, sameRegion, ok := g.mesh.Ahead(now, func(b wire.Beat) bool {
 		return b.ConfigRevision > g.snapshot.ConfigRevision || b.AsOf > g.snapshot.AsOf && g.lacksServers(now)
 	})
 	if !ok {
@@ -55,147 +57,147 @@
 	if g.behindSince.IsZero() {
 		g.behindSince = now
 	}
-	if now.Sub(g.behindSince) < g.askAfter(near) {
+	if now.Sub(g.behindSince) < g.requestDelay(sameRegion) {
 		return
 	}
 	g.requestingCatalog = true
-	g.nextCatalogRequest = now.Add(askEvery)
-	ask := wire.CatalogAsk{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
-	g.startCatalogRequest(addr, ask)
+	g.nextCatalogRequest = now.Add(catalogRequestInterval)
+	request := wire.CatalogAsk{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
+	g.startCatalogRequest(addr, request)
 }
 
-// lacksServers reports whether what this entry knows of the servers was read long ago, or
-// is not complete: a reader of the region told changes that follow on later ones.
+// lacksServers reports whether the known servers were read long ago, or are incomplete: a
+// reader of the region sent changes that leave a gap after those known here.
 //
-// After a restart of the whole fleet each entry has listed the servers at another
+// After a restart of the whole fleet, each entry has listed the servers at a different
 // moment of their return. Until it has the changes since, it sends calls to the
 // predecessors of restarted servers.
 func (g *Gateway) lacksServers(now time.Time) bool {
 	return now.Sub(g.changesReadAt) > watchWait || g.gapUntil > g.snapshot.AsOf
 }
 
-// askAfter is how long a peer must be ahead before it is asked.
-func (g *Gateway) askAfter(near bool) time.Duration {
+// requestDelay returns how long a peer must be ahead before its catalog is requested.
+func (g *Gateway) requestDelay(sameRegion bool) time.Duration {
 	v := g.view.Load()
 	switch {
 	case g.table == nil:
-		return 0 // callers wait, and a neighbour is nearer than the platform
-	case !near:
-		return farBehindFor
+		return 0 // callers wait, and a peer is closer than the platform
+	case !sameRegion:
+		return remoteCatalogRequestDelay
 	case v == nil || v.readsPlatform:
-		return behindFor
+		return catalogRequestDelay
 	default:
 		return 0
 	}
 }
 
-func (g *Gateway) askPeer(addr netip.Addr, ask wire.CatalogAsk) {
-	ctx, cancel := context.WithTimeout(g.ctx, askWhole)
+func (g *Gateway) requestCatalog(addr netip.Addr, request wire.CatalogAsk) {
+	ctx, cancel := context.WithTimeout(g.ctx, catalogRequestTimeout)
 	defer cancel()
-	began := time.Now()
-	got, size, err := g.fetchCatalog(ctx, addr, ask)
-	g.post(func(now time.Time) { g.askEnded(now, addr, began, got, size, err) })
+	startedAt := time.Now()
+	response, size, err := g.fetchCatalog(ctx, addr, request)
+	g.post(func(now time.Time) { g.handleCatalogResponse(now, addr, startedAt, response, size, err) })
 }
 
-// askEnded takes what a peer answered, with size bytes of a configuration.
-func (g *Gateway) askEnded(now time.Time, addr netip.Addr, began time.Time, got wire.CatalogAnswer, size int, err error) {
-	told := []zap.Field{zap.String("peer", addr.String()), zap.Duration("took", now.Sub(began)), zap.Int("bytes", size)}
+// handleCatalogResponse handles a peer's response, with size bytes of a configuration.
+func (g *Gateway) handleCatalogResponse(now time.Time, addr netip.Addr, startedAt time.Time, response wire.CatalogAnswer, size int, err error) {
+	fields := []zap.Field{zap.String("peer", addr.String()), zap.Duration("took", now.Sub(startedAt)), zap.Int("bytes", size)}
 	g.requestingCatalog = false
 	if err != nil {
-		g.opts.Logger.Warn("peer_catalog_failed", append(told, zap.Error(err))...)
+		g.opts.Logger.Warn("peer_catalog_failed", append(fields, zap.Error(err))...)
 		return
 	}
-	g.opts.Logger.Info("peer_catalog_read", append(told, zap.Bool("newer", got.Snapshot != nil))...)
-	if got.Snapshot != nil {
-		g.adoptList(now, *got.Snapshot, reading{origin: fromPeer, from: addr.String(), readAt: readBefore(began, got.AgeMS)})
+	g.opts.Logger.Info("peer_catalog_read", append(fields, zap.Bool("newer", response.Snapshot != nil))...)
+	if response.Snapshot != nil {
+		g.adoptSnapshot(now, *response.Snapshot, reading{origin: fromPeer, from: addr.String(), readAt: readTime(startedAt, response.AgeMS)})
 	}
 }
 
-// fetchCatalog returns what a peer has that is newer, with its configuration, and how
-// many bytes of that came.
-func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, ask wire.CatalogAsk) (wire.CatalogAnswer, int, error) {
-	var answer wire.CatalogAnswer
+// fetchCatalog returns the newer parts of a peer's catalog, including the configuration,
+// and the number of bytes of the configuration that were received.
+func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, request wire.CatalogAsk) (wire.CatalogAnswer, int, error) {
+	var response wire.CatalogAnswer
 	s, err := g.opts.Endpoint.Open(ctx, g.mesh.PeerAddr(addr), "", peer.KindConfig)
 	if err != nil {
-		return answer, 0, err
+		return response, 0, err
 	}
 	defer s.Abort()
-	s.SetStall(askStall)
-	if err := s.Send(ask); err != nil {
-		return answer, 0, err
+	s.SetStall(catalogStallTimeout)
+	if err := s.Send(request); err != nil {
+		return response, 0, err
 	}
-	if err := s.Recv(&answer); err != nil {
-		return answer, 0, err
+	if err := s.Recv(&response); err != nil {
+		return response, 0, err
 	}
-	if answer.Snapshot == nil || answer.ConfigBytes == 0 {
-		return answer, 0, nil
+	if response.Snapshot == nil || response.ConfigBytes == 0 {
+		return response, 0, nil
 	}
-	packed, err := recvPieces(s, answer.ConfigBytes)
+	packed, err := receivePieces(s, response.ConfigBytes)
 	if err != nil {
-		return answer, len(packed), err
+		return response, len(packed), err
 	}
 	var config routing.Config
-	if err := peer.Unpack(packed, &config, mostConfig); err != nil {
-		return answer, len(packed), err
+	if err := peer.Unpack(packed, &config, maxConfigBytes); err != nil {
+		return response, len(packed), err
 	}
-	answer.Snapshot.Config, answer.Snapshot.ConfigRevision = &config, answer.ConfigRevision
-	return answer, len(packed), nil
+	response.Snapshot.Config, response.Snapshot.ConfigRevision = &config, response.ConfigRevision
+	return response, len(packed), nil
 }
 
-// recvPieces receives size bytes in raw frames. With a failure it returns what
-// came before.
-func recvPieces(s *peer.Stream, size int) ([]byte, error) {
-	var all []byte
-	if size < 0 || size > mostConfig {
-		return nil, failure.Corrupt.New("a configuration of %d bytes is announced", size)
+// receivePieces receives size bytes in raw frames. If it fails, it returns the bytes
+// received before.
+func receivePieces(s *peer.Stream, size int) ([]byte, error) {
+	var received []byte
+	if size < 0 || size > maxConfigBytes {
+		return nil, failure.Corrupt.New("peer announced a configuration of %d bytes", size)
 	}
-	for len(all) < size {
+	for len(received) < size {
 		piece, err := s.RecvBytes(nil)
 		if err != nil {
-			return all, err
+			return received, err
 		}
-		all = append(all, piece...)
+		received = append(received, piece...)
 	}
-	if len(all) > size {
-		return all, failure.Corrupt.New("%d bytes of a configuration came, %d were announced", len(all), size)
+	if len(received) > size {
+		return received, failure.Corrupt.New("received %d bytes of a configuration, %d were announced", len(received), size)
 	}
-	return all, nil
+	return received, nil
 }
 
-// serveCatalog answers a peer's CatalogAsk.
+// serveCatalog handles a peer's CatalogAsk.
 func (g *Gateway) serveCatalog(ctx context.Context, s *peer.Stream) {
-	s.SetStall(askStall)
-	var ask wire.CatalogAsk
-	if err := s.Recv(&ask); err != nil {
+	s.SetStall(catalogStallTimeout)
+	var request wire.CatalogAsk
+	if err := s.Recv(&request); err != nil {
 		s.Abort()
 		return
 	}
-	if err := g.giveCatalog(ctx, s, ask); err != nil {
+	if err := g.sendCatalog(ctx, s, request); err != nil {
 		g.opts.Logger.Warn("catalog_not_given", zap.String("peer", string(s.Peer().ID)), zap.Error(err))
 	}
 }
 
-func (g *Gateway) giveCatalog(ctx context.Context, s *peer.Stream, ask wire.CatalogAsk) error {
+func (g *Gateway) sendCatalog(ctx context.Context, s *peer.Stream, request wire.CatalogAsk) error {
 	var held catalog.Snapshot
 	var age time.Duration
 	if err := g.opts.Loop.Do(ctx, func(now time.Time) { held, age = g.snapshot, now.Sub(g.changesReadAt) }); err != nil {
 		return err
 	}
-	answer, config := newerThan(held, ask)
-	answer.AgeMS = age.Milliseconds()
+	response, config := newerThan(held, request)
+	response.AgeMS = age.Milliseconds()
 	if config == nil {
-		return s.Send(answer)
+		return s.Send(response)
 	}
-	packed, err := g.packed.of(held.ConfigRevision, config)
+	packed, err := g.packed.pack(held.ConfigRevision, config)
 	if err != nil {
 		return err
 	}
-	answer.ConfigBytes = len(packed)
-	if err := s.Send(answer); err != nil {
+	response.ConfigBytes = len(packed)
+	if err := s.Send(response); err != nil {
 		return err
 	}
 	for len(packed) > 0 {
-		n := min(configPiece, len(packed))
+		n := min(configPieceBytes, len(packed))
 		if err := s.SendBytes(packed[:n]); err != nil {
 			return err
 		}
@@ -204,47 +206,47 @@
 	return nil
 }
 
-// newerThan returns what a catalog holds that an asker lacks. The configuration
-// is apart: it is sent only to those that lack it, since it is by far the
-// largest part, and not within the message.
-func newerThan(held catalog.Snapshot, ask wire.CatalogAsk) (wire.CatalogAnswer, *routing.Config) {
+// newerThan returns the parts of a catalog that the requesting peer lacks. The
+// configuration is returned separately: it is by far the largest part, so it is sent only
+// to peers that lack it, and not within the message.
+func newerThan(held catalog.Snapshot, request wire.CatalogAsk) (wire.CatalogAnswer, *routing.Config) {
 	config := held.Config
-	if held.ConfigRevision <= ask.ConfigRevision {
+	if held.ConfigRevision <= request.ConfigRevision {
 		config = nil
 	}
-	if held.AsOf <= ask.AsOf && config == nil {
+	if held.AsOf <= request.AsOf && config == nil {
 		return wire.CatalogAnswer{}, nil
 	}
-	answer := wire.CatalogAnswer{}
+	response := wire.CatalogAnswer{}
 	if config != nil {
-		answer.ConfigRevision = held.ConfigRevision
+		response.ConfigRevision = held.ConfigRevision
 	}
 	held.Config, held.ConfigRevision = nil, 0
-	if held.AsOf <= ask.AsOf {
+	if held.AsOf <= request.AsOf {
 		held.AsOf, held.Servers = 0, nil
 	}
-	answer.Snapshot = &held
-	return answer, config
+	response.Snapshot = &held
+	return response, config
 }
 
-// packedConfig is the configuration as it is sent to peers. It is packed once:
-// a dozen of them ask for it at the same moment.
+// packedConfig caches the configuration as it is sent to peers. It is packed once, since
+// a dozen peers request it at the same moment.
 type packedConfig struct {
 	mu       sync.Mutex
 	revision catalog.Revision
-	bytes    []byte
+	packed   []byte
 }
 
-func (p *packedConfig) of(revision catalog.Revision, config *routing.Config) ([]byte, error) {
+func (p *packedConfig) pack(revision catalog.Revision, config *routing.Config) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.revision == revision {
-		return p.bytes, nil
+		return p.packed, nil
 	}
 	packed, err := peer.Pack(config)
 	if err != nil {
 		return nil, err
 	}
-	p.revision, p.bytes = revision, packed
+	p.revision, p.packed = revision, packed
 	return packed, nil
 }
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -20,9 +20,9 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// replicaLife is how long an agent's word counts for more than the server's
-// registration. An agent tells several times within it.
-const replicaLife = 2 * time.Second
+// replicaReportTTL is how long an agent's report takes precedence over the server's
+// registration. An agent reports several times within it.
+const replicaReportTTL = 2 * time.Second
 
 // ServeStream implements peer.Handler.
 func (g *Gateway) ServeStream(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// compose returns what another process is told.
+// compose returns the message for another process.
 func (g *Gateway) compose(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
 	b := wire.Beat{ID: g.opts.Self, Role: fleet.RoleEntry, Incarnation: g.opts.Incarnation, Brief: form == mesh.Brief}
 	if to.Near {
@@ -49,7 +49,7 @@
 		delete(g.sentLoads, to.ID)
 	}
 	b.ConfigRevision = g.snapshot.ConfigRevision
-	g.tellRegion(now, &b, to, form)
+	g.addPlatformReport(now, &b, to, form)
 	if b.Brief {
 		return b
 	}
@@ -59,11 +59,11 @@
 	b.Leaving = g.leaving
 	b.AsOf = g.snapshot.AsOf
 	b.OperatorAsOf = g.snapshot.OperatorAsOf
-	b.Reaches = g.contact.reaches(now)
-	b.TurnedAway = g.isTurnedAway(now)
-	b.Wanted = g.wantedNow(now)
+	b.Reaches = g.contact.isReachable(now)
+	b.TurnedAway = g.isRefused(now)
+	b.Wanted = g.wantedVersions(now)
 	if form == mesh.First {
-		g.manifests.lost(to.ID)
+		g.manifests.reset(to.ID)
 	}
 	if to.Role == fleet.RoleAgent {
 		b.Entries = g.mesh.LiveIn(now, to.Region)
@@ -79,21 +79,22 @@
 	return b
 }
 
-// directReplicas are the engines whose agents tell this entry of them.
+// directReplicas returns the engines whose agents report to this entry directly.
 func (g *Gateway) directReplicas(now time.Time) []wire.Replica {
 	var all []wire.Replica
 	for _, r := range g.replicas {
-		if r.direct && now.Sub(r.reportedAt) < replicaLife {
+		if r.direct && now.Sub(r.reportedAt) < replicaReportTTL {
 			all = append(all, r.Aged(now.Sub(r.reportedAt)))
 		}
 	}
 	return all
 }
 
-// hasNews reports whether the own loads have changed since an entry was told.
-func (g *Gateway) hasNews(to fleet.InstanceID) bool { return g.scheduler.Changed(g.sentLoads[to]) }
+// hasNewLoads reports whether the own loads have changed since they were last sent to an
+// entry.
+func (g *Gateway) hasNewLoads(to fleet.InstanceID) bool { return g.scheduler.Changed(g.sentLoads[to]) }
 
-func (g *Gateway) wantedNow(now time.Time) []wire.WantedVersion {
+func (g *Gateway) wantedVersions(now time.Time) []wire.WantedVersion {
 	var all []wire.WantedVersion
 	for model, names := range g.names {
 		for _, n := range names {
@@ -104,12 +105,12 @@
 	return all
 }
 
-// composeForAgent adds where the agent's weights come from and who else wants
-// them. The list of members is sent when it has changed.
+// composeForAgent adds the source of the agent's weights and the members that load the
+// same ones. The list of members is sent only when it has changed.
 func (g *Gateway) composeForAgent(b *wire.Beat, to fleet.InstanceID, first bool) {
 	addr, err := netip.ParseAddr(string(to))
 	if err != nil {
-		return // no process of ours has such an id
+		return // no agent has such an id
 	}
 	plan, ok := supply.For(g.snapshot, g.opts.Regions, addr)
 	if !ok {
@@ -123,39 +124,39 @@
 	}
 }
 
-// heard takes what another process tells.
-func (g *Gateway) heard(now time.Time, from mesh.Peer, b wire.Beat) {
+// receive handles the message of another process.
+func (g *Gateway) receive(now time.Time, from mesh.Peer, b wire.Beat) {
 	if b.Role == fleet.RoleEntry {
-		g.heardLoads(now, from, b)
-		g.heardReader(now, b)
-		g.heardRevision(b)
+		g.receiveLoads(now, from, b)
+		g.receiveFromReader(now, b)
+		g.receiveRevision(b)
 		if b.Brief {
 			return
 		}
 		if b.Reaches {
-			g.contact.othersReach(now)
+			g.contact.recordOthersAnswered(now)
 		}
-		g.heardGroups(now, b.Digests)
+		g.receiveGroupLoads(now, b.Digests)
 		for _, w := range b.Wanted {
-			g.heardWanted(now, w)
+			g.receiveWantedVersion(now, w)
 		}
 		g.receiveCrashes(now, from, b.Crashes)
 		g.receiveLimits(now, from, b.Limits)
 	}
 	if b.Manifest != nil {
-		g.heardManifest(*b.Manifest, from.Near)
+		g.receiveManifest(*b.Manifest, from.Near)
 	}
 	for _, r := range b.Replicas {
-		g.heardReplica(now, r, b.Role == fleet.RoleAgent)
+		g.receiveReplica(now, r, b.Role == fleet.RoleAgent)
 	}
 }
 
-// heardLoads takes what another entry has at each server.
+// receiveLoads updates the load of another entry at each server.
 //
-// Entries that start together are all near each other until they know of more
-// than a small fleet. One that is in another group afterwards tells its loads no
-// more: those that it told last would stay, and engines with room pass for full.
-func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Beat) {
+// Entries that start together are all in one group until they know more than a small
+// fleet. An entry that is in another group afterwards no longer sends its loads: if the
+// last ones were kept, engines with free slots would count as full.
+func (g *Gateway) receiveLoads(now time.Time, from mesh.Peer, b wire.Beat) {
 	if !from.Near || b.AllLoads {
 		g.scheduler.Forget(b.ID)
 	}
@@ -164,8 +165,8 @@
 	}
 }
 
-// heardGroups takes what the entries of other groups have together.
-func (g *Gateway) heardGroups(now time.Time, digests []wire.Digest) {
+// receiveGroupLoads updates the total loads of the entries of other groups.
+func (g *Gateway) receiveGroupLoads(now time.Time, digests []wire.Digest) {
 	for _, d := range digests {
 		if d.Group != g.mesh.Group() {
 			g.scheduler.HeardGroup(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
@@ -173,11 +174,11 @@
 	}
 }
 
-// heardRevision takes up to which revision a peer knows what the operator wrote.
-// If that holds no configuration that is missing here, it is known here too. The
-// first word of one that is missing is logged: from it to config_in_force is
-// what fetching it takes.
-func (g *Gateway) heardRevision(b wire.Beat) {
+// receiveRevision updates the revision up to which the operator's configuration is known:
+// if a peer has no configuration that is missing here, all that it knows is known here
+// too. The first report of a missing configuration is logged: the time from that line to
+// config_in_force is the time to fetch it.
+func (g *Gateway) receiveRevision(b wire.Beat) {
 	if b.ConfigRevision <= g.snapshot.ConfigRevision {
 		g.snapshot.OperatorAsOf = max(g.snapshot.OperatorAsOf, b.OperatorAsOf)
 	}
@@ -188,36 +189,37 @@
 	g.opts.Logger.Info("config_heard", zap.Int64("revision", int64(b.ConfigRevision)), zap.String("peer", string(b.ID)))
 }
 
-// heardWanted takes a version that a peer knows of. The peer may have known it
-// for longer than this process, which then stops to use the old one earlier.
+// receiveWantedVersion handles a version that a peer reports. The peer may have known it
+// for longer than this process, which then stops using the previous version earlier.
 //
-// A peer that has just started takes what it finds for old. If it is the first
-// to tell, this process knows better: its own catalog did not have the version.
-func (g *Gateway) heardWanted(now time.Time, w wire.WantedVersion) {
+// A peer that has just started assumes that the versions it finds are old. If it is the
+// first to report one, this process knows better, since its own catalog did not have the
+// version.
+func (g *Gateway) receiveWantedVersion(now time.Time, w wire.WantedVersion) {
 	named := w.Named(now)
 	if g.tableRevision != 0 {
-		named = g.names[w.Model].Correct(named, g.heardNow(now, w.Version))
+		named = g.names[w.Model].Correct(named, g.newlyNamedVersion(now, w.Version))
 	}
-	g.setWanted(w.Model, named)
+	g.addWantedVersion(w.Model, named)
 }
 
-// wantedSkew is the time on the way of a beat, within which two processes'
-// knowledge counts as equally old.
+// wantedSkew is the transit time of a heartbeat. Times at which two processes learned of
+// a version count as equal within it.
 const wantedSkew = 50 * time.Millisecond
 
-func (g *Gateway) setWanted(model string, named loading.Named) {
+func (g *Gateway) addWantedVersion(model string, named loading.Named) {
 	names, changed := g.names[model].Add(named, wantedSkew)
 	if !changed {
 		return
 	}
 	g.names[model] = names
 	g.changed = true
-	g.flushDue = true // agents heard of it 0.3 s later with their next heartbeat
+	g.flushDue = true // the next heartbeat would reach agents 0.3 s later
 	g.opts.Logger.Info("version_wanted", zap.String("model", model), zap.Uint64("version", named.Version),
 		zap.Time("since", named.Since), zap.Bool("assumed", named.Assumed))
 }
 
-func (g *Gateway) heardReplica(now time.Time, r wire.Replica, direct bool) {
+func (g *Gateway) receiveReplica(now time.Time, r wire.Replica, direct bool) {
 	known, ok := g.replicas[r.Addr]
 	if ok && !r.Newer(known.Replica, now.Sub(known.reportedAt)) && !r.SameWord(known.Replica) {
 		return
@@ -236,23 +238,23 @@
 	}
 }
 
-// publishEvery is the longest pause between two views. What a view holds beside
-// the catalog is known to no more than that: entries that fell silent, say. Made
-// at each tick, views of a hundred entries cost more than all calls.
-const publishEvery = 100 * time.Millisecond
+// publishInterval is the maximum time between two views. The parts of a view that are not
+// from the catalog, such as which entries are silent, are not known more precisely.
+// Computed at each tick, views of a hundred entries cost more than all calls.
+const publishInterval = 100 * time.Millisecond
 
-// publishDue gives calls a new view if anything has changed that must be in
-// force at once, or it is time.
-func (g *Gateway) publishDue(now time.Time) {
+// publishIfDue publishes a new view if something has changed that must take effect
+// immediately, or if the last view is older than publishInterval.
+func (g *Gateway) publishIfDue(now time.Time) {
 	v := g.view.Load()
 	isSame := v != nil && !g.changed && !g.limitsChanged && v.table == g.table && v.leaving == g.leaving && v.stale == g.stale
-	if isSame && now.Sub(g.published) < publishEvery {
+	if isSame && now.Sub(g.published) < publishInterval {
 		return
 	}
 	g.publish(now)
 }
 
-// publish gives calls a new view.
+// publish publishes a new view for calls.
 func (g *Gateway) publish(now time.Time) {
 	g.published = now
 	g.quarantine.DropExpired(now)
@@ -261,7 +263,7 @@
 	g.publishLimits(now, entries)
 	g.opts.Metrics.Gauge("calls_in_flight").Update(float64(g.inFlight.Load()))
 	if slices.ContainsFunc(entries, func(e mesh.Entry) bool { return e.Reaches && !e.Silent }) {
-		g.contact.othersReach(now)
+		g.contact.recordOthersAnswered(now)
 	}
 	rank := g.rank(now, entries)
 	v := &view{
@@ -269,16 +271,16 @@
 		names:           maps.Clone(g.names),
 		entries:         entries,
 		rank:            rank,
-		readsPlatform:   g.reads(now, rank),
+		readsPlatform:   g.shouldReadPlatform(now, rank),
 		asOf:            g.snapshot.AsOf,
 		operatorAsOf:    g.snapshot.OperatorAsOf,
 		leaving:         g.leaving,
 		isNew:           g.isNew(now),
 		stale:           g.stale,
-		nextEngineReady: g.soonest(now),
-		isCurrent:       g.contact.recent(now) || g.mesh.Hears(now),
+		nextEngineReady: g.nextReadyTimes(now),
+		isCurrent:       g.contact.isRecent(now) || g.mesh.Hears(now),
 	}
-	g.followAnew(g.view.Swap(v), v)
+	g.cancelObsoleteCall(g.view.Swap(v), v)
 	slack := g.slack()
 	g.callsMu.Lock()
 	defer g.callsMu.Unlock()
@@ -287,58 +289,58 @@
 	}
 }
 
-// soonest returns for each service when the first engine is expected to be
-// ready that is not yet. An entry that has just started takes them for ready
-// soon: it has not heard of them, or they have lost their weights with the power
-// and load.
-func (g *Gateway) soonest(now time.Time) map[fleet.ServiceName]time.Time {
-	soonest := make(map[fleet.ServiceName]time.Time)
-	note := func(service fleet.ServiceName, at time.Time) {
-		if known, ok := soonest[service]; !ok || at.Before(known) {
-			soonest[service] = at
+// nextReadyTimes returns for each service when the next engine is expected to become
+// ready. An entry that has just started expects engines to be ready soon: it has not
+// received their reports, or they lost their weights in a power failure and load them
+// again.
+func (g *Gateway) nextReadyTimes(now time.Time) map[fleet.ServiceName]time.Time {
+	next := make(map[fleet.ServiceName]time.Time)
+	add := func(service fleet.ServiceName, at time.Time) {
+		if known, ok := next[service]; !ok || at.Before(known) {
+			next[service] = at
 		}
 	}
 	for _, s := range g.snapshot.Servers {
 		if at, ok := g.readyAt[s.Addr.Addr()]; ok {
-			note(s.Service, at)
+			add(s.Service, at)
 		}
 		switch {
 		case !g.knowsAllAgents(now):
-			note(s.Service, g.started.Add(allAgentsReportWithin))
+			add(s.Service, g.started.Add(allAgentsReportWithin))
 		case g.isNew(now) && !g.scheduler.HasUsable(s.Service):
-			note(s.Service, g.expectedLoadTime(now))
+			add(s.Service, g.expectedLoadTime(now))
 		}
 	}
-	return soonest
+	return next
 }
 
-// publishServers gives the board the servers if one of them has changed, in a
-// fleet of so many entries.
+// publishServers passes the servers to the balancer if one of them has changed. entries
+// is the number of entries in the fleet.
 func (g *Gateway) publishServers(now time.Time, entries int) {
 	for addr, r := range g.replicas {
-		if now.Sub(r.reportedAt) > replicaLife {
+		if now.Sub(r.reportedAt) > replicaReportTTL {
 			delete(g.replicas, addr)
 			g.changed = true
 		}
 	}
-	hearsAll := g.knowsAllAgents(now)
-	if !g.changed && hearsAll == g.knewAllAgents {
+	knowsAll := g.knowsAllAgents(now)
+	if !g.changed && knowsAll == g.knewAllAgents {
 		return
 	}
 	g.changed = false
-	g.knewAllAgents = hearsAll
+	g.knewAllAgents = knowsAll
 	var list []placement.Server
 	for _, s := range g.snapshot.Servers {
-		list = append(list, g.server(now, s, entries))
+		list = append(list, g.placementServer(now, s, entries))
 	}
 	for id, lapsed := range g.lapsed {
 		if !hasServer(g.snapshot.Servers, id) {
-			list = append(list, g.server(now, lapsed, entries))
+			list = append(list, g.placementServer(now, lapsed, entries))
 		}
 	}
-	g.noteReplaced(now, list)
+	g.detectReplaced(now, list)
 	g.scheduler.SetServers(now, list)
-	g.limitsChanged = true // those of servers that are listed anew
+	g.limitsChanged = true // limits of servers that are listed again
 	g.limits.Keep(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
 	})
@@ -346,32 +348,32 @@
 }
 
 const (
-	// keptShare is the part of the connections that a server accepts that all
-	// entries together may keep unused. The rest is for those in use.
-	keptShare = 0.5
-	// keptMost bounds the unused connections of one entry to a server whose limit
-	// is high or not told: as many as it is given requests at once.
-	keptMost = 32
+	// idleConnectionShare is the share of the connections accepted by a server that all
+	// entries together may keep idle. The rest is for connections in use.
+	idleConnectionShare = 0.5
+	// maxIdleConnections bounds the idle connections of one entry to a server whose limit
+	// is high or unknown: as many as the requests that it is sent at once.
+	maxIdleConnections = 32
 )
 
-// keptConnections is this entry's part of the unused connections to a server.
-func (g *Gateway) keptConnections(service fleet.ServiceName, entries int) int {
+// idleConnections returns how many idle connections this entry may keep to a server.
+func (g *Gateway) idleConnections(service fleet.ServiceName, entries int) int {
 	if g.table == nil {
-		return keptMost
+		return maxIdleConnections
 	}
 	s := g.table.Service(service)
 	if s == nil || s.MaxConnections <= 0 {
-		return keptMost
+		return maxIdleConnections
 	}
-	return min(keptMost, max(1, int(keptShare*float64(s.MaxConnections))/entries))
+	return min(maxIdleConnections, max(1, int(idleConnectionShare*float64(s.MaxConnections))/entries))
 }
 
-// server puts together what the platform and the agent tell of a server. What
-// the agent says is newer, and is waited for once a registration has proved wrong.
-func (g *Gateway) server(now time.Time, s catalog.Server, entries int) placement.Server {
+// placementServer combines the registration of a server with its agent's report, which is
+// newer. Once a registration has proved wrong, the reports of all agents are awaited.
+func (g *Gateway) placementServer(now time.Time, s catalog.Server, entries int) placement.Server {
 	out := placement.Server{
 		ID: s.ID, Service: s.Service, Addr: s.Addr, Slots: s.Slots,
-		Connections: g.keptConnections(s.Service, entries),
+		Connections: g.idleConnections(s.Service, entries),
 		Place:       fleet.Place{Zone: s.Zone, Region: g.opts.Regions[s.Zone]},
 		Loaded:      placement.ModelVersion(s.Loaded),
 		Leaving:     s.Draining,
@@ -384,7 +386,7 @@
 	switch {
 	case !reported:
 		out.Changing = g.suspectsRegistrations && !g.knowsAllAgents(now)
-	case isOfEarlierStart(r.Replica, s):
+	case predatesRegistration(r.Replica, s):
 	case g.isSuperseded(now, r.Replica, s):
 		out.Changing = true
 	default:
@@ -397,18 +399,19 @@
 	return out
 }
 
-// isSuperseded reports whether a registration is of an earlier start of the server
-// than its agent reports. The server may have another ID by now and would decline
-// what is meant for its predecessor, so its next registration is waited for while the
-// platform answers.
+// isSuperseded reports whether a registration is of an earlier start of the server than
+// its agent reports. The server may have another ID by now and would decline calls for
+// its predecessor, so while the platform responds, the next registration is awaited.
 func (g *Gateway) isSuperseded(now time.Time, r wire.Replica, s catalog.Server) bool {
-	return s.Born != 0 && r.Born > s.Born && g.contact.recent(now) && !g.contact.mayHaveLapsed(now)
+	return s.Born != 0 && r.Born > s.Born && g.contact.isRecent(now) && !g.contact.mayHaveLapsed(now)
 }
 
-// isOfEarlierStart reports whether the agent's word is of a start of the server
-// before the registered one: the agent is cut off, say, and what it told last
-// counts on for a while.
-func isOfEarlierStart(r wire.Replica, s catalog.Server) bool { return r.Born != 0 && r.Born < s.Born }
+// predatesRegistration reports whether an agent's report is of a start of the server
+// before the registered one. This happens if the agent is cut off and its last report has
+// not expired yet.
+func predatesRegistration(r wire.Replica, s catalog.Server) bool {
+	return r.Born != 0 && r.Born < s.Born
+}
 
 func (g *Gateway) isEngine(name fleet.ServiceName) bool {
 	if g.table == nil {
