--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -12,127 +12,126 @@
 )
 
 const (
-	// regionReaders is how many entries of a region, and of each group in a large
-	// region, read the platform. The others
-	// take from them what they read: a large configuration, read by each entry,
-	// filled the link between two regions, and each registration of a server woke
-	// them all for a call. The second is there for the moment in which the first is
-	// lost.
-	regionReaders = 2
-	// turnedAwayFor is how long an entry that the platform did not answer is the
-	// last of its region to read it.
-	turnedAwayFor = 3 * time.Second
-	// readAloneAfter is how long peers may be ahead, and none of them give what is
-	// missing, until an entry reads the platform all the same; readAloneStep is how
-	// much longer the next in rank waits, so that the first can give it what it has
-	// read.
-	readAloneAfter = time.Second
-	readAloneStep  = 200 * time.Millisecond
-	// readerUnheardFor is how long none that reads the platform for the region may be
-	// heard until it counts as lost.
-	readerUnheardFor = 1200 * time.Millisecond
-	// readingMaxAge is how long ago the servers may have been read until an entry reads
+	// readersPerGroup is how many entries of a region, and of each group in a large
+	// region, read the platform. The others receive from them what they read. When every
+	// entry read the platform, a large configuration filled the link between two regions,
+	// and each registration of a server caused a call of every entry. The second reader
+	// covers the time in which the loss of the first is not yet detected.
+	readersPerGroup = 2
+	// refusalPeriod is how long an entry that got no response from the platform ranks
+	// last among the readers of its region.
+	refusalPeriod = 3 * time.Second
+	// fallbackReadDelay is how long peers may be ahead, with none of them sending what is
+	// missing, before an entry reads the platform itself. fallbackReadStep is how much
+	// longer the next in rank waits, so that the first can send it what it has read.
+	fallbackReadDelay = time.Second
+	fallbackReadStep  = 200 * time.Millisecond
+	// readerTimeout is the time without a message from any reader of the region after
+	// which the readers count as lost.
+	readerTimeout = 1200 * time.Millisecond
+	// maxReadingAge is the age of the last reading of the servers at which an entry reads
 	// them itself. While its readers work and nothing changes, a reading is as old as a
-	// watch, the pause after it and a heartbeat are long.
-	readingMaxAge = 2500 * time.Millisecond
+	// watch, the pause after it and a heartbeat take together.
+	maxReadingAge = 2500 * time.Millisecond
 )
 
-// rank is this entry's place among those of its region and group.
+// rank returns this entry's rank among those of its region and group.
 func (g *Gateway) rank(now time.Time, entries []mesh.Entry) int {
-	return rankIn(entries, g.opts.Self, g.opts.Place.Region, g.isTurnedAway(now))
+	return rankIn(entries, g.opts.Self, g.opts.Place.Region, g.isRefused(now))
 }
 
-// isTurnedAway reports whether the platform does not answer this entry. One that
-// does not read it cannot tell.
-func (g *Gateway) isTurnedAway(now time.Time) bool {
+// isRefused reports whether the platform does not respond to this entry. An entry that
+// does not read the platform cannot tell.
+func (g *Gateway) isRefused(now time.Time) bool {
 	v := g.view.Load()
-	isUnheard := v != nil && v.readsPlatform && !g.contact.recent(now)
+	isUnheard := v != nil && v.readsPlatform && !g.contact.isRecent(now)
 	return isUnheard || now.Before(g.refusedUntil)
 }
 
-// rankIn is the place of an entry among those of its region and group that are
-// heard and take requests. Those that the platform turns away come last: they
-// cannot read for the others.
+// rankIn returns the rank of an entry among those of its region and group that are alive
+// and accept requests. Entries that the platform refuses rank last, since they cannot
+// read for the others.
 func rankIn(entries []mesh.Entry, self fleet.InstanceID, region fleet.Region, isTurnedAway bool) int {
 	rank := 0
 	for _, e := range entries {
-		counts := e.Near && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
-		before := !e.TurnedAway && isTurnedAway || e.TurnedAway == isTurnedAway && e.ID < self
-		if counts && before {
+		isCandidate := e.Near && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
+		ranksBefore := !e.TurnedAway && isTurnedAway || e.TurnedAway == isTurnedAway && e.ID < self
+		if isCandidate && ranksBefore {
 			rank++
 		}
 	}
 	return rank
 }
 
-// reads reports whether this entry reads the platform, and does not take from
-// peers what it holds.
-func (g *Gateway) reads(now time.Time, rank int) bool {
+// shouldReadPlatform reports whether this entry reads the platform instead of relying on
+// what peers send.
+func (g *Gateway) shouldReadPlatform(now time.Time, rank int) bool {
 	if g.opts.Disabled.FewWatchers {
 		return true
 	}
 	if g.snapshot.Config == nil {
 		return g.listsCatalogFirst(now)
 	}
-	if g.stale || rank < regionReaders {
+	if g.stale || rank < readersPerGroup {
 		return true
 	}
-	if g.isUnread(now) {
+	if g.mustReadServers(now) {
 		return true
 	}
-	alone := readAloneAfter + time.Duration(rank-regionReaders)*readAloneStep
-	return !g.behindSince.IsZero() && now.Sub(g.behindSince) > alone
+	fallbackDelay := fallbackReadDelay + time.Duration(rank-readersPerGroup)*fallbackReadStep
+	return !g.behindSince.IsZero() && now.Sub(g.behindSince) > fallbackDelay
 }
 
-// isUnread reports whether the servers were read so long ago that this entry reads them
-// itself, since it hears no reader of its region. While one is heard, its reading is as
-// old as the platform's answers are late, and calls of all others would only fill the same
-// link. One that lacks a configuration would read a further copy of it.
-func (g *Gateway) isUnread(now time.Time) bool {
-	isOld := now.Sub(g.changesReadAt) > readingMaxAge
-	isUnheard := now.Sub(g.readerSeenAt) > readerUnheardFor
+// mustReadServers reports whether the servers were read so long ago that this entry reads
+// them itself, since it receives nothing from a reader of its region. While a reader
+// reports, its reading is as old as the platform's responses are late, and calls of all
+// other entries would only fill the same link. An entry that lacks a configuration would
+// read another copy of it.
+func (g *Gateway) mustReadServers(now time.Time) bool {
+	isOld := now.Sub(g.changesReadAt) > maxReadingAge
+	isUnheard := now.Sub(g.readerSeenAt) > readerTimeout
 	lacksConfig := g.newestPeerRevision > g.snapshot.ConfigRevision
 	return isOld && isUnheard && !lacksConfig
 }
 
-// followAnew ends the call to the platform that runs if there is none to make any
-// more, or if only what follows on a first catalog is to be read that a peer gave
-// while it was being listed.
-func (g *Gateway) followAnew(before, now *view) {
-	if before == nil {
+// cancelObsoleteCall cancels the current call to the platform if this entry no longer
+// reads the platform, or if a peer has sent the first catalog while the platform's was
+// being listed, so that only the changes after it remain to be read.
+func (g *Gateway) cancelObsoleteCall(previous, current *view) {
+	if previous == nil {
 		return
 	}
-	isFirst := before.table == nil && now.table != nil
+	isFirst := previous.table == nil && current.table != nil
 	if isFirst {
-		g.reading.end()
+		g.platformCall.stop()
 	}
-	if before.readsPlatform == now.readsPlatform {
+	if previous.readsPlatform == current.readsPlatform {
 		return
 	}
-	g.opts.Logger.Info("reads_platform", zap.Bool("reads", now.readsPlatform), zap.Int("rank", now.rank),
-		zap.Int64("as_of", int64(now.asOf)))
-	if !now.readsPlatform {
-		g.reading.endIfWaiting()
+	g.opts.Logger.Info("reads_platform", zap.Bool("reads", current.readsPlatform), zap.Int("rank", current.rank),
+		zap.Int64("as_of", int64(current.asOf)))
+	if !current.readsPlatform {
+		g.platformCall.stopIfWaiting()
 	}
 }
 
-// running is the call to the platform that runs. It may be ended from any
+// platformCall is the current call to the platform. It may be cancelled from any
 // goroutine.
-type running struct {
-	mu     sync.Mutex
-	began  time.Time
-	cancel context.CancelFunc
+type platformCall struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	cancel    context.CancelFunc
 }
 
-func (r *running) begin(ctx context.Context) (context.Context, context.CancelFunc) {
-	call, cancel := context.WithCancel(ctx)
+func (r *platformCall) begin(ctx context.Context) (context.Context, context.CancelFunc) {
+	callCtx, cancel := context.WithCancel(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cancel, r.began = cancel, time.Now()
-	return call, cancel
+	r.cancel, r.startedAt = cancel, time.Now()
+	return callCtx, cancel
 }
 
-func (r *running) end() {
+func (r *platformCall) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cancel != nil {
@@ -140,13 +139,13 @@
 	}
 }
 
-// endIfWaiting ends a watch that waits for a change. One that has run for longer
-// than a watch waits is bringing something: a reader whose link is slow is
-// followed by the next, and what it has read so far must not be lost.
-func (r *running) endIfWaiting() {
+// stopIfWaiting cancels a watch that waits for a change. A call that has run for longer
+// than a watch waits is receiving data: a reader with a slow link is replaced by the next
+// one, and what it has received so far must not be lost.
+func (r *platformCall) stopIfWaiting() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cancel != nil && time.Since(r.began) < watchWait {
+	if r.cancel != nil && time.Since(r.startedAt) < watchWait {
 		r.cancel()
 	}
 }
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -10,48 +10,49 @@
 	"chivespindle.example/core/fleet"
 )
 
-// origin is the kind of process that gave a reading of the catalog.
+// origin is the kind of process that a reading of the catalog came from.
 type origin string
 
 const (
 	fromStore  origin = "store"
 	fromReader origin = "reader" // an entry that reads the platform for the region
-	fromPeer   origin = "peer"   // an entry that was asked
+	fromPeer   origin = "peer"   // an entry whose catalog was requested
 )
 
 // fromPlatform names the platform as a source in logs.
 const fromPlatform = "platform"
 
-// reading is where a state of the catalog came from.
+// reading describes where a state of the catalog came from.
 type reading struct {
 	origin origin
-	// from is the process that gave it, empty for the platform itself.
+	// from is the process that sent it, empty for the platform itself.
 	from string
-	// readAt is up to when the platform's changes are in it.
+	// readAt is the time up to which it contains the platform's changes.
 	readAt time.Time
 }
 
-// giver names who gave the reading.
-func (r reading) giver() string {
+// sourceName returns the name of the reading's source for logs.
+func (r reading) sourceName() string {
 	if r.origin == fromStore {
 		return fromPlatform
 	}
 	return "peer " + r.from
 }
 
-// readBefore returns when the platform was read that long before.
-func readBefore(now time.Time, ageMS int64) time.Time {
+// readTime returns when a reading was made that has the given age.
+func readTime(now time.Time, ageMS int64) time.Time {
 	return now.Add(-time.Duration(max(0, ageMS)) * time.Millisecond)
 }
 
-// watchedAt returns up to when a watch has seen the platform's changes. A watch that
-// waits is answered at its first change, or at the end of its wait; what takes longer
-// is the answer's way. One that does not wait has seen what was there when it began.
-func watchedAt(began, ended time.Time, wait time.Duration) time.Time {
-	if wait <= watchBriefly {
-		return began
+// watchReadTime returns the time up to which a watch has seen the platform's changes. A
+// watch that waits gets its response at the first change or at the end of its wait; any
+// time beyond that is the transit time of the response. One that does not wait has seen
+// the changes made before it began.
+func watchReadTime(startedAt, endedAt time.Time, wait time.Duration) time.Time {
+	if wait <= briefWatchWait {
+		return startedAt
 	}
-	return earlier(ended, began.Add(wait))
+	return earlier(endedAt, startedAt.Add(wait))
 }
 
 func later(a, b time.Time) time.Time {
@@ -61,20 +62,20 @@
 	return a
 }
 
-// dropReason is why a report on servers was not taken.
+// dropReason is why a report on servers was dropped.
 type dropReason string
 
 const (
-	dropOlder dropReason = "older" // than what is known
-	dropGap   dropReason = "gap"   // between it and what is known
+	dropOlder dropReason = "older" // older than the known revision
+	dropGap   dropReason = "gap"   // changes after the known revision are missing
 )
 
-// readingLog writes a line for each reading of the servers that is adopted or dropped,
-// within a bound, and counts all of them.
+// readingLog logs each reading of the servers that is adopted or dropped, at a limited
+// rate, and counts all of them.
 type readingLog struct {
 	logger  *zap.Logger
 	metrics tally.Scope
-	gate    lineLimiter
+	limiter lineLimiter
 }
 
 func newReadingLog(logger *zap.Logger, metrics tally.Scope) *readingLog {
@@ -82,14 +83,14 @@
 }
 
 func (l *readingLog) allowed() bool {
-	ok, left := l.gate.allow(time.Now())
-	if left > 0 {
-		l.logger.Warn("lines_left_out", zap.Int("count", left))
+	ok, leftOut := l.limiter.allow(time.Now())
+	if leftOut > 0 {
+		l.logger.Warn("lines_left_out", zap.Int("count", leftOut))
 	}
 	return ok
 }
 
-// adopted notes a reading that led on from a revision.
+// adopted logs a reading that advanced the servers from one revision to another.
 func (l *readingLog) adopted(now time.Time, before, asOf catalog.Revision, r reading, fields ...zap.Field) {
 	l.metrics.Tagged(map[string]string{"source": string(r.origin)}).Counter("servers_adopted").Inc(1)
 	if !l.allowed() {
@@ -101,18 +102,18 @@
 	l.logger.Info("servers_adopted", all...)
 }
 
-// dropped notes what leads from a revision to another and does not fit the one held.
-func (l *readingLog) dropped(why dropReason, r reading, after, asOf, held catalog.Revision) {
-	l.metrics.Tagged(map[string]string{"reason": string(why)}).Counter("servers_dropped").Inc(1)
+// dropped logs changes from one revision to another that do not follow the held one.
+func (l *readingLog) dropped(reason dropReason, r reading, after, asOf, held catalog.Revision) {
+	l.metrics.Tagged(map[string]string{"reason": string(reason)}).Counter("servers_dropped").Inc(1)
 	if !l.allowed() {
 		return
 	}
-	l.logger.Info("servers_dropped", zap.String("reason", string(why)), zap.String("source", string(r.origin)),
+	l.logger.Info("servers_dropped", zap.String("reason", string(reason)), zap.String("source", string(r.origin)),
 		zap.String("from", r.from), zap.Int64("after", int64(after)), zap.Int64("revision", int64(asOf)),
 		zap.Int64("held", int64(held)))
 }
 
-// refused notes a failure of a reading up to a revision.
+// refused logs an invalid reading up to a revision.
 func (l *readingLog) refused(err error, r reading, asOf, held catalog.Revision) {
 	l.metrics.Tagged(map[string]string{"source": string(r.origin)}).Counter("servers_refused").Inc(1)
 	if l.allowed() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// wholeListDue notes that an entry is behind the changes that are kept.
+// wholeListDue logs that an entry lacks changes that are no longer kept.
 func (l *readingLog) wholeListDue(to fleet.InstanceID, after, first catalog.Revision) {
 	l.metrics.Counter("whole_lists_due").Inc(1)
 	if l.allowed() {
@@ -130,7 +131,7 @@
 	}
 }
 
-// leaving notes that a server in use begins to leave.
+// leaving logs that a server in use starts to leave.
 func (l *readingLog) leaving(s catalog.Server) {
 	if l.allowed() {
 		l.logger.Info("server_leaves", zap.String("server", string(s.ID)), zap.String("service", string(s.Service)),
@@ -138,12 +139,11 @@
 	}
 }
 
-// noteReading notes the reading by which the servers are known now, if it is newer than
-// the one before.
-func (g *Gateway) noteReading(now time.Time, before, asOf catalog.Revision, r reading, fields ...zap.Field) {
+// recordReading records a reading of the servers, unless it is older than the last one.
+func (g *Gateway) recordReading(now time.Time, before, asOf catalog.Revision, r reading, fields ...zap.Field) {
 	switch {
 	case asOf < before:
-		if asOf > 0 { // else it tells nothing of the servers
+		if asOf > 0 { // otherwise it contains no servers
 			g.readings.dropped(dropOlder, r, 0, asOf, before)
 		}
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// noteLeaving logs the servers that began to leave.
-func (g *Gateway) noteLeaving(before catalog.Snapshot, changes []catalog.Change) {
+// logLeaving logs the servers that start to leave.
+func (g *Gateway) logLeaving(before catalog.Snapshot, changes []catalog.Change) {
 	for _, c := range changes {
 		if c.Server == nil || !c.Server.Draining || c.Revision <= before.AsOf {
 			continue
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -35,54 +35,55 @@
 		core, logs := observer.New(zap.InfoLevel)
 		lines = logs
 		g.readings = newReadingLog(zap.New(core), g.opts.Metrics)
-		g.adoptList(start, snapshot(5, one, two), reading{origin: fromStore, readAt: at(-300 * time.Millisecond)})
+		g.adoptSnapshot(start, snapshot(5, one, two), reading{origin: fromStore, readAt: at(-300 * time.Millisecond)})
 	})
 
-	It("has a line with its source, its revision and its age", func() {
+	It("is logged with its source, its revision and its age", func() {
 		Expect(lineOf("servers_adopted")).To(And(HaveKeyWithValue("source", "store"), HaveKeyWithValue("revision", int64(5)),
 			HaveKeyWithValue("reading_age", 300*time.Millisecond)))
 		b := beat("10.0.0.2")
 		b.Servers = &wire.ServerNews{After: 5, AsOf: 8, Changes: []catalog.Change{{Revision: 8, Server: &leaving}}, AgeMS: 20}
-		g.heard(at(time.Second), nearEntry, b)
+		g.receive(at(time.Second), nearEntry, b)
 		Expect(lineOf("servers_adopted")).To(And(HaveKeyWithValue("source", "reader"), HaveKeyWithValue("from", "10.0.0.2"),
 			HaveKeyWithValue("before", int64(5)), HaveKeyWithValue("reading_age", 20*time.Millisecond)))
 		Expect(lineOf("server_leaves")).To(HaveKeyWithValue("server", "i-1"))
 	})
 
-	It("has a line if it is dropped, or answered by a whole list", func() {
+	It("is logged if it is dropped, or if a complete list is due", func() {
 		b := beat("10.0.0.2")
 		b.Servers = &wire.ServerNews{After: 7, AsOf: 8}
-		g.heard(at(time.Second), nearEntry, b)
+		g.receive(at(time.Second), nearEntry, b)
 		Expect(lineOf("servers_dropped")).To(And(HaveKeyWithValue("reason", "gap"), HaveKeyWithValue("held", int64(5))))
-		g.adoptList(at(time.Second), snapshot(4, one), reading{origin: fromPeer, from: "10.0.0.3", readAt: start})
+		g.adoptSnapshot(at(time.Second), snapshot(4, one), reading{origin: fromPeer, from: "10.0.0.3", readAt: start})
 		Expect(lineOf("servers_dropped")).To(HaveKeyWithValue("reason", "older"))
-		g.newsFor(at(time.Second), mesh.Peer{ID: "10.0.0.4", Role: fleet.RoleEntry, Near: true, AsOf: 3})
+		g.serverNewsFor(at(time.Second), mesh.Peer{ID: "10.0.0.4", Role: fleet.RoleEntry, Near: true, AsOf: 3})
 		Expect(lineOf("whole_list_due")).To(HaveKeyWithValue("after", int64(3)))
 	})
 
-	// Guards against logs that make an entry slower while hundreds start at once.
-	It("has no more lines than the bound in a second", func() {
+	// Guards against logs that slow down an entry while hundreds of entries start at
+	// once.
+	It("is logged at a limited rate", func() {
 		for i := range 10 * maxLinesPerSecond {
-			g.adoptList(start, snapshot(catalog.Revision(6+i), one), reading{origin: fromPeer, readAt: start})
+			g.adoptSnapshot(start, snapshot(catalog.Revision(6+i), one), reading{origin: fromPeer, readAt: start})
 		}
 		Expect(lines.FilterMessage("servers_adopted").Len()).To(BeNumerically("<=", 2*maxLinesPerSecond))
 	})
 })
 
-// forgetful is a platform that lost what it had acknowledged.
-type forgetful struct{ catalog.Source }
+// revertedSource is a platform that lost changes it had acknowledged.
+type revertedSource struct{ catalog.Source }
 
-func (forgetful) List(context.Context) (catalog.Snapshot, error) { return snapshot(3), nil }
+func (revertedSource) List(context.Context) (catalog.Snapshot, error) { return snapshot(3), nil }
 
-func (forgetful) Watch(context.Context, catalog.Revision, time.Duration) ([]catalog.Change, catalog.Revision, error) {
+func (revertedSource) Watch(context.Context, catalog.Revision, time.Duration) ([]catalog.Change, catalog.Revision, error) {
 	return []catalog.Change{{Revision: 3, Removed: "i-1"}}, 3, nil
 }
 
-var _ = Describe("What is known of the servers", func() {
+var _ = Describe("The known servers", func() {
 	one := server("i-1", "10.0.1.1:80", 2)
 
-	// Guards against servers that are lost by bad input.
-	It("stands where a reading has no revision, or an older one", func() {
+	// Guards against servers that are lost by invalid input.
+	It("stay if a reading has no revision, or an older one", func() {
 		g, backend := newGateway()
 		g.adopt(start, snapshot(5, one), "platform")
 		g.adopt(start, catalog.Snapshot{}, "peer")
@@ -92,10 +93,10 @@
 		Expect(listed(g, backend, start)).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// Guards against a store that restarted: its calls count as failed.
-	It("stands where the platform's revision goes back", func() {
+	// Guards against a store that restarted with older data: calls to it count as failed.
+	It("stay if the platform's revision goes back", func() {
 		g, _ := newGateway()
-		g.opts.Source = forgetful{}
+		g.opts.Source = revertedSource{}
 		at := position{servers: 5, operator: 5}
 		Expect(errorx.IsOfType(g.watch(context.Background(), &at), catalog.WentBack)).To(BeTrue())
 		Expect(errorx.IsOfType(g.list(context.Background(), &at), catalog.WentBack)).To(BeTrue())
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -24,91 +24,92 @@
 	"chivespindle.example/daemon/mesh"
 )
 
-// publisher stands for the platform: it publishes a catalog, and counts how many
-// copies of the configuration it has handed out since the last publish.
-type publisher struct {
+// platformStub stands for the platform: it publishes a catalog and counts how many copies
+// of the configuration it has sent since the last publication.
+type platformStub struct {
 	mu      sync.Mutex
-	now     catalog.Snapshot
-	changed chan struct{}
+	current catalog.Snapshot
+	wake    chan struct{}
 	copies  int
-	// happened is what happened to servers.
-	happened []catalog.Change
-	// slow lists last until their caller gives them up; running counts those.
+	// changes are the changes of servers.
+	changes []catalog.Change
+	// If slow is true, a call of List blocks until its caller gives up. listing counts
+	// those calls.
 	slow    bool
-	running int
+	listing int
 }
 
-func (p *publisher) slowDown() {
+func (p *platformStub) makeSlow() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slow = true
 }
 
-func (p *publisher) listsRunning() int {
+func (p *platformStub) listsRunning() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.running
+	return p.listing
 }
 
-func (p *publisher) countRunning(more int) {
+func (p *platformStub) countListing(more int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running += more
+	p.listing += more
 }
 
-func (p *publisher) isSlow() bool {
+func (p *platformStub) isSlow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.slow
 }
 
-func newPublisher(c *routing.Config) *publisher {
-	return &publisher{now: catalog.Snapshot{AsOf: 1, Config: c, ConfigRevision: 1}, changed: make(chan struct{})}
+func newPlatformStub(c *routing.Config) *platformStub {
+	return &platformStub{current: catalog.Snapshot{AsOf: 1, Config: c, ConfigRevision: 1}, wake: make(chan struct{})}
 }
 
-func (p *publisher) publish(c *routing.Config) {
+func (p *platformStub) publish(c *routing.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now.AsOf++
-	p.now.Config, p.now.ConfigRevision = c, p.now.AsOf
+	p.current.AsOf++
+	p.current.Config, p.current.ConfigRevision = c, p.current.AsOf
 	p.copies = 0
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.wake)
+	p.wake = make(chan struct{})
 }
 
 // register publishes a server.
-func (p *publisher) register(s *catalog.Server) {
+func (p *platformStub) register(s *catalog.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	change := catalog.Change{Revision: p.now.AsOf + 1, Server: s}
-	p.happened = append(p.happened, change)
-	p.now, _ = p.now.ApplyServers([]catalog.Change{change}, change.Revision)
-	close(p.changed)
-	p.changed = make(chan struct{})
+	change := catalog.Change{Revision: p.current.AsOf + 1, Server: s}
+	p.changes = append(p.changes, change)
+	p.current, _ = p.current.ApplyServers([]catalog.Change{change}, change.Revision)
+	close(p.wake)
+	p.wake = make(chan struct{})
 }
 
-func (p *publisher) copiesGiven() int {
+func (p *platformStub) copiesGiven() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.copies
 }
 
 // List implements catalog.Source.
-func (p *publisher) List(ctx context.Context) (catalog.Snapshot, error) {
+func (p *platformStub) List(ctx context.Context) (catalog.Snapshot, error) {
 	if p.isSlow() {
-		p.countRunning(1)
-		defer p.countRunning(-1)
+		p.countListing(1)
+		defer p.countListing(-1)
 		<-ctx.Done()
 		return catalog.Snapshot{}, ctx.Err()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.copies++
-	return p.now, nil
+	return p.current, nil
 }
 
 // Watch implements catalog.Source.
-func (p *publisher) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
+func (p *platformStub) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
 	p.await(ctx, after, wait)
 	if ctx.Err() != nil {
 		return nil, 0, ctx.Err()
@@ -116,23 +117,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var changes []catalog.Change
-	for _, c := range p.happened {
+	for _, c := range p.changes {
 		if c.Revision > after {
 			changes = append(changes, c)
 		}
 	}
-	if p.now.ConfigRevision > after {
+	if p.current.ConfigRevision > after {
 		p.copies++
-		changes = append(changes, catalog.Change{Revision: p.now.ConfigRevision, Config: p.now.Config})
+		changes = append(changes, catalog.Change{Revision: p.current.ConfigRevision, Config: p.current.Config})
 	}
-	return changes, p.now.AsOf, nil
+	return changes, p.current.AsOf, nil
 }
 
-func (p *publisher) await(ctx context.Context, after catalog.Revision, wait time.Duration) {
+func (p *platformStub) await(ctx context.Context, after catalog.Revision, wait time.Duration) {
 	p.mu.Lock()
-	known, changed := p.now.AsOf <= after, p.changed
+	isKnown, changed := p.current.AsOf <= after, p.wake
 	p.mu.Unlock()
-	if !known {
+	if !isKnown {
 		return
 	}
 	timer := time.NewTimer(wait)
@@ -144,19 +145,20 @@
 	}
 }
 
-// source is the platform as one entry sees it.
-type source struct {
-	*publisher
-	// silent watches of everything bring nothing and do not end.
+// entrySource is the platform as one entry sees it.
+type entrySource struct {
+	*platformStub
+	// If silent is true, a call of Watch returns no changes and blocks until it is
+	// cancelled.
 	silent atomic.Bool
-	// watches counts the calls.
+	// watches counts the calls of Watch.
 	watches atomic.Int64
 }
 
 // Watch implements catalog.Source.
-func (s *source) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
+func (s *entrySource) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
 	s.watches.Add(1)
-	changes, asOf, err := s.publisher.Watch(ctx, after, wait)
+	changes, asOf, err := s.platformStub.Watch(ctx, after, wait)
 	if s.silent.Load() {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
@@ -168,10 +170,10 @@
 type member struct {
 	gateway *Gateway
 	loop    *control.Loop
-	stop    func() // returns when it has ended
+	stop    func() // returns when the entry has ended
 }
 
-// version returns that of the configuration in force, 0 for none.
+// version returns the version of the active configuration, 0 for none.
 func (m *member) version() int64 {
 	var version int64
 	_ = m.loop.Do(context.Background(), func(time.Time) {
@@ -182,7 +184,7 @@
 	return version
 }
 
-// isLeaving reports whether it knows that a server leaves.
+// isLeaving reports whether the entry knows that a server leaves.
 func (m *member) isLeaving(id fleet.InstanceID) bool {
 	var leaving bool
 	_ = m.loop.Do(context.Background(), func(time.Time) {
@@ -192,21 +194,21 @@
 	return leaving
 }
 
-// watches is how many calls for changes it has made.
-func (m *member) watches() int64 { return m.gateway.opts.Source.(*source).watches.Load() }
+// watches returns how many calls of Watch the entry has made.
+func (m *member) watches() int64 { return m.gateway.opts.Source.(*entrySource).watches.Load() }
 
-// knownReady returns how many other entries it knows to be ready.
+// knownReady returns how many other entries the entry knows to be ready.
 func (m *member) knownReady() int {
 	n := 0
 	_ = m.loop.Do(context.Background(), func(time.Time) {
 		if v := m.gateway.view.Load(); v != nil {
-			n = readyOf(v.entries)
+			n = countReady(v.entries)
 		}
 	})
 	return n
 }
 
-func readyOf(entries []mesh.Entry) int {
+func countReady(entries []mesh.Entry) int {
 	n := 0
 	for _, e := range entries {
 		if e.Ready && !e.Silent {
@@ -216,17 +218,17 @@
 	return n
 }
 
-// fleetOf is entries of one region that follow p.
-type fleetOf struct {
-	p       *publisher
-	port    uint16
-	members []*member
+// testRegion is a region whose entries follow platform.
+type testRegion struct {
+	platform *platformStub
+	port     uint16
+	members  []*member
 }
 
-func startRegion(p *publisher, size int) *fleetOf {
+func startRegion(p *platformStub, size int) *testRegion {
 	probe, err := net.ListenPacket("udp", "127.0.3.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	f := &fleetOf{p: p, port: netip.MustParseAddrPort(probe.LocalAddr().String()).Port()}
+	f := &testRegion{platform: p, port: netip.MustParseAddrPort(probe.LocalAddr().String()).Port()}
 	_ = probe.Close()
 	for i := range size {
 		f.start(memberAddr(i))
@@ -242,15 +244,15 @@
 	return f
 }
 
-func (f *fleetOf) haveInForce(version int64) {
+func (f *testRegion) expectActive(version int64) {
 	GinkgoHelper()
 	for _, m := range f.members {
 		Eventually(m.version, "20s").Should(Equal(version))
 	}
 }
 
-// takeReaders returns the members that read for the others, and takes them out.
-func (f *fleetOf) takeReaders() []*member {
+// removeReaders removes the members that read for the others, and returns them.
+func (f *testRegion) removeReaders() []*member {
 	var readers, others []*member
 	for _, m := range f.members {
 		if v := m.gateway.view.Load(); v.readsPlatform {
@@ -263,24 +265,24 @@
 	return readers
 }
 
-type handlerOf struct{ peer.Handler }
+type handlerRef struct{ peer.Handler }
 
 func memberAddr(i int) netip.Addr { return netip.MustParseAddr(fmt.Sprintf("127.0.3.%d", i+1)) }
 
-// start starts one entry more.
-func (f *fleetOf) start(addr netip.Addr) *member {
+// start starts another entry.
+func (f *testRegion) start(addr netip.Addr) *member {
 	ctx, cancel := context.WithCancel(context.Background())
 	id := fleet.InstanceID(addr.String())
 	store, err := keys.Ephemeral(keys.Identity{ID: id, Role: fleet.RoleEntry})
 	Expect(err).NotTo(HaveOccurred())
 	m := &member{loop: control.New(control.Options{Every: 20 * time.Millisecond})}
-	handler := &handlerOf{}
+	handler := &handlerRef{}
 	endpoint, err := peer.New(peer.Options{Listen: netip.AddrPortFrom(addr, f.port), Keys: store, Handler: handler})
 	Expect(err).NotTo(HaveOccurred())
 	m.gateway = New(ctx, time.Now(), Options{
 		Self: id, Addr: addr, Incarnation: 1, Place: fleet.Place{Zone: "sharada", Region: "kano"},
 		CallerAddr: netip.AddrPortFrom(addr, 80), PeerPort: f.port, Seeds: []netip.Addr{netip.MustParseAddr("127.0.3.1")},
-		Regions: map[fleet.Zone]fleet.Region{"sharada": "kano"}, Loop: m.loop, Endpoint: endpoint, Source: &source{publisher: f.p},
+		Regions: map[fleet.Zone]fleet.Region{"sharada": "kano"}, Loop: m.loop, Endpoint: endpoint, Source: &entrySource{platformStub: f.platform},
 		Backend: &rejectingBackend{}, Budget: RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 		VersionTime: 8 * time.Second, SoundTime: 3 * time.Second, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 	})
@@ -299,15 +301,15 @@
 	return m
 }
 
-// manyRoutes is a configuration of the size at which the operators saw the
-// fault: names are drawn at random, as theirs are.
+// manyRoutes returns a configuration of the size at which operators saw the overload of
+// the link. Its names are random, as theirs are.
 func manyRoutes(version int64, routes int) *routing.Config {
-	chance := rand.New(rand.NewPCG(7, 11))
+	random := rand.New(rand.NewPCG(7, 11))
 	c := config(version)
 	for i := range routes {
 		c.Routes = append(c.Routes, routing.Route{
-			Name: fmt.Sprintf("r-%08x", chance.Uint32()), Host: "relay.example",
-			Prefix: fmt.Sprintf("/%05x%d/%04x/", chance.Uint32()>>12, i, chance.Uint32()>>16),
+			Name: fmt.Sprintf("r-%08x", random.Uint32()), Host: "relay.example",
+			Prefix: fmt.Sprintf("/%05x%d/%04x/", random.Uint32()>>12, i, random.Uint32()>>16),
 			Kind:   routing.Stream, Timeout: 6 * time.Second, Aim: 500 * time.Millisecond,
 			PauseAim: 400 * time.Millisecond, MaxAttempts: 2, Resumable: true,
 			Targets: []routing.Target{{Service: "pool", Weight: 1}},
@@ -318,111 +320,112 @@
 
 var _ = Describe("A region of twelve entries", func() {
 	const size, routes = 12, 1650
-	// allowed is how many entries of a region may read a configuration from the
+	// maxReaders is how many entries of a region may read a configuration from the
 	// platform: one, and another in case the first is lost at that moment.
-	const allowed = 2
-	var p *publisher
-	var region *fleetOf
+	const maxReaders = 2
+	var platform *platformStub
+	var region *testRegion
 
 	BeforeEach(func() {
-		p = newPublisher(manyRoutes(1, routes))
-		region = startRegion(p, size)
-		region.haveInForce(1)
+		platform = newPlatformStub(manyRoutes(1, routes))
+		region = startRegion(platform, size)
+		region.expectActive(1)
 	})
 
-	// The operator added 1,400 routes and then took away a key every 1.3 s. Each
-	// of the fifteen entries of a region read each configuration whole, 260 KB, over
-	// a link of 4 MB/s: a second of the link for each change. Reads that took longer
-	// than 0.8 s were given up with all that had come and begun again, so the link
-	// was full of bytes that nobody kept, and callers with a dropped key were served
-	// 3.3 s after the change was confirmed:
+	// Guards against callers with a dropped key that were served 3.3 s after the change
+	// was confirmed. The operator added 1,400 routes and then dropped a key every 1.3 s.
+	// Each of the fifteen entries of a region read each configuration completely, 260 KB
+	// over a link of 4 MB/s: a second of the link for each change. Reads that took longer
+	// than 0.8 s were cancelled, their data discarded, and started again, so the link was
+	// full of data that was never used:
 	//
 	//	platform_lost error="answer of the store: context deadline exceeded"
 	//	peer_catalog_failed error="receive: no progress in time"
-	It("reads a change of the configuration over its link once or twice, and all have it in force", func() {
-		p.publish(manyRoutes(2, routes))
-		region.haveInForce(2)
-		Expect(p.copiesGiven()).To(BeNumerically("<=", allowed))
+	It("reads a change of the configuration over its link once or twice and activates it at all entries", func() {
+		platform.publish(manyRoutes(2, routes))
+		region.expectActive(2)
+		Expect(platform.copiesGiven()).To(BeNumerically("<=", maxReaders))
 	})
 
-	// Both entries that read for the region are killed, and the operator writes a
-	// configuration. The next ones in rank read it: others that waited for the
-	// first two would serve callers by the old one.
-	It("has a change in force also when those that read it are lost", func() {
-		lost := region.takeReaders()
-		Expect(lost).To(HaveLen(allowed))
+	// Both readers of the region are killed, and the operator publishes a configuration.
+	// The next entries in rank must read it: if all waited for the first two, callers
+	// would be served by the old one.
+	It("activates a change even if its readers are lost", func() {
+		lost := region.removeReaders()
+		Expect(lost).To(HaveLen(maxReaders))
 		for _, m := range lost {
 			m.stop()
 		}
-		p.publish(manyRoutes(2, routes))
-		region.haveInForce(2)
+		platform.publish(manyRoutes(2, routes))
+		region.expectActive(2)
 	})
 
-	// The connections of the two readers to the platform have gone silent. They
-	// live, and wait; the others are told that they hear nothing.
-	It("has a change in force also when those that read it hear nothing", func() {
-		for _, m := range region.takeReaders() {
-			m.gateway.opts.Source.(*source).silent.Store(true)
+	// The connections of the two readers to the platform are dead. The readers are alive
+	// and wait, and report to the others that they receive nothing.
+	It("activates a change even if its readers receive nothing", func() {
+		for _, m := range region.removeReaders() {
+			m.gateway.opts.Source.(*entrySource).silent.Store(true)
 		}
-		p.publish(manyRoutes(2, routes))
-		region.haveInForce(2)
+		platform.publish(manyRoutes(2, routes))
+		region.expectActive(2)
 	})
 
-	// Each entry watched the servers by itself, and each registration woke them all
-	// for a call: calls to the platform grew with the entries, and the changes
-	// crossed the link between two regions once for each of them.
-	It("has two entries call the platform, and all know of a server that leaves", func() {
-		readers := region.takeReaders()
-		Expect(readers).To(HaveLen(allowed))
+	// Guards against calls to the platform that grow with the number of entries. When
+	// each entry watched the servers itself, each registration caused a call of every
+	// entry, and the changes crossed the link between two regions once per entry.
+	It("calls the platform from two entries only, and all learn that a server leaves", func() {
+		readers := region.removeReaders()
+		Expect(readers).To(HaveLen(maxReaders))
 		var before []int64
 		for _, m := range region.members {
 			before = append(before, m.watches())
 		}
-		p.register(&catalog.Server{ID: "i-1", Service: "pool", Addr: netip.MustParseAddrPort("10.0.9.1:80"), Draining: true})
+		platform.register(&catalog.Server{ID: "i-1", Service: "pool", Addr: netip.MustParseAddrPort("10.0.9.1:80"), Draining: true})
 		for i, m := range region.members {
 			Eventually(m.isLeaving, "20s").WithArguments(fleet.InstanceID("i-1")).Should(BeTrue())
 			Expect(m.watches()).To(Equal(before[i]))
 		}
 	})
 
-	// Both entries that read for the region are killed as a server begins to leave.
-	// The others must send it no more requests, though nobody tells them of it.
-	It("knows of a server that leaves also when those that read are lost", func() {
-		for _, m := range region.takeReaders() {
+	// Both readers of the region are killed as a server starts to leave. The other
+	// entries must stop sending it requests, though no reader reports it.
+	It("learns that a server leaves even if its readers are lost", func() {
+		for _, m := range region.removeReaders() {
 			m.stop()
 		}
-		p.register(&catalog.Server{ID: "i-1", Service: "pool", Addr: netip.MustParseAddrPort("10.0.9.1:80"), Draining: true})
+		platform.register(&catalog.Server{ID: "i-1", Service: "pool", Addr: netip.MustParseAddrPort("10.0.9.1:80"), Draining: true})
 		for _, m := range region.members {
 			Eventually(m.isLeaving, "20s").WithArguments(fleet.InstanceID("i-1")).Should(BeTrue())
 		}
 	})
 
-	// A third of the entries were killed and came back together. Each read 430 KB
-	// from the platform that its neighbours had, over a link that was full:
+	// Guards against a full link after a restart of a third of the entries. Each of them
+	// read 430 KB from the platform that its peers already had:
 	//
 	//	platform_lost error="list brought no byte for 800ms"
-	It("gives an entry that starts the catalog, though the platform is slow", func() {
-		first := region.members[0]
+	It("sends the catalog to an entry that starts, even if the platform is slow", func() {
+		restarted := region.members[0]
 		region.members = region.members[1:]
-		first.stop()
-		p.slowDown()
+		restarted.stop()
+		platform.makeSlow()
 		Eventually(region.start(memberAddr(0)).version, "10s").Should(Equal(int64(1)))
-		Eventually(p.listsRunning, "10s").Should(BeZero())
-		p.publish(manyRoutes(2, routes))
-		region.haveInForce(2)
+		Eventually(platform.listsRunning, "10s").Should(BeZero())
+		platform.publish(manyRoutes(2, routes))
+		region.expectActive(2)
 	})
 })
 
 var _ = Describe("A region of three entries", func() {
-	// The operator's text may be 1 MB, about 5,600 routes. Sent within one message,
-	// it was over the limit of a message, and no peer could give it.
-	It("passes on a configuration as large as the platform takes", func() {
+	// Guards against a configuration that no peer can send. The operator's configuration
+	// may be 1 MB, about 5,600 routes; sent within one message, it exceeded the limit of
+	// a message.
+	It("forwards a configuration as large as the platform accepts", func() {
 		const routes = 5600
-		p := newPublisher(manyRoutes(1, routes))
-		region := startRegion(p, 3)
-		region.haveInForce(1)
-		p.publish(manyRoutes(2, routes))
-		region.haveInForce(2)
-		Expect(p.copiesGiven()).To(BeNumerically("<=", regionReaders))
+		platform := newPlatformStub(manyRoutes(1, routes))
+		region := startRegion(platform, 3)
+		region.expectActive(1)
+		platform.publish(manyRoutes(2, routes))
+		region.expectActive(2)
+		Expect(platform.copiesGiven()).To(BeNumerically("<=", readersPerGroup))
 	})
 })
--- a/daemon/gateway/reports.go
+++ b/daemon/gateway/reports.go
@@ -27,15 +27,15 @@
 // are sent from the beginning.
 func (s reportSender[R]) next(now time.Time, to mesh.Peer, form mesh.Form) []R {
 	if form == mesh.First {
-		s.lost(to.ID)
+		s.reset(to.ID)
 	}
 	reports, sent := s.source.Since(now, s.sent[to.ID], sourceOf(to))
 	s.sent[to.ID] = sent
 	return reports
 }
 
-// lost has all reports sent again over the next link with an entry.
-func (s reportSender[R]) lost(id fleet.InstanceID) { delete(s.sent, id) }
+// reset causes all reports to be sent again over the next link with an entry.
+func (s reportSender[R]) reset(id fleet.InstanceID) { delete(s.sent, id) }
 
 func sourceOf(p mesh.Peer) feed.Source {
 	if p.Near {
--- a/daemon/gateway/reports_test.go
+++ b/daemon/gateway/reports_test.go
@@ -10,7 +10,7 @@
 	"chivespindle.example/daemon/mesh"
 )
 
-// Guards against an entry that starts again and never receives what was reported before.
+// Guards against an entry that restarts and never receives earlier reports.
 var _ = DescribeTable("Reports are sent once over a link, and again over the next", func(reconnect func(*Gateway), form mesh.Form) {
 	g, _ := newGateway()
 	now := time.Now()
@@ -27,6 +27,6 @@
 	reconnect(g)
 	expectReports(form, 1)
 },
-	Entry("whose end was noticed", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Whole),
-	Entry("whose end was not", func(*Gateway) {}, mesh.First),
+	Entry("if the end of the first was detected", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Whole),
+	Entry("if the end of the first was not detected", func(*Gateway) {}, mesh.First),
 )
--- a/daemon/gateway/rig_test.go
+++ b/daemon/gateway/rig_test.go
@@ -103,7 +103,7 @@
 	if from == fromPlatform {
 		r = reading{origin: fromStore, readAt: now}
 	}
-	g.adoptList(now, s, r)
+	g.adoptSnapshot(now, s, r)
 }
 
 // apply applies changes that have just been read from the platform.
@@ -113,5 +113,5 @@
 
 // applyServers applies changes of servers that a reader has just sent.
 func (g *Gateway) applyServers(now time.Time, changes []catalog.Change, asOf catalog.Revision, from string) {
-	g.adoptServers(now, changes, asOf, reading{origin: fromReader, from: from, readAt: now})
+	g.adoptServerChanges(now, changes, asOf, reading{origin: fromReader, from: from, readAt: now})
 }
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -180,8 +180,8 @@
 // tryServer sends the call to one server and reports whether to make another attempt.
 func (j *job) tryServer(ctx context.Context) bool {
 	now := time.Now()
-	if s := j.standing(now); s.IsQuarantined() {
-		j.g.log.keptBack(j, s)
+	if s := j.quarantineStatus(now); s.IsQuarantined() {
+		j.g.log.notPlacedQuarantined(j, s)
 		j.giveUp(reasonQuarantined, s.Until.Sub(now))
 		return false
 	}
@@ -218,7 +218,7 @@
 		return j.handleSendError(ctx, assignment, err)
 	}
 	j.attempts++
-	j.noteLimit(now, assignment.Server, response)
+	j.recordLimit(now, assignment.Server, response)
 	if response.NotRun() || response.Misdirected() {
 		response.Close(true)
 		assignment.End(time.Now(), placement.Declined)
@@ -302,7 +302,7 @@
 		Left:     j.deadline.Sub(now),
 		Late:     j.isLate(now),
 		Exclude:  j.exclude,
-		Suspect:  j.standing(now).IsSuspect(),
+		Suspect:  j.quarantineStatus(now).IsSuspect(),
 		Near:     j.g.opts.Place,
 	}
 	if j.service.Engine != nil {
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -75,7 +75,7 @@
 	report := func(addr netip.Addr, r wire.Replica) {
 		r.Addr, r.Incarnation = addr, 1
 		now := time.Now()
-		g.heard(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
+		g.receive(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
 		g.publish(now)
 	}
 
--- a/daemon/gateway/starting.go
+++ b/daemon/gateway/starting.go
@@ -74,7 +74,7 @@
 	case others == 0:
 		return waited >= g.listDelay
 	default:
-		return rank < regionReaders || waited >= lowerRankDelay
+		return rank < readersPerGroup || waited >= lowerRankDelay
 	}
 }
 
--- a/daemon/gateway/watch_test.go
+++ b/daemon/gateway/watch_test.go
@@ -20,48 +20,48 @@
 	}
 	others := []mesh.Entry{entry("a", "lagos"), entry("b", "kano"), entry("c", "lagos"), entry("e", "lagos"), entry("f", "lagos")}
 
-	It("are the first two of each region, and the first reads closely", func() {
+	It("are the first two of each region, and the first pauses least", func() {
 		Expect(rankIn(others, "d", "lagos", false)).To(Equal(2))
 		Expect(rankIn(others, "g", "kano", false)).To(Equal(1))
 		Expect(rankIn(others, "A", "lagos", false)).To(Equal(0))
-		Expect(pauseAt(0)).To(Equal(gatherChanges))
-		Expect(pauseAt(1)).To(Equal(gatherLonger))
+		Expect(pauseForRank(0)).To(Equal(firstReaderPause))
+		Expect(pauseForRank(1)).To(Equal(otherReaderPause))
 	})
 
-	// The first entries of a region are killed. The next ones read once the others
-	// are silent.
-	It("are none that are silent, leave or know nothing yet", func() {
-		fewer := append([]mesh.Entry(nil), others...)
-		fewer[0].Silent, fewer[2].Leaving, fewer[3].Ready = true, true, false
-		Expect(rankIn(fewer, "g", "lagos", false)).To(Equal(1))
+	// The first entries of a region are killed. The next ones read once the others are
+	// silent.
+	It("exclude those that are silent, leave or are not ready yet", func() {
+		changed := append([]mesh.Entry(nil), others...)
+		changed[0].Silent, changed[2].Leaving, changed[3].Ready = true, true, false
+		Expect(rankIn(changed, "g", "lagos", false)).To(Equal(1))
 	})
 
-	// A region of many entries has several groups, and the readers of one tell
+	// A region of many entries has several groups, and the readers of one group report
 	// nothing to the others.
-	It("are so in each group of a region", func() {
-		some := append([]mesh.Entry(nil), others...)
-		some[0].Near, some[2].Near = false, false
-		Expect(rankIn(some, "d", "lagos", false)).To(Equal(0))
+	It("are chosen in each group of a region", func() {
+		changed := append([]mesh.Entry(nil), others...)
+		changed[0].Near, changed[2].Near = false, false
+		Expect(rankIn(changed, "d", "lagos", false)).To(Equal(0))
 	})
 
-	// The platform turns the first entries of a region away. Those that it answers
-	// read for them; while it answers none, the order is that of the ids.
-	It("are those first that the platform answers", func() {
-		some := append([]mesh.Entry(nil), others...)
-		some[0].TurnedAway, some[2].TurnedAway = true, true
-		Expect(rankIn(some, "d", "lagos", false)).To(Equal(0))
-		Expect(rankIn(some, "d", "lagos", true)).To(Equal(4))
-		some[3].TurnedAway, some[4].TurnedAway = true, true
-		Expect(rankIn(some, "d", "lagos", true)).To(Equal(2))
+	// The platform refuses the first entries of a region. Those that get responses read
+	// for them; while none does, the order is that of the ids.
+	It("are chosen first among those to which the platform responds", func() {
+		changed := append([]mesh.Entry(nil), others...)
+		changed[0].TurnedAway, changed[2].TurnedAway = true, true
+		Expect(rankIn(changed, "d", "lagos", false)).To(Equal(0))
+		Expect(rankIn(changed, "d", "lagos", true)).To(Equal(4))
+		changed[3].TurnedAway, changed[4].TurnedAway = true, true
+		Expect(rankIn(changed, "d", "lagos", true)).To(Equal(2))
 	})
 
-	// An entry that the platform turned away reads no more and cannot tell when it
-	// would be answered again. If the others are turned away later, it must try.
-	It("may be one again that was turned away, after a while", func() {
+	// An entry that the platform refused no longer reads and cannot tell when it would
+	// get responses again. If the other entries are refused later, it has to try.
+	It("may include an entry again that was refused, after a while", func() {
 		g, _ := newGateway()
-		g.sourceFailed(start, failure.Unavailable.New("turned away"))
-		Expect(g.isTurnedAway(at(2 * time.Second))).To(BeTrue())
-		Expect(g.isTurnedAway(at(4 * time.Second))).To(BeFalse())
+		g.sourceFailed(start, failure.Unavailable.New("refused"))
+		Expect(g.isRefused(at(2 * time.Second))).To(BeTrue())
+		Expect(g.isRefused(at(4 * time.Second))).To(BeFalse())
 	})
 })
 
@@ -78,11 +78,11 @@
 	It("waits for a peer's before it lists the platform's", func() {
 		Expect(g.listDelay).To(BeNumerically("<=", maxListDelay))
 		g.listDelay = maxListDelay
-		Expect(g.reads(started, 0)).To(BeFalse())
-		Expect(g.reads(started.Add(maxListDelay), 0)).To(BeTrue())
+		Expect(g.shouldReadPlatform(started, 0)).To(BeFalse())
+		Expect(g.shouldReadPlatform(started.Add(maxListDelay), 0)).To(BeTrue())
 	})
 
-	It("leaves the listing to others that start in its region, for a while", func() {
+	It("leaves the listing to other entries that start in its region, for a while", func() {
 		entry := func(id fleet.InstanceID) mesh.Entry {
 			return mesh.Entry{ID: id, Place: g.opts.Place, Near: true}
 		}
@@ -94,13 +94,13 @@
 		Expect(rankAmong("lagos", first, second, entry("10.0.0.2"))).To(Equal(2))
 		Expect(rankAmong("kano", first, second)).To(BeZero(), "they read for another region")
 		first.TurnedAway = true
-		Expect(rankAmong("lagos", first, second)).To(Equal(1), "the platform does not answer one of them")
-		Expect(g.reads(started.Add(lowerRankDelay), 5)).To(BeTrue())
+		Expect(rankAmong("lagos", first, second)).To(Equal(1), "the platform does not respond to one of them")
+		Expect(g.shouldReadPlatform(started.Add(lowerRankDelay), 5)).To(BeTrue())
 	})
 
-	// Guards against callers refused by an entry that has just started, who came back
-	// before any engine had loaded and had no retry left.
-	It("has a call wait for its first configuration, for a part of the caller's time", func() {
+	// Guards against callers that are refused by an entry that has just started, retry
+	// before any engine has loaded and have no retry left.
+	It("lets a call wait for its first configuration, for a part of the caller's timeout", func() {
 		go func() {
 			defer GinkgoRecover()
 			g.adopt(started, snapshot(5), "peer")
@@ -114,14 +114,14 @@
 		Expect(g.currentView(context.Background(), &Call{Timeout: 3 * viewPollInterval})).To(BeNil())
 	})
 
-	It("lists no more once a peer has sent one", func() {
-		call, end := g.reading.begin(context.Background())
-		defer end()
-		g.followAnew(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
-		Expect(call.Err()).NotTo(HaveOccurred())
+	It("stops listing once a peer has sent one", func() {
+		callCtx, cancel := g.platformCall.begin(context.Background())
+		defer cancel()
+		g.cancelObsoleteCall(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
+		Expect(callCtx.Err()).NotTo(HaveOccurred())
 		g.adopt(started, snapshot(5), "peer")
-		g.followAnew(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
-		Expect(call.Err()).To(HaveOccurred())
+		g.cancelObsoleteCall(&view{readsPlatform: true}, &view{readsPlatform: true, table: g.table})
+		Expect(callCtx.Err()).To(HaveOccurred())
 	})
 })
 
@@ -130,13 +130,13 @@
 	var g *Gateway
 	var backend *rejectingBackend
 
-	// told is what one that reads it tells.
-	told := func(when time.Time, c wire.PlatformState, news wire.ServerNews) {
+	// receiveReport has the entry receive the report of a reader.
+	receiveReport := func(when time.Time, c wire.PlatformState, news wire.ServerNews) {
 		b := beat("10.0.0.2")
 		b.Platform, b.Servers = &c, &news
-		g.heard(when, nearEntry, b)
+		g.receive(when, nearEntry, b)
 	}
-	reads := func() { g.view.Store(&view{readsPlatform: true}) }
+	readsPlatform := func() { g.view.Store(&view{readsPlatform: true}) }
 	removeTwo := []catalog.Change{{Revision: 9, Removed: "i-2"}}
 
 	BeforeEach(func() {
@@ -145,94 +145,95 @@
 		g.view.Store(&view{readsPlatform: false})
 	})
 
-	It("follows the servers by what it is told", func() {
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+	It("updates the servers from the reports of a reader", func() {
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	// What it was told before was lost with a link. It asks for the whole list
-	// then: with a part left out, it would go on using a server that has gone.
-	It("takes no changes that leave a part out", func() {
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9, Changes: removeTwo})
+	// Guards against a server that stays in use after it is gone, since the report of its
+	// removal was lost with a link. The entry requests the complete list instead.
+	It("ignores changes that leave a gap", func() {
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9, Changes: removeTwo})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(5)))
 	})
 
 	// Guards against calls to the predecessors of restarted servers: after a restart of
-	// the whole fleet entries have listed the servers at different moments, and the
-	// changes of their reader do not follow on what they know.
-	It("lacks servers once it is told of changes that do not follow on what it knows", func() {
+	// the whole fleet, entries have listed the servers at different moments, and the
+	// changes of their reader do not follow what they know.
+	It("lacks servers once it receives changes that do not follow what it knows", func() {
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeFalse())
-		told(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9})
+		receiveReport(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9})
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeTrue())
 		g.adopt(at(200*time.Millisecond), snapshot(9, one), "peer")
 		Expect(g.lacksServers(at(200 * time.Millisecond))).To(BeFalse())
 	})
 
-	// Guards against a change that is lost where a reader tells that it no longer has the
-	// changes since, and the list that was taken meanwhile lies between.
-	It("does not count as up to date by a message that only asks it to take the whole list", func() {
+	// Guards against a change that is lost if a reader reports that it no longer has the
+	// changes since, and the list that was received meanwhile is older than the report.
+	It("does not count as up to date after a report that only announces the complete list", func() {
 		reader, _ := newGateway()
 		reader.adopt(start, snapshot(7, one, two), "platform")
 		reader.apply(start, removeTwo, 9)
 		b := beat("10.0.0.2")
-		b.Servers = reader.newsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, Near: true, AsOf: 5})
+		b.Servers = reader.serverNewsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, Near: true, AsOf: 5})
 		g.adopt(start, snapshot(8, one, two), "peer")
-		g.heard(start, nearEntry, b)
+		g.receive(start, nearEntry, b)
 		Expect(g.snapshot.AsOf == 8 && g.lacksServers(start) || !hasServer(g.snapshot.Servers, "i-2")).To(BeTrue())
 	})
 
-	// Guards against a reader that tells of an old reading as new after a pause that its
+	// Guards against a reader that reports an old reading as new after a pause that its
 	// clock did not count.
 	It("counts a pause of the process in the age of its reading", func() {
 		g.resumeAfterPause(at(time.Second), 3*time.Second)
-		reads()
+		readsPlatform()
 		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
 		Expect(g.compose(at(time.Second), peer, mesh.Whole).Platform.ReadAgoMS).To(Equal(int64(4000)))
 	})
 
-	// Guards against servers that are used by an old reading where no reader is left, and
-	// against calls of all entries of a region whose reader is answered late.
-	It("reads the platform itself once what it knows is old, and no reader is heard", func() {
-		old := at(readingMaxAge + time.Millisecond)
-		Expect(g.reads(old, regionReaders)).To(BeTrue(), "no reader is heard")
+	// Guards against servers that are used according to an old reading if no reader is
+	// left, and against calls of all entries of a region whose reader gets late
+	// responses.
+	It("reads the platform itself once its reading is old and no reader reports", func() {
+		old := at(maxReadingAge + time.Millisecond)
+		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeTrue(), "no reader reports")
 		g.newestPeerRevision = 9
-		Expect(g.reads(old, regionReaders)).To(BeFalse(), "it would read a configuration that its readers have read")
+		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeFalse(), "it would read a configuration that its readers have read")
 		g.newestPeerRevision = 0
-		Expect(g.reads(old, regionReaders)).To(BeTrue())
+		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeTrue())
 		b := beat("10.0.0.2")
 		b.AsOf, b.Platform = 7, &wire.PlatformState{}
-		g.heard(old, nearEntry, b)
-		Expect(g.reads(old, regionReaders)).To(BeFalse(), "its reader is heard")
+		g.receive(old, nearEntry, b)
+		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeFalse(), "its reader reports")
 		b.AsOf = 5
-		g.heard(old, nearEntry, b)
-		Expect(g.reads(old, regionReaders)).To(BeFalse(), "it knows as much as its reader")
-		b.AsOf, b.Platform = 7, &wire.PlatformState{HeardAgoMS: readingMaxAge.Milliseconds(), ReadAgoMS: readingMaxAge.Milliseconds()}
-		g.heard(old.Add(readingMaxAge), nearEntry, b)
-		Expect(g.reads(old.Add(readingMaxAge), regionReaders)).To(BeFalse(), "the platform answers nobody")
+		g.receive(old, nearEntry, b)
+		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeFalse(), "it knows as much as its reader")
+		b.AsOf, b.Platform = 7, &wire.PlatformState{HeardAgoMS: maxReadingAge.Milliseconds(), ReadAgoMS: maxReadingAge.Milliseconds()}
+		g.receive(old.Add(maxReadingAge), nearEntry, b)
+		Expect(g.shouldReadPlatform(old.Add(maxReadingAge), readersPerGroup)).To(BeFalse(), "the platform responds to no entry")
 	})
 
-	// The platform was away for six seconds, and registrations lapsed there though
-	// their servers live. Left out, all servers would be gone at its return.
-	It("keeps servers that lapsed while the platform was away", func() {
-		back := wire.PlatformState{RegainedAgoMS: 20, SilentMS: 6000}
-		told(at(7*time.Second), back, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+	// Guards against a service without servers at the platform's return, after six
+	// seconds in which registrations of live servers lapsed.
+	It("keeps servers that lapsed while the platform was unavailable", func() {
+		regained := wire.PlatformState{RegainedAgoMS: 20, SilentMS: 6000}
+		receiveReport(at(7*time.Second), regained, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(7*time.Second))).To(HaveLen(2))
-		g.endLapses(at(7*time.Second + lapseTime))
-		Expect(listed(g, backend, at(7*time.Second+lapseTime))).To(HaveLen(1))
+		g.expireLapsed(at(7*time.Second + lapsedRetention))
+		Expect(listed(g, backend, at(7*time.Second+lapsedRetention))).To(HaveLen(1))
 	})
 
-	// Guards against requests to a server that left, at all entries of a region of
-	// whose reader one call failed.
+	// Guards against requests to a server that left, at all entries of a region, if one
+	// call of their reader failed.
 	It("drops a server that leaves while a single call of its reader fails", func() {
 		failing := wire.PlatformState{HeardAgoMS: 300, Failing: true}
-		told(at(time.Second), failing, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		receiveReport(at(time.Second), failing, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
-	It("is told of what happened after what it knows, once", func() {
-		reads()
+	It("is sent the changes after what it knows, once", func() {
+		readsPlatform()
 		g.apply(at(time.Second), removeTwo, 9)
 		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
 		b := g.compose(at(time.Second), peer, mesh.Brief)
@@ -242,45 +243,46 @@
 		peer.ID, peer.Region = "10.0.0.3", "kano"
 		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(BeNil(), "its own region has readers")
 		peer.ID, peer.Region, peer.AsOf = "10.0.0.4", "lagos", 4
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(Equal(&wire.ServerNews{After: 9, AsOf: 9}), "it asks for the whole list")
+		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(Equal(&wire.ServerNews{After: 9, AsOf: 9}), "it requests the complete list")
 	})
 })
 
-// impatient is a platform that fails one watch and answers the others, and tells
-// for how long they wait.
-type impatient struct {
+// recordingSource is a platform that fails one watch and answers the others. It records
+// how long they wait.
+type recordingSource struct {
 	catalog.Source
-	fails int
-	waits chan time.Duration
+	failAt     int
+	watchWaits chan time.Duration
 }
 
-func (s *impatient) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
+func (s *recordingSource) Watch(ctx context.Context, after catalog.Revision, wait time.Duration) ([]catalog.Change, catalog.Revision, error) {
 	select {
-	case s.waits <- wait:
+	case s.watchWaits <- wait:
 	case <-ctx.Done():
 	}
-	s.fails--
-	if s.fails == 0 {
+	s.failAt--
+	if s.failAt == 0 {
 		return nil, 0, failure.Unavailable.New("reset")
 	}
 	return nil, after, nil
 }
 
 var _ = Describe("A watch", func() {
-	// Guards against a return of the platform that is noticed only at the end of a
-	// watch: what counts from it, the time of a version, would count too late.
-	It("waits for changes only once the platform has just answered", func() {
-		platform := &impatient{waits: make(chan time.Duration), fails: 3}
+	// Guards against a return of the platform that is detected only at the end of a
+	// watch: the time of a version, which counts from it, would start too late.
+	It("waits for changes only if the platform has just responded", func() {
+		platform := &recordingSource{watchWaits: make(chan time.Duration), failAt: 3}
 		g, _ := newGateway()
 		g.opts.Source = platform
 		g.adopt(start, snapshot(5), "peer")
-		reads := view{readsPlatform: true, table: g.table, asOf: 5, operatorAsOf: 5}
-		g.view.Store(&reads)
-		// turn tells the turns of the loop that makes the calls from each other.
-		turn := func() time.Time {
-			g.reading.mu.Lock()
-			defer g.reading.mu.Unlock()
-			return g.reading.began
+		readsPlatform := view{readsPlatform: true, table: g.table, asOf: 5, operatorAsOf: 5}
+		g.view.Store(&readsPlatform)
+		// callStart returns when the current call to the platform, or the check before
+		// it, started.
+		callStart := func() time.Time {
+			g.platformCall.mu.Lock()
+			defer g.platformCall.mu.Unlock()
+			return g.platformCall.startedAt
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -292,18 +294,18 @@
 			cancel()
 			<-ended
 		})
-		brief := Equal(watchBriefly)
-		Eventually(platform.waits, "10s").Should(Receive(brief), "the first")
-		Eventually(platform.waits, "10s").Should(Receive(Equal(watchWait)), "after an answer")
-		Eventually(platform.waits, "10s").Should(Receive(Equal(watchWait)), "the one that fails")
-		Eventually(platform.waits, "10s").Should(Receive(brief), "after a failure")
-		Eventually(platform.waits, "10s").Should(Receive(Equal(watchWait)), "after an answer")
+		briefWait := Equal(briefWatchWait)
+		Eventually(platform.watchWaits, "10s").Should(Receive(briefWait), "the first")
+		Eventually(platform.watchWaits, "10s").Should(Receive(Equal(watchWait)), "after a response")
+		Eventually(platform.watchWaits, "10s").Should(Receive(Equal(watchWait)), "the one that fails")
+		Eventually(platform.watchWaits, "10s").Should(Receive(briefWait), "after a failure")
+		Eventually(platform.watchWaits, "10s").Should(Receive(Equal(watchWait)), "after a response")
 		g.view.Store(&view{table: g.table, asOf: 5, operatorAsOf: 5})
-		for range 2 { // the first of these turns may have begun before
-			last := turn()
-			Eventually(turn, "10s").ShouldNot(Equal(last))
+		for range 2 { // the first of these checks may have started before
+			last := callStart()
+			Eventually(callStart, "10s").ShouldNot(Equal(last))
 		}
-		g.view.Store(&reads)
-		Eventually(platform.waits, "10s").Should(Receive(brief), "after a time without calls")
+		g.view.Store(&readsPlatform)
+		Eventually(platform.watchWaits, "10s").Should(Receive(briefWait), "after a time without calls")
 	})
 })
