--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -1,8 +1,8 @@
-// Package agent is the role that stands beside one backend server: it brings
-// new versions to a model engine, decides when to change over, passes
-// requests on and says for certain when one was not run.
+// Package agent implements the role that runs beside one backend server. It fetches
+// new versions for a model engine, decides when the engine changes over to them,
+// forwards requests, and reports reliably when a request was not run.
 //
-// The control state belongs to the control loop. Traffic reads the published
+// The control loop owns the control state. Request handling reads the published
 // gate and report.
 package agent
 
@@ -35,23 +35,24 @@
 	Status(ctx context.Context) (serving.Load, error)
 }
 
-// Options of an Agent. All are needed unless a comment says otherwise.
+// Options are the parameters of New. All are required unless a comment says
+// otherwise.
 type Options struct {
 	Self    fleet.Instance
 	Loop    *control.Loop
 	Backend serving.Backend
-	// Engine is nil beside a plain service, Plain beside a model engine.
+	// Engine is nil for a plain service, Plain is nil for a model engine.
 	Engine serving.Engine
 	Plain  PlainStatus
-	// Swarm options without those that the agent sets itself; only used
-	// beside a model engine.
+	// Swarm holds the swarm options except those that the agent sets itself; used
+	// only with a model engine.
 	Swarm swarm.Options
-	// Changeover options; only used beside a model engine.
+	// Changeover options; used only with a model engine.
 	Changeover serving.ChangeoverOptions
-	// Fetches and UploadSlots bound concurrent transfers of chunks.
+	// MaxFetches and MaxUploads limit concurrent transfers of chunks.
 	Fetches, UploadSlots int
-	// UpLimit and DownLimit are set to the share of the link that weights may
-	// use; nil beside a plain service.
+	// UploadLimiter and DownloadLimiter are set to the share of the link that
+	// weights may use; nil for a plain service.
 	UpLimit, DownLimit RateLimit
 	Link               linkshare.Settings
 	MaxInFlight        int
@@ -63,160 +64,162 @@
 	Metrics            tally.Scope
 }
 
-// Agent is the role. It is made with New, given its node with Attach, and
-// then driven by the control loop.
+// Agent is the agent role. It is created by New, connected to its node by Attach,
+// and then driven by the control loop.
 type Agent struct {
-	opts     Options
-	ctx      context.Context
-	started  time.Time
-	node     *node.Node
-	swarm    *swarm.Swarm
-	change   *serving.Changeover
-	work     *inFlight
-	register *once.Register
-	room     *room
-	traffic  trafficBytes
-	upShare  *linkshare.Share
-	dnShare  *linkshare.Share
-	nextRate time.Time
+	opts            Options
+	ctx             context.Context
+	started         time.Time
+	node            *node.Node
+	swarm           *swarm.Swarm
+	changeover      *serving.Changeover
+	inFlight        *inFlightCounter
+	register        *once.Register
+	queue           *requestQueue
+	traffic         trafficBytes
+	uploadShare     *linkshare.Share
+	downloadShare   *linkshare.Share
+	nextShareUpdate time.Time
 
-	service     fleettext.Service
-	known       bool              // the text in force has the service
-	revision    revision.Revision // of service
-	targetSince revision.Revision
-	nextReorder time.Time
-	turnFor     fleet.Version // a turn is asked for; zero if none
-	nextTurn    time.Time     // when it is looked at again without news
-	blocked     bool
-	unfenced    bool
-	reason      string
-	boot        string
-	leaving     bool
-	reading     bool // a status is being read
-	nextPlain   time.Time
-	plainOpen   bool
-	load        serving.Load
+	service          fleettext.Service
+	inConfig         bool              // the active configuration contains the service
+	revision         revision.Revision // of the active configuration
+	targetSince      revision.Revision
+	nextReorder      time.Time
+	pendingVersion   fleet.Version // waits for the rollout's permission; zero if none
+	nextRolloutCheck time.Time     // next check without a change of configuration or view
+	rolloutBlocked   bool
+	fencingIgnored   bool
+	waitReason       string
+	engineBoot       string
+	leaving          bool
+	readingStatus    bool // a status read is in progress
+	nextPlainRead    time.Time
+	plainOpen        bool
+	load             serving.Load
 
 	gate   atomic.Pointer[serving.GateState]
-	report atomic.Pointer[published]
+	report atomic.Pointer[publishedReport]
 	status atomic.Pointer[status.Agent]
 }
 
-// published is a report with a channel that closes when there is one that
-// entries must hear of at once.
-type published struct {
+// publishedReport is a report with a channel that is closed when a newer report
+// must be sent to entries at once.
+type publishedReport struct {
 	wire.Report
-	next chan struct{}
+	urgent chan struct{}
 }
 
-// New returns an agent. What it starts ends with ctx.
+// New returns an agent. Its goroutines end with ctx.
 func New(ctx context.Context, opts Options) *Agent {
 	a := &Agent{
-		opts:    opts,
-		ctx:     ctx,
-		started: time.Now(),
-		work:    newInFlight(),
-		room:    newRoom(time.Now()),
+		opts:     opts,
+		ctx:      ctx,
+		started:  time.Now(),
+		inFlight: newInFlightCounter(),
+		queue:    newRequestQueue(time.Now()),
 		register: once.New(once.Options{
 			Self:        opts.Self.ID,
 			Incarnation: once.Incarnation(opts.Incarnation),
 		}),
-		upShare: linkshare.New(opts.Link),
-		dnShare: linkshare.New(opts.Link),
+		uploadShare:   linkshare.New(opts.Link),
+		downloadShare: linkshare.New(opts.Link),
 	}
 	a.gate.Store(&serving.GateState{})
-	a.report.Store(&published{next: make(chan struct{})})
+	a.report.Store(&publishedReport{urgent: make(chan struct{})})
 	a.status.Store(&status.Agent{})
 	if opts.Engine != nil {
-		a.change = serving.NewChangeover(opts.Changeover)
+		a.changeover = serving.NewChangeover(opts.Changeover)
 		s := opts.Swarm
-		s.OnComplete = a.versionGathered
+		s.OnComplete = a.handleVersionComplete
 		a.swarm = swarm.New(ctx, s)
 	}
 	return a
 }
 
-// Attach gives the agent its node. It must be called before the loop runs.
+// Attach sets the node of the agent. It must be called before the loop runs.
 func (a *Agent) Attach(n *node.Node) { a.node = n }
 
 // Tick implements control.Ticker.
 func (a *Agent) Tick(now time.Time) {
-	a.shareLink(now)
-	a.room.setSlots(now, a.load.Slots)
-	a.room.expire(now)
-	if a.change == nil {
+	a.updateLinkShares(now)
+	a.queue.setSlots(now, a.load.Slots)
+	a.queue.expire(now)
+	if a.changeover == nil {
 		a.pollPlain(now)
 		return
 	}
 	a.step(now, serving.Tick{})
 	a.swarm.Tick(now)
-	if !a.turnFor.IsZero() && !now.Before(a.nextTurn) {
-		a.takeTurn(now)
+	if !a.pendingVersion.IsZero() && !now.Before(a.nextRolloutCheck) {
+		a.checkRollout(now)
 	}
 }
 
-// Changed is told after the text in force or the view has changed.
+// HandleChange is called after the active configuration or the view of the fleet
+// has changed.
 func (a *Agent) Changed(now time.Time) {
 	state := a.node.InForce()
 	if state == nil {
 		return
 	}
-	a.followText(now, state)
+	a.applyConfig(now, state)
 	if a.swarm != nil {
 		a.swarm.SetMembers(now, a.members(state.Fleet))
 		a.step(now, serving.Vouched{Versions: rollout.ServedVersions(a.replicas(), a.opts.Self.ID)})
 	}
-	a.takeTurn(now)
+	a.checkRollout(now)
 	a.publish(now)
 }
 
-// followText takes over what the text says of this service.
-func (a *Agent) followText(now time.Time, state *revision.State) {
-	service, known := state.Fleet.Service(a.opts.Self.Service)
-	// A revision that never came here may have pinned another version, which
-	// others may still be on.
+// applyConfig takes over the configuration of this service.
+func (a *Agent) applyConfig(now time.Time, state *revision.State) {
+	service, inConfig := state.Fleet.Service(a.opts.Self.Service)
+	// A revision that was skipped here may have named another version, which other
+	// replicas may still serve.
 	skipped := state.Revision > a.revision+1
-	if known != a.known || service.Version != a.service.Version || skipped {
+	if inConfig != a.inConfig || service.Version != a.service.Version || skipped {
 		a.targetSince = state.Revision
 	}
-	a.service, a.known, a.revision = service, known, state.Revision
-	if a.change != nil {
-		a.change.SetDrainTimeout(service.DrainTimeout)
+	a.service, a.inConfig, a.revision = service, inConfig, state.Revision
+	if a.changeover != nil {
+		a.changeover.SetDrainTimeout(service.DrainTimeout)
 		a.step(now, serving.TargetChanged{Version: service.Version})
 	}
 }
 
-// publish brings what others see in line with the control state.
+// publish updates the published gate, record, report and status from the control
+// state.
 func (a *Agent) publish(now time.Time) {
 	gate := a.currentGate()
 	a.gate.Store(&gate)
-	a.node.UpdateSelf(now, a.describe)
+	a.node.UpdateSelf(now, a.updateRecord)
 	a.publishReport(now, gate)
 	a.publishStatus(now)
 }
 
 func (a *Agent) currentGate() serving.GateState {
-	if a.change != nil {
-		gate := a.change.Gate()
+	if a.changeover != nil {
+		gate := a.changeover.Gate()
 		gate.Leaving = gate.Leaving || a.leaving
 		return gate
 	}
-	return serving.GateState{Plain: true, Open: a.plainOpen && a.known, Leaving: a.leaving}
+	return serving.GateState{Plain: true, Open: a.plainOpen && a.inConfig, Leaving: a.leaving}
 }
 
-// describe writes the agent's own record.
-func (a *Agent) describe(r *gossip.Record) {
+// updateRecord fills in the agent's own gossip record.
+func (a *Agent) updateRecord(r *gossip.Record) {
 	r.Leaving = a.leaving
-	if a.change == nil {
+	if a.changeover == nil {
 		r.State = gossip.StateStarting
 		if a.plainOpen {
 			r.State = gossip.StateServing
 		}
 		return
 	}
-	r.State = a.change.State()
-	r.Serving = a.change.Serving()
-	r.Target = a.change.Target()
+	r.State = a.changeover.State()
+	r.Serving = a.changeover.Serving()
+	r.Target = a.changeover.Target()
 }
 
 func (a *Agent) publishReport(now time.Time, gate serving.GateState) {
@@ -234,40 +237,41 @@
 	if before.Report == report {
 		return
 	}
-	if !urgent(before.Report, report) {
-		// Streams wait on the channel of the report that they sent last, so it
-		// stays until a change that they must hear of at once.
-		a.report.Store(&published{Report: report, next: before.next})
+	if !isUrgentChange(before.Report, report) {
+		// Streams wait on the channel of the report that they sent last, so it is
+		// kept until the next urgent change.
+		a.report.Store(&publishedReport{Report: report, urgent: before.urgent})
 		return
 	}
-	a.report.Store(&published{Report: report, next: make(chan struct{})})
-	close(before.next)
+	a.report.Store(&publishedReport{Report: report, urgent: make(chan struct{})})
+	close(before.urgent)
 }
 
-// urgent reports whether entries should hear of a change at once. A change of
+// isUrgentChange reports whether entries must receive a change at once. A change of
 // load alone waits for the next regular report.
-func urgent(before, after wire.Report) bool {
+func isUrgentChange(before, after wire.Report) bool {
 	before.Load = after.Load
 	return before != after
 }
 
-// Leave begins the planned stop: no new work, and others are told at once.
+// Leave begins the planned stop: no new requests are admitted, and other processes
+// are notified at once.
 func (a *Agent) Leave(ctx context.Context) error {
 	return a.opts.Loop.Do(ctx, func(now time.Time) {
 		a.leaving = true
-		if a.change != nil {
+		if a.changeover != nil {
 			a.step(now, serving.Leaving{})
 		}
 		a.publish(now)
-		a.opts.Logger.Info("leaving", zap.Int64("in_flight", a.work.count()))
+		a.opts.Logger.Info("leaving", zap.Int64("in_flight", a.inFlight.count()))
 	})
 }
 
-// Drain waits until no request is in progress, at most until ctx ends, and
-// reports whether it got there.
+// Drain waits until no request is in progress or ctx ends, and reports whether no
+// request is in progress.
 func (a *Agent) Drain(ctx context.Context) bool {
 	idle := make(chan struct{})
-	a.work.whenIdle(func() { close(idle) })
+	a.inFlight.whenIdle(func() { close(idle) })
 	select {
 	case <-idle:
 		return true
--- a/daemon/agent/change.go
+++ b/daemon/agent/changeover.go
@@ -20,41 +20,42 @@
 const (
 	statusTimeout = 2 * time.Second
 	orderTimeout  = 30 * time.Second
-	// rereadEvery is the pause between tries to read the world after a pause.
-	rereadEvery = 200 * time.Millisecond
+	// rereadInterval is the pause between attempts to read the configuration after
+	// a pause of the process.
+	rereadInterval = 200 * time.Millisecond
 )
 
-// step feeds the change-over and carries out what it asks for.
+// step passes an event to the changeover and executes the resulting actions.
 func (a *Agent) step(now time.Time, event serving.Event) {
-	before := a.change.Phase()
-	actions := a.change.Step(now, event)
+	before := a.changeover.Phase()
+	actions := a.changeover.Step(now, event)
 	for _, action := range actions {
-		a.carryOut(now, action)
+		a.execute(now, action)
 	}
-	if after := a.change.Phase(); after != before {
+	if after := a.changeover.Phase(); after != before {
 		a.opts.Logger.Info("changeover", zap.Stringer("from", before), zap.Stringer("to", after),
-			zap.Stringer("target", a.change.Target()), zap.Stringer("serving", a.change.Serving()))
+			zap.Stringer("target", a.changeover.Target()), zap.Stringer("serving", a.changeover.Serving()))
 	}
-	if len(actions) > 0 || a.change.Phase() != before {
+	if len(actions) > 0 || a.changeover.Phase() != before {
 		a.publish(now)
 	}
 }
 
-func (a *Agent) carryOut(now time.Time, action serving.Action) {
+func (a *Agent) execute(now time.Time, action serving.Action) {
 	switch action := action.(type) {
 	case serving.StartFetch:
-		a.turnFor = fleet.Version{}
+		a.pendingVersion = fleet.Version{}
 		a.swarm.Gather(now, action.Version, a.spreadSettings(), action.Reuse)
 	case serving.StopFetch:
 		a.swarm.Stop(action.Version.Manifest)
 	case serving.AskTurn:
-		a.turnFor = action.Version
-		a.nextTurn = now
+		a.pendingVersion = action.Version
+		a.nextRolloutCheck = now
 	case serving.StopAdmitting:
 		a.publish(now)
-		a.work.whenIdle(func() { go a.post(serving.Drained{Drain: action.Drain}) })
+		a.inFlight.whenIdle(func() { go a.post(serving.Drained{Drain: action.Drain}) })
 	case serving.ResumeAdmitting, serving.StartServing:
-		a.turnFor = fleet.Version{}
+		a.pendingVersion = fleet.Version{}
 		a.publish(now)
 	case serving.SendOrder:
 		action.Order = a.withExtras(action.Order)
@@ -64,7 +65,7 @@
 	case serving.DropStage:
 		a.swarm.Drop(action.Manifest)
 	case serving.ReadAgain:
-		go a.readAgain(now)
+		go a.rereadAfterPause(now)
 	case serving.Alarm:
 		a.opts.Metrics.Counter("alarms").Inc(1)
 		a.opts.Logger.Error("alarm", zap.String("reason", action.Reason))
@@ -74,21 +75,21 @@
 	}
 }
 
-// post queues an event. The control loop itself must not call it: it would
-// wait for room in a full queue that only it can empty, for ever.
+// post queues an event. It must not be called on the control loop: with a full
+// queue it would wait forever for the loop to empty it.
 func (a *Agent) post(event serving.Event) {
 	a.opts.Loop.Post(a.ctx, control.Func(func(now time.Time) { a.step(now, event) }))
 }
 
-// sendOrder gives the engine an order. The clock is read just before, on the
-// goroutine that sends: an order that was held up by a pause of this process
-// may come from a time when another process had not yet taken over, and an
-// engine that ignores fencing numbers would obey it.
+// sendOrder sends an order to the engine. It checks the clock immediately before,
+// on the sending goroutine: while this process was paused, another one may have
+// taken over, and an engine that ignores fencing numbers would execute the outdated
+// order.
 func (a *Agent) sendOrder(order serving.SendOrder) {
 	ctx, cancel := context.WithTimeout(a.ctx, orderTimeout)
 	defer cancel()
 	if order.Expired(time.Now()) {
-		a.post(serving.OrderFailed{Attempt: order.Attempt, Err: failure.Timeout.New("the order is too old to be sent")})
+		a.post(serving.OrderFailed{Attempt: order.Attempt, Err: failure.Timeout.New("order expired before it was sent")})
 		return
 	}
 	if err := a.opts.Engine.Order(ctx, order.Order); err != nil {
@@ -99,43 +100,44 @@
 	a.post(serving.OrderDone{Attempt: order.Attempt})
 }
 
-// readStatus reads the engine's status unless a read is under way.
+// readStatus reads the engine's status unless a read is in progress.
 func (a *Agent) readStatus(now time.Time) {
-	if a.reading {
+	if a.readingStatus {
 		return
 	}
-	a.reading = true
+	a.readingStatus = true
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, statusTimeout)
 		defer cancel()
 		status, err := a.opts.Engine.Status(ctx)
-		a.opts.Loop.Post(a.ctx, control.Func(func(at time.Time) { a.statusRead(at, status, now, err) }))
+		a.opts.Loop.Post(a.ctx, control.Func(func(at time.Time) { a.handleStatus(at, status, now, err) }))
 	}()
 }
 
-func (a *Agent) statusRead(now time.Time, status serving.EngineStatus, asked time.Time, err error) {
-	a.reading = false
+func (a *Agent) handleStatus(now time.Time, status serving.EngineStatus, requestedAt time.Time, err error) {
+	a.readingStatus = false
 	if err != nil {
 		a.opts.Metrics.Counter("engine_status_failures").Inc(1)
 		a.opts.Logger.Debug("engine_status_not_read", zap.Error(err))
 		return
 	}
-	if a.boot != "" && a.boot != status.Boot {
+	if a.engineBoot != "" && a.engineBoot != status.Boot {
 		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.Boot))
 		a.swarm.Forget()
 	}
-	a.boot = status.Boot
+	a.engineBoot = status.Boot
 	a.load = status.Load
-	a.step(now, serving.StatusRead{Status: status, Asked: asked})
+	a.step(now, serving.StatusRead{Status: status, Asked: requestedAt})
 	a.orderExtras(now, status)
 	a.checkFencing()
 	a.publish(now)
 }
 
-// readAgain reads the text and waits for a neighbour's word after a pause,
-// then lets the change-over go on. What it says is as old as since: a pause
-// that comes meanwhile has a reading of its own.
-func (a *Agent) readAgain(since time.Time) {
+// rereadAfterPause reads the configuration after a pause of the process, waits
+// until the platform or a neighbour has been heard from, and lets the changeover
+// continue. The result is only as recent as since: a later pause causes a separate
+// read.
+func (a *Agent) rereadAfterPause(since time.Time) {
 	a.opts.Logger.Warn("woke")
 	for a.ctx.Err() == nil {
 		if a.node.Reread(a.ctx, since) {
@@ -144,13 +146,14 @@
 		}
 		select {
 		case <-a.ctx.Done():
-		case <-time.After(rereadEvery):
+		case <-time.After(rereadInterval):
 		}
 	}
 }
 
-// versionGathered is the swarm's word that all chunks are staged.
-func (a *Agent) versionGathered(now time.Time, version fleet.Version) {
+// handleVersionComplete is called by the swarm when all chunks of a version are
+// staged.
+func (a *Agent) handleVersionComplete(now time.Time, version fleet.Version) {
 	a.step(now, serving.ChunksComplete{Version: version})
 }
 
@@ -168,70 +171,70 @@
 	}
 }
 
-// members are the agents that the text and the list make want the same
-// version. Silent ones count: if each part of a split fleet left the others
-// out, each member's quota of origin bytes would grow, and the parts together
-// would draw more than the limit.
-func (a *Agent) members(text *fleettext.Fleet) []spread.Member {
+// members returns the agents that need the same version according to the
+// configuration and the platform's list. Silent agents count: if each side of a
+// network partition excluded the other, each member's quota of origin bytes would
+// grow, and both sides together would exceed the limit.
+func (a *Agent) members(config *fleettext.Fleet) []spread.Member {
 	self := a.opts.Self
 	members := []spread.Member{{ID: self.ID, Place: self.Place, Addr: self.PeerAddr}}
 	for _, p := range a.node.View().Peers {
 		if p.Role != fleet.RoleAgent || p.IsLeaving() {
 			continue
 		}
-		if service, ok := text.Service(p.Service); ok && service.Version == a.service.Version {
+		if service, ok := config.Service(p.Service); ok && service.Version == a.service.Version {
 			members = append(members, spread.Member{ID: p.ID, Place: p.Place, Addr: p.PeerAddr})
 		}
 	}
 	return members
 }
 
-// turnEvery is how often a waiting replica looks at its turn when nothing new
-// was heard. A look goes through all replicas of the service.
-const turnEvery = 200 * time.Millisecond
+// rolloutCheckInterval is the time between two checks of a waiting replica without
+// a change of configuration or view. Each check visits all replicas of the service.
+const rolloutCheckInterval = 200 * time.Millisecond
 
-// takeTurn asks the rollout's rule whether the replica may leave service now.
-func (a *Agent) takeTurn(now time.Time) {
-	a.nextTurn = now.Add(turnEvery)
+// checkRollout asks the rollout rules whether the replica may leave service now.
+func (a *Agent) checkRollout(now time.Time) {
+	a.nextRolloutCheck = now.Add(rolloutCheckInterval)
 	state := a.node.InForce()
-	if a.change == nil || state == nil {
+	if a.changeover == nil || state == nil {
 		return
 	}
-	question := a.question()
-	turn := rollout.NextOrder(question)
-	a.node.UpdateSelf(now, func(r *gossip.Record) { r.RolloutOrder = turn })
-	if a.turnFor.IsZero() {
-		a.reason = ""
+	request := a.rolloutRequest()
+	order := rollout.NextOrder(request)
+	a.node.UpdateSelf(now, func(r *gossip.Record) { r.RolloutOrder = order })
+	if a.pendingVersion.IsZero() {
+		a.waitReason = ""
 		return
 	}
 	if ready, reason := a.dependenciesReady(state.Fleet); !ready {
-		a.reason = reason
+		a.waitReason = reason
 		return
 	}
-	decision := rollout.Decide(question)
-	a.reason = decision.Reason
+	decision := rollout.Decide(request)
+	a.waitReason = decision.Reason
 	a.alarmIfBlocked(decision)
 	if !decision.Allowed {
 		return
 	}
-	version := a.turnFor
-	a.turnFor = fleet.Version{}
+	version := a.pendingVersion
+	a.pendingVersion = fleet.Version{}
 	a.step(now, serving.TurnGranted{Version: version})
 }
 
-func (a *Agent) question() rollout.Request {
+func (a *Agent) rolloutRequest() rollout.Request {
 	return rollout.Request{
 		Self:           a.opts.Self.ID,
-		Target:         a.change.Target(),
+		Target:         a.changeover.Target(),
 		TargetSince:    a.targetSince,
 		Replicas:       a.replicas(),
 		MaxUnavailable: a.service.MaxUnavailable,
-		ServingNothing: a.change.Serving().IsZero(),
+		ServingNothing: a.changeover.Serving().IsZero(),
 	}
 }
 
-// replicas are those of the own service. The view may be older than the own
-// record, which is put in its place.
+// replicas returns the replicas of this service. The view may be older than the
+// agent's own record, which replaces it.
 func (a *Agent) replicas() []rollout.Replica {
 	replicas := rollout.ReplicasOf(a.node.View(), a.opts.Self.Service)
 	self := a.node.Self()
@@ -249,34 +252,34 @@
 	return replicas
 }
 
-// checkFencing raises an alarm if the text says that the engine checks fencing
-// numbers and the engine, idle after a claim, has not shown the one it was
-// given. A second agent's orders would then be obeyed.
+// checkFencing raises an alarm if the configuration says that the engine checks
+// fencing numbers, but the idle engine has not reported the number of the last
+// claim. It would then also execute the orders of a second agent.
 func (a *Agent) checkFencing() {
-	fence := a.change.Fence()
+	fence := a.changeover.Fence()
 	ignored := a.service.EngineFencing == fleettext.FencingChecked &&
-		a.change.Phase() == serving.PhaseIdle && !fence.Checked()
-	if ignored && !a.unfenced {
+		a.changeover.Phase() == serving.PhaseIdle && !fence.Checked()
+	if ignored && !a.fencingIgnored {
 		a.opts.Metrics.Counter("alarms").Inc(1)
 		a.opts.Logger.Error("alarm", zap.String("reason", "the text says that this engine checks fencing numbers, and it does not"))
 	}
-	a.unfenced = ignored
+	a.fencingIgnored = ignored
 }
 
 func (a *Agent) alarmIfBlocked(d rollout.Decision) {
-	if d.Blocked && !a.blocked {
+	if d.Blocked && !a.rolloutBlocked {
 		a.opts.Metrics.Counter("alarms").Inc(1)
 		a.opts.Logger.Error("alarm", zap.String("reason", d.Reason))
 	}
-	a.blocked = d.Blocked
+	a.rolloutBlocked = d.Blocked
 }
 
-// dependenciesReady reports whether all that the service depends on is ready.
-// A replica that serves nothing waits as well: what it would answer needs its
-// dependencies just the same.
-func (a *Agent) dependenciesReady(text *fleettext.Fleet) (bool, string) {
+// dependenciesReady reports whether all dependencies of the service are ready. A
+// replica that serves nothing waits as well, since its responses would need the
+// dependencies too.
+func (a *Agent) dependenciesReady(config *fleettext.Fleet) (bool, string) {
 	for _, name := range a.service.DependsOn {
-		dependency, ok := text.Service(name)
+		dependency, ok := config.Service(name)
 		if !ok {
 			continue
 		}
--- a/daemon/agent/export_test.go
+++ b/daemon/agent/export_test.go
@@ -4,9 +4,9 @@
 	"chivespindle.example/core/serving"
 )
 
-// Reported returns the load that entries are told, and a channel that closes
-// when they are to be told at once of something else.
+// Reported returns the load that is reported to entries, and a channel that is
+// closed when a newer report must be sent at once.
 func (a *Agent) Reported() (load serving.Load, urgent <-chan struct{}) {
 	p := a.report.Load()
-	return p.Load, p.next
+	return p.Load, p.urgent
 }
--- a/daemon/agent/extras.go
+++ b/daemon/agent/extras.go
@@ -9,15 +9,15 @@
 	"chivespindle.example/core/serving"
 )
 
-// reorderEvery is the pause between two orders for adapters and role, so that
-// an engine which does not report them as ordered is not ordered all the time.
-const reorderEvery = 5 * time.Second
+// reorderInterval is the pause between two orders for adapters and role. It limits
+// the orders to an engine that does not report the adapters and role that were
+// ordered.
+const reorderInterval = 5 * time.Second
 
-// withExtras adds the adapters and the role of the text to an order. Every
-// order carries them, so that a version is never loaded with those of another
-// text.
+// withExtras adds the configured adapters and role to an order. Every order carries
+// them, so that a version is never loaded with those of another configuration.
 func (a *Agent) withExtras(order serving.Order) serving.Order {
-	if !a.known {
+	if !a.inConfig {
 		return order
 	}
 	order.Adapters = append([]string{}, a.service.Adapters...)
@@ -25,13 +25,13 @@
 	return order
 }
 
-// orderExtras orders the engine again if its adapters or its role are not
-// those of the text. What is served goes on: neither changes the version.
+// orderExtras sends another order if the engine's adapters or role differ from the
+// configuration. Serving continues, since neither changes the version.
 func (a *Agent) orderExtras(now time.Time, status serving.EngineStatus) {
-	if !a.known || now.Before(a.nextReorder) || a.hasExtras(status) {
+	if !a.inConfig || now.Before(a.nextReorder) || a.hasExtras(status) {
 		return
 	}
-	a.nextReorder = now.Add(reorderEvery)
+	a.nextReorder = now.Add(reorderInterval)
 	a.opts.Logger.Info("engine_extras_differ",
 		zap.Strings("adapters", status.Adapters), zap.String("engine_role", status.EngineRole))
 	a.step(now, serving.Reorder{})
--- a/daemon/agent/inflight.go
+++ b/daemon/agent/inflight.go
@@ -2,53 +2,53 @@
 
 import "sync"
 
-// inFlight counts requests in progress and tells when there are none.
+// inFlightCounter counts requests in progress and notifies when there are none.
 //
-// A request is counted before the gate is asked, and the gate is closed before
-// idleness is asked for. So a request that slips in while the gate closes is
-// either refused or waited for; without that order an engine could be ordered
-// to load under a running answer.
-type inFlight struct {
-	mu      sync.Mutex
-	n       int64
-	waiting []func()
+// A request is counted before the gate is checked, and the gate is closed before
+// idleness is awaited. A request that arrives while the gate closes is therefore
+// either refused or waited for; otherwise the engine could be ordered to load while
+// it still serves a request.
+type inFlightCounter struct {
+	mu            sync.Mutex
+	n             int64
+	idleCallbacks []func()
 }
 
-func newInFlight() *inFlight { return &inFlight{} }
+func newInFlightCounter() *inFlightCounter { return &inFlightCounter{} }
 
-func (f *inFlight) enter() int64 {
+func (f *inFlightCounter) enter() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.n++
 	return f.n
 }
 
-func (f *inFlight) exit() {
+func (f *inFlightCounter) exit() {
 	f.mu.Lock()
 	f.n--
 	var idle []func()
 	if f.n == 0 {
-		idle, f.waiting = f.waiting, nil
+		idle, f.idleCallbacks = f.idleCallbacks, nil
 	}
 	f.mu.Unlock()
-	for _, tell := range idle {
-		tell()
+	for _, callback := range idle {
+		callback()
 	}
 }
 
-// whenIdle calls tell once, as soon as no request is in progress.
-func (f *inFlight) whenIdle(tell func()) {
+// whenIdle calls callback once, as soon as no request is in progress.
+func (f *inFlightCounter) whenIdle(callback func()) {
 	f.mu.Lock()
 	if f.n > 0 {
-		f.waiting = append(f.waiting, tell)
+		f.idleCallbacks = append(f.idleCallbacks, callback)
 		f.mu.Unlock()
 		return
 	}
 	f.mu.Unlock()
-	tell()
+	callback()
 }
 
-func (f *inFlight) count() int64 {
+func (f *inFlightCounter) count() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.n
--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// runningRetry is when a caller may ask again for work that still runs.
-	runningRetry = time.Second
-	// maxKeptAnswer bounds the answer that is collected for the record.
-	maxKeptAnswer = 16 << 10
+	// runningRetryAfter is the retry delay for a request that is still running.
+	runningRetryAfter = time.Second
+	// maxKeptBody is the maximum size of a response body that is collected for the
+	// record.
+	maxKeptBody = 16 << 10
 )
 
-// ListRead is told the platform's instance list each time that it was read.
-// The register follows the list and not the heartbeats: a silent home may have
-// run a key, so it stays the home until the platform takes it off.
+// HandleList is called with the platform's instance list after each read. The
+// register follows the list and not the heartbeats: a silent home may have run the
+// request of a key, so it remains the home until the platform removes it.
 func (a *Agent) ListRead(now time.Time, list []fleet.Instance) {
 	var members []fleet.InstanceID
 	for _, i := range list {
@@ -32,38 +33,38 @@
 	a.register.SetMembers(now, members)
 }
 
-// runOnce serves a request that must run at most once.
+// runOnce serves a non-idempotent request.
 func (a *Agent) runOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
 	key, err := once.ParseKey(req.Workspace, req.IdempotencyKey)
 	if err != nil {
-		return decided(notRun(req, err))
+		return decidedByHome(notRunEnd(req, err))
 	}
 	now := time.Now()
-	facts := once.RequestInfo{ReceivedAt: req.Deadline.ReceivedAt(a.started, a.clock())}
-	digest := digestOf(req, body)
+	info := once.RequestInfo{ReceivedAt: req.Deadline.ReceivedAt(a.started, a.clockReading())}
+	digest := workDigest(req, body)
 	version, refused := a.admit(now, req)
 	if refused != nil {
-		return a.closeKey(s, req, key, digest, facts, refused)
+		return a.closeKey(s, req, key, digest, info, refused)
 	}
-	verdict := a.register.Begin(now, key, digest, facts)
+	verdict := a.register.Begin(now, key, digest, info)
 	if verdict.Action != once.Run {
-		return a.repeat(s, req, verdict)
+		return a.replyFromRecord(s, req, verdict)
 	}
-	return a.passOnce(ctx, s, req, body, version, key)
+	return a.forwardOnce(ctx, s, req, body, version, key)
 }
 
-// digestOf names the work: the path counts as much as the body.
-func digestOf(req wire.Request, body []byte) fleet.Digest {
-	named := append([]byte(req.Path), 0)
-	return fleet.DigestOf(append(named, body...))
+// workDigest identifies the request by its path and body.
+func workDigest(req wire.Request, body []byte) fleet.Digest {
+	hashed := append([]byte(req.Path), 0)
+	return fleet.DigestOf(append(hashed, body...))
 }
 
-// closeKey answers a request that this agent cannot take now. Whether the
-// caller may be told "not run" depends on what is known of the key. An answer
-// on record needs no backend server, so it is given.
-func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, facts once.RequestInfo, refused error) wire.AnswerEnd {
-	verdict := a.register.Close(time.Now(), key, digest, facts)
-	end := a.repeat(s, req, verdict)
+// closeKey responds to a request that this agent cannot accept now. Whether the
+// caller may be told "not run" depends on the record of the key. A recorded
+// response is returned, since it needs no backend server.
+func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, info once.RequestInfo, refused error) wire.AnswerEnd {
+	verdict := a.register.Close(time.Now(), key, digest, info)
+	end := a.replyFromRecord(s, req, verdict)
 	if verdict.Outcome == failure.NotRun {
 		end.Reason = refused.Error()
 		end.RetryAfterMS = failure.RetryAfter(refused).Milliseconds()
@@ -71,62 +72,63 @@
 	return end
 }
 
-// passOnce passes the work on. It goes on to its end though the entry or the
-// caller goes away, so that asking again finds the answer.
-func (a *Agent) passOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.AnswerEnd {
-	out := newAnswerStream(s, version)
+// forwardOnce forwards the request and lets it complete even if the entry or the
+// caller disconnects, so that a retry finds the response.
+func (a *Agent) forwardOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.AnswerEnd {
+	out := newResponseStream(s, version)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.remaining(req))
 	defer cancel()
-	leave, err := a.enterRoom(ctx, req)
+	release, err := a.waitForSlot(ctx, req)
 	if err != nil {
 		a.register.Abandon(time.Now(), key)
-		return decided(notRun(req, err))
+		return decidedByHome(notRunEnd(req, err))
 	}
-	defer func() { leave(out.first) }()
+	defer func() { release(out.firstPieceDelay) }()
 	if !a.register.MarkForwarded(key) {
-		return decided(wire.AnswerEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
+		return decidedByHome(wire.AnswerEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
 	}
-	var kept []byte
-	end := a.passTo(ctx, req, body, version, func(p serving.Piece) error {
-		if len(kept) <= maxKeptAnswer {
-			kept = append(kept, p.Data...)
+	var keptBody []byte
+	end := a.forward(ctx, req, body, version, func(p serving.Piece) error {
+		if len(keptBody) <= maxKeptBody {
+			keptBody = append(keptBody, p.Data...)
 		}
-		_ = out.piece(p) // finish tells of a failure; the work goes on
+		_ = out.sendPiece(p) // finish reports an error; the request continues
 		return nil
 	})
 	result := once.Result{Outcome: outcomeOf(end), Status: statusOr200(end.Status), Version: end.Version}
-	if len(kept) <= maxKeptAnswer {
-		result.Body, result.HasBody = kept, true
+	if len(keptBody) <= maxKeptBody {
+		result.Body, result.HasBody = keptBody, true
 	}
 	a.register.Finish(time.Now(), key, result)
-	return decided(out.finish(req, end))
+	return decidedByHome(out.finish(req, end))
 }
 
-func decided(end wire.AnswerEnd) wire.AnswerEnd {
+func decidedByHome(end wire.AnswerEnd) wire.AnswerEnd {
 	end.Decided = true
 	return end
 }
 
-// repeat answers an ask with a key on record.
-func (a *Agent) repeat(s *peer.Stream, req wire.Request, v once.Verdict) wire.AnswerEnd {
+// replyFromRecord responds to a request whose key is on record.
+func (a *Agent) replyFromRecord(s *peer.Stream, req wire.Request, v once.Verdict) wire.AnswerEnd {
 	if v.Action != once.Done || !v.Result.HasBody {
-		return refusal(req, v)
+		return refusalEnd(req, v)
 	}
-	out := newAnswerStream(s, v.Result.Version)
+	out := newResponseStream(s, v.Result.Version)
 	if len(v.Result.Body) > 0 {
-		_ = out.piece(serving.Piece{Status: v.Result.Status, Data: v.Result.Body}) // finish tells of a failure
+		_ = out.sendPiece(serving.Piece{Status: v.Result.Status, Data: v.Result.Body}) // finish reports an error
 	}
 	end := wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: req.ID, Status: v.Result.Status, Version: v.Result.Version}
-	return decided(out.finish(req, end))
+	return decidedByHome(out.finish(req, end))
 }
 
-// refusal turns a verdict without an answer into the end of one.
-func refusal(req wire.Request, v once.Verdict) wire.AnswerEnd {
-	end := decided(wire.AnswerEnd{ID: req.ID, Duplicate: true})
+// refusalEnd converts a verdict without a recorded response to the end of a
+// response.
+func refusalEnd(req wire.Request, v once.Verdict) wire.AnswerEnd {
+	end := decidedByHome(wire.AnswerEnd{ID: req.ID, Duplicate: true})
 	switch v.Action {
 	case once.Running:
 		end.Reason = "a request with this key runs now"
-		end.RetryAfterMS = runningRetry.Milliseconds()
+		end.RetryAfterMS = runningRetryAfter.Milliseconds()
 	case once.Done:
 		end.Outcome = wire.OutcomeRan
 		end.Reason = "it ran before; its answer was too large to keep"
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -16,60 +16,59 @@
 	"chivespindle.example/daemon/wire"
 )
 
-const work = "two cones"
-
-var _ = Describe("Work that must run at most once", func() {
-	// A caller orders goods. Its entry loses the stream to the agent after the
-	// work was passed on, and the caller asks again with the same key while it
-	// still runs, and once more after. It is told to come back, then it gets the
-	// whole answer of the one execution: the work goes on without its entry.
-	// Seen with the work's context left bound to the stream: it was given up with
-	// the stream, and the second ask was told that its end is lost.
-	It("keeps the answer that was lost on the way back", func() {
-		r := newPlain()
+const requestBody = "two cones"
+
+var _ = Describe("A non-idempotent request", func() {
+	// The entry loses the stream to the agent after the request was forwarded. The
+	// caller retries with the same key while the request runs, and again
+	// afterwards. It is first told to retry later and then receives the complete
+	// response of the single execution, because the request continues without its
+	// entry. With the context of the request bound to the stream, the request was
+	// cancelled with the stream, and the retry was told that the outcome is lost.
+	It("has its response recorded when it is lost on the way back", func() {
+		r := newPlainRig()
 		release := make(chan struct{})
 		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
-		key := r.key(1)
-		lost := r.entry.Send(r.order("first", key), work)
+		key := r.issueKey(1)
+		aborted := r.entry.Send(r.nonIdempotentRequest("first", key), requestBody)
 		Eventually(r.backend.Calls).Should(HaveLen(1))
-		lost.Abort()
+		aborted.Abort()
 
-		running := r.entry.Ask(r.order("second", key), work).End
+		running := r.entry.Ask(r.nonIdempotentRequest("second", key), requestBody).End
 		Expect(running).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("Decided", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0)))))
 
 		close(release)
-		Eventually(func() daemontest.Answer { return r.entry.Ask(r.order("third", key), work) }).Should(SatisfyAll(
-			HaveField("Body", work),
+		Eventually(func() daemontest.Answer { return r.entry.Ask(r.nonIdempotentRequest("third", key), requestBody) }).Should(SatisfyAll(
+			HaveField("Body", requestBody),
 			HaveField("End", HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("ID", "third"))))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
 
-	// A caller whose first entry seems dead asks through a second one in the
-	// same moment, with the same key. Both asks are at the agent before either
-	// has ended. One of them runs and is answered; the other is told that the
-	// outcome is not known yet and when to ask again.
-	// Seen with the register letting an ask run whose key runs already: both were
-	// passed on, and neither was told to wait.
-	It("runs one of two asks that come through two entries at once", func() {
-		r := newPlain()
+	// Two requests with the same key arrive at the agent through two entries, and
+	// neither has ended. One of them runs and is answered; the other is told that
+	// the outcome is not known yet and when to retry. If the register let a request
+	// run whose key is already running, both were forwarded, and neither was told
+	// to wait.
+	It("runs once if it arrives through two entries at once", func() {
+		r := newPlainRig()
 		release := make(chan struct{})
 		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
-		key := r.key(1)
+		key := r.issueKey(1)
 		other := daemontest.NewEntry("entry-2", r.Self)
 		ends := make(chan wire.AnswerEnd, 2)
 		for id, entry := range map[string]*daemontest.Entry{"by-1": r.entry, "by-2": other} {
-			s := entry.Send(r.order(id, key), work)
+			s := entry.Send(r.nonIdempotentRequest(id, key), requestBody)
 			go func() {
 				if answer := daemontest.ReadAnswer(s); answer.End != nil {
 					ends <- *answer.End
 				}
 			}()
 		}
-		var told, ran wire.AnswerEnd
-		Eventually(ends).Should(Receive(&told))
-		Expect(told).To(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true),
+		var refused, ran wire.AnswerEnd
+		Eventually(ends).Should(Receive(&refused))
+		Expect(refused).To(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0))))
 		close(release)
 		Eventually(ends).Should(Receive(&ran))
@@ -77,19 +76,19 @@
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
 
-	// A caller asks again with a key that another process may have run: the one
-	// that ran on this instance before, or another agent. Neither record is
-	// here. The caller is told "unknown", and nothing is passed on.
-	// Seen with the register's objections to issued keys taken out: both ran.
-	DescribeTable("leaves alone what another process may have run",
+	// A caller retries with a key whose request another process may have run: the
+	// previous process of this instance, or another agent. This agent has the
+	// record of neither. The caller is told "unknown", and nothing is forwarded.
+	// Without the register's checks of issued keys, both ran.
+	DescribeTable("is not run if another process may have run it",
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
-			r := newPlain()
-			end := r.entry.Ask(r.order("late", keyOf(r).Text), work).End
+			r := newPlainRig()
+			end := r.entry.Ask(r.nonIdempotentRequest("late", keyOf(r).Text), requestBody).End
 			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Decided", true),
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
 		},
-		Entry("a key of an earlier life", once.EarlierIncarnation, func(r *rig) once.Key {
+		Entry("a key of an earlier incarnation", once.EarlierIncarnation, func(r *rig) once.Key {
 			return once.Issue("", self, once.Incarnation(r.Incarnation-1), time.Now(), 1)
 		}),
 		Entry("a key of another agent", once.WrongHome, func(r *rig) once.Key {
@@ -97,104 +96,104 @@
 		}),
 	)
 
-	// The backend server's gate closes, since the service is down or the agent
-	// leaves, and callers ask for work that must run once. What they are told
-	// depends on the key and not on the gate: a new key was not run, one that
-	// ran is answered from the record, one whose end was lost stays unknown.
-	// Seen with the gate's refusal answered past the record: "not_run" for the new
-	// key without the record's word, so that a later ask of it could still run.
-	// Seen before the mend: the one that ran was told so without its answer.
-	It("answers by the record of the key while its gate is closed", func() {
-		r := newPlain()
-		done, lost, fresh := r.key(1), r.key(2), r.key(3)
-		Expect(r.entry.Ask(r.order("done-1", done), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+	// The gate closes because the service is down or the agent is leaving. The
+	// outcome of a non-idempotent request depends on its key and not on the gate:
+	// with a new key it was not run, with a completed one it is answered from the
+	// record, and with one whose outcome was lost it stays unknown. If the gate
+	// refused a new key without recording it, a later request with that key could
+	// still run after the caller was told "not_run". Before the fix, the completed
+	// request was reported as run without its response.
+	It("is answered from the record of its key while the gate is closed", func() {
+		r := newPlainRig()
+		done, lost, fresh := r.issueKey(1), r.issueKey(2), r.issueKey(3)
+		Expect(r.entry.Ask(r.nonIdempotentRequest("done-1", done), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		r.backend.Answer(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
 			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
 		})
-		Expect(r.entry.Ask(r.order("lost-1", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		Expect(r.entry.Ask(r.nonIdempotentRequest("lost-1", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		r.backend.Answer(daemontest.Echo)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
 
-		Expect(r.entry.Ask(r.order("fresh-1", fresh), work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Ask(r.nonIdempotentRequest("fresh-1", fresh), requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Decided", true))))
-		Expect(r.entry.Ask(r.order("lost-2", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
-		again := r.entry.Ask(r.order("done-2", done), work)
+		Expect(r.entry.Ask(r.nonIdempotentRequest("lost-2", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		again := r.entry.Ask(r.nonIdempotentRequest("done-2", done), requestBody)
 		Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
-		Expect(again.Body).To(Equal(work), "the stored answer")
+		Expect(again.Body).To(Equal(requestBody), "the recorded response")
 		Expect(r.backend.Calls()).To(HaveLen(2))
 
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(r.order("fresh-2", fresh), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+		Expect(r.entry.Ask(r.nonIdempotentRequest("fresh-2", fresh), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		Expect(r.backend.Calls()).To(HaveLen(3))
 	})
 
-	// A caller is told "not run" and orders elsewhere. An ask of its that had
-	// reached an entry before, and was held up there, comes to the agent when the
-	// gate is open again. It is refused: run, the goods would come twice.
-	// Seen with the register's test of when an ask came taken out: it ran.
-	It("refuses an ask from before the caller was told that it was not run", func() {
-		r := newPlain()
-		key := r.key(1)
-		heldUp := r.order("held-up", key)
+	// A caller is told "not run" and sends the request elsewhere. An earlier
+	// request with the same key, delayed at an entry, reaches the agent when the
+	// gate is open again. It is refused, since it would run the work twice. Without
+	// the register's check of when a request was received, it ran.
+	It("is refused if it was sent before the caller was told that it was not run", func() {
+		r := newPlainRig()
+		key := r.issueKey(1)
+		delayed := r.nonIdempotentRequest("held-up", key)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
-		Expect(r.entry.Ask(r.order("prompt", key), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
+		Expect(r.entry.Ask(r.nonIdempotentRequest("prompt", key), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(heldUp, work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Ask(delayed, requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Reason", ContainSubstring(string(once.Closed))))))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	})
 
-	// Guards against an empty answer in place of one that is too large to keep.
-	It("answers a second ask without the answer if that was too large to keep", func() {
-		r := newPlain()
-		key, goods := r.key(1), strings.Repeat("goods ", 4<<10)
-		Expect(r.entry.Ask(r.order("first", key), goods)).To(SatisfyAll(
+	// Guards against an empty response in place of one that is too large to keep.
+	It("is answered without its response on a retry if that was too large to keep", func() {
+		r := newPlainRig()
+		key, goods := r.issueKey(1), strings.Repeat("goods ", 4<<10)
+		Expect(r.entry.Ask(r.nonIdempotentRequest("first", key), goods)).To(SatisfyAll(
 			HaveField("Body", goods), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeRan)))))
-		again := r.entry.Ask(r.order("second", key), goods)
+		again := r.entry.Ask(r.nonIdempotentRequest("second", key), goods)
 		Expect(again.Begin).To(BeNil())
 		Expect(again.End).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 	})
 
-	// Guards against an answer that ends as whole without one of its pieces.
-	It("does not end as whole if a piece was not sent", func() {
-		r := newPlain()
+	// Guards against a response that ends as complete without one of its pieces.
+	It("does not end as complete if a piece was not sent", func() {
+		r := newPlainRig()
 		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			for _, size := range []int{1, peer.DefaultMaxMessage, 1} {
 				_ = emit(serving.Piece{Status: 200, Data: make([]byte, size)})
 			}
 			return serving.Answer{ID: call.ID, Status: 200}, nil
 		})
-		key := r.key(1)
-		Expect(r.entry.Ask(r.order("first", key), work)).To(SatisfyAll(
+		key := r.issueKey(1)
+		Expect(r.entry.Ask(r.nonIdempotentRequest("first", key), requestBody)).To(SatisfyAll(
 			HaveField("Body", HaveLen(1)), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))))
-		Expect(r.entry.Ask(r.order("second", key), work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Ask(r.nonIdempotentRequest("second", key), requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
 
-	// A backend server that mixes up its connections gives two callers each
-	// other's answer, and says so by the id. Neither is called whole, and neither
-	// is what a caller finds that asks again with its key.
-	// Seen before the mend, and with the test of the id taken out: both were kept
-	// in the record, and asking again gave each caller the other's goods, whole.
-	It("keeps no answer that names another request", func() {
-		r := newPlain()
+	// A backend server that mixes up its connections gives two callers each other's
+	// response, with the other's ID. Neither response is reported as complete, and
+	// neither is returned to a retry with the same key. Before the fix, and without
+	// the check of the ID, both were recorded, and a retry returned each caller the
+	// other's complete response.
+	It("has no response recorded that names another request", func() {
+		r := newPlainRig()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
 		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			other := swapped[call.ID]
 			return serving.Answer{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
 		})
-		keys := map[string]string{"mine": r.key(1), "yours": r.key(2)}
+		keys := map[string]string{"mine": r.issueKey(1), "yours": r.issueKey(2)}
 		for id, key := range keys {
-			Expect(r.entry.Ask(r.order(id, key), work).End).To(HaveValue(SatisfyAll(
+			Expect(r.entry.Ask(r.nonIdempotentRequest(id, key), requestBody).End).To(HaveValue(SatisfyAll(
 				HaveField("Outcome", wire.OutcomeUnknown), HaveField("ID", id))))
 		}
 		for id, key := range keys {
-			again := r.entry.Ask(r.order(id+" again", key), work)
+			again := r.entry.Ask(r.nonIdempotentRequest(id+" again", key), requestBody)
 			Expect(again.Body).To(BeEmpty())
 			Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		}
--- a/daemon/agent/plain.go
+++ b/daemon/agent/plain.go
@@ -10,27 +10,26 @@
 	"chivespindle.example/daemon/control"
 )
 
-// plainEvery is the time between two reads of a plain service's status.
-const plainEvery = 500 * time.Millisecond
+// plainStatusInterval is the time between two reads of a plain service's status.
+const plainStatusInterval = 500 * time.Millisecond
 
-// pollPlain reads a plain service's status. The service is open while it
-// answers.
+// pollPlain reads a plain service's status. The service is open while it responds.
 func (a *Agent) pollPlain(now time.Time) {
-	if a.reading || now.Before(a.nextPlain) {
+	if a.readingStatus || now.Before(a.nextPlainRead) {
 		return
 	}
-	a.reading = true
-	a.nextPlain = now.Add(plainEvery)
+	a.readingStatus = true
+	a.nextPlainRead = now.Add(plainStatusInterval)
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, statusTimeout)
 		defer cancel()
 		load, err := a.opts.Plain.Status(ctx)
-		a.opts.Loop.Post(a.ctx, control.Func(func(at time.Time) { a.plainRead(at, load, err) }))
+		a.opts.Loop.Post(a.ctx, control.Func(func(at time.Time) { a.handlePlainStatus(at, load, err) }))
 	}()
 }
 
-func (a *Agent) plainRead(now time.Time, load serving.Load, err error) {
-	a.reading = false
+func (a *Agent) handlePlainStatus(now time.Time, load serving.Load, err error) {
+	a.readingStatus = false
 	open := err == nil
 	if open != a.plainOpen {
 		a.opts.Logger.Info("plain_service", zap.Bool("open", open), zap.Error(err))
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	orders fleet.ServiceName = "workshop-api" // plain
-	pool   fleet.ServiceName = "spindle-pool" // model
-	self   fleet.InstanceID  = "agent-1"
+	plainService fleet.ServiceName = "workshop-api" // plain service
+	modelService fleet.ServiceName = "spindle-pool" // model service
+	self         fleet.InstanceID  = "agent-1"
 )
 
-// rig is an agent beside a fake backend server, and an entry that asks it.
+// rig is an agent with a fake backend server, and an entry that sends it requests.
 type rig struct {
 	*daemontest.Process
 	role    *agent.Agent
 	backend *daemontest.Backend
-	engine  *daemontest.Engine // nil beside a plain service
+	engine  *daemontest.Engine // nil for a plain service
 	entry   *daemontest.Entry
-	text    *daemontest.Text // the platform's
+	config  *daemontest.Text // platform's configuration
 }
 
-func textOf(v fleet.Version) string {
+func configOf(v fleet.Version) string {
 	return fmt.Sprintf(`[fleet]
 name = ffsan
 [version %s]
@@ -47,7 +47,7 @@
 engine_fencing = checked
 [service %s]
 kind = plain
-`, v.Name, v.Manifest, pool, v.Name, orders)
+`, v.Name, v.Manifest, modelService, v.Name, plainService)
 }
 
 var (
@@ -55,20 +55,20 @@
 	v2 = fleet.Version{Name: "r2", Manifest: fleet.DigestOf([]byte("r2"))}
 )
 
-// newPlain starts an agent beside a plain service and waits until it takes
+// newPlainRig starts an agent for a plain service and waits until it admits
 // requests.
-func newPlain() *rig {
+func newPlainRig() *rig {
 	GinkgoHelper()
-	r := newRig(orders, nil)
+	r := newRig(plainService, nil)
 	Eventually(r.admits).Should(BeTrue())
 	return r
 }
 
-// newModel starts an agent beside an engine that has v1 loaded, which the text
-// pins, and waits until it takes requests.
-func newModel() *rig {
+// newModelRig starts an agent for an engine that has loaded v1, the configured
+// version, and waits until it admits requests.
+func newModelRig() *rig {
 	GinkgoHelper()
-	r := newRig(pool, daemontest.NewEngine())
+	r := newRig(modelService, daemontest.NewEngine())
 	Eventually(r.admits).Should(BeTrue())
 	return r
 }
@@ -76,9 +76,9 @@
 func newRig(service fleet.ServiceName, engine *daemontest.Engine) *rig {
 	GinkgoHelper()
 	instance := fleet.Instance{ID: self, Role: fleet.RoleAgent, Service: service, Place: daemontest.Here}
-	text := daemontest.NewText(1, textOf(v1))
-	r := &rig{backend: daemontest.NewBackend(), engine: engine, text: text}
-	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Text: text})
+	config := daemontest.NewText(1, configOf(v1))
+	r := &rig{backend: daemontest.NewBackend(), engine: engine, config: config}
+	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Text: config})
 	r.List.Set(r.Self)
 	options := agent.Options{
 		Self: r.Self, Loop: r.Loop, Backend: r.backend, MaxInFlight: 64, MaxBody: 1 << 20,
@@ -89,19 +89,19 @@
 		options.Plain = r.backend
 	} else {
 		engine.Set(func(s *serving.EngineStatus) { s.Loaded = v1 })
-		r.useEngine(&options)
+		r.setEngineOptions(&options)
 	}
 	r.role = agent.New(r.Context(), options)
 	r.AttachNode(r.role.Changed, r.role.ListRead)
 	r.role.Attach(r.Node)
 	r.Loop.AddTicker(r.role)
 	r.Run(r.role)
-	r.TakeText(1, textOf(v1))
+	r.TakeText(1, configOf(v1))
 	r.entry = daemontest.NewEntry("entry-1", r.Self)
 	return r
 }
 
-func (r *rig) useEngine(o *agent.Options) {
+func (r *rig) setEngineOptions(o *agent.Options) {
 	random := rand.New(rand.NewPCG(1, 2))
 	unlimited := rate.NewLimiter(rate.Inf, swarm.PieceBytes)
 	o.Engine = r.engine
@@ -118,14 +118,14 @@
 	return ready
 }
 
-// key issues a key for this life of the agent.
-func (r *rig) key(random uint64) string {
+// issueKey issues a key for this incarnation of the agent.
+func (r *rig) issueKey(random uint64) string {
 	return once.Issue("", self, once.Incarnation(r.Incarnation), time.Now(), random).Text
 }
 
-// order is a request that must run at most once. It is asked now, by the
-// agent's own clock.
-func (r *rig) order(id, key string) wire.Request {
+// nonIdempotentRequest returns a non-idempotent request that is sent now according
+// to the agent's own clock.
+func (r *rig) nonIdempotentRequest(id, key string) wire.Request {
 	GinkgoHelper()
 	return wire.Request{
 		ID: id, Service: r.Self.Service, Path: "orders", IdempotencyKey: key, NonIdempotent: true,
--- a/daemon/agent/status.go
+++ b/daemon/agent/status.go
@@ -10,7 +10,7 @@
 // Status returns the latest status. Safe for any goroutine.
 func (a *Agent) Status() status.Agent {
 	s := *a.status.Load()
-	s.InFlight = a.work.count()
+	s.InFlight = a.inFlight.count()
 	_, err := a.gate.Load().Admit(time.Now())
 	s.Admitting = err == nil
 	if err != nil {
@@ -36,12 +36,12 @@
 		Serving:  self.Serving,
 		Target:   self.Target,
 		Leaving:  a.leaving,
-		Waiting:  a.reason,
+		Waiting:  a.waitReason,
 		Revision: self.Revision,
 		Load:     a.load,
 	}
-	if a.change != nil {
-		s.Phase = a.change.Phase().String()
+	if a.changeover != nil {
+		s.Phase = a.changeover.Phase().String()
 		s.Gathers = a.swarm.Progress()
 		s.Drawn = a.swarm.Drawn()
 	}
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// requestStall is the progress deadline of the exchange with an entry,
-	// apart from the time in which the backend server works.
-	requestStall = 10 * time.Second
-	// reportEvery is the time between two reports without an urgent change.
-	reportEvery = 500 * time.Millisecond
-	// busyRetry is when a caller may come back to a full server.
-	busyRetry = 500 * time.Millisecond
+	// requestStallTimeout is the stall timeout of the stream with an entry, apart
+	// from the time in which the backend server processes the request.
+	requestStallTimeout = 10 * time.Second
+	// reportInterval is the time between two reports without an urgent change.
+	reportInterval = 500 * time.Millisecond
+	// busyRetryAfter is the retry delay when the agent is at its limit of requests.
+	busyRetryAfter = 500 * time.Millisecond
 )
 
 // ServeStream implements peer.Handler.
@@ -48,44 +48,44 @@
 	}
 }
 
-// serveReport pushes reports until the entry goes away.
+// serveReport sends reports until the entry disconnects.
 func (a *Agent) serveReport(ctx context.Context, s *peer.Stream) {
-	s.SetStall(requestStall)
-	ticker := time.NewTicker(reportEvery)
+	s.SetStall(requestStallTimeout)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		p := a.report.Load()
 		report := p.Report
-		report.Clock = a.clock()
-		report.Load = a.presentLoad(report.Load)
+		report.Clock = a.clockReading()
+		report.Load = a.currentLoad(report.Load)
 		if err := s.Send(report); err != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.next:
+		case <-p.urgent:
 		case <-ticker.C:
 		}
 	}
 }
 
-// presentLoad is the engine's report, which lags, with the requests that this
-// agent itself knows of.
-func (a *Agent) presentLoad(reported serving.Load) serving.Load {
-	running, waiting := a.room.waiting.Load()
+// currentLoad returns the engine's report, which lags, updated with the requests
+// that this agent has in progress.
+func (a *Agent) currentLoad(reported serving.Load) serving.Load {
+	running, waiting := a.queue.pending.Load()
 	reported.Running = max(reported.Running, running)
 	reported.Waiting += waiting
 	return reported
 }
 
-// clock is the agent's own clock, which entries echo.
-func (a *Agent) clock() admission.ClockReading {
+// clockReading reads the agent's own clock, which entries send back with requests.
+func (a *Agent) clockReading() admission.ClockReading {
 	return admission.ClockReading{Incarnation: a.opts.Incarnation, Elapsed: time.Since(a.started)}
 }
 
 func (a *Agent) serveRequest(ctx context.Context, from keys.Identity, s *peer.Stream) {
-	s.SetStall(requestStall)
+	s.SetStall(requestStallTimeout)
 	var req wire.Request
 	if err := s.Recv(&req); err != nil {
 		return
@@ -94,14 +94,15 @@
 	if err != nil {
 		return
 	}
-	// Counted until its last byte is handed to the transport: a planned stop
-	// that began between the work's end and the answer's would cut it.
-	a.work.enter()
-	defer a.work.exit()
+	// The request is counted until the last byte of its response is passed to the
+	// transport: a planned stop between the end of the processing and that of the
+	// response would abort it.
+	a.inFlight.enter()
+	defer a.inFlight.exit()
 	ctx, span := a.opts.Tracer.Start(telemetry.Extract(ctx, req.Traceparent), "agent.request")
 	defer span.End()
 	started := time.Now()
-	end := a.run(ctx, s, req, body)
+	end := a.handleRequest(ctx, s, req, body)
 	a.logRequest(from, req, end, started)
 	if err := s.Send(wire.AnswerPart{End: &end}); err != nil {
 		return
@@ -111,7 +112,7 @@
 
 func (a *Agent) readBody(s *peer.Stream, req wire.Request) ([]byte, error) {
 	if req.BodyBytes < 0 || req.BodyBytes > a.opts.MaxBody {
-		return nil, failure.Invalid.New("body of %d bytes, at most %d", req.BodyBytes, a.opts.MaxBody)
+		return nil, failure.Invalid.New("request body of %d bytes, want at most %d", req.BodyBytes, a.opts.MaxBody)
 	}
 	body := make([]byte, 0, req.BodyBytes)
 	buf := make([]byte, peer.MaxRawFrame)
@@ -144,33 +145,33 @@
 	}
 }
 
-// run serves one request and returns how it ended. The answer's pieces go to
-// the entry as they come.
-func (a *Agent) run(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
+// handleRequest serves one request and returns how it ended. The pieces of the
+// response are sent to the entry as they arrive.
+func (a *Agent) handleRequest(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
 	if req.NonIdempotent {
 		return a.runOnce(ctx, s, req, body)
 	}
 	version, err := a.admit(time.Now(), req)
 	if err != nil {
-		return notRun(req, err)
+		return notRunEnd(req, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.remaining(req))
 	defer cancel()
-	leave, err := a.enterRoom(ctx, req)
+	release, err := a.waitForSlot(ctx, req)
 	if err != nil {
-		return notRun(req, err)
+		return notRunEnd(req, err)
 	}
-	out := newAnswerStream(s, version)
-	end := a.passTo(ctx, req, body, version, out.piece)
-	leave(out.first)
+	out := newResponseStream(s, version)
+	end := a.forward(ctx, req, body, version, out.sendPiece)
+	release(out.firstPieceDelay)
 	return out.finish(req, end)
 }
 
-// admit returns the version that a request is answered from, or why it is not
-// passed on. The request is counted already, see inFlight.
+// admit returns the version that serves a request, or why it is not forwarded. The
+// request is already counted, see inFlightCounter.
 func (a *Agent) admit(now time.Time, req wire.Request) (fleet.Version, error) {
-	if running := a.work.count(); running > int64(a.opts.MaxInFlight) {
-		return fleet.Version{}, failure.WithRetryAfter(calls.Overloaded.New("%d requests run here", running-1), busyRetry)
+	if running := a.inFlight.count(); running > int64(a.opts.MaxInFlight) {
+		return fleet.Version{}, failure.WithRetryAfter(calls.Overloaded.New("%d requests run here", running-1), busyRetryAfter)
 	}
 	version, err := a.gate.Load().Admit(now)
 	if err != nil {
@@ -182,34 +183,34 @@
 	return version, nil
 }
 
-// enterRoom waits for a slot of the backend server. The gate is asked again
-// after the wait, since it may have closed meanwhile.
-func (a *Agent) enterRoom(ctx context.Context, req wire.Request) (leave func(firstPiece time.Duration), err error) {
+// waitForSlot waits for a slot of the backend server. It checks the gate again
+// afterwards, since it may have closed during the wait.
+func (a *Agent) waitForSlot(ctx context.Context, req wire.Request) (release func(firstPiece time.Duration), err error) {
 	deadline, _ := ctx.Deadline()
-	leave, err = a.room.enter(ctx, req.Priority, deadline)
+	release, err = a.queue.enter(ctx, req.Priority, deadline)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := a.gate.Load().Admit(time.Now()); err != nil {
-		leave(0)
+		release(0)
 		return nil, err
 	}
-	return leave, nil
+	return release, nil
 }
 
-// remaining is the time left for a request, at most 0 if its deadline has
-// passed or names another life of this process. What the request lost on the
-// way is subtracted: an entry that was paused between reading its clock and
-// sending would otherwise have work done that nobody waits for any more.
+// remaining returns the time left for a request. It is not positive if the deadline
+// has passed or refers to another incarnation of this process. Delays on the way
+// are subtracted: otherwise a request from an entry that was paused between reading
+// its clock and sending would be run although its caller no longer waits.
 func (a *Agent) remaining(req wire.Request) time.Duration {
-	late, ok := req.Deadline.Lateness(a.clock())
+	late, ok := req.Deadline.Lateness(a.clockReading())
 	if !ok {
 		return 0
 	}
 	return -late
 }
 
-func notRun(req wire.Request, err error) wire.AnswerEnd {
+func notRunEnd(req wire.Request, err error) wire.AnswerEnd {
 	return wire.AnswerEnd{
 		Outcome:      wire.OutcomeNotRun,
 		ID:           req.ID,
@@ -219,11 +220,11 @@
 	}
 }
 
-// passTo sends the request to the backend server and hands its answer's pieces
-// to emit. The answer must name the request, and the version that it was
-// admitted for; otherwise it is cut, and the entry does not see the end that
-// makes it whole, nor does the record keep it.
-func (a *Agent) passTo(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.AnswerEnd {
+// forward sends the request to the backend server and passes the pieces of its
+// response to emit. The response must name the request and the version for which it
+// was admitted; otherwise it is aborted, neither reported to the entry as complete
+// nor kept in the record.
+func (a *Agent) forward(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.AnswerEnd {
 	call := serving.Call{
 		ID:             req.ID,
 		IdempotencyKey: req.IdempotencyKey,
@@ -232,82 +233,82 @@
 		Priority:       req.Priority,
 		Body:           body,
 	}
-	answer, err := a.opts.Backend.Do(ctx, call, func(p serving.Piece) error {
+	response, err := a.opts.Backend.Do(ctx, call, func(p serving.Piece) error {
 		a.traffic.up.Add(int64(len(p.Data)))
 		return emit(p)
 	})
 	if err == nil {
-		err = checkAnswer(req, version, answer)
+		err = checkResponse(req, version, response)
 	}
 	if err != nil {
-		return failed(req, err)
+		return failedEnd(req, err)
 	}
-	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: answer.ID, Status: answer.Status, Version: answer.Version}
+	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: response.ID, Status: response.Status, Version: response.Version}
 }
 
-func checkAnswer(req wire.Request, version fleet.Version, answer serving.Answer) error {
-	if answer.ID != req.ID {
-		err := failure.Corrupt.New("the answer names request %q", answer.ID)
+func checkResponse(req wire.Request, version fleet.Version, response serving.Answer) error {
+	if response.ID != req.ID {
+		err := failure.Corrupt.New("the answer names request %q", response.ID)
 		return failure.WithOutcome(err, failure.Unknown)
 	}
-	return serving.CheckAnswer(version, answer.Version)
+	return serving.CheckAnswer(version, response.Version)
 }
 
-// answerStream sends an answer to the entry. Nothing follows a part that could not be
-// sent, so that no answer with a gap is called whole.
-type answerStream struct {
-	stream  *peer.Stream
-	version fleet.Version
-	begun   bool
-	failed  error // of the part that could not be sent
-	began   time.Time
-	first   time.Duration // time to the first piece, 0 if none came
+// responseStream sends a response to the entry. It sends nothing after a part that
+// could not be sent, so that no response with a gap is reported as complete.
+type responseStream struct {
+	stream          *peer.Stream
+	version         fleet.Version
+	hasBegun        bool
+	sendErr         error // error of the part that could not be sent
+	startedAt       time.Time
+	firstPieceDelay time.Duration // time to the first piece, 0 if none came
 }
 
-func newAnswerStream(s *peer.Stream, version fleet.Version) *answerStream {
-	return &answerStream{stream: s, version: version, began: time.Now()}
+func newResponseStream(s *peer.Stream, version fleet.Version) *responseStream {
+	return &responseStream{stream: s, version: version, startedAt: time.Now()}
 }
 
-// begin opens the answer unless a piece has.
-func (o *answerStream) begin(status int) error {
-	if o.begun {
-		return o.failed
+// sendBegin sends the beginning of the response unless it was sent before.
+func (o *responseStream) sendBegin(status int) error {
+	if o.hasBegun {
+		return o.sendErr
 	}
-	o.begun = true
-	o.first = time.Since(o.began)
+	o.hasBegun = true
+	o.firstPieceDelay = time.Since(o.startedAt)
 	return o.send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: statusOr200(status), Version: o.version}})
 }
 
-func (o *answerStream) piece(p serving.Piece) error {
-	if err := o.begin(p.Status); err != nil {
+func (o *responseStream) sendPiece(p serving.Piece) error {
+	if err := o.sendBegin(p.Status); err != nil {
 		return err
 	}
 	return o.send(wire.AnswerPart{Piece: p.Data})
 }
 
-func (o *answerStream) send(part wire.AnswerPart) error {
-	if o.failed == nil {
-		o.failed = o.stream.Send(part)
+func (o *responseStream) send(part wire.AnswerPart) error {
+	if o.sendErr == nil {
+		o.sendErr = o.stream.Send(part)
 	}
-	return o.failed
+	return o.sendErr
 }
 
-// finish returns the end of the answer for the entry: that of a whole one only if all
-// of it was sent.
-func (o *answerStream) finish(req wire.Request, end wire.AnswerEnd) wire.AnswerEnd {
+// finish returns the end of the response for the entry. It reports completion only
+// if all parts were sent.
+func (o *responseStream) finish(req wire.Request, end wire.AnswerEnd) wire.AnswerEnd {
 	if end.Outcome != wire.OutcomeRan {
 		return end
 	}
-	if err := o.begin(end.Status); err != nil {
-		return failed(req, failure.WithOutcome(calls.Interrupted.Wrap(err, "the answer was not sent whole"), failure.Unknown))
+	if err := o.sendBegin(end.Status); err != nil {
+		return failedEnd(req, failure.WithOutcome(calls.Interrupted.Wrap(err, "the answer was not sent whole"), failure.Unknown))
 	}
 	return end
 }
 
-// CheckVersion refuses an answer whose first line names another version than
-// the one that is to be served, before any of it goes to the caller.
-func (a *Agent) CheckVersion(answered fleet.Version) error {
-	return a.gate.Load().CheckAnswer(answered)
+// CheckVersion rejects a response whose first line names a version other than the
+// one to be served, before any of it is forwarded to the caller.
+func (a *Agent) CheckVersion(responseVersion fleet.Version) error {
+	return a.gate.Load().CheckAnswer(responseVersion)
 }
 
 func statusOr200(status int) int {
@@ -318,9 +319,10 @@
 	return status
 }
 
-// failed ends a request whose answer failed. Only a whole answer ends as run.
-func failed(req wire.Request, err error) wire.AnswerEnd {
-	end := notRun(req, err)
+// failedEnd returns the end of a response that failed. Only a complete response
+// ends as run.
+func failedEnd(req wire.Request, err error) wire.AnswerEnd {
+	end := notRunEnd(req, err)
 	if failure.OutcomeOf(err) != failure.NotRun {
 		end.Outcome = wire.OutcomeUnknown
 	}
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -1,8 +1,8 @@
-// Package control runs the one goroutine that owns a process's control state.
+// Package control runs the single goroutine that owns a process's control state.
 //
 // Everything that may change the state is a typed event with an Apply method.
-// Events are applied one after another, so state needs no locks; goroutines
-// that move bytes only post events and read published snapshots.
+// Events are applied one at a time, so state needs no locks; goroutines that
+// transfer data only post events and read published snapshots.
 package control
 
 import (
@@ -12,12 +12,12 @@
 	"chivespindle.example/core/failure"
 )
 
-// queueLength bounds the events that wait. A full queue makes Post wait, which
-// slows the goroutine that produces events and never the loop.
+// queueLength bounds the queued events. A full queue blocks Post, which slows down
+// the goroutine that produces events but never the loop.
 const queueLength = 1024
 
-// Event is one thing that happened. Apply runs on the loop's goroutine and
-// must not block on I/O.
+// Event is a change to apply to the control state. Apply runs on the loop's
+// goroutine and must not block on I/O.
 type Event interface {
 	Apply(now time.Time)
 }
@@ -28,48 +28,49 @@
 // Apply implements Event.
 func (f Func) Apply(now time.Time) { f(now) }
 
-// Ticker is told the time at every tick of the loop.
+// Ticker is called with the current time at every tick of the loop.
 type Ticker interface {
 	Tick(now time.Time)
 }
 
 // Loop applies events and ticks on one goroutine.
 type Loop struct {
-	events  chan Event
-	done    chan struct{}
-	tickers []Ticker
-	every   time.Duration
-	clock   func() time.Time
+	events       chan Event
+	done         chan struct{}
+	tickers      []Ticker
+	tickInterval time.Duration
+	clock        func() time.Time
 }
 
-// Options of a Loop. Zero values give a tick of 50 ms and the system clock.
+// Options are the parameters of New. Zero values select a tick of 50 ms and the
+// system clock.
 type Options struct {
 	Every time.Duration
 	Clock func() time.Time
 }
 
-// New returns a loop that does nothing until Run.
+// New returns a loop that is started by Run.
 func New(opts Options) *Loop {
-	const defaultEvery = 50 * time.Millisecond
+	const defaultTickInterval = 50 * time.Millisecond
 	if opts.Every == 0 {
-		opts.Every = defaultEvery
+		opts.Every = defaultTickInterval
 	}
 	if opts.Clock == nil {
 		opts.Clock = time.Now
 	}
 	return &Loop{
-		events: make(chan Event, queueLength),
-		done:   make(chan struct{}),
-		every:  opts.Every,
-		clock:  opts.Clock,
+		events:       make(chan Event, queueLength),
+		done:         make(chan struct{}),
+		tickInterval: opts.Every,
+		clock:        opts.Clock,
 	}
 }
 
 // AddTicker registers t. It must be called before Run.
 func (l *Loop) AddTicker(t Ticker) { l.tickers = append(l.tickers, t) }
 
-// Post queues e. It waits while the queue is full and reports false when the
-// loop or ctx has ended; e is then not applied.
+// Post queues e. It blocks while the queue is full and returns false when the loop
+// or ctx has ended; e is then not applied.
 func (l *Loop) Post(ctx context.Context, e Event) bool {
 	select {
 	case <-l.done:
@@ -89,8 +90,8 @@
 }
 
 // Do queues f and waits until it has been applied. It fails with
-// failure.Unavailable when the loop has ended and with failure.Timeout when ctx
-// ends before; in the second case f may still be applied, later.
+// failure.Unavailable if the loop has ended and with failure.Timeout if ctx ends
+// first; in the second case f may still be applied later.
 func (l *Loop) Do(ctx context.Context, f func(now time.Time)) error {
 	applied := make(chan struct{})
 	e := Func(func(now time.Time) {
@@ -98,7 +99,7 @@
 		close(applied)
 	})
 	if !l.Post(ctx, e) {
-		return l.notDone(ctx)
+		return l.notAppliedError(ctx)
 	}
 	select {
 	case <-applied:
@@ -106,11 +107,11 @@
 	case <-l.done:
 	case <-ctx.Done():
 	}
-	return l.notDone(ctx)
+	return l.notAppliedError(ctx)
 }
 
-// notDone tells a loop that has ended from one that is busy.
-func (l *Loop) notDone(ctx context.Context) error {
+// notAppliedError distinguishes a loop that has ended from one that is busy.
+func (l *Loop) notAppliedError(ctx context.Context) error {
 	select {
 	case <-l.done:
 		return failure.Unavailable.New("control loop has ended")
@@ -122,7 +123,7 @@
 // Run applies events until ctx ends.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.done)
-	ticker := time.NewTicker(l.every)
+	ticker := time.NewTicker(l.tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/daemon/control/control_suite_test.go
+++ b/daemon/control/control_suite_test.go
@@ -10,7 +10,7 @@
 
 func TestControl(t *testing.T) {
 	RegisterFailHandler(Fail)
-	const patience = 20 * time.Second
-	SetDefaultEventuallyTimeout(patience)
+	const eventuallyTimeout = 20 * time.Second
+	SetDefaultEventuallyTimeout(eventuallyTimeout)
 	RunSpecs(t, "Control")
 }
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -16,16 +16,16 @@
 
 var background = context.Background()
 
-// running is a loop that runs until the spec ends or stop is called.
-type running struct {
+// runningLoop is a loop that runs until the test ends or stop is called.
+type runningLoop struct {
 	*control.Loop
 	stop  func()
 	ended chan struct{}
 }
 
-func run(options control.Options, tickers ...control.Ticker) *running {
+func startLoop(options control.Options, tickers ...control.Ticker) *runningLoop {
 	ctx, cancel := context.WithCancel(background)
-	r := &running{Loop: control.New(options), stop: cancel, ended: make(chan struct{})}
+	r := &runningLoop{Loop: control.New(options), stop: cancel, ended: make(chan struct{})}
 	for _, t := range tickers {
 		r.AddTicker(t)
 	}
@@ -40,8 +40,8 @@
 	return r
 }
 
-// hold keeps the loop busy until release.
-func (r *running) hold() (release func()) {
+// block keeps the loop busy until release is called.
+func (r *runningLoop) block() (release func()) {
 	GinkgoHelper()
 	busy, free := make(chan struct{}), make(chan struct{})
 	Expect(r.Post(background, control.Func(func(time.Time) {
@@ -55,8 +55,8 @@
 	return release
 }
 
-// fill posts as many events as fit while the loop is held.
-func (r *running) fill() {
+// fillQueue posts as many events as fit in the queue while the loop is blocked.
+func (r *runningLoop) fillQueue() {
 	GinkgoHelper()
 	for range control.QueueLength {
 		Expect(r.Post(background, control.Func(func(time.Time) {}))).To(BeTrue())
@@ -64,17 +64,17 @@
 }
 
 var _ = Describe("The control loop", func() {
-	// Events come from many goroutines. Each poster's events are applied in its
-	// own order, one at a time; state that only they touch needs no lock, which
-	// the race detector shows.
-	It("applies events one after another", func() {
-		r := run(control.Options{})
+	// Events come from many goroutines. The events of each goroutine are applied in
+	// the order in which it posted them, one at a time; state that only events
+	// access needs no lock, which the race detector verifies.
+	It("applies events one at a time", func() {
+		r := startLoop(control.Options{})
 		const posters, each = 8, 200
-		var applied int // only touched on the loop
+		var applied int // accessed on the loop only
 		last := make([]int, posters)
-		var done sync.WaitGroup
+		var posting sync.WaitGroup
 		for p := range posters {
-			done.Go(func() {
+			posting.Go(func() {
 				for n := 1; n <= each; n++ {
 					r.Post(background, control.Func(func(time.Time) {
 						applied++
@@ -85,7 +85,7 @@
 				}
 			})
 		}
-		done.Wait()
+		posting.Wait()
 		Expect(r.Do(background, func(time.Time) {})).To(Succeed())
 		r.stop()
 		Eventually(r.ended).Should(BeClosed())
@@ -94,20 +94,20 @@
 	})
 
 	// Events and ticks get the time of the loop's own clock.
-	It("tells the time of its clock", func() {
+	It("passes the time of its clock", func() {
 		noon := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-		told := make(chan time.Time, 1)
-		r := run(control.Options{Every: time.Millisecond, Clock: func() time.Time { return noon }}, ticker(told))
-		Eventually(told).Should(Receive(Equal(noon)))
+		ticked := make(chan time.Time, 1)
+		r := startLoop(control.Options{Every: time.Millisecond, Clock: func() time.Time { return noon }}, tickRecorder(ticked))
+		Eventually(ticked).Should(Receive(Equal(noon)))
 		var at time.Time
 		Expect(r.Do(background, func(now time.Time) { at = now })).To(Succeed())
 		Expect(at).To(Equal(noon))
 	})
 
-	// The process ends while goroutines still post what they have found. Their
-	// posts come back at once and say that nothing was done.
-	It("takes nothing after its end", func() {
-		r := run(control.Options{})
+	// The process ends while goroutines still post events. Post and Do return at
+	// once and report that nothing was applied.
+	It("accepts no event after its end", func() {
+		r := startLoop(control.Options{})
 		r.stop()
 		Eventually(r.ended).Should(BeClosed())
 		const posts = 100
@@ -118,12 +118,12 @@
 		Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue(), "%v", err)
 	})
 
-	// The loop ends with work in its queue. Whoever waits for that work is told
-	// and does not wait for ever.
-	It("lets nobody wait beyond its end", func() {
-		r := run(control.Options{})
-		release := r.hold()
-		r.fill()
+	// The loop ends with events in its queue. Callers that wait for them receive an
+	// error instead of waiting forever.
+	It("lets no caller wait beyond its end", func() {
+		r := startLoop(control.Options{})
+		release := r.block()
+		r.fillQueue()
 		const waiters = 8
 		failed, posted := make(chan error, waiters), make(chan bool, waiters)
 		for range waiters {
@@ -138,12 +138,12 @@
 		Eventually(posted).Should(HaveLen(waiters))
 	})
 
-	// A goroutine asks the loop something and gives up while the loop is busy. It
-	// is told that the loop is busy. What it asked may still be done later, once:
-	// who asks for something that must be given back has to see to that.
-	It("is busy for a caller that gives up, and does the work later", func() {
-		r := run(control.Options{})
-		release := r.hold()
+	// A caller of Do gives up while the loop is busy and receives an error that
+	// says so. The function may still be applied later, once: a caller that
+	// acquires a resource this way has to release it.
+	It("is reported as busy to a caller that gives up, and applies the function later", func() {
+		r := startLoop(control.Options{})
+		release := r.block()
 		ctx, cancel := context.WithCancel(background)
 		var applied atomic.Int64
 		failed := make(chan error, 1)
@@ -157,14 +157,14 @@
 		Expect(applied.Load()).To(BeNumerically("<=", 1))
 	})
 
-	// The loop is busy and its queue full. A caller that gives up is told that the
-	// loop is busy, not that it has ended, on which a process would act; and what
-	// did not fit is never done.
-	// Seen before the mend: "control loop has ended".
-	It("with a full queue is busy and has not ended", func() {
-		r := run(control.Options{})
-		release := r.hold()
-		r.fill()
+	// The loop is busy and its queue is full. A caller that gives up is told that
+	// the loop is busy, not that it has ended, which a process would act on; its
+	// function is never applied. Before the fix, the error was "control loop has
+	// ended".
+	It("with a full queue is reported as busy, not as ended", func() {
+		r := startLoop(control.Options{})
+		release := r.block()
+		r.fillQueue()
 		ctx, cancel := context.WithCancel(background)
 		var applied atomic.Bool
 		failed := make(chan error, 1)
@@ -178,11 +178,10 @@
 		Expect(applied.Load()).To(BeFalse())
 	})
 
-	// A goroutine whose context has ended posts one more event, since it has not
-	// looked. The event is not taken, though there is room.
-	// Seen before the mend: every other one was applied.
-	It("takes nothing from a context that has ended", func() {
-		r := run(control.Options{})
+	// A goroutine whose context has ended posts another event. It is rejected even
+	// though the queue has room. Before the fix, every other event was applied.
+	It("accepts no event with a context that has ended", func() {
+		r := startLoop(control.Options{})
 		ctx, cancel := context.WithCancel(background)
 		cancel()
 		var applied atomic.Bool
@@ -194,12 +193,12 @@
 		Expect(applied.Load()).To(BeFalse())
 	})
 
-	// More events come than the loop applies. Whoever posts waits, and nothing is
+	// More events are posted than the loop applies. Post blocks, and no event is
 	// lost.
-	It("slows down who posts when its queue is full", func() {
-		r := run(control.Options{})
-		release := r.hold()
-		r.fill()
+	It("blocks callers of Post while its queue is full", func() {
+		r := startLoop(control.Options{})
+		release := r.block()
+		r.fillQueue()
 		var applied atomic.Int64
 		posted := make(chan bool, 1)
 		go func() { posted <- r.Post(background, control.Func(func(time.Time) { applied.Add(1) })) }()
@@ -210,10 +209,10 @@
 	})
 })
 
-// ticker hands on the first time that it is told.
-type ticker chan time.Time
+// tickRecorder forwards the time of the first tick.
+type tickRecorder chan time.Time
 
-func (t ticker) Tick(now time.Time) {
+func (t tickRecorder) Tick(now time.Time) {
 	select {
 	case t <- now:
 	default:
--- a/daemon/control/export_test.go
+++ b/daemon/control/export_test.go
@@ -1,4 +1,4 @@
 package control
 
-// QueueLength is how many events wait before Post does.
+// QueueLength is the number of events that can be queued before Post blocks.
 const QueueLength = queueLength
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -23,24 +23,26 @@
 )
 
 const (
-	// answerStall is how long an agent may send nothing while a request runs.
-	// It is longer than the engine's own progress deadline at the agent, whose
-	// word on the outcome is better than a guess made here.
-	answerStall = 35 * time.Second
-	// progressTime is how long ago the last piece of an answer in progress can
-	// have come.
-	progressTime = 2 * time.Second
-	// notReadyRetry is when a caller may come back to an entry without a text.
-	notReadyRetry = time.Second
-	// fullRetry is when a caller may come back to a full entry.
-	fullRetry = time.Second
+	// responseStallTimeout is how long an agent may send nothing while a request
+	// runs. It is longer than the engine's progress deadline at the agent, because
+	// the outcome that the agent reports is more reliable than one assumed here.
+	responseStallTimeout = 35 * time.Second
+	// progressWindow is the maximum age of the latest piece of a response that
+	// still makes progress.
+	progressWindow = 2 * time.Second
+	// notReadyRetryAfter is the retry delay sent by an entry without an active
+	// configuration, and for a server that has not reported yet.
+	notReadyRetryAfter = time.Second
+	// busyRetryAfter is the retry delay when the entry or a workspace has reached
+	// its limit of requests in flight, or no server of the service is listed.
+	busyRetryAfter = time.Second
 )
 
 // Dispatch implements calls.Dispatcher.
 func (e *Entry) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
 	started := time.Now()
-	end, err := e.serve(ctx, r, sink)
-	err = atMostOnce(r, err)
+	end, err := e.dispatch(ctx, r, sink)
+	err = correctOutcome(r, err)
 	if errorx.IsOfType(err, calls.UnknownService) {
 		return end, err
 	}
@@ -48,41 +50,41 @@
 	if err != nil {
 		outcome = failure.OutcomeOf(err)
 	}
-	e.metrics.ended(r.Service, outcome, time.Since(started))
+	e.metrics.record(r.Service, outcome, time.Since(started))
 	return end, err
 }
 
-func (e *Entry) serve(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
-	running := e.running.Add(1)
-	defer e.running.Add(-1)
-	if running > int64(e.opts.MaxInFlight) {
-		return calls.End{}, notRun(calls.Overloaded.New("%d requests run on this entry", running-1), fullRetry)
+func (e *Entry) dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+	inFlight := e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
+	if inFlight > int64(e.opts.MaxInFlight) {
+		return calls.End{}, notRunError(calls.Overloaded.New("%d requests run on this entry", inFlight-1), busyRetryAfter)
 	}
-	p := e.picture.Load()
-	if p.config == nil {
-		return calls.End{}, notRun(calls.NotReady.New("no text is in force yet"), notReadyRetry)
+	snap := e.snapshot.Load()
+	if snap.config == nil {
+		return calls.End{}, notRunError(calls.NotReady.New("no text is in force yet"), notReadyRetryAfter)
 	}
-	service, ok := p.config.Fleet.Service(r.Service)
+	service, ok := snap.config.Fleet.Service(r.Service)
 	if !ok {
 		return calls.End{}, failure.WithOutcome(calls.UnknownService.New("no service %q", r.Service), failure.NotRun)
 	}
-	leave, err := e.limit(r)
+	release, err := e.acquireLimits(r)
 	if err != nil {
 		return calls.End{}, err
 	}
-	defer leave()
-	r.Priority = priorityOf(r, p.config.Fleet)
+	defer release()
+	r.Priority = priorityOf(r, snap.config.Fleet)
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	return e.attempts(ctx, r, service, sink)
+	return e.runAttempts(ctx, r, service, sink)
 }
 
-// atMostOnce corrects what may be said of a non-idempotent request that ended
-// without the word of its key's home. That this ask was not passed on says
-// nothing of an earlier one with the same key, which the home may have run;
-// only a caller that asks for the first time may be told "not run".
-func atMostOnce(r calls.Request, err error) error {
-	if !r.NonIdempotent || r.FirstAsk || failure.OutcomeOf(err) != failure.NotRun || isDecided(err) {
+// correctOutcome corrects the outcome of a non-idempotent request that failed
+// without a decision by the home of its key. That this request was not forwarded
+// does not rule out that the home ran an earlier one with the same key. Only a
+// caller that declares its first request with the key may be told "not run".
+func correctOutcome(r calls.Request, err error) error {
+	if !r.NonIdempotent || r.FirstAsk || failure.OutcomeOf(err) != failure.NotRun || isDecidedByHome(err) {
 		return err
 	}
 	if typed := errorx.Cast(err); typed != nil {
@@ -93,51 +95,52 @@
 
 var decidedProperty = errorx.RegisterProperty("decided_by_home")
 
-func isDecided(err error) bool {
+func isDecidedByHome(err error) bool {
 	value, ok := errorx.ExtractProperty(err, decidedProperty)
 	decided, isBool := value.(bool)
 	return ok && isBool && decided
 }
 
-func notRun(err *errorx.Error, comeBack time.Duration) error {
-	return failure.WithRetryAfter(failure.WithOutcome(err, failure.NotRun), comeBack)
+func notRunError(err *errorx.Error, retryAfter time.Duration) error {
+	return failure.WithRetryAfter(failure.WithOutcome(err, failure.NotRun), retryAfter)
 }
 
-// priorityOf returns the request's own urgency, else its workspace's.
-func priorityOf(r calls.Request, text *fleettext.Fleet) int {
+// priorityOf returns the priority of the request or, if it has none, the default of
+// its workspace.
+func priorityOf(r calls.Request, config *fleettext.Fleet) int {
 	if r.Priority >= 0 {
 		return r.Priority
 	}
-	if limits, ok := text.Limits(r.Workspace); ok {
+	if limits, ok := config.Limits(r.Workspace); ok {
 		return limits.Priority
 	}
 	return fleettext.DefaultPriority
 }
 
-// attempts tries a request at one server after another while that is safe.
-func (e *Entry) attempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.End, error) {
-	e.budget.Deposit(time.Now())
-	policy := retry.New(retry.Options{Budget: e.budget, Rand: chance.Shared{}, MaxAttempts: service.MaxAttempts})
+// runAttempts tries servers one after another while a retry is safe.
+func (e *Entry) runAttempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.End, error) {
+	e.retryBudget.Deposit(time.Now())
+	policy := retry.New(retry.Options{Budget: e.retryBudget, Rand: chance.Shared{}, MaxAttempts: service.MaxAttempts})
 	home, err := e.homeOf(r)
 	if err != nil {
 		return calls.End{}, err
 	}
 	var tried []fleet.InstanceID
-	var maybe bool // an earlier try may have run
-	asked := time.Now()
+	var mayHaveRun bool // an earlier attempt may have run
+	receivedAt := time.Now()
 	for number := 1; ; number++ {
-		a := &attempt{entry: e, request: r, sink: sink, number: number, home: home, asked: asked}
+		a := &attempt{entry: e, request: r, sink: sink, number: number, home: home, receivedAt: receivedAt}
 		end, err := a.run(ctx, tried)
 		if err == nil {
 			return end, nil
 		}
-		if maybe && failure.OutcomeOf(err) == failure.NotRun {
+		if mayHaveRun && failure.OutcomeOf(err) == failure.NotRun {
 			err = failure.WithOutcome(calls.Interrupted.Wrap(err, "an earlier try may have run"), failure.Unknown)
 		}
-		if ctx.Err() != nil || a.server == "" || isDecided(err) {
+		if ctx.Err() != nil || a.server == "" || isDecidedByHome(err) {
 			return calls.End{}, err
 		}
-		maybe = maybe || failure.OutcomeOf(err) != failure.NotRun
+		mayHaveRun = mayHaveRun || failure.OutcomeOf(err) != failure.NotRun
 		tried = append(tried, a.server)
 		decision := policy.MayRetry(time.Now(), retry.Attempt{
 			Outcome:    failure.OutcomeOf(err),
@@ -169,28 +172,28 @@
 	}
 }
 
-// attempt is one try of a request at one server.
+// attempt is one attempt of a request at one server.
 type attempt struct {
-	entry     *Entry
-	request   calls.Request
-	sink      calls.Sink
-	number    int
-	version   fleet.Version    // that the answer began with
-	home      fleet.InstanceID // of the key of a non-idempotent request, else empty
-	asked     time.Time        // when the caller's ask came
-	server    fleet.InstanceID // empty if none could be picked
-	delivered bool             // the caller has a part of the answer
-	pieces    int              // of the answer that came
-	first     time.Time        // when it began
-	lastPiece time.Time        // when the newest piece came
+	entry       *Entry
+	request     calls.Request
+	sink        calls.Sink
+	number      int
+	version     fleet.Version    // named at the beginning of the response
+	home        fleet.InstanceID // of the idempotency key; empty for an idempotent request
+	receivedAt  time.Time        // when the entry received the request
+	server      fleet.InstanceID // empty if none could be picked
+	delivered   bool             // part of the response was forwarded to the caller
+	pieceCount  int              // received pieces of the response
+	beganAt     time.Time        // when the response began
+	lastPieceAt time.Time        // when the latest piece was received
 }
 
 func (a *attempt) run(ctx context.Context, tried []fleet.InstanceID) (calls.End, error) {
 	e := a.entry
 	ctx, span := e.opts.Tracer.Start(ctx, "entry.attempt")
 	defer span.End()
-	p := e.picture.Load()
-	choice, err := p.servers.Pick(time.Now(), chance.Shared{}, balance.Request{
+	snap := e.snapshot.Load()
+	choice, err := snap.servers.Pick(time.Now(), chance.Shared{}, balance.Request{
 		Service:   a.request.Service,
 		PrefixKey: a.request.PrefixKey,
 		Priority:  a.request.Priority,
@@ -201,13 +204,13 @@
 		return calls.End{}, err
 	}
 	a.server = choice.Server.ID
-	end, err := a.exchange(ctx, choice.Server, p.clocks[a.server])
+	end, err := a.exchange(ctx, choice.Server, snap.clocks[a.server])
 	choice.Release(a.result(ctx, err))
 	return end, err
 }
 
-// result tells the balancer how the attempt went, as far as it says something
-// of the server.
+// result returns the outcome of the attempt for the balancer, as far as it
+// indicates the state of the server.
 func (a *attempt) result(ctx context.Context, err error) balance.Result {
 	result := balance.Result{At: time.Now(), Pace: a.pace(), RetryAfter: failure.RetryAfter(err)}
 	switch {
@@ -225,46 +228,46 @@
 	return result
 }
 
-// inProgress reports whether pieces of the answer came until now. A caller
-// whose deadline ends a long answer says nothing against the server: counted
-// as stalls, a few of them would eject a server that works.
-func (a *attempt) inProgress() bool { return time.Since(a.lastPiece) < progressTime }
+// inProgress reports whether the response was still making progress. A deadline
+// that ends a long response does not count against the server: a few of them,
+// counted as stalls, would eject a healthy server.
+func (a *attempt) inProgress() bool { return time.Since(a.lastPieceAt) < progressWindow }
 
-// minPacePieces is how many pieces an answer must have to tell its server's
-// pace.
+// minPacePieces is the number of pieces that a response needs for a measurement of
+// its server's pace.
 const minPacePieces = 8
 
-// pace is the mean time between two pieces of the answer, 0 if there are too
-// few to tell. The time to the first one is left out: an engine names its
-// version at once, and a request may have waited before that.
+// pace returns the mean time between two pieces of the response, or 0 if there were
+// too few. It excludes the time to the first piece: an engine names its version at
+// once, and the request may have been queued before that.
 func (a *attempt) pace() time.Duration {
-	if a.pieces < minPacePieces {
+	if a.pieceCount < minPacePieces {
 		return 0
 	}
-	return time.Since(a.first) / time.Duration(a.pieces-1)
+	return time.Since(a.beganAt) / time.Duration(a.pieceCount-1)
 }
 
-// exchange sends the request to an agent and hands the answer to the caller.
+// exchange sends the request to an agent and forwards the response to the caller.
 func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.End, error) {
 	s, err := a.entry.opts.Endpoint.Open(ctx, server.Addr, server.ID, peer.KindRequest)
 	if err != nil {
 		return calls.End{}, err
 	}
 	defer s.Abort()
-	s.SetStall(answerStall)
-	if err := a.send(ctx, s, clock); err != nil {
+	s.SetStall(responseStallTimeout)
+	if err := a.sendRequest(ctx, s, clock); err != nil {
 		return calls.End{}, err
 	}
-	end, err := a.receive(s, server)
+	end, err := a.receiveResponse(s, server)
 	if err != nil && ctx.Err() != nil {
-		return calls.End{}, a.endedBy(ctx, err)
+		return calls.End{}, a.contextError(ctx, err)
 	}
 	return end, err
 }
 
-// endedBy says that the deadline or the caller ended the exchange, not the
-// agent. What the agent had said of the outcome stands.
-func (a *attempt) endedBy(ctx context.Context, err error) error {
+// contextError reports that the deadline or the caller ended the exchange, not the
+// agent. It keeps the outcome of err.
+func (a *attempt) contextError(ctx context.Context, err error) error {
 	outcome := failure.OutcomeOf(err)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.WithOutcome(calls.DeadlinePassed.Wrap(err, "the deadline passed while the request ran"), outcome)
@@ -272,12 +275,12 @@
 	return failure.WithOutcome(calls.Interrupted.Wrap(err, "the caller went away"), outcome)
 }
 
-// send sends the request and its body. Once the first byte is out, only the
-// agent can say that the request was not run.
-func (a *attempt) send(ctx context.Context, s *peer.Stream, clock *admission.RemoteClock) error {
-	deadline, ok := clock.Deadline(time.Now(), a.asked, a.request.Deadline)
+// sendRequest sends the request and its body. Once the first byte is sent, only the
+// agent can report that the request was not run.
+func (a *attempt) sendRequest(ctx context.Context, s *peer.Stream, clock *admission.RemoteClock) error {
+	deadline, ok := clock.Deadline(time.Now(), a.receivedAt, a.request.Deadline)
 	if !ok {
-		return notRun(failure.Unavailable.New("%s has not reported yet", a.server), notReadyRetry)
+		return notRunError(failure.Unavailable.New("%s has not reported yet", a.server), notReadyRetryAfter)
 	}
 	head := wire.Request{
 		ID:             a.request.ID,
@@ -292,52 +295,52 @@
 		BodyBytes:      len(a.request.Body),
 	}
 	if err := s.Send(head); err != nil {
-		return interrupted(err, "send the request")
+		return interruptedError(err, "send the request")
 	}
 	for body := a.request.Body; len(body) > 0; {
 		n := min(len(body), peer.MaxRawFrame)
 		if err := s.SendBytes(body[:n]); err != nil {
-			return interrupted(err, "send the body")
+			return interruptedError(err, "send the body")
 		}
 		body = body[n:]
 	}
 	return nil
 }
 
-// interrupted says that the exchange broke off: whether the request ran is not
-// known.
-func interrupted(err error, doing string) error {
+// interruptedError returns the error of an exchange that was cut off, so that it is
+// not known whether the request ran.
+func interruptedError(err error, operation string) error {
 	kind := calls.Interrupted
 	if errorx.IsOfType(err, failure.Timeout) {
 		kind = failure.Timeout
 	}
-	return failure.WithOutcome(kind.Wrap(err, "%s", doing), failure.Unknown)
+	return failure.WithOutcome(kind.Wrap(err, "%s", operation), failure.Unknown)
 }
 
-// receive hands the answer on until its end.
-func (a *attempt) receive(s *peer.Stream, server balance.Server) (calls.End, error) {
+// receiveResponse forwards the response to the caller until its end.
+func (a *attempt) receiveResponse(s *peer.Stream, server balance.Server) (calls.End, error) {
 	for {
 		var part wire.AnswerPart
 		if err := s.Recv(&part); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = calls.Interrupted.New("the agent ended the answer early")
 			}
-			return calls.End{}, interrupted(err, "receive the answer")
+			return calls.End{}, interruptedError(err, "receive the answer")
 		}
 		switch {
 		case !part.IsOneStep():
-			return calls.End{}, corrupt("a part of the answer is more than one step")
+			return calls.End{}, corruptError("a part of the answer is more than one step")
 		case part.Begin != nil:
-			if err := a.begin(*part.Begin); err != nil {
+			if err := a.handleBegin(*part.Begin); err != nil {
 				return calls.End{}, err
 			}
 		case part.End != nil:
-			return a.finish(*part.End, server)
+			return a.handleEnd(*part.End, server)
 		case !a.delivered:
-			return calls.End{}, corrupt("the answer has a piece before its beginning")
+			return calls.End{}, corruptError("the answer has a piece before its beginning")
 		default:
-			a.pieces++
-			a.lastPiece = time.Now()
+			a.pieceCount++
+			a.lastPieceAt = time.Now()
 			if err := a.sink.Piece(part.Piece); err != nil {
 				return calls.End{}, failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 			}
@@ -345,45 +348,45 @@
 	}
 }
 
-func corrupt(format string, args ...any) error {
+func corruptError(format string, args ...any) error {
 	return failure.WithOutcome(failure.Corrupt.New(format, args...), failure.Unknown)
 }
 
-func (a *attempt) begin(b wire.AnswerBegin) error {
+func (a *attempt) handleBegin(b wire.AnswerBegin) error {
 	if a.delivered {
-		return corrupt("the answer begins twice")
+		return corruptError("the answer begins twice")
 	}
 	a.version = b.Version
 	a.delivered = true
-	a.first = time.Now()
+	a.beganAt = time.Now()
 	if err := a.sink.Begin(calls.Begin{Status: b.Status, Version: b.Version}); err != nil {
 		return failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 	}
 	return nil
 }
 
-// finish checks that the end is that of this request and of the answer that
-// began. An answer that names another request is cut, since its pieces may be
-// another caller's, and one that names another version, since its pieces may
-// be of both.
-func (a *attempt) finish(end wire.AnswerEnd, server balance.Server) (calls.End, error) {
+// handleEnd checks that the end belongs to this request and to the response that
+// began. The response is aborted if the end names another request, since its pieces
+// may belong to another caller, or another version, since its pieces may come from
+// both.
+func (a *attempt) handleEnd(end wire.AnswerEnd, server balance.Server) (calls.End, error) {
 	if end.ID != a.request.ID {
-		return calls.End{}, corrupt("the answer names request %q", end.ID)
+		return calls.End{}, corruptError("the answer names request %q", end.ID)
 	}
 	if end.Outcome != wire.OutcomeRan || end.Duplicate {
-		return calls.End{}, endFailure(end, server.ID)
+		return calls.End{}, endError(end, server.ID)
 	}
 	if !a.delivered {
-		return calls.End{}, corrupt("the answer ends without a beginning")
+		return calls.End{}, corruptError("the answer ends without a beginning")
 	}
 	if end.Version != a.version {
-		return calls.End{}, corrupt("the answer began with version %s and ends with %s", a.version, end.Version)
+		return calls.End{}, corruptError("the answer began with version %s and ends with %s", a.version, end.Version)
 	}
 	return calls.End{Version: end.Version, Server: server.ID}, nil
 }
 
-// endFailure turns the end of an answer that is none into an error.
-func endFailure(end wire.AnswerEnd, server fleet.InstanceID) error {
+// endError converts the end of an unsuccessful response to an error.
+func endError(end wire.AnswerEnd, server fleet.InstanceID) error {
 	kind, outcome := calls.Interrupted, failure.Unknown
 	switch {
 	case end.Duplicate:
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,9 +1,9 @@
-// Package entry is the role that takes requests from callers: it picks a
-// backend server for each, tries again where that is safe, and answers which
-// entry addresses callers should use.
+// Package entry implements the role that receives requests from callers. It picks a
+// backend server for each request, retries where that is safe, and returns the
+// entry addresses that callers should use.
 //
-// The control state belongs to the control loop, which publishes an immutable
-// picture; requests only read it.
+// The control loop owns the control state and publishes immutable snapshots, which
+// requests read.
 package entry
 
 import (
@@ -33,24 +33,25 @@
 )
 
 const (
-	// subsetSize is how many backend servers of a service an entry routes to.
-	// It keeps reports and connections of a node independent of the fleet's
-	// size: 3,500 servers would not fit in a node's memory and traffic.
+	// subsetSize is the number of backend servers of a service that an entry routes
+	// to. It makes the reports and connections of a node independent of the size of
+	// the fleet: 3,500 servers would exceed the memory and network capacity of a
+	// node.
 	subsetSize = 24
-	// rebuildEvery bounds how often the picture is made anew for changes of
-	// load alone. Reports come each half second from each server, and between
-	// them an entry goes by its own requests in flight.
-	rebuildEvery = 250 * time.Millisecond
+	// rebuildInterval is the minimum time between two rebuilds of the snapshot for
+	// changes of load alone. Each server reports every half second; between reports
+	// an entry relies on its own count of requests in flight.
+	rebuildInterval = 250 * time.Millisecond
 )
 
-// routing lets an entry hand on more than a server has slots for. The agent
-// keeps what waits, of all entries, the important requests in front, and
-// refuses at once what cannot be served in time; an entry that refused by its
-// own count could not tell the important ones from the rest. The least
-// important get less of that room, so that they seldom make the trip in vain.
-var routing = balance.Settings{QueueShare: 3, ReserveShare: 0.6}
+// balanceSettings let an entry send a server more requests than it has slots. The
+// agent queues the requests of all entries by priority and rejects at once what
+// cannot be served in time; an entry that refused by its own count could not rank
+// its requests against those of other entries. The lowest priorities get a smaller
+// share of the queue, so that they are rarely forwarded only to be refused.
+var balanceSettings = balance.Settings{QueueShare: 3, ReserveShare: 0.6}
 
-// Options of an Entry. All are needed.
+// Options are the parameters of New. All are required.
 type Options struct {
 	Self        fleet.Instance
 	Loop        *control.Loop
@@ -62,53 +63,53 @@
 	Metrics     tally.Scope
 }
 
-// Entry is the role. It is made with New, given its node with Attach, and then
-// driven by the control loop.
+// Entry is the entry role. It is created by New, connected to its node by Attach,
+// and then driven by the control loop.
 type Entry struct {
-	opts     Options
-	ctx      context.Context
-	node     *node.Node
-	tracker  *balance.Tracker
-	budget   *retry.Budget
-	answerer *addressing.Answerer
-	running  atomic.Int64
-
-	limits      *limits
-	metrics     requestMetrics
-	subs        map[fleet.InstanceID]*subscription
-	leaving     bool
-	dirty       bool
-	nextRebuild time.Time
-	nextShare   time.Time
-
-	picture atomic.Pointer[picture]
+	opts        Options
+	ctx         context.Context
+	node        *node.Node
+	tracker     *balance.Tracker
+	retryBudget *retry.Budget
+	answerer    *addressing.Answerer
+	inFlight    atomic.Int64
+
+	limits          *limits
+	metrics         requestMetrics
+	subscriptions   map[fleet.InstanceID]*subscription
+	leaving         bool
+	dirty           bool
+	nextRebuild     time.Time
+	nextShareUpdate time.Time
+
+	snapshot atomic.Pointer[snapshot]
 }
 
-// picture is what requests read. It never changes.
-type picture struct {
-	config  *revision.State // nil while no text is in force
+// snapshot is the immutable state that requests read.
+type snapshot struct {
+	config  *revision.State // nil while there is no active configuration
 	servers *balance.Snapshot
 	entries []addressing.Entry
 	clocks  map[fleet.InstanceID]*admission.RemoteClock
 }
 
-// New returns an entry. What it starts ends with ctx.
+// New returns an entry. Its goroutines end with ctx.
 func New(ctx context.Context, now time.Time, opts Options) *Entry {
 	e := &Entry{
-		opts:     opts,
-		ctx:      ctx,
-		tracker:  balance.NewTracker(now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		budget:   retry.NewBudget(now, retry.BudgetOptions{}),
-		answerer: addressing.New(addressing.Options{TTL: opts.AddressTTL, Rand: chance.Shared{}}),
-		limits:   newLimits(),
-		metrics:  requestMetrics{scope: opts.Metrics},
-		subs:     make(map[fleet.InstanceID]*subscription),
+		opts:          opts,
+		ctx:           ctx,
+		tracker:       balance.NewTracker(now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		retryBudget:   retry.NewBudget(now, retry.BudgetOptions{}),
+		answerer:      addressing.New(addressing.Options{TTL: opts.AddressTTL, Rand: chance.Shared{}}),
+		limits:        newLimits(),
+		metrics:       requestMetrics{scope: opts.Metrics},
+		subscriptions: make(map[fleet.InstanceID]*subscription),
 	}
-	e.picture.Store(&picture{servers: balance.NewSnapshot(opts.Self.Place, nil, e.tracker, routing)})
+	e.snapshot.Store(&snapshot{servers: balance.NewSnapshot(opts.Self.Place, nil, e.tracker, balanceSettings)})
 	return e
 }
 
-// Attach gives the entry its node. It must be called before the loop runs.
+// Attach sets the node of the entry. It must be called before the loop runs.
 func (e *Entry) Attach(n *node.Node) { e.node = n }
 
 // Tick implements control.Ticker.
@@ -116,22 +117,23 @@
 	if e.dirty && !now.Before(e.nextRebuild) {
 		e.rebuild(now)
 	}
-	if !now.Before(e.nextShare) {
-		e.nextShare = now.Add(demandEvery)
-		e.followDemands()
-		e.share(now)
+	if !now.Before(e.nextShareUpdate) {
+		e.nextShareUpdate = now.Add(demandInterval)
+		e.updateDemandStreams()
+		e.updateShares(now)
 	}
 }
 
-// Changed is told after the text in force or the view has changed.
+// HandleChange is called after the active configuration or the view of the fleet
+// has changed.
 func (e *Entry) Changed(now time.Time) {
-	e.subscribe(now)
+	e.updateSubscriptions(now)
 	e.rebuild(now)
-	e.share(now)
-	e.node.UpdateSelf(now, e.describe)
+	e.updateShares(now)
+	e.node.UpdateSelf(now, e.updateRecord)
 }
 
-func (e *Entry) describe(r *gossip.Record) {
+func (e *Entry) updateRecord(r *gossip.Record) {
 	r.Leaving = e.leaving
 	r.State = gossip.StateStarting
 	if e.node.InForce() != nil {
@@ -139,31 +141,31 @@
 	}
 }
 
-// rebuild publishes a new picture.
+// rebuild publishes a new snapshot.
 func (e *Entry) rebuild(now time.Time) {
 	e.dirty = false
-	e.nextRebuild = now.Add(rebuildEvery)
-	p := &picture{
+	e.nextRebuild = now.Add(rebuildInterval)
+	snap := &snapshot{
 		config:  e.node.InForce(),
 		entries: e.entries(),
-		clocks:  make(map[fleet.InstanceID]*admission.RemoteClock, len(e.subs)),
+		clocks:  make(map[fleet.InstanceID]*admission.RemoteClock, len(e.subscriptions)),
 	}
 	var servers []balance.Server
-	for id, s := range e.subs {
-		if s.reported {
-			servers = append(servers, s.server())
-			p.clocks[id] = s.echo
+	for id, sub := range e.subscriptions {
+		if sub.hasReport {
+			servers = append(servers, sub.server())
+			snap.clocks[id] = sub.clock
 		}
 	}
 	slices.SortFunc(servers, func(a, b balance.Server) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	p.servers = balance.NewSnapshot(e.opts.Self.Place, servers, e.tracker, routing)
-	e.picture.Store(p)
+	snap.servers = balance.NewSnapshot(e.opts.Self.Place, servers, e.tracker, balanceSettings)
+	e.snapshot.Store(snap)
 }
 
-// entries lists the entry instances for address answers, this one included.
+// entries returns the entry instances for address lookups, including this one.
 func (e *Entry) entries() []addressing.Entry {
 	self := e.opts.Self
-	load := float64(e.running.Load()) / float64(max(1, e.opts.MaxInFlight))
+	load := float64(e.inFlight.Load()) / float64(max(1, e.opts.MaxInFlight))
 	all := []addressing.Entry{{ID: self.ID, Place: self.Place, Addr: self.CallerAddr, Leaving: e.leaving, Load: load}}
 	for _, p := range e.node.View().Peers {
 		if p.Role != fleet.RoleEntry || !p.CallerAddr.IsValid() {
@@ -176,28 +178,29 @@
 
 // Addresses implements calls.AddressBook.
 func (e *Entry) Addresses(near fleet.Place) addressing.Result {
-	return e.answerer.Answer(time.Now(), near, e.picture.Load().entries)
+	return e.answerer.Answer(time.Now(), near, e.snapshot.Load().entries)
 }
 
-// Ready reports whether requests can be taken, and why not.
+// Ready reports whether requests can be accepted and, if not, the reason.
 func (e *Entry) Ready() (bool, string) {
-	if e.picture.Load().config == nil {
+	if e.snapshot.Load().config == nil {
 		return false, "no text is in force yet"
 	}
 	return true, ""
 }
 
-// Leave begins the planned stop: other entries stop naming this one.
+// Leave begins the planned stop: other entries stop returning the address of this
+// one.
 func (e *Entry) Leave(ctx context.Context) error {
 	return e.opts.Loop.Do(ctx, func(now time.Time) {
 		e.leaving = true
-		e.node.UpdateSelf(now, e.describe)
+		e.node.UpdateSelf(now, e.updateRecord)
 		e.rebuild(now)
-		e.opts.Logger.Info("leaving", zap.Int64("in_flight", e.running.Load()))
+		e.opts.Logger.Info("leaving", zap.Int64("in_flight", e.inFlight.Load()))
 	})
 }
 
-// Status returns the present status. Safe for any goroutine.
+// Status returns the current status. Safe for concurrent use.
 func (e *Entry) Status() status.Entry {
 	view := e.node.View()
 	s := status.Entry{
@@ -205,16 +208,16 @@
 		Role:     fleet.RoleEntry,
 		Place:    e.opts.Self.Place,
 		Leaving:  view.Self.Leaving,
-		InFlight: e.running.Load(),
+		InFlight: e.inFlight.Load(),
 	}
 	config := e.node.ConfigStatus()
 	s.Config = status.Config{PlatformRevision: config.PlatformRevision, Conflicts: len(config.Conflicts)}
 	for _, r := range config.Refused {
 		s.Config.Refused = append(s.Config.Refused, r.Faults.Error())
 	}
-	s.Fleet = append(s.Fleet, member(gossip.Peer{Record: view.Self}))
+	s.Fleet = append(s.Fleet, memberStatus(gossip.Peer{Record: view.Self}))
 	for _, p := range view.Peers {
-		s.Fleet = append(s.Fleet, member(p))
+		s.Fleet = append(s.Fleet, memberStatus(p))
 	}
 	if state := e.node.InForce(); state != nil {
 		s.Revision = state.Revision
@@ -225,7 +228,7 @@
 	return s
 }
 
-func member(p gossip.Peer) status.Member {
+func memberStatus(p gossip.Peer) status.Member {
 	return status.Member{ID: p.ID, Role: p.Role, Service: p.Service, Place: p.Place, State: p.State,
 		Serving: p.Serving, Revision: p.Revision, Leaving: p.IsLeaving(), Silent: p.Silent}
 }
--- a/daemon/entry/explain.go
+++ b/daemon/entry/explain.go
@@ -19,35 +19,35 @@
 	"chivespindle.example/core/status"
 )
 
-// ExplainHandler answers GET /explain?service=&prefix=&priority= with an
-// Explanation. Only service is needed. Safe for any goroutine: it reads what
-// requests read.
+// ExplainHandler serves GET /explain?service=&prefix=&priority= with an
+// Explanation. Only service is required. It reads the same snapshot as requests and
+// is safe for concurrent use.
 func (e *Entry) ExplainHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		question, err := parseExplain(r.URL.Query())
+		query, err := parseExplainQuery(r.URL.Query())
 		if err != nil {
-			declineExplain(w, err)
+			writeExplainError(w, err)
 			return
 		}
-		explanation, err := explain(time.Now(), e.opts.Self.ID, e.picture.Load(), e.node.View(), question)
+		explanation, err := explain(time.Now(), e.opts.Self.ID, e.snapshot.Load(), e.node.View(), query)
 		if err != nil {
-			declineExplain(w, err)
+			writeExplainError(w, err)
 			return
 		}
 		writeExplain(w, http.StatusOK, explanation)
 	})
 }
 
-// explainQuestion is a checked query.
-type explainQuestion struct {
+// explainQuery holds the validated parameters of a request for an explanation.
+type explainQuery struct {
 	service  fleet.ServiceName
 	prefix   string
 	priority int
 }
 
-func parseExplain(query url.Values) (explainQuestion, error) {
+func parseExplainQuery(query url.Values) (explainQuery, error) {
 	const lastPriority = 7
-	q := explainQuestion{
+	q := explainQuery{
 		service:  fleet.ServiceName(query.Get("service")),
 		prefix:   query.Get("prefix"),
 		priority: fleettext.DefaultPriority,
@@ -65,18 +65,18 @@
 	return q, nil
 }
 
-// explain asks the balancer's snapshot, and adds the replicas that are not in
-// it.
-func explain(now time.Time, self fleet.InstanceID, p *picture, view *gossip.View, q explainQuestion) (status.Explanation, error) {
-	if p.config == nil {
+// explain returns the candidates in the balancer's snapshot and the replicas that
+// are missing from it.
+func explain(now time.Time, self fleet.InstanceID, snap *snapshot, view *gossip.View, q explainQuery) (status.Explanation, error) {
+	if snap.config == nil {
 		return status.Explanation{}, calls.NotReady.New("no text is in force yet")
 	}
-	if _, known := p.config.Fleet.Service(q.service); !known {
-		return status.Explanation{}, calls.UnknownService.New("no service %q in revision %d", q.service, p.config.Revision)
+	if _, known := snap.config.Fleet.Service(q.service); !known {
+		return status.Explanation{}, calls.UnknownService.New("no service %q in revision %d", q.service, snap.config.Revision)
 	}
-	answer := status.Explanation{
+	explanation := status.Explanation{
 		Entry:      self,
-		Revision:   p.config.Revision,
+		Revision:   snap.config.Revision,
 		Service:    q.service,
 		Prefix:     q.prefix,
 		Priority:   q.priority,
@@ -85,18 +85,18 @@
 	}
 	request := balance.Request{Service: q.service, PrefixKey: prefixKey(q.prefix), Priority: q.priority}
 	known := make(map[fleet.InstanceID]bool)
-	for _, c := range p.servers.Explain(now, request) {
+	for _, c := range snap.servers.Explain(now, request) {
 		known[c.ID] = true
-		answer.Candidates = append(answer.Candidates, candidate(c))
+		explanation.Candidates = append(explanation.Candidates, candidate(c))
 	}
 	replicas := view.Service(q.service)
 	for _, r := range replicas {
 		if !known[r.ID] {
-			reason := whyUnknown(r, len(replicas))
-			answer.Unknown = append(answer.Unknown, status.UnknownServer{ID: r.ID, Place: r.Place, Reason: reason})
+			reason := unknownReason(r, len(replicas))
+			explanation.Unknown = append(explanation.Unknown, status.UnknownServer{ID: r.ID, Place: r.Place, Reason: reason})
 		}
 	}
-	return answer, nil
+	return explanation, nil
 }
 
 func candidate(c balance.Candidate) status.Candidate {
@@ -114,8 +114,8 @@
 	}
 }
 
-// whyUnknown says why a replica sends this entry no load reports.
-func whyUnknown(r gossip.Peer, replicas int) string {
+// unknownReason returns why this entry receives no load reports of a replica.
+func unknownReason(r gossip.Peer, replicas int) string {
 	switch {
 	case r.Silent:
 		return "its agent is silent"
@@ -128,9 +128,9 @@
 	}
 }
 
-// prefixKey folds a prefix name as callerhttp does for a request; a spec holds
-// the two together. With another fold the page would name a server that no
-// request prefers.
+// prefixKey hashes a prefix name as callerhttp does for a request, which a test
+// verifies. With another hash the explanation would name a server that no request
+// prefers.
 func prefixKey(name string) uint64 {
 	if name == "" {
 		return 0
@@ -140,13 +140,13 @@
 	return h.Sum64()
 }
 
-// explainDecline is the body of an answer that is no Explanation.
-type explainDecline struct {
-	Error  string `json:"error"` // type of the failure
+// explainError is the body of an error response.
+type explainError struct {
+	Error  string `json:"error"` // errorx type of the error
 	Reason string `json:"reason"`
 }
 
-func declineExplain(w http.ResponseWriter, err error) {
+func writeExplainError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	switch {
 	case errorx.IsOfType(err, calls.NotReady):
@@ -154,21 +154,21 @@
 	case errorx.IsOfType(err, calls.UnknownService):
 		status = http.StatusNotFound
 	}
-	decline := explainDecline{Error: failure.Internal.FullName(), Reason: err.Error()}
+	body := explainError{Error: failure.Internal.FullName(), Reason: err.Error()}
 	if typed := errorx.Cast(err); typed != nil {
-		decline.Error = typed.Type().FullName()
-		decline.Reason = typed.Message()
+		body.Error = typed.Type().FullName()
+		body.Reason = typed.Message()
 	}
-	writeExplain(w, status, decline)
+	writeExplain(w, status, body)
 }
 
 func writeExplain(w http.ResponseWriter, status int, body any) {
-	page, err := json.MarshalIndent(body, "", "  ")
+	encoded, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		http.Error(w, "the explanation cannot be encoded", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(page, '\n')) // a reader that has gone needs no answer
+	_, _ = w.Write(append(encoded, '\n')) // the client may have disconnected
 }
--- a/daemon/entry/explain_test.go
+++ b/daemon/entry/explain_test.go
@@ -29,7 +29,7 @@
 	"chivespindle.example/daemon/node"
 )
 
-const explainText = `[fleet]
+const explainConfig = `[fleet]
 name = demo
 [service member-portal]
 kind = plain
@@ -42,10 +42,10 @@
 	explainStart = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 )
 
-// explainPicture is what an entry publishes with three servers that report, of
-// which one drains.
-func explainPicture() *picture {
-	text, err := fleettext.Load("fleet.ini", []byte(explainText))
+// explainSnapshot returns the snapshot of an entry with three servers that report,
+// one of which is draining.
+func explainSnapshot() *snapshot {
+	config, err := fleettext.Load("fleet.ini", []byte(explainConfig))
 	Expect(err).NotTo(HaveOccurred())
 	var servers []balance.Server
 	for _, id := range []fleet.InstanceID{"api-1", "api-2", "api-3"} {
@@ -55,14 +55,14 @@
 		})
 	}
 	tracker := balance.NewTracker(explainStart, rand.New(rand.NewPCG(1, 2)))
-	return &picture{
-		config:  &revision.State{Revision: 7, Digest: text.Digest(), Fleet: text},
+	return &snapshot{
+		config:  &revision.State{Revision: 7, Digest: config.Digest(), Fleet: config},
 		servers: balance.NewSnapshot(explainPlace, servers, tracker, balance.Settings{}),
 	}
 }
 
-// explainView holds the three servers, one that reports nothing, one that is
-// on its way out and one that was never heard.
+// explainView contains the three servers, one that sends no reports, one that is
+// leaving and one that was never heard from.
 func explainView() *gossip.View {
 	table := gossip.New(gossip.Options{Self: gossip.Record{ID: "entry-1", Incarnation: 1, Role: fleet.RoleEntry, Place: explainPlace}})
 	var records []gossip.Record
@@ -93,9 +93,9 @@
 }
 
 var _ = ginkgo.Describe("Explain", func() {
-	ginkgo.It("tells of every replica whether it may be chosen, and why not", func() {
-		question := explainQuestion{service: "workshop-api", priority: 3}
-		e, err := explain(explainStart.Add(time.Second), "entry-1", explainPicture(), explainView(), question)
+	ginkgo.It("returns for every replica whether it may be picked, and why not", func() {
+		query := explainQuery{service: "workshop-api", priority: 3}
+		e, err := explain(explainStart.Add(time.Second), "entry-1", explainSnapshot(), explainView(), query)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explainVerdicts(e)).To(Equal(map[fleet.InstanceID]string{
 			"api-1": "eligible",
@@ -110,15 +110,14 @@
 		Expect(e.Candidates[0].ReportAgeMS).To(BeEquivalentTo(1000))
 	})
 
-	// An operator asks why requests of one prefix go where they go. If the page
-	// folded the prefix to another number than the callers' interface does, it
-	// would name a server that no such request prefers.
-	ginkgo.It("folds a prefix as the callers' interface does", func() {
-		seen := make(chan calls.Request, 1)
+	// The explanation must hash a prefix as the callers' interface does. Otherwise
+	// it would name a server that no request with the prefix prefers.
+	ginkgo.It("hashes a prefix as the callers' interface does", func() {
+		requests := make(chan calls.Request, 1)
 		tracer := telemetry.NewTracer("test", nil)
 		ginkgo.DeferCleanup(func() { Expect(tracer.Shutdown(context.Background())).To(Succeed()) })
 		server, err := callerhttp.New(callerhttp.Options{
-			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Dispatcher: recorder(seen), Addresses: noAddresses{},
+			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Dispatcher: requestRecorder(requests), Addresses: noAddresses{},
 			MaxBody: 100, DefaultDeadline: time.Second, Tracer: tracer, Logger: zap.NewNop(), Metrics: tally.NoopScope,
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -129,41 +128,42 @@
 			request, err := http.NewRequest(http.MethodPost, target, strings.NewReader("{}"))
 			Expect(err).NotTo(HaveOccurred())
 			request.Header.Set(callerhttp.HeaderPrefix, prefix)
-			answer, err := http.DefaultClient.Do(request)
+			response, err := http.DefaultClient.Do(request)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Body.Close()).To(Succeed())
-			Expect((<-seen).PrefixKey).To(Equal(prefixKey(prefix)), prefix)
+			Expect(response.Body.Close()).To(Succeed())
+			Expect((<-requests).PrefixKey).To(Equal(prefixKey(prefix)), prefix)
 		}
 		http.DefaultClient.CloseIdleConnections()
 	})
 
-	ginkgo.DescribeTable("answers over HTTP",
+	ginkgo.DescribeTable("responds over HTTP",
 		func(ready bool, query string, status int, part string) {
 			e := New(context.Background(), explainStart, Options{Self: fleet.Instance{ID: "entry-1"}, Metrics: tally.NoopScope})
 			e.Attach(node.New(context.Background(), explainStart, node.Options{Self: gossip.Record{ID: "entry-1", Incarnation: 1}}))
 			if ready {
-				e.picture.Store(explainPicture())
+				e.snapshot.Store(explainSnapshot())
 			}
-			answer := httptest.NewRecorder()
-			e.ExplainHandler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/explain?"+query, nil))
-			Expect(answer.Code).To(Equal(status))
-			Expect(json.Valid(answer.Body.Bytes())).To(BeTrue())
-			Expect(answer.Body.String()).To(ContainSubstring(part))
+			response := httptest.NewRecorder()
+			e.ExplainHandler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/explain?"+query, nil))
+			Expect(response.Code).To(Equal(status))
+			Expect(json.Valid(response.Body.Bytes())).To(BeTrue())
+			Expect(response.Body.String()).To(ContainSubstring(part))
 		},
 		ginkgo.Entry("candidates", true, "service=workshop-api&prefix=p&priority=0", http.StatusOK, `"verdict": "eligible"`),
 		ginkgo.Entry("a service without servers", true, "service=member-portal", http.StatusOK, `"candidates": []`),
 		ginkgo.Entry("no service", true, "", http.StatusBadRequest, "service is required"),
 		ginkgo.Entry("an unknown service", true, "service=nothing", http.StatusNotFound, `no service \"nothing\" in revision 7`),
-		ginkgo.Entry("a priority that is no number", true, "service=workshop-api&priority=high", http.StatusBadRequest, "priority must be 0 to 7"),
+		ginkgo.Entry("a priority that is not a number", true, "service=workshop-api&priority=high", http.StatusBadRequest, "priority must be 0 to 7"),
 		ginkgo.Entry("a priority out of range", true, "service=workshop-api&priority=8", http.StatusBadRequest, "priority must be 0 to 7"),
-		ginkgo.Entry("no text in force", false, "service=workshop-api", http.StatusServiceUnavailable, "chivespindle.not_ready"),
+		ginkgo.Entry("no active configuration", false, "service=workshop-api", http.StatusServiceUnavailable, "chivespindle.not_ready"),
 	)
 })
 
-// recorder is a dispatcher that passes on what it is given.
-type recorder chan<- calls.Request
+// requestRecorder is a dispatcher that forwards the requests it receives to a
+// channel.
+type requestRecorder chan<- calls.Request
 
-func (r recorder) Dispatch(_ context.Context, request calls.Request, sink calls.Sink) (calls.End, error) {
+func (r requestRecorder) Dispatch(_ context.Context, request calls.Request, sink calls.Sink) (calls.End, error) {
 	r <- request
 	return calls.End{}, sink.Begin(calls.Begin{Status: http.StatusOK})
 }
--- a/daemon/entry/keys.go
+++ b/daemon/entry/keys.go
@@ -12,27 +12,28 @@
 	"chivespindle.example/daemon/internal/chance"
 )
 
-// homeOf returns the instance that alone may run a non-idempotent request;
-// empty for any other request.
+// homeOf returns the only instance that may run a non-idempotent request, or "" for
+// an idempotent request.
 func (e *Entry) homeOf(r calls.Request) (fleet.InstanceID, error) {
 	if !r.NonIdempotent {
 		return "", nil
 	}
 	key, err := once.ParseKey(r.Workspace, r.IdempotencyKey)
 	if err != nil {
-		// No process takes such a key, so what is said of it holds for every ask.
-		refused := failure.WithOutcome(calls.BadRequest.Wrap(err, "Idempotency-Key"), failure.NotRun)
-		return "", refused.WithProperty(decidedProperty, true)
+		// No process accepts such a key, so the outcome holds for every request
+		// with it.
+		invalid := failure.WithOutcome(calls.BadRequest.Wrap(err, "Idempotency-Key"), failure.NotRun)
+		return "", invalid.WithProperty(decidedProperty, true)
 	}
 	home, ok := once.Home(key, e.listedServers(r.Service))
 	if !ok {
-		return "", notRun(failure.Unavailable.New("no server of %s is listed", r.Service), fullRetry)
+		return "", notRunError(failure.Unavailable.New("no server of %s is listed", r.Service), busyRetryAfter)
 	}
 	return home, nil
 }
 
-// listedServers are the service's servers as the platform lists them, silent
-// ones included: a silent home may have run the key.
+// listedServers returns the service's servers in the platform's list, including
+// silent ones: a silent home may have run the request of a key.
 func (e *Entry) listedServers(service fleet.ServiceName) []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for _, p := range e.node.View().Service(service) {
@@ -43,26 +44,26 @@
 	return ids
 }
 
-// IssueKey implements calls.KeyIssuer: the key names a server that takes
-// requests now, in its present life.
+// IssueKey implements calls.KeyIssuer. The key names a server that currently
+// accepts requests, and the incarnation of its agent.
 func (e *Entry) IssueKey(service fleet.ServiceName) (string, error) {
-	p := e.picture.Load()
-	if p.config == nil {
-		return "", notRun(calls.NotReady.New("no text is in force yet"), notReadyRetry)
+	snap := e.snapshot.Load()
+	if snap.config == nil {
+		return "", notRunError(calls.NotReady.New("no text is in force yet"), notReadyRetryAfter)
 	}
-	if _, ok := p.config.Fleet.Service(service); !ok {
+	if _, ok := snap.config.Fleet.Service(service); !ok {
 		return "", failure.WithOutcome(calls.UnknownService.New("no service %q", service), failure.NotRun)
 	}
 	now := time.Now()
-	choice, err := p.servers.Pick(now, chance.Shared{}, balance.Request{Service: service})
+	choice, err := snap.servers.Pick(now, chance.Shared{}, balance.Request{Service: service})
 	if err != nil {
 		return "", err
 	}
 	choice.Release(balance.Result{At: now, Kind: balance.Abandoned})
-	clock, ok := p.clocks[choice.Server.ID].At(now)
+	clock, ok := snap.clocks[choice.Server.ID].At(now)
 	if !ok {
-		return "", notRun(failure.Unavailable.New("%s has not reported yet", choice.Server.ID), notReadyRetry)
+		return "", notRunError(failure.Unavailable.New("%s has not reported yet", choice.Server.ID), notReadyRetryAfter)
 	}
-	life := once.Incarnation(clock.Incarnation)
-	return once.Issue("", choice.Server.ID, life, now, rand.Uint64()).Text, nil
+	incarnation := once.Incarnation(clock.Incarnation)
+	return once.Issue("", choice.Server.ID, incarnation, now, rand.Uint64()).Text, nil
 }
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -20,70 +20,71 @@
 )
 
 const (
-	// demandEvery is the time between two reports of demand to another entry.
-	demandEvery = time.Second
-	// demandFresh is how long a reported demand is believed.
-	demandFresh = 5 * time.Second
-	// demandPeers is how many other entries are asked for their demand. Those
-	// beyond count as wanting an even part, so that the sum stays within the
-	// limit at any size of the fleet.
-	demandPeers = 32
+	// demandInterval is the time between two reports of demand to another entry.
+	demandInterval = time.Second
+	// demandMaxAge is how long a reported demand is used.
+	demandMaxAge = 5 * time.Second
+	// maxDemandPeers is the number of other entries whose demand is followed. The
+	// remaining entries count as having unlimited demand, which assigns them an
+	// equal share, so that the sum stays within the limit for any size of the
+	// fleet.
+	maxDemandPeers = 32
 )
 
-// limits holds workspaces to this entry's share of their limits.
+// limits enforces this entry's share of the limits of workspaces.
 type limits struct {
 	limiter *admission.Limiter
-	demands map[fleet.InstanceID]*demand // control loop only
+	demands map[fleet.InstanceID]*demand // accessed by the control loop only
 
-	mu      sync.Mutex
-	running map[fleet.Workspace]int
-	most    map[fleet.Workspace]int // this entry's share of max_in_flight; 0: none
+	mu          sync.Mutex
+	inFlight    map[fleet.Workspace]int
+	maxInFlight map[fleet.Workspace]int // this entry's share of max_in_flight; 0: unlimited
 }
 
-// demand is what another entry last said of its workspaces.
+// demand is the latest demand per workspace that another entry reported.
 type demand struct {
 	cancel   context.CancelFunc
-	addr     gossip.Contact
+	contact  gossip.Contact
 	rates    map[fleet.Workspace]float64
 	received time.Time
 }
 
 func newLimits() *limits {
 	return &limits{
-		limiter: admission.NewLimiter(admission.LimiterOptions{Rand: chance.Shared{}}),
-		demands: make(map[fleet.InstanceID]*demand),
-		running: make(map[fleet.Workspace]int),
-		most:    make(map[fleet.Workspace]int),
+		limiter:     admission.NewLimiter(admission.LimiterOptions{Rand: chance.Shared{}}),
+		demands:     make(map[fleet.InstanceID]*demand),
+		inFlight:    make(map[fleet.Workspace]int),
+		maxInFlight: make(map[fleet.Workspace]int),
 	}
 }
 
-// enter counts a request of a workspace. It returns how to end the count, or
-// that the workspace is over its limit.
-func (l *limits) enter(now time.Time, workspace fleet.Workspace) (leave func(), err error) {
-	if ok, pause := l.limiter.Allow(now, workspace); !ok {
-		return nil, notRun(calls.OverLimit.New("workspace %q is over its requests a second", workspace), pause)
+// acquire counts a request of a workspace. It returns a function that ends the
+// count, or an error if the workspace is over its limit.
+func (l *limits) acquire(now time.Time, workspace fleet.Workspace) (release func(), err error) {
+	if ok, retryAfter := l.limiter.Allow(now, workspace); !ok {
+		return nil, notRunError(calls.OverLimit.New("workspace %q is over its requests a second", workspace), retryAfter)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if most := l.most[workspace]; most > 0 && l.running[workspace] >= most {
-		return nil, notRun(calls.OverLimit.New("workspace %q is over its requests in flight", workspace), fullRetry)
+	if maxInFlight := l.maxInFlight[workspace]; maxInFlight > 0 && l.inFlight[workspace] >= maxInFlight {
+		return nil, notRunError(calls.OverLimit.New("workspace %q is over its requests in flight", workspace), busyRetryAfter)
 	}
-	l.running[workspace]++
-	return func() { l.leave(workspace) }, nil
+	l.inFlight[workspace]++
+	return func() { l.release(workspace) }, nil
 }
 
-func (l *limits) leave(workspace fleet.Workspace) {
+func (l *limits) release(workspace fleet.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.running[workspace]--
-	if l.running[workspace] == 0 {
-		delete(l.running, workspace)
+	l.inFlight[workspace]--
+	if l.inFlight[workspace] == 0 {
+		delete(l.inFlight, workspace)
 	}
 }
 
-// share works this entry's shares out anew, from the text, the entries that
-// live and what they demand.
-func (e *Entry) share(now time.Time) {
+// updateShares recomputes this entry's shares from the configuration, the live
+// entries and their demand.
+func (e *Entry) updateShares(now time.Time) {
 	state := e.node.InForce()
 	if state == nil {
 		return
@@ -91,21 +92,21 @@
 	others := e.otherEntries()
 	rates := make(map[fleet.Workspace]float64)
 	bursts := make(map[fleet.Workspace]float64)
-	most := make(map[fleet.Workspace]int)
+	maxInFlight := make(map[fleet.Workspace]int)
 	for _, name := range state.Fleet.Workspaces() {
 		limit, _ := state.Fleet.Limits(name)
-		rates[name] = admission.FairShare(limit.RequestsPerSecond, e.limits.demandsOf(now, name, others))
+		rates[name] = admission.FairShare(limit.RequestsPerSecond, e.limits.demandRates(now, name, others))
 		bursts[name] = float64(limit.Burst) * rates[name] / limit.RequestsPerSecond
-		most[name] = inFlightShare(limit, len(others)+1)
+		maxInFlight[name] = inFlightShare(limit, len(others)+1)
 	}
 	e.limits.limiter.SetShares(now, rates)
 	e.limits.limiter.SetBursts(now, bursts)
 	e.limits.mu.Lock()
-	e.limits.most = most
+	e.limits.maxInFlight = maxInFlight
 	e.limits.mu.Unlock()
 }
 
-// inFlightShare is an even part, at least one.
+// inFlightShare returns an equal part of the limit, at least one.
 func inFlightShare(limit fleettext.Limits, entries int) int {
 	if limit.MaxInFlight == 0 {
 		return 0
@@ -113,9 +114,9 @@
 	return max(1, limit.MaxInFlight/entries)
 }
 
-// otherEntries are the entries that callers may use beside this one. A part of
-// the fleet that cannot see the others shares the limit among itself: both
-// parts together may then admit up to the limit each.
+// otherEntries returns the other entries that callers may use. In a network
+// partition each part divides the limit among its own entries, so that each part
+// may admit up to the whole limit.
 func (e *Entry) otherEntries() []gossip.Peer {
 	var others []gossip.Peer
 	for _, p := range e.node.View().Peers {
@@ -126,48 +127,48 @@
 	return others
 }
 
-func (l *limits) demandsOf(now time.Time, name fleet.Workspace, others []gossip.Peer) []float64 {
-	demands := make([]float64, 0, len(others))
+func (l *limits) demandRates(now time.Time, name fleet.Workspace, others []gossip.Peer) []float64 {
+	rates := make([]float64, 0, len(others))
 	for _, p := range others {
 		d := l.demands[p.ID]
-		if d == nil || now.Sub(d.received) > demandFresh {
-			demands = append(demands, math.Inf(1))
+		if d == nil || now.Sub(d.received) > demandMaxAge {
+			rates = append(rates, math.Inf(1))
 			continue
 		}
-		demands = append(demands, d.rates[name])
+		rates = append(rates, d.rates[name])
 	}
-	return demands
+	return rates
 }
 
-// followDemands keeps a stream of demand reports with other entries, those of
-// the own zone and region before those far away.
-func (e *Entry) followDemands() {
+// updateDemandStreams keeps a stream of demand reports from other entries,
+// preferring those in the same zone and region.
+func (e *Entry) updateDemandStreams() {
 	others := e.otherEntries()
-	wanted := make(map[fleet.InstanceID]gossip.Peer, demandPeers)
-	near := admission.Nearest(e.opts.Self.ID, e.opts.Self.Place, placesOf(others), demandPeers)
+	desired := make(map[fleet.InstanceID]gossip.Peer, maxDemandPeers)
+	nearest := admission.Nearest(e.opts.Self.ID, e.opts.Self.Place, admissionPeers(others), maxDemandPeers)
 	for _, p := range others {
-		if slices.Contains(near, p.ID) {
-			wanted[p.ID] = p
+		if slices.Contains(nearest, p.ID) {
+			desired[p.ID] = p
 		}
 	}
 	for id, d := range e.limits.demands {
-		if p, ok := wanted[id]; !ok || p.PeerAddr != d.addr.Addr {
+		if p, ok := desired[id]; !ok || p.PeerAddr != d.contact.Addr {
 			d.cancel()
 			delete(e.limits.demands, id)
 		}
 	}
-	for id, p := range wanted {
+	for id, p := range desired {
 		if e.limits.demands[id] != nil || !p.PeerAddr.IsValid() {
 			continue
 		}
 		ctx, cancel := context.WithCancel(e.ctx)
-		d := &demand{cancel: cancel, addr: gossip.Contact{ID: id, Addr: p.PeerAddr}}
+		d := &demand{cancel: cancel, contact: gossip.Contact{ID: id, Addr: p.PeerAddr}}
 		e.limits.demands[id] = d
-		go e.followDemand(ctx, d)
+		go e.runDemandStream(ctx, d)
 	}
 }
 
-func placesOf(peers []gossip.Peer) []admission.Peer {
+func admissionPeers(peers []gossip.Peer) []admission.Peer {
 	others := make([]admission.Peer, len(peers))
 	for i, p := range peers {
 		others[i] = admission.Peer{ID: p.ID, Place: p.Place}
@@ -175,24 +176,24 @@
 	return others
 }
 
-func (e *Entry) followDemand(ctx context.Context, d *demand) {
+func (e *Entry) runDemandStream(ctx context.Context, d *demand) {
 	for ctx.Err() == nil {
 		err := e.readDemands(ctx, d)
-		e.opts.Logger.Debug("demand_reports_ended", zap.String("entry", string(d.addr.ID)), zap.Error(err))
+		e.opts.Logger.Debug("demand_reports_ended", zap.String("entry", string(d.contact.ID)), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(resubscribeAfter):
+		case <-time.After(resubscribeDelay):
 		}
 	}
 }
 
 func (e *Entry) readDemands(ctx context.Context, d *demand) error {
-	s, err := e.opts.Endpoint.Open(ctx, d.addr.Addr, d.addr.ID, peer.KindReport)
+	s, err := e.opts.Endpoint.Open(ctx, d.contact.Addr, d.contact.ID, peer.KindReport)
 	if err != nil {
 		return err
 	}
 	defer s.Abort()
-	s.SetStall(demandFresh)
+	s.SetStall(demandMaxAge)
 	if err := s.Send(wire.ReportAsk{}); err != nil {
 		return err
 	}
@@ -205,10 +206,10 @@
 	}
 }
 
-// serveDemand tells another entry what the workspaces ask of this one.
+// serveDemand reports the demand of workspaces at this entry to another one.
 func (e *Entry) serveDemand(ctx context.Context, s *peer.Stream) {
-	s.SetStall(demandFresh)
-	ticker := time.NewTicker(demandEvery)
+	s.SetStall(demandMaxAge)
+	ticker := time.NewTicker(demandInterval)
 	defer ticker.Stop()
 	for {
 		if err := s.Send(wire.Demand{Rates: e.limits.limiter.Demand(time.Now())}); err != nil {
@@ -222,12 +223,13 @@
 	}
 }
 
-// limit is Dispatch's first question: may the workspace ask now?
-func (e *Entry) limit(r calls.Request) (leave func(), err error) {
-	leave, err = e.limits.enter(time.Now(), r.Workspace)
+// acquireLimits checks the limits of the workspace before the request is
+// dispatched.
+func (e *Entry) acquireLimits(r calls.Request) (release func(), err error) {
+	release, err = e.limits.acquire(time.Now(), r.Workspace)
 	if err != nil {
 		e.opts.Metrics.Counter("over_limit").Inc(1)
 		return nil, err
 	}
-	return leave, nil
+	return release, nil
 }
--- a/daemon/entry/metrics.go
+++ b/daemon/entry/metrics.go
@@ -10,11 +10,11 @@
 	"chivespindle.example/core/fleet"
 )
 
-// requestMetrics counts requests by service and outcome. The scopes are kept,
-// since making one for each request costs more than counting does.
+// requestMetrics counts requests by service and outcome. Tagged scopes are cached
+// because creating one costs more than counting a request.
 type requestMetrics struct {
 	scope  tally.Scope
-	scopes sync.Map // of requestTags to requestScope
+	scopes sync.Map // requestTags to requestScope
 }
 
 type requestTags struct {
@@ -23,23 +23,23 @@
 }
 
 type requestScope struct {
-	count tally.Counter
-	took  tally.Timer
+	count    tally.Counter
+	duration tally.Timer
 }
 
-// ended counts a request of a known service.
-func (m *requestMetrics) ended(service fleet.ServiceName, outcome failure.Outcome, took time.Duration) {
-	s := m.of(requestTags{service: service, outcome: outcome})
+// record counts a request of a known service.
+func (m *requestMetrics) record(service fleet.ServiceName, outcome failure.Outcome, duration time.Duration) {
+	s := m.scopeFor(requestTags{service: service, outcome: outcome})
 	s.count.Inc(1)
-	s.took.Record(took)
+	s.duration.Record(duration)
 }
 
-func (m *requestMetrics) of(tags requestTags) requestScope {
+func (m *requestMetrics) scopeFor(tags requestTags) requestScope {
 	if known, ok := m.scopes.Load(tags); ok {
 		return known.(requestScope)
 	}
 	scope := m.scope.Tagged(map[string]string{"service": string(tags.service), "outcome": tags.outcome.String()})
-	made := requestScope{count: scope.Counter("entry_requests"), took: scope.Timer("entry_request_time")}
-	known, _ := m.scopes.LoadOrStore(tags, made)
+	created := requestScope{count: scope.Counter("entry_requests"), duration: scope.Timer("entry_request_time")}
+	known, _ := m.scopes.LoadOrStore(tags, created)
 	return known.(requestScope)
 }
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -23,11 +23,11 @@
 	"chivespindle.example/daemon/internal/daemontest"
 )
 
-const orders fleet.ServiceName = "workshop-api"
+const workshopService fleet.ServiceName = "workshop-api"
 
-// fleetText lets an idempotent request be tried five times, so that it is not
-// the number of tries that ends a storm of them.
-const fleetText = `[fleet]
+// fleetConfig allows five attempts of an idempotent request, so that the retry budget
+// and not the number of attempts bounds retries.
+const fleetConfig = `[fleet]
 name = ffsan
 [service workshop-api]
 kind = plain
@@ -39,36 +39,36 @@
 burst = 1
 `
 
-// rig is an entry before fake agents.
+// rig is an entry with fake agents.
 type rig struct {
 	*daemontest.Process
-	role   *entry.Entry
-	agents []*daemontest.Agent
-	asked  atomic.Int64
+	role         *entry.Entry
+	agents       []*daemontest.Agent
+	requestCount atomic.Int64
 }
 
-// newRig starts an entry before agents agent-1, agent-2, ... of the service
-// orders, and waits until it routes to all of them.
+// newRig starts an entry with agents agent-1, agent-2, ... of workshopService and
+// waits until it routes to all of them.
 func newRig(agents int) *rig {
 	GinkgoHelper()
-	r := newUnready(agents)
-	r.TakeText(1, fleetText)
+	r := newRigWithoutConfig(agents)
+	r.TakeText(1, fleetConfig)
 	Eventually(r.eligible).Should(HaveLen(agents))
 	return r
 }
 
-// newUnready starts an entry that has no text in force.
-func newUnready(agents int) *rig {
+// newRigWithoutConfig starts an entry that has no active configuration.
+func newRigWithoutConfig(agents int) *rig {
 	GinkgoHelper()
 	r := &rig{}
 	self := fleet.Instance{ID: "entry-1", Role: fleet.RoleEntry, Place: daemontest.Here}
-	r.Process = daemontest.NewProcess(daemontest.Options{Self: self, Text: daemontest.NewText(1, fleetText)})
+	r.Process = daemontest.NewProcess(daemontest.Options{Self: self, Text: daemontest.NewText(1, fleetConfig)})
 	r.role = entry.New(r.Context(), time.Now(), entry.Options{
 		Self: r.Self, Loop: r.Loop, Endpoint: r.Endpoint, AddressTTL: time.Second, MaxInFlight: 128,
 		Tracer: r.Tracer, Logger: r.Logger, Metrics: r.Metrics,
 	})
 	for n := range agents {
-		r.agents = append(r.agents, daemontest.NewAgent(fleet.InstanceID("agent-"+strconv.Itoa(n+1)), orders))
+		r.agents = append(r.agents, daemontest.NewAgent(fleet.InstanceID("agent-"+strconv.Itoa(n+1)), workshopService))
 		r.List.Add(r.agents[n].Instance)
 	}
 	r.AttachNode(r.role.Changed, nil)
@@ -78,10 +78,10 @@
 	return r
 }
 
-// verdicts is how the entry sees the agents that it routes to.
+// verdicts returns the entry's verdict on each agent that it routes to.
 func (r *rig) verdicts() map[fleet.InstanceID]balance.Verdict {
 	page := httptest.NewRecorder()
-	r.role.ExplainHandler().ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/explain?service="+string(orders), nil))
+	r.role.ExplainHandler().ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/explain?service="+string(workshopService), nil))
 	var explanation status.Explanation
 	if page.Code != http.StatusOK || json.Unmarshal(page.Body.Bytes(), &explanation) != nil {
 		return nil
@@ -93,7 +93,7 @@
 	return found
 }
 
-// eligible lists the agents that may be chosen.
+// eligible returns the agents that may be picked.
 func (r *rig) eligible() []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for id, verdict := range r.verdicts() {
@@ -104,8 +104,8 @@
 	return ids
 }
 
-// script lets the first request, whichever agent it reaches, meet one
-// behaviour and all later ones another.
+// script applies first to the first request, whichever agent receives it, and later
+// to all others.
 func (r *rig) script(first, later func(*daemontest.Exchange)) {
 	var begun atomic.Bool
 	for _, a := range r.agents {
@@ -119,8 +119,8 @@
 	}
 }
 
-// opened sums the requests that reached an agent, passed those that were read
-// whole.
+// opened returns the number of requests that reached an agent, and passed the
+// number of those that were read completely.
 func (r *rig) opened() (sum int) {
 	for _, a := range r.agents {
 		sum += a.Opened()
@@ -135,40 +135,41 @@
 	return sum
 }
 
-// request is an idempotent one, whose caller waits for Patience.
+// request returns an idempotent request with a deadline of daemontest.Patience.
 func (r *rig) request(body string) calls.Request {
 	return calls.Request{
-		ID: "request-" + strconv.FormatInt(r.asked.Add(1), 10), Service: orders, Priority: -1,
+		ID: "request-" + strconv.FormatInt(r.requestCount.Add(1), 10), Service: workshopService, Priority: -1,
 		Deadline: time.Now().Add(daemontest.Patience), Body: []byte(body),
 	}
 }
 
-// order is work that must run at most once; its home is the given agent.
-func (r *rig) order(home *daemontest.Agent, body string) calls.Request {
+// nonIdempotentRequest returns a non-idempotent request whose home is the given
+// agent.
+func (r *rig) nonIdempotentRequest(home *daemontest.Agent, body string) calls.Request {
 	req := r.request(body)
 	req.NonIdempotent = true
-	req.IdempotencyKey = once.Issue("", home.Instance.ID, 1, time.Now(), uint64(r.asked.Add(1))).Text
+	req.IdempotencyKey = once.Issue("", home.Instance.ID, 1, time.Now(), uint64(r.requestCount.Add(1))).Text
 	return req
 }
 
-// send dispatches a request and returns what the caller got.
-func (r *rig) send(req calls.Request) got { return r.sendUntil(context.Background(), req) }
+// send dispatches a request and returns what the caller received.
+func (r *rig) send(req calls.Request) callResult { return r.sendWithContext(context.Background(), req) }
 
-func (r *rig) sendUntil(ctx context.Context, req calls.Request) got {
+func (r *rig) sendWithContext(ctx context.Context, req calls.Request) callResult {
 	caller := &sink{}
 	end, err := r.role.Dispatch(ctx, req, caller)
-	return got{End: end, Err: err, Begins: caller.count(), Body: caller.body()}
+	return callResult{End: end, Err: err, Begins: caller.count(), Body: caller.body()}
 }
 
-// got is what a caller got.
-type got struct {
+// callResult is what a caller received.
+type callResult struct {
 	End    calls.End
 	Err    error
 	Begins int
 	Body   string
 }
 
-// sink is a caller's end of an answer.
+// sink records a response as its caller receives it.
 type sink struct {
 	mu     sync.Mutex
 	begins int
--- a/daemon/entry/servers_test.go
+++ b/daemon/entry/servers_test.go
@@ -14,50 +14,48 @@
 )
 
 var _ = Describe("Servers", func() {
-	// Every server of a service fails every request, and callers go on asking.
-	// Each may be tried five times; together they would make five times the load
-	// on what is about to recover. The budget of retries holds them to a tenth
-	// more than what is asked, beside a fixed number at the start.
-	// Seen with the policy granting retries without the budget: 500 tries of 100
-	// requests.
-	It("that all fail get no storm of retries", func() {
+	// Every server of a service fails every request. With five attempts per
+	// request, retries would multiply the load on servers that are about to
+	// recover. The retry budget limits them to a tenth of the requests, plus a
+	// fixed number at the start. Without the budget, 100 requests caused 500
+	// attempts.
+	It("that all fail do not cause a retry storm", func() {
 		r := newRig(6)
 		for _, a := range r.agents {
-			a.Do(afterPassingOn)
+			a.Do(abortAfterRead)
 		}
-		const requests, burst, perRequest, perSecond = 100, 20, 0.1, 1.0
+		const requests, burst, retriesPerRequest, retriesPerSecond = 100, 20, 0.1, 1.0
 		began := time.Now()
 		for range requests {
-			Expect(r.send(r.request(work)).Err).To(HaveOccurred())
+			Expect(r.send(r.request(requestBody)).Err).To(HaveOccurred())
 		}
-		allowed := requests*(1+perRequest) + burst + perSecond*(1+time.Since(began).Seconds())
+		allowed := requests*(1+retriesPerRequest) + burst + retriesPerSecond*(1+time.Since(began).Seconds())
 		Expect(r.opened()).To(BeNumerically("<=", int(allowed)))
-		Expect(r.opened()).To(BeNumerically(">", requests), "retries were made")
+		Expect(r.opened()).To(BeNumerically(">", requests), "number of attempts")
 	})
 
-	// Callers ask for a service without servers, each refused at once, and then a
-	// server of another service fails a request. Refusals for want of a server
-	// are no tries, so the budget is whole and the request is tried elsewhere.
-	// Seen before the mend, and with it taken out: each refusal took a retry from
-	// the budget, and the request that failed was not tried again.
-	It("that are not there cost others no retries", func() {
+	// Callers request a service without servers and are refused; then a server of
+	// another service fails a request. Refusals for lack of a server are not
+	// attempts, so the retry budget is not used and the request is retried
+	// elsewhere. Before the fix, each refusal took a retry from the budget, and the
+	// failed request was not retried.
+	It("that do not exist use none of the retry budget", func() {
 		r := newRig(3)
 		const refusals = 60
 		for range refusals {
-			req := r.request(work)
+			req := r.request(requestBody)
 			req.Service = "member-portal"
 			Expect(r.send(req).Err).To(beOfType(balance.NoServer))
 		}
-		r.script(afterPassingOn, (*daemontest.Exchange).Echo)
-		Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
+		r.script(abortAfterRead, (*daemontest.Exchange).Echo)
+		Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 	})
 
-	// Callers ask for long answers and wait for a short time. Each answer comes
-	// piece by piece until its caller's deadline cuts it. The server has done
-	// nothing wrong, and goes on getting requests.
-	// Seen before the mend, and with it taken out: the deadlines counted as stalls
-	// of the server, and one of the two was ejected.
-	It("that answer in time, piece by piece, are not ejected by callers' deadlines", func() {
+	// Callers with short deadlines request long responses. Each response arrives
+	// piece by piece until the deadline ends it. The server is healthy and must
+	// keep receiving requests. Before the fix, the deadlines counted as stalls of
+	// the server, and one of the two servers was ejected.
+	It("that respond piece by piece are not ejected by callers' deadlines", func() {
 		r := newRig(2)
 		for _, a := range r.agents {
 			a.Do(func(x *daemontest.Exchange) {
@@ -70,7 +68,7 @@
 		}
 		const requests = 8
 		for range requests {
-			req := r.request(work)
+			req := r.request(requestBody)
 			req.Deadline = time.Now().Add(50 * time.Millisecond)
 			Expect(r.send(req)).To(SatisfyAll(
 				HaveField("Err", beOfType(calls.DeadlinePassed)), HaveField("Body", ContainSubstring("token"))))
@@ -78,12 +76,12 @@
 		Expect(r.eligible()).To(HaveLen(2))
 	})
 
-	// An instance is about to be stopped: its agent reports that it leaves, while
-	// the platform's list still shows it as live and no heartbeat says otherwise.
-	// Once the report is here no new request goes to it; one that asks again with
-	// a key of its still does, since it alone knows what ran.
-	// Seen with Leaving not looked at in the report: it was never taken out.
-	It("that report to leave get no new work, whatever list and gossip say", func() {
+	// An instance is about to stop: its agent reports that it is leaving, while the
+	// platform's list and the heartbeats still show it as live. After the report it
+	// receives no new requests, except retries with keys of which it is the home,
+	// since only it knows what ran. If the entry ignored Leaving in the report, the
+	// server stayed in use.
+	It("that report that they are leaving get no new requests, regardless of list and gossip", func() {
 		r := newRig(2)
 		leaving := r.agents[0]
 		leaving.Report(func(report *wire.Report) { report.Leaving = true })
@@ -91,55 +89,56 @@
 		before := leaving.Opened()
 		const requests = 40
 		for range requests {
-			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
+			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
 		Expect(leaving.Opened()).To(Equal(before))
-		Expect(r.send(r.order(leaving, work)).Err).NotTo(HaveOccurred())
+		Expect(r.send(r.nonIdempotentRequest(leaving, requestBody)).Err).NotTo(HaveOccurred())
 		Expect(leaving.Opened()).To(Equal(before + 1))
 	})
 
-	// The same for an agent whose gate is closed, as while its engine loads.
-	// Seen with Admitting not looked at in the report: it was never taken out.
-	It("whose gate is closed get no new work", func() {
+	// The same for an agent whose gate is closed, for example while its engine
+	// loads. If the entry ignored Admitting in the report, the server stayed in
+	// use.
+	It("whose gate is closed get no new requests", func() {
 		r := newRig(2)
 		closed := r.agents[0]
 		closed.Report(func(report *wire.Report) { report.Admitting = false })
 		Eventually(r.verdicts).Should(HaveKeyWithValue(closed.Instance.ID, balance.Draining))
 		const requests = 40
 		for range requests {
-			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
+			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
 		Expect(closed.Opened()).To(BeZero())
 		closed.Report(func(report *wire.Report) { report.Admitting = true })
 		Eventually(r.eligible).Should(HaveLen(2))
 	})
 
-	// The stream of an agent's reports breaks and does not come back: the agent
-	// hangs, or the link to it does. Nobody knows its load or whether it leaves,
-	// so it is out until it reports again; the others take all requests.
-	// Seen with the loss of reports not noted: it was never taken out.
-	It("whose reports are lost are out until they come again", func() {
+	// The stream of an agent's reports fails and cannot be opened again, because
+	// the agent hangs or the link has failed. Its load is unknown, and so is
+	// whether it is leaving, so it receives no requests until it reports again. If
+	// the loss of the stream was not recorded, the server stayed in use.
+	It("whose reports are lost get no requests until they report again", func() {
 		r := newRig(2)
-		lost := r.agents[0]
-		lost.StopReports()
-		Eventually(r.verdicts).Should(SatisfyAll(HaveLen(1), Not(HaveKey(lost.Instance.ID))))
+		silenced := r.agents[0]
+		silenced.StopReports()
+		Eventually(r.verdicts).Should(SatisfyAll(HaveLen(1), Not(HaveKey(silenced.Instance.ID))))
 		const requests = 20
 		for range requests {
-			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
+			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
-		Expect(lost.Opened()).To(BeZero())
+		Expect(silenced.Opened()).To(BeZero())
 	})
 
-	// An agent is cut off: its datagrams are dropped, and no connection closes.
-	// Its reports stop coming, and the entry takes it out after the time in which
-	// several should have come, long before QUIC finds the connection dead.
-	// Seen without the progress deadline of the stream: still in after 20 s.
-	It("that are cut off are taken out though no connection closes", func() {
+	// All datagrams of an agent are dropped, and no connection closes. The entry
+	// removes the agent after the time in which several reports should have
+	// arrived, long before QUIC detects the dead connection. Without the stall
+	// timeout of the stream, the agent was still in use after 20 s.
+	It("whose datagrams are dropped are removed although no connection closes", func() {
 		r := newRig(2)
-		cut := r.agents[0]
-		cut.Link.Cut(r.Self.PeerAddr)
+		isolated := r.agents[0]
+		isolated.Link.Cut(r.Self.PeerAddr)
 		Eventually(r.eligible).Should(ConsistOf(r.agents[1].Instance.ID))
-		Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
-		Expect(cut.Opened()).To(BeZero())
+		Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
+		Expect(isolated.Opened()).To(BeZero())
 	})
 })
--- a/daemon/entry/steps_test.go
+++ b/daemon/entry/steps_test.go
@@ -10,14 +10,15 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// Steps of an agent's answer, one letter each. The agent closes the stream after them.
+// Steps of an agent's response, one letter each. The agent closes the stream after
+// them.
 const (
-	begin, piece, end, notRun, wrongEnd = "b", "p", "e", "n", "w"
-	steps                               = begin + piece + end + notRun + wrongEnd
+	begin, piece, end, notRunError, wrongEnd = "b", "p", "e", "n", "w"
+	steps                                    = begin + piece + end + notRunError + wrongEnd
 )
 
-// take is an agent that takes the steps of a script.
-func take(script string) func(*daemontest.Exchange) {
+// sendSteps returns an agent's handler that sends the steps of a script.
+func sendSteps(script string) func(*daemontest.Exchange) {
 	return func(x *daemontest.Exchange) {
 		x.Read()
 		for _, step := range strings.Split(script, "") {
@@ -27,7 +28,7 @@
 				part = wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}
 			case piece:
 				part = wire.AnswerPart{Piece: []byte(piece)}
-			case notRun:
+			case notRunError:
 				part.End.Outcome = wire.OutcomeNotRun
 			case wrongEnd:
 				part.End.ID = "request-0"
@@ -37,13 +38,13 @@
 	}
 }
 
-// Guards against an answer that looks complete and is not, and against parts of two
-// answers, whatever the first agent sends until its answer has ended.
-var _ = Describe("An answer is complete only after all of its steps in order", func() {
-	check := func(script string) {
+// Guards against a response that looks complete but is not, and against mixed parts
+// of two responses, whatever the first agent sends before the end of its response.
+var _ = Describe("A response is complete only after all of its steps in order", func() {
+	checkScript := func(script string) {
 		r := newRig(2)
-		r.script(take(script), (*daemontest.Exchange).Echo)
-		got := r.send(r.request(work))
+		r.script(sendSteps(script), (*daemontest.Exchange).Echo)
+		got := r.send(r.request(requestBody))
 		rest, begun := strings.CutPrefix(script, begin)
 		body := strings.Repeat(piece, len(rest)-len(strings.TrimLeft(rest, piece)))
 		switch {
@@ -52,13 +53,13 @@
 		case begun:
 			Expect(got).To(SatisfyAll(HaveField("Err", HaveOccurred()), HaveField("Begins", 1), HaveField("Body", body)))
 		default:
-			Expect(got).To(SatisfyAll(HaveField("Err", Succeed()), HaveField("Begins", 1), HaveField("Body", work)))
+			Expect(got).To(SatisfyAll(HaveField("Err", Succeed()), HaveField("Begins", 1), HaveField("Body", requestBody)))
 		}
 	}
-	It("of none", func() { check("") })
+	It("of none", func() { checkScript("") })
 	for _, before := range []string{"", begin, begin + piece, piece} {
 		for _, step := range strings.Split(steps, "") {
-			It("of "+before+step, func() { check(before + step) })
+			It("of "+before+step, func() { checkScript(before + step) })
 		}
 	}
 })
--- a/daemon/entry/subscription.go
+++ b/daemon/entry/subscription.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// reportStall is how long an agent may send no report; they come each half
-	// second.
-	reportStall = 2 * time.Second
-	// resubscribeAfter is the pause before an agent is asked again.
-	resubscribeAfter = 500 * time.Millisecond
+	// reportStallTimeout is how long an agent may send no report; reports are sent
+	// every half second.
+	reportStallTimeout = 2 * time.Second
+	// resubscribeDelay is the pause before a new stream is opened to the same
+	// process.
+	resubscribeDelay = 500 * time.Millisecond
 )
 
-// subscription is the stream of reports of one agent.
+// subscription is the stream of load reports from one agent.
 type subscription struct {
-	member   gossip.Peer
-	cancel   context.CancelFunc
-	echo     *admission.RemoteClock // of the agent's clock
-	reported bool                   // a report came on the present stream
-	report   wire.Report
-	received time.Time
+	member    gossip.Peer
+	cancel    context.CancelFunc
+	clock     *admission.RemoteClock // of the agent
+	hasReport bool                   // a report was received on the current stream
+	report    wire.Report
+	received  time.Time
 }
 
-// server describes the backend server to the balancer.
+// server returns the balancer's description of the backend server.
 func (s *subscription) server() balance.Server {
 	return balance.Server{
 		ID:       s.member.ID,
@@ -47,29 +48,31 @@
 	}
 }
 
-// subscribe keeps a stream of reports with each agent of this entry's subset.
-func (e *Entry) subscribe(now time.Time) {
-	wanted := e.wanted()
-	for id, s := range e.subs {
-		p, ok := wanted[id]
+// updateSubscriptions keeps a stream of reports from each agent in this entry's
+// subset.
+func (e *Entry) updateSubscriptions(now time.Time) {
+	desired := e.desiredAgents()
+	for id, s := range e.subscriptions {
+		p, ok := desired[id]
 		if !ok || p.PeerAddr != s.member.PeerAddr {
 			s.cancel()
-			delete(e.subs, id)
+			delete(e.subscriptions, id)
 			continue
 		}
 		s.member = p
 	}
-	for id, p := range wanted {
-		if _, ok := e.subs[id]; !ok {
+	for id, p := range desired {
+		if _, ok := e.subscriptions[id]; !ok {
 			e.startSubscription(p)
 		}
 	}
 }
 
-// wanted picks, of each service, the agents whose reports this entry follows.
-func (e *Entry) wanted() map[fleet.InstanceID]gossip.Peer {
+// desiredAgents returns, for each service, the agents whose reports this entry
+// follows.
+func (e *Entry) desiredAgents() map[fleet.InstanceID]gossip.Peer {
 	byService := make(map[fleet.ServiceName][]balance.Server)
-	self, entries := e.assignees()
+	self, entries := e.assignmentEntries()
 	peers := make(map[fleet.InstanceID]gossip.Peer)
 	for _, p := range e.node.View().Peers {
 		if p.Role != fleet.RoleAgent || !p.PeerAddr.IsValid() {
@@ -78,17 +81,17 @@
 		peers[p.ID] = p
 		byService[p.Service] = append(byService[p.Service], balance.Server{ID: p.ID, Place: p.Place, Service: p.Service})
 	}
-	wanted := make(map[fleet.InstanceID]gossip.Peer)
+	desired := make(map[fleet.InstanceID]gossip.Peer)
 	for _, servers := range byService {
 		for _, s := range balance.Assign(self, entries, servers, subsetSize) {
-			wanted[s.ID] = peers[s.ID]
+			desired[s.ID] = peers[s.ID]
 		}
 	}
-	return wanted
+	return desired
 }
 
-// assignees are the entries that share the servers out between them.
-func (e *Entry) assignees() (self balance.Entry, all []balance.Entry) {
+// assignmentEntries returns the entries among which the servers are divided.
+func (e *Entry) assignmentEntries() (self balance.Entry, all []balance.Entry) {
 	self = balance.Entry{ID: e.opts.Self.ID, Place: e.opts.Self.Place}
 	all = append(all, self)
 	for _, p := range e.otherEntries() {
@@ -99,20 +102,21 @@
 
 func (e *Entry) startSubscription(p gossip.Peer) {
 	ctx, cancel := context.WithCancel(e.ctx)
-	s := &subscription{member: p, cancel: cancel, echo: &admission.RemoteClock{}}
-	e.subs[p.ID] = s
-	go e.follow(ctx, s, p)
+	s := &subscription{member: p, cancel: cancel, clock: &admission.RemoteClock{}}
+	e.subscriptions[p.ID] = s
+	go e.runSubscription(ctx, s, p)
 }
 
-// follow reads reports until ctx ends, opening a new stream when one breaks.
-func (e *Entry) follow(ctx context.Context, s *subscription, p gossip.Peer) {
+// runSubscription reads reports until ctx ends and opens a new stream after a
+// failure.
+func (e *Entry) runSubscription(ctx context.Context, s *subscription, p gossip.Peer) {
 	for ctx.Err() == nil {
 		err := e.readReports(ctx, s, p)
-		e.post(func(now time.Time) { e.reportsLost(s) })
+		e.post(func(now time.Time) { e.handleReportsLost(s) })
 		e.opts.Logger.Debug("reports_ended", zap.String("agent", string(p.ID)), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(resubscribeAfter):
+		case <-time.After(resubscribeDelay):
 		}
 	}
 }
@@ -123,7 +127,7 @@
 		return err
 	}
 	defer stream.Abort()
-	stream.SetStall(reportStall)
+	stream.SetStall(reportStallTimeout)
 	if err := stream.Send(wire.ReportAsk{}); err != nil {
 		return err
 	}
@@ -133,17 +137,17 @@
 			return err
 		}
 		received := time.Now()
-		s.echo.Observe(report.Clock, received)
-		e.post(func(now time.Time) { e.reportRead(now, s, report, received) })
+		s.clock.Observe(report.Clock, received)
+		e.post(func(now time.Time) { e.handleReport(now, s, report, received) })
 	}
 }
 
-// reportRead takes a report. A server that stopped or began to take requests
-// is shown at once, since every request sent there meanwhile is refused.
-func (e *Entry) reportRead(now time.Time, s *subscription, report wire.Report, received time.Time) {
-	urgent := !s.reported || s.report.Admitting != report.Admitting || s.report.Leaving != report.Leaving ||
+// handleReport stores a report. A change in whether the server accepts requests is
+// published at once, because all requests sent to it until then would be refused.
+func (e *Entry) handleReport(now time.Time, s *subscription, report wire.Report, received time.Time) {
+	urgent := !s.hasReport || s.report.Admitting != report.Admitting || s.report.Leaving != report.Leaving ||
 		s.report.Serving != report.Serving
-	s.reported = true
+	s.hasReport = true
 	s.report = report
 	s.received = received
 	e.dirty = true
@@ -152,11 +156,11 @@
 	}
 }
 
-// reportsLost takes a server out until it reports again: its agent is gone, or
-// the link to it is.
-func (e *Entry) reportsLost(s *subscription) {
-	if s.reported {
-		s.reported = false
+// handleReportsLost removes a server from the snapshot until it reports again: its
+// agent has ended, or the link to it has failed.
+func (e *Entry) handleReportsLost(s *subscription) {
+	if s.hasReport {
+		s.hasReport = false
 		e.dirty = true
 	}
 }
