--- a/cmd/chivespindled/platform.go
+++ b/cmd/chivespindled/platform.go
@@ -136,7 +136,7 @@
 		off:         off,
 		id:          mesh.IDOf(s.IP),
 		incarnation: uint64(time.Now().UnixMilli())<<8 | uint64(rand.N(256)),
-		loop:        control.New(control.Options{Every: tickOf(role)}),
+		loop:        control.New(control.Options{TickInterval: tickOf(role)}),
 		handler:     &lateHandler{},
 	}
 	b.metrics, b.page, b.closer = telemetry.NewMetrics()
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -50,18 +50,18 @@
 	// Changeover options; used only with a model engine.
 	Changeover serving.ChangeoverOptions
 	// MaxFetches and MaxUploads limit concurrent transfers of chunks.
-	Fetches, UploadSlots int
+	MaxFetches, MaxUploads int
 	// UploadLimiter and DownloadLimiter are set to the share of the link that
 	// weights may use; nil for a plain service.
-	UpLimit, DownLimit RateLimit
-	Link               linkshare.Settings
-	MaxInFlight        int
-	MaxBody            int
-	DrainTimeout       time.Duration
-	Incarnation        uint64
-	Tracer             *telemetry.Tracer
-	Logger             *zap.Logger
-	Metrics            tally.Scope
+	UploadLimiter, DownloadLimiter RateLimiter
+	Link                           linkshare.Settings
+	MaxInFlight                    int
+	MaxBody                        int
+	DrainTimeout                   time.Duration
+	Incarnation                    uint64
+	Tracer                         *telemetry.Tracer
+	Logger                         *zap.Logger
+	Metrics                        tally.Scope
 }
 
 // Agent is the agent role. It is created by New, connected to its node by Attach,
@@ -158,7 +158,7 @@
 
 // HandleChange is called after the active configuration or the view of the fleet
 // has changed.
-func (a *Agent) Changed(now time.Time) {
+func (a *Agent) HandleChange(now time.Time) {
 	state := a.node.InForce()
 	if state == nil {
 		return
--- a/daemon/agent/changeover.go
+++ b/daemon/agent/changeover.go
@@ -166,8 +166,8 @@
 		Policy:       policy,
 		OriginCopies: a.service.OriginCopies,
 		OriginRate:   a.service.OriginRate,
-		MaxFetches:   a.opts.Fetches,
-		MaxUploads:   a.opts.UploadSlots,
+		MaxFetches:   a.opts.MaxFetches,
+		MaxUploads:   a.opts.MaxUploads,
 	}
 }
 
--- a/daemon/agent/linkshare.go
+++ b/daemon/agent/linkshare.go
@@ -8,7 +8,7 @@
 )
 
 // RateLimiter limits the weight traffic in one direction.
-type RateLimit interface {
+type RateLimiter interface {
 	SetLimit(newLimit rate.Limit)
 }
 
@@ -24,16 +24,16 @@
 // updateLinkShares sets the share of the link that weights may use in each
 // direction.
 func (a *Agent) updateLinkShares(now time.Time) {
-	if a.opts.UpLimit == nil || now.Before(a.nextShareUpdate) {
+	if a.opts.UploadLimiter == nil || now.Before(a.nextShareUpdate) {
 		return
 	}
 	a.nextShareUpdate = now.Add(linkShareInterval)
 	running := int(a.inFlight.count())
-	setRateLimit(a.opts.UpLimit, a.uploadShare.Update(now, running, a.traffic.up.Load()))
-	setRateLimit(a.opts.DownLimit, a.downloadShare.Update(now, running, a.traffic.down.Load()))
+	setRateLimit(a.opts.UploadLimiter, a.uploadShare.Update(now, running, a.traffic.up.Load()))
+	setRateLimit(a.opts.DownloadLimiter, a.downloadShare.Update(now, running, a.traffic.down.Load()))
 }
 
-func setRateLimit(limit RateLimit, bytesPerSecond int64) {
+func setRateLimit(limit RateLimiter, bytesPerSecond int64) {
 	if bytesPerSecond == 0 {
 		limit.SetLimit(rate.Inf)
 		return
--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -23,7 +23,7 @@
 // HandleList is called with the platform's instance list after each read. The
 // register follows the list and not the heartbeats: a silent home may have run the
 // request of a key, so it remains the home until the platform removes it.
-func (a *Agent) ListRead(now time.Time, list []fleet.Instance) {
+func (a *Agent) HandleList(now time.Time, list []fleet.Instance) {
 	var members []fleet.InstanceID
 	for _, i := range list {
 		if i.Role == fleet.RoleAgent && i.Service == a.opts.Self.Service && !i.Leaving {
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -92,7 +92,7 @@
 		r.setEngineOptions(&options)
 	}
 	r.role = agent.New(r.Context(), options)
-	r.AttachNode(r.role.Changed, r.role.ListRead)
+	r.AttachNode(r.role.HandleChange, r.role.HandleList)
 	r.role.Attach(r.Node)
 	r.Loop.AddTicker(r.role)
 	r.Run(r.role)
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -45,15 +45,15 @@
 // Options are the parameters of New. Zero values select a tick of 50 ms and the
 // system clock.
 type Options struct {
-	Every time.Duration
-	Clock func() time.Time
+	TickInterval time.Duration
+	Clock        func() time.Time
 }
 
 // New returns a loop that is started by Run.
 func New(opts Options) *Loop {
 	const defaultTickInterval = 50 * time.Millisecond
-	if opts.Every == 0 {
-		opts.Every = defaultTickInterval
+	if opts.TickInterval == 0 {
+		opts.TickInterval = defaultTickInterval
 	}
 	if opts.Clock == nil {
 		opts.Clock = time.Now
@@ -61,7 +61,7 @@
 	return &Loop{
 		events:       make(chan Event, queueLength),
 		done:         make(chan struct{}),
-		tickInterval: opts.Every,
+		tickInterval: opts.TickInterval,
 		clock:        opts.Clock,
 	}
 }
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -97,7 +97,7 @@
 	It("passes the time of its clock", func() {
 		noon := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 		ticked := make(chan time.Time, 1)
-		r := startLoop(control.Options{Every: time.Millisecond, Clock: func() time.Time { return noon }}, tickRecorder(ticked))
+		r := startLoop(control.Options{TickInterval: time.Millisecond, Clock: func() time.Time { return noon }}, tickRecorder(ticked))
 		Eventually(ticked).Should(Receive(Equal(noon)))
 		var at time.Time
 		Expect(r.Do(background, func(now time.Time) { at = now })).To(Succeed())
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -126,7 +126,7 @@
 
 // HandleChange is called after the active configuration or the view of the fleet
 // has changed.
-func (e *Entry) Changed(now time.Time) {
+func (e *Entry) HandleChange(now time.Time) {
 	e.updateSubscriptions(now)
 	e.rebuild(now)
 	e.updateShares(now)
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -71,7 +71,7 @@
 		r.agents = append(r.agents, daemontest.NewAgent(fleet.InstanceID("agent-"+strconv.Itoa(n+1)), workshopService))
 		r.List.Add(r.agents[n].Instance)
 	}
-	r.AttachNode(r.role.Changed, nil)
+	r.AttachNode(r.role.HandleChange, nil)
 	r.role.Attach(r.Node)
 	r.Loop.AddTicker(r.role)
 	r.Run(r.role)
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -273,7 +273,7 @@
 	id := fleet.InstanceID(addr.String())
 	store, err := keys.Ephemeral(keys.Identity{ID: id, Role: fleet.RoleEntry})
 	Expect(err).NotTo(HaveOccurred())
-	m := &member{loop: control.New(control.Options{Every: 20 * time.Millisecond})}
+	m := &member{loop: control.New(control.Options{TickInterval: 20 * time.Millisecond})}
 	handler := &handlerOf{}
 	endpoint, err := peer.New(peer.Options{Listen: netip.AddrPortFrom(addr, f.port), Keys: store, Handler: handler})
 	Expect(err).NotTo(HaveOccurred())
--- a/daemon/internal/daemontest/process.go
+++ b/daemon/internal/daemontest/process.go
@@ -97,11 +97,11 @@
 func loopOptions(speed int) control.Options {
 	const every = 5 * time.Millisecond
 	if speed == 0 {
-		return control.Options{Every: every}
+		return control.Options{TickInterval: every}
 	}
 	start := time.Now()
 	clock := func() time.Time { return start.Add(time.Duration(speed) * time.Since(start)) }
-	return control.Options{Every: every, Clock: clock}
+	return control.Options{TickInterval: every, Clock: clock}
 }
 
 // Context ends with the process.
--- a/daemon/mesh/mesh_test.go
+++ b/daemon/mesh/mesh_test.go
@@ -57,7 +57,7 @@
 func startIn(place fleet.Place, port uint16, role fleet.Role, address string, seeds ...string) *node {
 	addr := netip.MustParseAddr(address)
 	n := &node{
-		id: mesh.IDOf(addr), place: place, loop: control.New(control.Options{Every: 10 * time.Millisecond}),
+		id: mesh.IDOf(addr), place: place, loop: control.New(control.Options{TickInterval: 10 * time.Millisecond}),
 		heard: map[fleet.InstanceID]wire.Beat{}, beats: map[fleet.InstanceID]int{}, lost: map[fleet.InstanceID]int{},
 	}
 	store, err := keys.Ephemeral(keys.Identity{ID: n.id, Role: role})
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -68,8 +68,8 @@
 	roleOptions := agent.Options{
 		Self:         p.Self(),
 		Loop:         p.loop,
-		Fetches:      s.Agent.Fetches,
-		UploadSlots:  s.Agent.UploadSlots,
+		MaxFetches:   s.Agent.Fetches,
+		MaxUploads:   s.Agent.UploadSlots,
 		Link:         linkshare.Settings{LinkBytesPerSecond: s.Link.BytesPerSecond, BusyShare: s.Link.WeightsShare},
 		MaxInFlight:  s.Limits.MaxInFlight,
 		MaxBody:      maxAgentBody,
@@ -83,7 +83,7 @@
 		return err
 	}
 	p.role = agent.New(p.ctx, roleOptions)
-	if err := p.attachNode(p.role.Changed, p.role.ListRead); err != nil {
+	if err := p.attachNode(p.role.HandleChange, p.role.HandleList); err != nil {
 		return err
 	}
 	p.role.Attach(p.node)
@@ -128,7 +128,7 @@
 // connectWeights makes the sources of weights and the limits of the link.
 func (p *Agent) connectWeights(o *agent.Options, client *engine.Client, opts Options) error {
 	up, down := newShareLimit(nil), newShareLimit(opts.Down)
-	o.UpLimit, o.DownLimit = up, down
+	o.UploadLimiter, o.DownloadLimiter = up, down
 	origin, err := p.source(p.settings.Platform.OriginURL, down)
 	if err != nil {
 		return err
--- a/daemon/process/entry.go
+++ b/daemon/process/entry.go
@@ -51,7 +51,7 @@
 		Logger:      p.logger,
 		Metrics:     p.metrics,
 	})
-	if err := p.attachNode(p.role.Changed, nil); err != nil {
+	if err := p.attachNode(p.role.HandleChange, nil); err != nil {
 		return err
 	}
 	p.role.Attach(p.node)
