--- a/daemon/internal/chance/chance.go
+++ b/daemon/internal/chance/chance.go
@@ -1,10 +1,11 @@
-// Package chance is the source of chance that goroutines share. Decisions in
-// core take theirs from outside, so that tests can repeat them.
+// Package chance provides a random source that is shared between goroutines.
+// Decisions in core take their random source as a parameter, so that tests can
+// repeat them.
 package chance
 
 import "math/rand/v2"
 
-// Shared draws from the generator of the process. It is safe for concurrent
+// Shared uses the random generator of the process. It is safe for concurrent
 // use.
 type Shared struct{}
 
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -20,24 +20,25 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// reportEvery is the time between two reports of a fake agent.
-const reportEvery = 20 * time.Millisecond
+// reportInterval is the interval between two load reports of a fake agent.
+const reportInterval = 20 * time.Millisecond
 
-// Agent is an agent as an entry meets it on the wire. It reports that it
-// takes requests and answers each with its own body, until told otherwise.
+// Agent is a fake agent that an entry connects to over the network. It reports
+// that it accepts requests and echoes the body of each until told otherwise by
+// the test.
 type Agent struct {
 	Instance fleet.Instance
 	Endpoint *peer.Endpoint
 	Link     *Link
 
-	mu      sync.Mutex
-	report  wire.Report
-	mute    bool
-	script  func(*Exchange)
-	opened  int
-	passed  []wire.Request
-	started time.Time
-	stop    func()
+	mu       sync.Mutex
+	report   wire.Report
+	silent   bool
+	script   func(*Exchange)
+	opened   int
+	received []wire.Request
+	started  time.Time
+	stop     func()
 }
 
 // NewAgent starts a fake agent of a service.
@@ -54,43 +55,43 @@
 	return a
 }
 
-// Kill ends the agent; its peers are told that its connections are closed.
+// Kill stops the agent; its peers are notified that its connections are closed.
 func (a *Agent) Kill() { a.stop() }
 
-// Report changes what the agent reports from now on.
+// Report changes the content of the agent's reports from now on.
 func (a *Agent) Report(edit func(*wire.Report)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	edit(&a.report)
 }
 
-// StopReports ends the streams of reports and opens none.
+// StopReports ends the open report streams and refuses new ones.
 func (a *Agent) StopReports() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.mute = true
+	a.silent = true
 }
 
-// Do replaces what the agent does with later requests.
+// Do replaces the script for later requests.
 func (a *Agent) Do(script func(*Exchange)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = script
 }
 
-// Opened returns how many streams of requests reached the agent.
+// Opened returns the number of request streams that reached the agent.
 func (a *Agent) Opened() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.opened
 }
 
-// Passed returns the requests that were read whole, so that a real agent
-// would pass them on.
+// Passed returns the requests that were read completely, so that a real agent
+// would forward them.
 func (a *Agent) Passed() []wire.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.passed)
+	return slices.Clone(a.received)
 }
 
 func (a *Agent) serve(ctx context.Context, _ keys.Identity, kind peer.Kind, s *peer.Stream) {
@@ -109,14 +110,14 @@
 }
 
 func (a *Agent) serveReports(ctx context.Context, s *peer.Stream) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		a.mu.Lock()
-		report, mute := a.report, a.mute
+		report, silent := a.report, a.silent
 		a.mu.Unlock()
 		report.Clock = admission.ClockReading{Incarnation: 1, Elapsed: time.Since(a.started)}
-		if mute || s.Send(report) != nil {
+		if silent || s.Send(report) != nil {
 			s.Abort()
 			return
 		}
@@ -128,8 +129,8 @@
 	}
 }
 
-// Exchange is one request at a fake agent. Its script does one step after the
-// other; the stream is closed when the script returns.
+// Exchange is one request at a fake agent. A script calls its methods one after
+// the other; the stream is closed when the script returns.
 type Exchange struct {
 	Ctx     context.Context
 	Stream  *peer.Stream
@@ -141,7 +142,7 @@
 // ReadHead reads the request without its body.
 func (x *Exchange) ReadHead() { _ = x.Stream.Recv(&x.Request) }
 
-// Read reads the whole request.
+// Read reads the request and its body.
 func (x *Exchange) Read() {
 	x.ReadHead()
 	for len(x.Body) < x.Request.BodyBytes {
@@ -153,18 +154,19 @@
 	}
 	x.agent.mu.Lock()
 	defer x.agent.mu.Unlock()
-	x.agent.passed = append(x.agent.passed, x.Request)
+	x.agent.received = append(x.agent.received, x.Request)
 }
 
-// Begin opens the answer.
+// Begin sends the start of the response.
 func (x *Exchange) Begin(version fleet.Version) {
 	_ = x.Stream.Send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: http.StatusOK, Version: version}})
 }
 
-// Piece sends a part of the answer.
+// Piece sends a part of the response body.
 func (x *Exchange) Piece(data string) { _ = x.Stream.Send(wire.AnswerPart{Piece: []byte(data)}) }
 
-// End ends the answer. An end without an id gets the request's.
+// End sends the end of the response. If end has no ID, it gets that of the
+// request.
 func (x *Exchange) End(end wire.AnswerEnd) {
 	if end.ID == "" {
 		end.ID = x.Request.ID
@@ -173,7 +175,7 @@
 	_ = x.Stream.CloseSend()
 }
 
-// Echo answers a request with its body.
+// Echo reads a request and responds with its body.
 func (x *Exchange) Echo() {
 	x.Read()
 	x.Begin(fleet.Version{})
@@ -181,14 +183,14 @@
 	x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan, Status: http.StatusOK})
 }
 
-// Entry is an entry as an agent meets it on the wire.
+// Entry is a fake entry that connects to an agent over the network.
 type Entry struct {
 	Endpoint *peer.Endpoint
 	agent    netip.AddrPort
 	id       fleet.InstanceID
 }
 
-// NewEntry starts a fake entry that asks one agent.
+// NewEntry starts a fake entry that sends requests to one agent.
 func NewEntry(id fleet.InstanceID, agent fleet.Instance) *Entry {
 	ginkgo.GinkgoHelper()
 	return &Entry{Endpoint: Endpoint(fleet.RoleEntry, id, nil), agent: agent.PeerAddr, id: agent.ID}
@@ -204,7 +206,7 @@
 	return s
 }
 
-// Report returns the agent's first report.
+// Report returns the agent's first load report.
 func (e *Entry) Report() wire.Report {
 	ginkgo.GinkgoHelper()
 	s := e.Open(peer.KindReport)
@@ -215,8 +217,8 @@
 	return report
 }
 
-// Send sends a request and leaves its answer to the caller. Without a
-// deadline the caller waits for Patience, by the agent's clock.
+// Send sends a request without reading its response. Without a deadline, one is
+// set that is Patience from now on the agent's clock.
 func (e *Entry) Send(req wire.Request, body string) *peer.Stream {
 	ginkgo.GinkgoHelper()
 	if req.Deadline.Sent.IsZero() {
@@ -231,36 +233,36 @@
 	return s
 }
 
-// Answer is all that came of an agent's answer.
+// Answer is the part of a response that was received.
 type Answer struct {
 	Begin *wire.AnswerBegin
 	Body  string
 	End   *wire.AnswerEnd // nil: the stream ended without one
 }
 
-// Ask sends a request and reads its answer.
+// Ask sends a request and reads its response.
 func (e *Entry) Ask(req wire.Request, body string) Answer {
 	ginkgo.GinkgoHelper()
 	return ReadAnswer(e.Send(req, body))
 }
 
-// ReadAnswer reads an answer to its end.
+// ReadAnswer reads a response until its end or until the stream fails.
 func ReadAnswer(s *peer.Stream) Answer {
 	defer s.Abort()
-	var answer Answer
+	var response Answer
 	for {
 		var part wire.AnswerPart
 		if err := s.Recv(&part); err != nil {
-			return answer
+			return response
 		}
 		switch {
 		case part.Begin != nil:
-			answer.Begin = part.Begin
+			response.Begin = part.Begin
 		case part.End != nil:
-			answer.End = part.End
-			return answer
+			response.End = part.End
+			return response
 		default:
-			answer.Body += string(part.Piece)
+			response.Body += string(part.Piece)
 		}
 	}
 }
--- a/daemon/internal/daemontest/backend.go
+++ b/daemon/internal/daemontest/backend.go
@@ -10,69 +10,69 @@
 	"chivespindle.example/core/serving"
 )
 
-// Answering is what a backend server makes of one call.
+// Answering handles one call to a backend server.
 type Answering func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error)
 
-// Backend is a backend server. It gives each call its own body back until
-// told otherwise, and is the status of a plain service too.
+// Backend is a fake backend server. It echoes the body of each call until Answer
+// replaces its handler, and also reports the status of a plain service.
 type Backend struct {
-	mu        sync.Mutex
-	calls     []serving.Call
-	answering Answering
-	load      serving.Load
-	down      bool
+	mu      sync.Mutex
+	calls   []serving.Call
+	handler Answering
+	load    serving.Load
+	down    bool
 }
 
 var _ serving.Backend = (*Backend)(nil)
 
-// NewBackend returns a backend server that works.
+// NewBackend returns a backend server that echoes every call.
 func NewBackend() *Backend {
-	return &Backend{answering: Echo, load: serving.Load{Slots: 64}}
+	return &Backend{handler: Echo, load: serving.Load{Slots: 64}}
 }
 
-// Echo answers with the body of the call.
+// Echo responds with the body of the call.
 func Echo(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 	if err := emit(serving.Piece{Status: http.StatusOK, Data: call.Body}); err != nil {
-		return serving.Answer{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "the receiver failed"), failure.Unknown)
+		return serving.Answer{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "send response to the caller"), failure.Unknown)
 	}
 	return serving.Answer{ID: call.ID, Status: http.StatusOK}, nil
 }
 
-// Held answers as then says once release is closed, and fails with an unknown
-// outcome when the call is given up before.
-func Held(release <-chan struct{}, then Answering) Answering {
+// Held calls next once release is closed, and fails with an unknown outcome if
+// the call is cancelled before.
+func Held(release <-chan struct{}, next Answering) Answering {
 	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 		select {
 		case <-release:
-			return then(ctx, call, emit)
+			return next(ctx, call, emit)
 		case <-ctx.Done():
-			return serving.Answer{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "given up"), failure.Unknown)
+			return serving.Answer{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "call cancelled before release"), failure.Unknown)
 		}
 	}
 }
 
-// Answer replaces what the server does with later calls.
+// Answer replaces the handler for later calls.
 func (b *Backend) Answer(f Answering) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.answering = f
+	b.handler = f
 }
 
-// SetDown makes the status fail, or ends that.
+// SetDown sets whether Status fails.
 func (b *Backend) SetDown(down bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.down = down
 }
 
-// SetLoad changes the load that the status tells.
+// SetLoad sets the load that Status reports.
 func (b *Backend) SetLoad(load serving.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.load = load
 }
 
-// Calls returns what reached the server, in order.
+// Calls returns the calls that reached the server, in order.
 func (b *Backend) Calls() []serving.Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,12 +83,12 @@
 func (b *Backend) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 	b.mu.Lock()
 	b.calls = append(b.calls, call)
-	answering := b.answering
+	handler := b.handler
 	b.mu.Unlock()
-	return answering(ctx, call, emit)
+	return handler(ctx, call, emit)
 }
 
-// Status tells the load of a plain service.
+// Status reports the load of a plain service.
 func (b *Backend) Status(context.Context) (serving.Load, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +98,8 @@
 	return b.load, nil
 }
 
-// Engine is a model engine that has loaded a version and does as it is told.
+// Engine is a fake model engine that has loaded a version and executes every
+// order.
 type Engine struct {
 	mu     sync.Mutex
 	status serving.EngineStatus
@@ -113,21 +114,21 @@
 	return &Engine{status: serving.EngineStatus{Boot: "boot-1", Load: serving.Load{Slots: 64}}}
 }
 
-// Set changes what the engine reports.
+// Set changes the status that the engine reports.
 func (e *Engine) Set(edit func(*serving.EngineStatus)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	edit(&e.status)
 }
 
-// FailOrders makes orders fail with err, nil for no more.
+// FailOrders makes orders fail with err; nil ends this.
 func (e *Engine) FailOrders(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.err = err
 }
 
-// Orders returns the orders so far.
+// Orders returns the orders received so far.
 func (e *Engine) Orders() []serving.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/internal/daemontest/daemontest.go
+++ b/daemon/internal/daemontest/daemontest.go
@@ -1,8 +1,8 @@
-// Package daemontest holds what the failure tests of the daemons share: a
-// process put together in the test's own process, with real QUIC over
-// loopback, and fakes of everything else: the platform's text and list, a
-// backend server, an engine, a stage, sources of weights, an agent and an
-// entry whose every step the test decides.
+// Package daemontest provides the fixtures of the daemons' failure tests: a
+// daemon that runs inside the test process, with real QUIC over the loopback
+// interface, and fakes of everything else: the platform's configuration service
+// and instance list, a backend server, an engine, a stage, weight sources, and
+// an agent and an entry whose every step is controlled by the test.
 //
 // Everything that is started here ends with the spec that started it.
 package daemontest
@@ -25,22 +25,23 @@
 	"chivespindle.example/standin/pki"
 )
 
-// Patience bounds the wait for something that must happen; nothing in a test
-// passes because of it.
+// Patience is the maximum wait for a condition that must become true; no test
+// passes because it expires.
 const Patience = 20 * time.Second
 
-// Here and There are the places of the tests.
+// Here and There are two places in different availability zones of one region.
 var (
 	Here  = fleet.Place{Zone: "apapa-hall", Region: "lagos"}
 	There = fleet.Place{Zone: "ikeja-hall", Region: "lagos"}
 )
 
-// Loopback is a UDP or TCP address of which the system chooses the port.
+// Loopback is a UDP or TCP address whose port is chosen by the system.
 var Loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
 var authority = sync.OnceValues(pki.NewAuthority)
 
-// Keys issues a certificate by the authority that all of a test share.
+// Keys issues a certificate signed by the certificate authority that all specs
+// share.
 func Keys(role fleet.Role, id fleet.InstanceID) *keys.Store {
 	ginkgo.GinkgoHelper()
 	signer, err := authority()
@@ -52,7 +53,8 @@
 	return store
 }
 
-// Logger writes to the spec's own output, which is shown if it fails.
+// Logger returns a logger that writes to the spec's output, which is shown if
+// the spec fails.
 func Logger(name string) *zap.Logger {
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	return zap.New(zapcore.NewCore(encoder, zapcore.AddSync(ginkgo.GinkgoWriter), zap.DebugLevel)).Named(name)
@@ -66,7 +68,7 @@
 	h(ctx, from, kind, s)
 }
 
-// Endpoint runs an endpoint on a port of its own. handler may be nil for one
+// Endpoint runs an endpoint on its own port. handler may be nil for an endpoint
 // that only dials.
 func Endpoint(role fleet.Role, id fleet.InstanceID, handler peer.Handler) *peer.Endpoint {
 	ginkgo.GinkgoHelper()
@@ -87,7 +89,7 @@
 }
 
 // RunUntilEnd runs f on a goroutine until the spec ends or stop is called, and
-// then waits for its end.
+// then waits for f to return.
 func RunUntilEnd(f func(ctx context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -103,33 +105,33 @@
 	return stop
 }
 
-// Link is a machine's link under its QUIC endpoint. It can be cut towards
-// others: nothing is delivered to them then and nothing tells so, as when a
-// link between racks fails.
+// Link is the network link below a process's QUIC endpoint. It can be cut
+// towards other addresses: datagrams to them are then dropped without an error,
+// as when a link between racks fails.
 type Link struct {
-	mu  sync.Mutex
-	cut map[netip.AddrPort]bool
+	mu      sync.Mutex
+	blocked map[netip.AddrPort]bool
 }
 
-// NewLink returns a whole link.
-func NewLink() *Link { return &Link{cut: make(map[netip.AddrPort]bool)} }
+// NewLink returns a link that drops nothing.
+func NewLink() *Link { return &Link{blocked: make(map[netip.AddrPort]bool)} }
 
-// Cut drops what goes to the addresses from now on. A partition needs a cut on
-// both sides.
+// Cut drops datagrams to the given addresses from now on. A partition needs a
+// cut on both sides.
 func (l *Link) Cut(to ...netip.AddrPort) { l.set(true, to) }
 
-// Join ends Cut.
+// Join ends a Cut.
 func (l *Link) Join(to ...netip.AddrPort) { l.set(false, to) }
 
-func (l *Link) set(cut bool, to []netip.AddrPort) {
+func (l *Link) set(blocked bool, to []netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, addr := range to {
-		l.cut[addr] = cut
+		l.blocked[addr] = blocked
 	}
 }
 
-func (l *Link) isCut(to net.Addr) bool {
+func (l *Link) isBlocked(to net.Addr) bool {
 	udp, ok := to.(*net.UDPAddr)
 	if !ok {
 		return false
@@ -137,23 +139,23 @@
 	addr := udp.AddrPort()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+	return l.blocked[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 }
 
 func (l *Link) socket(bound *net.UDPConn) net.PacketConn {
-	return &cutSocket{PacketConn: bound, link: l}
+	return &linkSocket{PacketConn: bound, link: l}
 }
 
-// cutSocket hides all of the socket but net.PacketConn, so that quic-go sends
-// each datagram by WriteTo.
-type cutSocket struct {
+// linkSocket exposes only the methods of net.PacketConn, so that quic-go sends
+// each datagram with WriteTo.
+type linkSocket struct {
 	net.PacketConn
 	link *Link
 }
 
 // WriteTo implements net.PacketConn.
-func (s *cutSocket) WriteTo(p []byte, to net.Addr) (int, error) {
-	if s.link.isCut(to) {
+func (s *linkSocket) WriteTo(p []byte, to net.Addr) (int, error) {
+	if s.link.isBlocked(to) {
 		return len(p), nil
 	}
 	return s.PacketConn.WriteTo(p, to)
--- a/daemon/internal/daemontest/platform.go
+++ b/daemon/internal/daemontest/platform.go
@@ -15,39 +15,39 @@
 	"chivespindle.example/core/revision"
 )
 
-// Text is the platform's configuration service. It can be down, stale, or
-// leave watches without an answer.
+// Text is a fake of the platform's configuration service. It can be down, hold
+// an old revision, or leave watches without a response.
 type Text struct {
-	mu         sync.Mutex
-	doc        revision.Document
-	changed    chan struct{} // closed at the next change
-	down       bool
-	muteWatch  bool
-	reads      int
-	watchCalls int
+	mu           sync.Mutex
+	doc          revision.Document
+	changed      chan struct{} // closed at the next change
+	down         bool
+	blockWatches bool
+	reads        int
+	watchCalls   int
 }
 
 var _ revision.Source = (*Text)(nil)
 
-// NewText returns a service that holds a text.
+// NewText returns a service that holds a configuration.
 func NewText(number revision.Revision, text string) *Text {
 	t := &Text{changed: make(chan struct{})}
 	t.Set(number, text)
 	return t
 }
 
-// Set replaces what the service holds, by a lower revision too.
+// Set replaces the configuration, also by one with a lower revision.
 func (t *Text) Set(number revision.Revision, text string) {
-	t.change(func() { t.doc = revision.Document{Revision: number, Text: []byte(text)} })
+	t.update(func() { t.doc = revision.Document{Revision: number, Text: []byte(text)} })
 }
 
-// SetDown makes calls fail, those that wait included, or ends that.
-func (t *Text) SetDown(down bool) { t.change(func() { t.down = down }) }
+// SetDown sets whether calls fail, including those that are waiting.
+func (t *Text) SetDown(down bool) { t.update(func() { t.down = down }) }
 
-// MuteWatch makes watches wait for ever, whatever changes.
-func (t *Text) MuteWatch() { t.change(func() { t.muteWatch = true }) }
+// MuteWatch makes all watches block until they are cancelled.
+func (t *Text) MuteWatch() { t.update(func() { t.blockWatches = true }) }
 
-func (t *Text) change(edit func()) {
+func (t *Text) update(edit func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	edit()
@@ -55,7 +55,7 @@
 	t.changed = make(chan struct{})
 }
 
-// Watches returns how many watches were made.
+// Watches returns the number of calls of Watch.
 func (t *Text) Watches() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,12 +67,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
-	return t.answer()
+	return t.response()
 }
 
-func (t *Text) answer() (revision.Document, error) {
+func (t *Text) response() (revision.Document, error) {
 	if t.down {
-		return revision.Document{}, failure.Unavailable.New("the configuration service is down")
+		return revision.Document{}, failure.Unavailable.New("configuration service is down")
 	}
 	return t.doc, nil
 }
@@ -81,7 +81,7 @@
 func (t *Text) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
 	t.mu.Lock()
 	t.watchCalls++
-	for t.muteWatch || !t.down && t.doc.Revision == after {
+	for t.blockWatches || !t.down && t.doc.Revision == after {
 		changed := t.changed
 		t.mu.Unlock()
 		select {
@@ -92,10 +92,11 @@
 		t.mu.Lock()
 	}
 	defer t.mu.Unlock()
-	return t.answer()
+	return t.response()
 }
 
-// DigestOf returns the digest of a text as processes tell it each other.
+// DigestOf returns the digest of a configuration, as processes report it to each
+// other.
 func DigestOf(text string) fleet.Digest {
 	ginkgo.GinkgoHelper()
 	parsed, err := fleettext.Load(revision.FileName, []byte(text))
@@ -103,7 +104,7 @@
 	return parsed.Digest()
 }
 
-// List is the platform's instance list.
+// List is a fake of the platform's instance list.
 type List struct {
 	mu        sync.Mutex
 	instances []fleet.Instance
@@ -111,7 +112,7 @@
 
 var _ gossip.InstanceList = (*List)(nil)
 
-// NewList returns a list of instances.
+// NewList returns a list with the given instances.
 func NewList(instances ...fleet.Instance) *List { return &List{instances: instances} }
 
 // Set replaces the list.
@@ -121,7 +122,7 @@
 	l.instances = instances
 }
 
-// Add adds to the list.
+// Add adds instances to the list.
 func (l *List) Add(instances ...fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/internal/daemontest/process.go
+++ b/daemon/internal/daemontest/process.go
@@ -21,26 +21,28 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// listEvery is the mean pause between reads of the instance list.
-const listEvery = 100 * time.Millisecond
+// listInterval is the mean interval between reads of the instance list.
+const listInterval = 100 * time.Millisecond
 
-// Options of a Process. Only Self is needed.
+// Options configures a Process. Only Self is required.
 type Options struct {
-	// Self is the instance; PeerAddr is filled in.
+	// Self is the instance; PeerAddr is set by NewProcess.
 	Self fleet.Instance
-	// Incarnation is the start of the process in Unix milliseconds.
+	// Incarnation is the start time of the process in Unix milliseconds; 0 means
+	// now.
 	Incarnation uint64
-	Text        *Text // nil: a service that is down
-	List        *List // nil: an empty one
-	// Speed is how many times faster than the real one the clock of the
-	// control loop goes; 0: it is the real one. Heartbeats, silence and the
-	// waits before a text is taken follow it, traffic does not.
+	Text        *Text // nil: a configuration service that is down
+	List        *List // nil: an empty instance list
+	// Speed is the speed of the control loop's clock relative to real time; 0
+	// means the real clock. It applies to heartbeats, silence timeouts and the
+	// delays before a configuration is activated, but not to traffic.
 	Speed int
-	// Link carries the process's datagrams; nil: a whole one.
+	// Link carries the process's datagrams; nil means a link that drops nothing.
 	Link *Link
 }
 
-// Process is a daemon in the test's own process, without its role at first.
+// Process is a daemon that runs inside the test process, initially without a
+// role.
 type Process struct {
 	Self        fleet.Instance
 	Incarnation uint64
@@ -52,7 +54,7 @@
 	Tracer      *telemetry.Tracer
 	Logger      *zap.Logger
 	Metrics     tally.TestScope
-	// Duplicates gets the record of each process that uses this one's id.
+	// Duplicates receives the record of a process that uses the same ID.
 	Duplicates chan gossip.Record
 
 	ctx     context.Context
@@ -60,7 +62,7 @@
 	handler peer.Handler
 }
 
-// NewProcess binds the endpoint of a process, which runs after Run. Its
+// NewProcess binds the endpoint of a process; Run starts it. The process's
 // context ends with the spec.
 func NewProcess(o Options) *Process {
 	ginkgo.GinkgoHelper()
@@ -92,8 +94,9 @@
 	return p
 }
 
-// loopOptions make a clock that is speed times as fast. It never stands still
-// for longer than a tick, so nothing takes it for a pause.
+// loopOptions returns the options of a control loop whose clock runs at the
+// given speed. The clock advances continuously, so the loop does not detect a
+// pause of the process.
 func loopOptions(speed int) control.Options {
 	const every = 5 * time.Millisecond
 	if speed == 0 {
@@ -104,14 +107,14 @@
 	return control.Options{Every: every, Clock: clock}
 }
 
-// Context ends with the process.
+// Context returns a context that ends with the process.
 func (p *Process) Context() context.Context { return p.ctx }
 
 func (p *Process) serve(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
 	p.handler.ServeStream(ctx, from, kind, s)
 }
 
-// AttachNode makes the node. Both callbacks may be nil.
+// AttachNode creates the process's node. Both callbacks may be nil.
 func (p *Process) AttachNode(changed func(time.Time), listed func(time.Time, []fleet.Instance)) {
 	if changed == nil {
 		changed = func(time.Time) {}
@@ -122,7 +125,7 @@
 		Endpoint:  p.Endpoint,
 		Config:    p.Text,
 		List:      p.List,
-		ListEvery: listEvery,
+		ListEvery: listInterval,
 		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Logger:    p.Logger,
 		Metrics:   p.Metrics,
@@ -138,21 +141,21 @@
 	p.Loop.AddTicker(p.Node)
 }
 
-// Run runs the process, with its node if it has one. Streams of peers go to
-// handler.
+// Run starts the process, including its node if it has one. handler serves the
+// streams opened by peers.
 func (p *Process) Run(handler peer.Handler) {
 	p.handler = handler
-	RunUntilEnd(p.within(p.Endpoint.Run))
-	RunUntilEnd(p.within(p.Loop.Run))
+	RunUntilEnd(p.untilStopped(p.Endpoint.Run))
+	RunUntilEnd(p.untilStopped(p.Loop.Run))
 	if p.Node == nil {
 		return
 	}
-	RunUntilEnd(p.within(p.Node.FollowText))
-	RunUntilEnd(p.within(p.Node.FollowList))
+	RunUntilEnd(p.untilStopped(p.Node.FollowText))
+	RunUntilEnd(p.untilStopped(p.Node.FollowList))
 }
 
-// within ends f with the process too.
-func (p *Process) within(f func(context.Context) error) func(context.Context) error {
+// untilStopped returns f with a context that also ends with the process.
+func (p *Process) untilStopped(f func(context.Context) error) func(context.Context) error {
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -162,11 +165,11 @@
 	}
 }
 
-// Stop ends the process.
+// Stop stops the process.
 func (p *Process) Stop() { p.cancel() }
 
-// ServeNode serves the exchanges that every process serves. It is the handler
-// of a process without a role.
+// ServeNode serves the exchanges that every process serves, whatever its role.
+// It is the handler of a process without a role.
 func (p *Process) ServeNode(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
 	switch kind {
 	case peer.KindGossip:
@@ -176,7 +179,7 @@
 	}
 }
 
-// OnLoop runs f on the control loop and waits for it.
+// OnLoop runs f on the control loop and waits until it returns.
 func (p *Process) OnLoop(f func(now time.Time)) {
 	ginkgo.GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), Patience)
@@ -184,7 +187,8 @@
 	gomega.Expect(p.Loop.Do(ctx, f)).To(gomega.Succeed())
 }
 
-// Revision returns the revision in force, 0 for none.
+// Revision returns the revision of the active configuration, or 0 if there is
+// none.
 func (p *Process) Revision() revision.Revision {
 	state := p.Node.InForce()
 	if state == nil {
@@ -193,8 +197,8 @@
 	return state.Revision
 }
 
-// Counter returns a counter of the process's metrics, by its name and tags as
-// tally prints them.
+// Counter returns the value of a counter of the process, by its name and tags in
+// tally's notation.
 func (p *Process) Counter(name string) int64 {
 	counter, ok := p.Metrics.Snapshot().Counters()[name]
 	if !ok {
@@ -203,14 +207,14 @@
 	return counter.Value()
 }
 
-// TakeText has three peers of the process say that they have a text in force,
-// so that the process takes it at once, and waits until it has.
-func (p *Process) TakeText(number revision.Revision, text string) {
+// TakeText makes the process activate a configuration at once, by reports from
+// three peers that have it active, and waits until it is active.
+func (p *Process) TakeText(number revision.Revision, config string) {
 	ginkgo.GinkgoHelper()
-	digest := DigestOf(text)
+	digest := DigestOf(config)
 	for _, id := range []fleet.InstanceID{"witness-1", "witness-2", "witness-3"} {
-		witness := Endpoint(fleet.RoleEntry, id, nil)
-		s, err := witness.Open(p.ctx, p.Self.PeerAddr, p.Self.ID, peer.KindGossip)
+		neighbour := Endpoint(fleet.RoleEntry, id, nil)
+		s, err := neighbour.Open(p.ctx, p.Self.PeerAddr, p.Self.ID, peer.KindGossip)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		defer s.Abort()
 		gomega.Expect(s.Send(wire.Gossip{Revision: number, Digest: digest})).To(gomega.Succeed())
--- a/daemon/internal/daemontest/weights.go
+++ b/daemon/internal/daemontest/weights.go
@@ -14,7 +14,7 @@
 	"chivespindle.example/core/weights"
 )
 
-// Model is a version with its bytes.
+// Model is a model version with its chunks.
 type Model struct {
 	Version  fleet.Version
 	Manifest weights.Manifest
@@ -22,7 +22,7 @@
 	Chunks   [][]byte
 }
 
-// NewModel makes a version of the given chunks.
+// NewModel returns a version that consists of the given chunks.
 func NewModel(name string, chunks ...[]byte) Model {
 	ginkgo.GinkgoHelper()
 	m := Model{Chunks: chunks}
@@ -37,7 +37,7 @@
 	return m
 }
 
-// RandomChunks returns chunks that no other call returns.
+// RandomChunks returns chunks that differ from those of every other call.
 func RandomChunks(count, size int) [][]byte {
 	random := rand.NewChaCha8([32]byte{byte(chunkSeed.next())})
 	chunks := make([][]byte, count)
@@ -48,7 +48,7 @@
 	return chunks
 }
 
-// chunkSeed numbers the calls of RandomChunks.
+// chunkSeed counts the calls of RandomChunks.
 var chunkSeed counter
 
 type counter struct {
@@ -63,19 +63,19 @@
 	return c.n
 }
 
-// Source is the origin or the store. Faults are set per call, so that they can
-// begin and end in the middle of a version.
+// Source is a fake origin or weight store. Faults are decided per call, so that
+// they can begin and end in the middle of a version.
 type Source struct {
 	mu        sync.Mutex
 	models    map[fleet.Digest]Model
 	manifests int
-	drawn     []Draw
+	fetches   []Draw
 	fault     func(ctx context.Context, draw Draw) error
-	spoil     func(draw Draw, data []byte) []byte
-	broken    bool
+	corrupt   func(draw Draw, data []byte) []byte
+	truncate  bool
 }
 
-// Draw is one call for a chunk. Chunk is -1 for the manifest.
+// Draw is one fetch from a Source. Chunk is -1 for the manifest.
 type Draw struct {
 	Manifest fleet.Digest
 	Chunk    int
@@ -83,7 +83,7 @@
 
 var _ weights.Source = (*Source)(nil)
 
-// NewSource returns a source of models that works.
+// NewSource returns a source of the given models without faults.
 func NewSource(models ...Model) *Source {
 	s := &Source{models: make(map[fleet.Digest]Model)}
 	for _, m := range models {
@@ -92,36 +92,37 @@
 	return s
 }
 
-// Fail asks fault before each answer: an error is the answer, nil gives the
-// true one. A fault that waits is a stall. Nil ends it.
-func (s *Source) Fail(fault func(ctx context.Context, draw Draw) error) {
+// Fail calls fault before each response: an error is returned to the caller, nil
+// lets the fetch succeed. A fault that blocks is a stall. Fail(nil) ends the
+// faults.
+func (s *Source) Fail(fault func(ctx context.Context, fetch Draw) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
 }
 
-// Spoil lets spoil change the bytes of chunks. Nil ends it.
-func (s *Source) Spoil(spoil func(draw Draw, data []byte) []byte) {
+// Spoil lets a function change the bytes of chunks; nil ends this.
+func (s *Source) Spoil(corrupt func(fetch Draw, data []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spoil = spoil
+	s.corrupt = corrupt
 }
 
-// Break makes every transfer of a chunk end after half of it.
+// Break makes every transfer of a chunk end halfway with an error.
 func (s *Source) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = true
+	s.truncate = true
 }
 
-// Drawn returns the calls for chunks so far, failed ones included.
+// Drawn returns the fetches of chunks so far, including failed ones.
 func (s *Source) Drawn() []Draw {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.drawn)
+	return slices.Clone(s.fetches)
 }
 
-// Manifests returns how often the source was asked for a manifest.
+// Manifests returns the number of requests for a manifest.
 func (s *Source) Manifests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,14 +149,14 @@
 
 // Chunk implements weights.Source.
 func (s *Source) Chunk(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
-	draw := Draw{Manifest: manifest, Chunk: chunk.Index}
+	fetch := Draw{Manifest: manifest, Chunk: chunk.Index}
 	s.mu.Lock()
-	s.drawn = append(s.drawn, draw)
+	s.fetches = append(s.fetches, fetch)
 	m, found := s.models[manifest]
-	fault, spoil, broken := s.fault, s.spoil, s.broken
+	fault, corrupt, truncate := s.fault, s.corrupt, s.truncate
 	s.mu.Unlock()
 	if fault != nil {
-		if err := fault(ctx, draw); err != nil {
+		if err := fault(ctx, fetch); err != nil {
 			return nil, err
 		}
 	}
@@ -163,29 +164,30 @@
 		return nil, failure.NotFound.New("no manifest %s", manifest)
 	}
 	data := slices.Clone(m.Chunks[chunk.Index])
-	if broken {
-		return data[:len(data)/2], failure.Unavailable.New("the connection ended within the chunk")
+	if truncate {
+		return data[:len(data)/2], failure.Unavailable.New("connection closed halfway through the chunk")
 	}
-	if spoil != nil {
-		data = spoil(draw, data)
+	if corrupt != nil {
+		data = corrupt(fetch, data)
 	}
 	return data, nil
 }
 
-// Stall waits until ctx ends, as a link does that brings nothing more and does
+// Stall blocks until ctx ends, like a link that delivers no more bytes but does
 // not close.
 func Stall(ctx context.Context) error {
 	<-ctx.Done()
-	return failure.Timeout.Wrap(ctx.Err(), "no byte came")
+	return failure.Timeout.Wrap(ctx.Err(), "no byte received")
 }
 
-// Stage keeps chunks in memory and outlives the process that filled it.
+// Stage is a fake stage that keeps chunks in memory and outlives the process
+// that filled it.
 type Stage struct {
-	mu     sync.Mutex
-	chunks map[fleet.Digest]map[int][]byte
-	puts   int
-	refuse bool
-	spoilt bool
+	mu      sync.Mutex
+	chunks  map[fleet.Digest]map[int][]byte
+	puts    int
+	refuse  bool
+	corrupt bool
 }
 
 var _ weights.Stage = (*Stage)(nil)
@@ -193,7 +195,7 @@
 // NewStage returns an empty stage.
 func NewStage() *Stage { return &Stage{chunks: make(map[fleet.Digest]map[int][]byte)} }
 
-// Fill puts chunks of a model in, all if none is named.
+// Fill stores the given chunks of a model, or all of them if no index is given.
 func (s *Stage) Fill(m Model, indexes ...int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,35 +209,35 @@
 	}
 }
 
-// Refuse makes Put fail, or ends that.
+// Refuse sets whether Put fails.
 func (s *Stage) Refuse(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = refuse
 }
 
-// Spoil makes Get give other bytes than were put in.
+// Spoil makes Get return other bytes than were stored.
 func (s *Stage) Spoil() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spoilt = true
+	s.corrupt = true
 }
 
-// Clear forgets everything, as an engine does that restarts.
+// Clear removes all chunks, as a restart of the engine does.
 func (s *Stage) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.chunks)
 }
 
-// Puts returns how many chunks were stored, each time counted.
+// Puts returns the number of successful calls of Put.
 func (s *Stage) Puts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.puts
 }
 
-// Holds reports whether the stage holds the right bytes of every chunk.
+// Holds reports whether the stage holds the correct bytes of every chunk.
 func (s *Stage) Holds(m Model) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,7 +274,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse {
-		return failure.Refused.New("the stage takes nothing")
+		return failure.Refused.New("stage rejects all chunks")
 	}
 	s.puts++
 	s.put(manifest, index, data)
@@ -288,7 +290,7 @@
 		return nil, failure.NotFound.New("chunk %d is not staged", index)
 	}
 	data = slices.Clone(data)
-	if s.spoilt {
+	if s.corrupt {
 		data[0]++
 	}
 	return data, nil
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -18,13 +18,15 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// configStall is the progress deadline of an exchange about the text.
-const configStall = 2 * time.Second
+// configStallTimeout is the progress deadline of a configuration exchange.
+const configStallTimeout = 2 * time.Second
 
-// maxSections bounds what a peer may announce; a text of a megabyte has fewer.
+// maxSections bounds the number of sections that a peer may announce; a
+// configuration of a megabyte has fewer.
 const maxSections = 1 << 16
 
-// apply carries out what the keeper decided.
+// apply logs the selector's events and publishes a newly activated
+// configuration.
 func (n *Node) apply(now time.Time, d revision.Decision) {
 	for _, e := range d.Events {
 		n.logEvent(e)
@@ -32,8 +34,8 @@
 	if d.Reason != revision.Accepted {
 		return
 	}
-	state, _ := n.keeper.Active()
-	n.inForce.Store(&state)
+	state, _ := n.selector.Active()
+	n.active.Store(&state)
 	n.opts.Metrics.Gauge("config_revision").Update(float64(state.Revision))
 	n.table.UpdateSelf(func(r *gossip.Record) {
 		r.Revision = state.Revision
@@ -60,34 +62,34 @@
 	}
 }
 
-// askForText asks a peer for the text that it has in force, if this process
-// is behind. One ask runs at a time.
-func (n *Node) askForText(now time.Time) {
-	if n.asking {
+// fetchIfBehind fetches the configuration from a peer if this process is behind.
+// Only one fetch runs at a time.
+func (n *Node) fetchIfBehind(now time.Time) {
+	if n.fetching {
 		return
 	}
-	want, behind := n.keeper.NextFetch(now)
+	fetch, behind := n.selector.NextFetch(now)
 	if !behind {
 		return
 	}
-	contact, ok := n.contact(want.Peers)
+	contact, ok := n.contact(fetch.Peers)
 	if !ok {
 		return
 	}
-	n.asking = true
-	n.askCount++
+	n.fetching = true
+	n.fetchCount++
 	var base *fleettext.Fleet
-	if state, ready := n.keeper.Active(); ready {
+	if state, ready := n.selector.Active(); ready {
 		base = state.Fleet
 	}
-	go n.fetchText(contact, base)
+	go n.fetchConfig(contact, base)
 }
 
-// contact picks a peer to ask, another one each time.
+// contact selects a peer to fetch from, a different one for each fetch.
 func (n *Node) contact(peers []fleet.InstanceID) (gossip.Contact, bool) {
 	view := n.View()
 	for i := range peers {
-		id := peers[(n.askCount+i)%len(peers)]
+		id := peers[(n.fetchCount+i)%len(peers)]
 		if p, ok := view.Peer(id); ok && p.PeerAddr.IsValid() {
 			return gossip.Contact{ID: id, Addr: p.PeerAddr}, true
 		}
@@ -95,30 +97,30 @@
 	return gossip.Contact{}, false
 }
 
-func (n *Node) fetchText(from gossip.Contact, base *fleettext.Fleet) {
-	candidate, err := n.exchangeText(from, base)
+func (n *Node) fetchConfig(from gossip.Contact, base *fleettext.Fleet) {
+	candidate, err := n.requestConfig(from, base)
 	n.post(func(now time.Time) {
-		n.asking = false
+		n.fetching = false
 		if err != nil {
 			n.opts.Logger.Warn("text_not_fetched", zap.String("peer", string(from.ID)), zap.Error(err))
 			return
 		}
-		n.apply(now, n.keeper.HandleCandidate(now, candidate))
+		n.apply(now, n.selector.HandleCandidate(now, candidate))
 	})
 }
 
-func (n *Node) exchangeText(from gossip.Contact, base *fleettext.Fleet) (revision.Candidate, error) {
+func (n *Node) requestConfig(from gossip.Contact, base *fleettext.Fleet) (revision.Candidate, error) {
 	s, err := n.opts.Endpoint.Open(n.ctx, from.Addr, from.ID, peer.KindConfig)
 	if err != nil {
 		return revision.Candidate{}, err
 	}
 	defer s.Abort()
-	s.SetStall(configStall)
-	var ask wire.ConfigAsk
+	s.SetStall(configStallTimeout)
+	var request wire.ConfigAsk
 	if base != nil {
-		ask.Digest = base.Digest()
+		request.Digest = base.Digest()
 	}
-	if err := s.Send(ask); err != nil {
+	if err := s.Send(request); err != nil {
 		return revision.Candidate{}, err
 	}
 	var head wire.ConfigHead
@@ -138,10 +140,10 @@
 
 func receiveDelta(s *peer.Stream, head wire.ConfigHead) (fleettext.Delta, error) {
 	if head.Revision == 0 {
-		return fleettext.Delta{}, failure.NotFound.New("peer has no text in force")
+		return fleettext.Delta{}, failure.NotFound.New("peer has no active configuration")
 	}
 	if head.Sections < 0 || head.Sections > maxSections {
-		return fleettext.Delta{}, failure.Corrupt.New("peer announces %d sections", head.Sections)
+		return fleettext.Delta{}, failure.Corrupt.New("peer announced %d sections", head.Sections)
 	}
 	delta := fleettext.Delta{Base: head.Base, Result: head.Digest, Removed: head.Removed}
 	for range head.Sections {
@@ -154,22 +156,22 @@
 	return delta, nil
 }
 
-// ServeConfig answers a peer that is behind with the sections that changed.
+// ServeConfig sends the changed sections to a peer that is behind.
 func (n *Node) ServeConfig(ctx context.Context, _ keys.Identity, s *peer.Stream) {
-	s.SetStall(configStall)
-	var ask wire.ConfigAsk
-	if err := s.Recv(&ask); err != nil {
+	s.SetStall(configStallTimeout)
+	var request wire.ConfigAsk
+	if err := s.Recv(&request); err != nil {
 		s.Abort()
 		return
 	}
 	var head wire.ConfigHead
 	var delta fleettext.Delta
 	err := n.opts.Loop.Do(ctx, func(time.Time) {
-		state, ready := n.keeper.Active()
+		state, ready := n.selector.Active()
 		if !ready {
 			return
 		}
-		delta = n.keeper.Delta(ask.Digest)
+		delta = n.selector.Delta(request.Digest)
 		head = wire.ConfigHead{Revision: state.Revision, Digest: delta.Result, Base: delta.Base,
 			Removed: delta.Removed, Sections: len(delta.Changed)}
 	})
@@ -183,7 +185,7 @@
 		return
 	}
 	_ = s.CloseSend()
-	if err := s.Recv(&ask); !errors.Is(err, io.EOF) {
+	if err := s.Recv(&request); !errors.Is(err, io.EOF) {
 		return
 	}
 }
--- a/daemon/node/fleet_test.go
+++ b/daemon/node/fleet_test.go
@@ -12,13 +12,14 @@
 	"chivespindle.example/daemon/internal/daemontest"
 )
 
-var _ = Describe("The fleet", func() {
-	// An instance was replaced under its old id while its process still runs, on
-	// an address that nobody lists any more. Both tell a neighbour of themselves.
-	// The older one learns from it that a newer one lives and ends; the newer one
-	// is told nothing. Were both told, an instance could be left without a
-	// process, and with neither told, two would give one engine orders.
-	It("ends the older of two processes with one id", func() {
+var _ = Describe("The fleet view", func() {
+	// An instance was replaced under the same ID while its old process still
+	// runs, on an address that is no longer listed. Both send records to a
+	// neighbour. The older process learns from it that a newer one is running,
+	// and ends; the newer one gets no notification. If both were notified, an
+	// instance could be left without a process; if neither was, two processes
+	// would give orders to one engine.
+	It("reports a duplicate ID only to the older of two processes", func() {
 		third := start("entry-9", fleet.RoleEntry, nil)
 		self := fleet.Instance{ID: "agent-1", Role: fleet.RoleAgent, Place: daemontest.Here}
 		older := startAs(self, 1000, nil)
@@ -32,25 +33,27 @@
 		Expect(newer.Duplicates).NotTo(Receive())
 	})
 
-	// A process is stopped without a word. Its neighbours notice that it is
-	// silent, and those that it was the only way to find others by other ways.
-	It("notices a process that says nothing any more", func() {
+	// A process stops without announcing it. Its neighbours detect that it is
+	// silent, and processes that were connected only through it find each other
+	// in other ways.
+	It("shows a stopped process as silent", func() {
 		a, b, c := start("agent-1", fleet.RoleAgent, nil), start("agent-2", fleet.RoleAgent, nil), start("agent-3", fleet.RoleAgent, nil)
-		introduce(a, b, c)
-		Eventually(a.hears(c)).Should(BeTrue())
-		Eventually(b.hears(c)).Should(BeTrue())
+		listEachOther(a, b, c)
+		Eventually(a.sees(c)).Should(BeTrue())
+		Eventually(b.sees(c)).Should(BeTrue())
 		c.Stop()
-		Eventually(a.hears(c)).Should(BeFalse())
-		Eventually(b.hears(c)).Should(BeFalse())
-		Eventually(a.hears(b)).Should(BeTrue())
+		Eventually(a.sees(c)).Should(BeFalse())
+		Eventually(b.sees(c)).Should(BeFalse())
+		Eventually(a.sees(b)).Should(BeTrue())
 	})
 
-	// A process begins its planned stop. The list, which lags, goes on showing it
-	// as live; the neighbours know it from the process's own record.
-	It("hears at once that a process leaves", func() {
+	// A process begins its planned stop. The instance list lags and still shows
+	// it as live; the neighbours learn of the stop from the process's own
+	// record.
+	It("shows at once that a process is leaving", func() {
 		a, b := start("agent-1", fleet.RoleAgent, nil), start("agent-2", fleet.RoleAgent, nil)
-		introduce(a, b)
-		Eventually(a.hears(b)).Should(BeTrue())
+		listEachOther(a, b)
+		Eventually(a.sees(b)).Should(BeTrue())
 		b.OnLoop(func(now time.Time) {
 			b.Node.UpdateSelf(now, func(r *gossip.Record) { r.Leaving = true })
 		})
@@ -61,24 +64,24 @@
 	})
 
 	// A process was paused and must not act on what it knew before. It counts as
-	// having heard of the world once the platform answers or a neighbour speaks
-	// after the pause; what was heard before it does not count.
-	It("counts as heard after a pause only by what came since", func() {
+	// in contact once the platform responds or a neighbour sends a message after
+	// the pause; earlier messages do not count.
+	It("confirms contact after a pause only by later messages", func() {
 		alone := start("agent-1", fleet.RoleAgent, nil)
-		Expect(alone.Node.Reread(context.Background(), time.Now())).To(BeFalse(), "nobody is there")
+		Expect(alone.Node.Reread(context.Background(), time.Now())).To(BeFalse(), "no platform and no neighbour")
 
 		other := start("agent-2", fleet.RoleAgent, nil)
-		introduce(alone, other)
+		listEachOther(alone, other)
 		var since time.Time
 		alone.OnLoop(func(now time.Time) { since = now })
 		Eventually(func() bool { return alone.Node.Reread(context.Background(), since) }).Should(BeTrue())
 		other.Stop()
-		Eventually(alone.hears(other)).Should(BeFalse())
+		Eventually(alone.sees(other)).Should(BeFalse())
 		alone.OnLoop(func(now time.Time) { since = now })
 		Expect(alone.Node.Reread(context.Background(), since)).To(BeFalse(), "the neighbour is gone")
 
-		alone.Text.Set(1, textWith(1))
+		alone.Text.Set(1, configWith(1))
 		alone.Text.SetDown(false)
-		Expect(alone.Node.Reread(context.Background(), since)).To(BeTrue(), "the platform answers")
+		Expect(alone.Node.Reread(context.Background(), since)).To(BeTrue(), "the platform responds")
 	})
 })
--- a/daemon/node/gossip.go
+++ b/daemon/node/gossip.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// redialAfter is the pause before a neighbour that could not be reached is
-	// tried again.
-	redialAfter = time.Second
-	// deadAfter is how long a link may bring nothing. It is three heartbeats,
-	// and less than the table takes to call a neighbour lost and leave it alone.
-	deadAfter = 3 * beatEvery
-	// sendQueue bounds the messages that wait for a slow neighbour; news that
-	// do not fit go with a later message.
-	sendQueue = 2
+	// redialDelay is the delay before a neighbour that could not be reached, or
+	// whose link was closed, is dialled again.
+	redialDelay = time.Second
+	// linkSilenceTimeout is how long a link may deliver no message before it is
+	// closed. It is three heartbeats, which is less than the table takes to
+	// consider a neighbour lost and avoid it.
+	linkSilenceTimeout = 3 * heartbeatInterval
+	// sendQueueLen bounds the messages that wait for a slow neighbour; records
+	// that do not fit are sent in a later message.
+	sendQueueLen = 2
 )
 
 // link is an open gossip stream with one neighbour.
 type link struct {
-	id     fleet.InstanceID
-	dialer fleet.InstanceID
-	stream *peer.Stream
-	out    chan wire.Gossip
-	once   sync.Once
-	closed chan struct{}
-	heard  time.Time // last message, at first when it came into use
+	id           fleet.InstanceID
+	dialer       fleet.InstanceID
+	stream       *peer.Stream
+	out          chan wire.Gossip
+	once         sync.Once
+	closed       chan struct{}
+	lastReceived time.Time // last message; initially the time when the link was added
 }
 
 func newLink(id, dialer fleet.InstanceID, s *peer.Stream) *link {
-	return &link{id: id, dialer: dialer, stream: s, out: make(chan wire.Gossip, sendQueue), closed: make(chan struct{})}
+	return &link{id: id, dialer: dialer, stream: s, out: make(chan wire.Gossip, sendQueueLen), closed: make(chan struct{})}
 }
 
 func (l *link) close() {
@@ -50,10 +51,10 @@
 	})
 }
 
-// connect dials chosen neighbours that no link leads to, and closes links that
-// this process dialled to those that are no longer chosen.
+// connect dials chosen neighbours that have no link, and closes links dialled by
+// this process to neighbours that are no longer chosen.
 func (n *Node) connect(now time.Time) {
-	n.dropDead(now)
+	n.closeSilentLinks(now)
 	chosen := make(map[fleet.InstanceID]bool)
 	for _, c := range n.table.Neighbours(now) {
 		chosen[c.ID] = true
@@ -65,20 +66,22 @@
 	}
 	for id, l := range n.links {
 		if l.dialer == n.opts.Self.ID && !chosen[id] {
-			n.unlink(now, l)
+			n.removeLink(now, l)
 		}
 	}
 }
 
-// dropDead closes links that bring nothing, so that their neighbours are dialled
-// anew. A neighbour that was started again on its ports does not know the link
-// that its predecessor dialled, and a connection takes many times longer to
-// end by itself. While the platform's list is down the neighbour knows nobody:
-// it would stay alone, with no text, until it is no longer left out as lost.
-func (n *Node) dropDead(now time.Time) {
+// closeSilentLinks closes links that deliver no messages, so that their
+// neighbours are dialled again. A neighbour that was restarted on the same ports
+// does not know the link that this process had with its predecessor, and the
+// connection itself takes many times longer to time out. While the platform's
+// instance list is unavailable, such a neighbour knows no other process: it
+// would stay isolated and without a configuration until the table no longer
+// avoids it as lost.
+func (n *Node) closeSilentLinks(now time.Time) {
 	for _, l := range n.links {
-		if now.Sub(l.heard) > deadAfter {
-			n.unlink(now, l)
+		if now.Sub(l.lastReceived) > linkSilenceTimeout {
+			n.removeLink(now, l)
 		}
 	}
 }
@@ -87,30 +90,30 @@
 	s, err := n.opts.Endpoint.Open(n.ctx, c.Addr, c.ID, peer.KindGossip)
 	n.post(func(now time.Time) {
 		delete(n.dialing, c.ID)
-		n.retryAt[c.ID] = now.Add(redialAfter)
+		n.retryAt[c.ID] = now.Add(redialDelay)
 		if err != nil {
 			n.opts.Logger.Debug("neighbour_not_reached", zap.String("peer", string(c.ID)), zap.Error(err))
 			return
 		}
-		n.linkUp(now, newLink(c.ID, n.opts.Self.ID, s))
+		n.addLink(now, newLink(c.ID, n.opts.Self.ID, s))
 	})
 }
 
-// ServeGossip serves a stream that a neighbour opened. It returns when the
-// stream ends.
+// ServeGossip serves a stream opened by a neighbour. It returns when the stream
+// ends.
 func (n *Node) ServeGossip(ctx context.Context, from keys.Identity, s *peer.Stream) {
 	l := newLink(from.ID, from.ID, s)
-	n.post(func(now time.Time) { n.linkUp(now, l) })
+	n.post(func(now time.Time) { n.addLink(now, l) })
 	select {
 	case <-ctx.Done():
 	case <-l.closed:
 	}
 }
 
-// linkUp takes a new link into use. Two processes that choose each other may
-// dial at the same time; both then keep the link that the lesser id dialled,
-// so that neither closes the one that the other keeps.
-func (n *Node) linkUp(now time.Time, l *link) {
+// addLink adds a new link. Two processes that choose each other may dial at the
+// same time; both then keep the link dialled by the lower ID, so that neither
+// closes the one that the other keeps.
+func (n *Node) addLink(now time.Time, l *link) {
 	old := n.links[l.id]
 	if old != nil && old.dialer != l.dialer && old.dialer < l.dialer {
 		l.close()
@@ -120,31 +123,31 @@
 		old.close()
 	}
 	n.links[l.id] = l
-	l.heard = now
+	l.lastReceived = now
 	n.table.ResetPeer(l.id)
 	go n.read(l)
 	go n.write(l)
 	n.send(now, l)
 }
 
-func (n *Node) unlink(now time.Time, l *link) {
+func (n *Node) removeLink(now time.Time, l *link) {
 	l.close()
 	if n.links[l.id] != l {
 		return
 	}
 	delete(n.links, l.id)
 	n.table.ResetPeer(l.id)
-	n.retryAt[l.id] = now.Add(redialAfter)
+	n.retryAt[l.id] = now.Add(redialDelay)
 }
 
 func (n *Node) read(l *link) {
 	for {
 		var m wire.Gossip
 		if err := l.stream.Recv(&m); err != nil {
-			n.post(func(now time.Time) { n.unlink(now, l) })
+			n.post(func(now time.Time) { n.removeLink(now, l) })
 			return
 		}
-		n.post(func(now time.Time) { n.heard(now, l, m) })
+		n.post(func(now time.Time) { n.handleMessage(now, l, m) })
 	}
 }
 
@@ -156,29 +159,29 @@
 			return
 		case m := <-l.out:
 			if err := l.stream.Send(m); err != nil {
-				n.post(func(now time.Time) { n.unlink(now, l) })
+				n.post(func(now time.Time) { n.removeLink(now, l) })
 				return
 			}
 		}
 	}
 }
 
-func (n *Node) heard(now time.Time, l *link, m wire.Gossip) {
+func (n *Node) handleMessage(now time.Time, l *link, m wire.Gossip) {
 	if n.links[l.id] != l {
 		return
 	}
-	n.lastHeard = now
-	l.heard = now
+	n.lastReceived = now
+	l.lastReceived = now
 	n.opts.Metrics.Counter("gossip_records_received").Inc(int64(len(m.Records)))
 	changed := n.table.Merge(now, l.id, m.Records)
 	if len(changed) > 0 {
-		n.changed(now)
+		n.markChanged(now)
 	}
-	n.apply(now, n.keeper.HandleClaim(now, revision.Claim{Peer: l.id, Revision: m.Revision, Digest: m.Digest}))
-	n.askForText(now)
+	n.apply(now, n.selector.HandleClaim(now, revision.Claim{Peer: l.id, Revision: m.Revision, Digest: m.Digest}))
+	n.fetchIfBehind(now)
 }
 
-// flush sends each neighbour what it has not been sent.
+// flush sends each neighbour the records that it has not been sent yet.
 func (n *Node) flush(now time.Time) {
 	n.flushAt = time.Time{}
 	for _, l := range n.links {
@@ -189,7 +192,7 @@
 func (n *Node) send(now time.Time, l *link) {
 	records := n.table.Delta(now, l.id)
 	m := wire.Gossip{Records: records}
-	if state, ready := n.keeper.Active(); ready {
+	if state, ready := n.selector.Active(); ready {
 		m.Revision = state.Revision
 		m.Digest = state.Digest
 	}
--- a/daemon/node/link_test.go
+++ b/daemon/node/link_test.go
@@ -14,13 +14,15 @@
 	"chivespindle.example/daemon/wire"
 )
 
-var _ = Describe("A link", func() {
-	// A neighbour has dialled this process and then says nothing, though its
-	// connection lives: in its place runs a process that was started anew and
-	// knows of no link, nor of anybody while the platform is down. This process
-	// gives the link up and dials the neighbour, which so hears of the fleet.
-	// Seen without the end of links that bring nothing: it was never dialled.
-	It("that brings nothing gives way to a new one", func() {
+var _ = Describe("A gossip link", func() {
+	// A neighbour has dialled this process and then sends nothing, although its
+	// connection stays open: the neighbour was restarted and knows of no link,
+	// and of no other process while the platform is down. This process closes
+	// the link and dials the neighbour, which then learns of the fleet.
+	//
+	// Without closing links that deliver no messages, the neighbour was never
+	// dialled.
+	It("that delivers no messages is closed and dialled again", func() {
 		const id = "agent-1"
 		dialled := make(chan struct{})
 		var once sync.Once
--- a/daemon/node/platform.go
+++ b/daemon/node/platform.go
@@ -13,31 +13,35 @@
 )
 
 const (
-	// rareFactor times ListEvery is the pause between reads of the instance
-	// list by a process that does not watch. Its neighbours' records tell it
-	// of others meanwhile. At 3,910 processes and 2 s this is 130 calls a
-	// second instead of 1,955 of the platform's 2,000.
-	rareFactor = 15
-	// firstReads is how many reads of the list after the start are made at
-	// ListEvery by every process, so that a new fleet finds itself quickly.
-	firstReads = 5
-	// watchRetry and watchRetryMost bound the wait before a watch that failed
-	// is tried again: a fifth to all of five times these. The few watchers ask
-	// on through an outage, so that a change is in force seconds after its end
-	// however long it was; 27 of them make some twenty calls a second.
-	watchRetry     = 200 * time.Millisecond
-	watchRetryMost = 400 * time.Millisecond
-	// roleCheckEvery is how often a process looks whether it has become a
-	// watcher.
-	roleCheckEvery = 500 * time.Millisecond
+	// listIntervalFactor times ListEvery is the mean interval between reads of
+	// the instance list by a process that does not watch the platform. It learns
+	// of other processes from its neighbours' records in the meantime. With
+	// 3,910 processes and 2 s, this is 130 calls per second instead of 1,955 of
+	// the 2,000 that the platform allows.
+	listIntervalFactor = 15
+	// initialListReads is the number of reads after the start that every process
+	// makes at ListEvery, so that the processes of a new fleet find each other
+	// quickly.
+	initialListReads = 5
+	// watchRetryMin and watchRetryMean are the ReadOptions of the watches: a
+	// failed watch is retried after 0.2 s to 1.2 s at first, and then after 0.2
+	// s to 0.6 s. The few watchers keep retrying at this rate during an outage,
+	// so that a change becomes active within seconds of its end, however long it
+	// lasted; 27 watchers make about 20 calls per second.
+	watchRetryMin  = 200 * time.Millisecond
+	watchRetryMean = 400 * time.Millisecond
+	// roleCheckInterval is the interval at which a process checks whether it has
+	// become a watcher.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// FollowText reads the platform's text by the process's own plan and, while
-// the process is one of its zone's watchers, watches it too. It ends with ctx.
+// FollowText reads the platform's configuration according to the process's read
+// plan and, while the process is one of the watchers of its availability zone,
+// also watches it. It ends with ctx.
 //
-// Reads do not wait for watches: behind a stalled link a watch is answered
-// late or never, and a process that waited for it would not be ready, or would
-// miss a change, though the platform can be read.
+// Reads do not wait for watches: behind a stalled link a watch is answered late
+// or never, and a process that waited for it would not become ready, or would
+// miss a change, although the platform can be read.
 func (n *Node) FollowText(ctx context.Context) error {
 	var parts sync.WaitGroup
 	parts.Go(func() { n.followReads(ctx) })
@@ -47,22 +51,22 @@
 }
 
 func (n *Node) followWatches(ctx context.Context) {
-	plan := revision.NewReadPlan(revision.ReadOptions{Retry: watchRetry, Mean: watchRetryMost}, n.newRand())
-	watching := false
+	plan := revision.NewReadPlan(revision.ReadOptions{Retry: watchRetryMin, Mean: watchRetryMean}, n.newRand())
+	wasWatcher := false
 	for ctx.Err() == nil {
-		watches := n.isWatcher()
-		n.logWatching(&watching, watches)
-		if watches {
-			pause(ctx, n.watchOnce(ctx, plan))
+		isWatcher := n.isWatcher()
+		n.logWatching(&wasWatcher, isWatcher)
+		if isWatcher {
+			sleep(ctx, n.watchOnce(ctx, plan))
 			continue
 		}
-		pause(ctx, roleCheckEvery)
+		sleep(ctx, roleCheckInterval)
 	}
 }
 
 func (n *Node) followReads(ctx context.Context) {
 	plan := revision.NewReadPlan(revision.ReadOptions{}, n.newRand())
-	nextRead := time.Now().Add(n.firstRead(plan))
+	nextRead := time.Now().Add(n.firstReadDelay(plan))
 	wasBehind := true
 	for ctx.Err() == nil {
 		behind := n.isBehind()
@@ -74,47 +78,48 @@
 			err := n.readOnce(ctx)
 			nextRead = time.Now().Add(plan.Next(err, n.isBehind()))
 		}
-		pause(ctx, roleCheckEvery)
+		sleep(ctx, roleCheckInterval)
 	}
 }
 
-// firstRead is the wait before the first read. A process that has heard of no
-// other cannot be told anything, so it reads at once.
-func (n *Node) firstRead(plan *revision.ReadPlan) time.Duration {
+// firstReadDelay returns the delay before the first read. A process that knows
+// no other process cannot receive a configuration from one, so it reads at once.
+func (n *Node) firstReadDelay(plan *revision.ReadPlan) time.Duration {
 	if len(n.View().Peers) == 0 {
 		return 0
 	}
 	return plan.First()
 }
 
-func (n *Node) logWatching(state *bool, now bool) {
-	if *state == now {
+func (n *Node) logWatching(wasWatcher *bool, isWatcher bool) {
+	if *wasWatcher == isWatcher {
 		return
 	}
-	*state = now
-	n.opts.Logger.Info("platform_watcher_changed", zap.Bool("watching", now))
+	*wasWatcher = isWatcher
+	n.opts.Logger.Info("platform_watcher_changed", zap.Bool("watching", isWatcher))
 }
 
 func (n *Node) watchOnce(ctx context.Context, plan *revision.ReadPlan) time.Duration {
 	var after revision.Revision
-	if err := n.opts.Loop.Do(ctx, func(time.Time) { after = n.keeper.WatchAfter() }); err != nil {
-		return roleCheckEvery
+	if err := n.opts.Loop.Do(ctx, func(time.Time) { after = n.selector.WatchAfter() }); err != nil {
+		return roleCheckInterval
 	}
 	started := time.Now()
 	doc, err := n.opts.Config.Watch(ctx, after)
-	n.offer(doc, err)
+	n.handleDocument(doc, err)
 	return plan.NextWatch(time.Since(started), err)
 }
 
 func (n *Node) readOnce(ctx context.Context) error {
 	doc, err := n.opts.Config.Read(ctx)
-	n.offer(doc, err)
+	n.handleDocument(doc, err)
 	return err
 }
 
-// offer checks a document on the caller's goroutine, since a text of a
-// megabyte takes a while, and hands the result to the control loop.
-func (n *Node) offer(doc revision.Document, err error) {
+// handleDocument validates a document on the caller's goroutine, since parsing a
+// configuration of a megabyte takes a while, and passes the result to the
+// control loop.
+func (n *Node) handleDocument(doc revision.Document, err error) {
 	n.opts.Metrics.Counter("platform_config_calls").Inc(1)
 	if err != nil {
 		n.opts.Metrics.Counter("platform_config_failures").Inc(1)
@@ -126,23 +131,24 @@
 		base = state.Fleet
 	}
 	candidate := revision.ReadDocument(doc, base)
-	n.post(func(now time.Time) { n.apply(now, n.keeper.HandleCandidate(now, candidate)) })
+	n.post(func(now time.Time) { n.apply(now, n.selector.HandleCandidate(now, candidate)) })
 }
 
-// Reread reads the platform's text once more and reports whether the world has
-// been heard since: the platform answered, or a neighbour spoke. It is for a
-// process that was paused and must not act on what it knew before.
+// Reread reads the platform's configuration again and reports whether the
+// process has had contact since the given time: the platform responded, or a
+// neighbour sent a message. It is for a process that was paused and must not act
+// on what it knew before.
 func (n *Node) Reread(ctx context.Context, since time.Time) bool {
 	if n.readOnce(ctx) == nil {
 		return true
 	}
-	heard := false
-	err := n.opts.Loop.Do(ctx, func(time.Time) { heard = n.lastHeard.After(since) })
-	return err == nil && heard
+	received := false
+	err := n.opts.Loop.Do(ctx, func(time.Time) { received = n.lastReceived.After(since) })
+	return err == nil && received
 }
 
-// isBehind reports whether this process has no text or an older one than some
-// peer of the view.
+// isBehind reports whether this process has no active configuration or an older
+// one than some peer in the view.
 func (n *Node) isBehind() bool {
 	state := n.InForce()
 	if state == nil {
@@ -156,8 +162,8 @@
 	return false
 }
 
-// isWatcher reports whether this process is one of those of its zone that
-// watch the platform.
+// isWatcher reports whether this process is one of the watchers of the platform
+// in its availability zone.
 func (n *Node) isWatcher() bool {
 	view := n.View()
 	self := view.Self
@@ -175,7 +181,7 @@
 	return false
 }
 
-// FollowList reads the platform's instance list until ctx ends.
+// FollowList reads the platform's instance list repeatedly until ctx ends.
 func (n *Node) FollowList(ctx context.Context) error {
 	random := n.newRand()
 	for reads := 0; ctx.Err() == nil; reads++ {
@@ -185,29 +191,29 @@
 			n.opts.Metrics.Counter("platform_list_failures").Inc(1)
 			n.opts.Logger.Debug("instance_list_not_read", zap.Error(err))
 		} else {
-			n.post(func(now time.Time) { n.listRead(now, list) })
+			n.post(func(now time.Time) { n.handleList(now, list) })
 		}
 		wait := n.opts.ListEvery
-		if reads >= firstReads && !n.isWatcher() {
-			wait *= rareFactor
+		if reads >= initialListReads && !n.isWatcher() {
+			wait *= listIntervalFactor
 		}
-		// From half to one and a half, so that processes that started together
-		// do not ask together.
-		pause(ctx, wait/2+time.Duration(random.Int64N(int64(wait)+1)))
+		// Jitter of 50 % to 150 %, so that processes that started together do
+		// not read at the same time.
+		sleep(ctx, wait/2+time.Duration(random.Int64N(int64(wait)+1)))
 	}
 	return nil
 }
 
-func (n *Node) listRead(now time.Time, list []fleet.Instance) {
+func (n *Node) handleList(now time.Time, list []fleet.Instance) {
 	n.table.SetListed(now, list)
 	if n.opts.OnList != nil {
 		n.opts.OnList(now, list)
 	}
-	n.dirty = true
+	n.viewOutdated = true
 	n.connect(now)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -17,22 +17,23 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// manifestIndex is the chunk index that asks a peer for the manifest itself.
+// manifestIndex is the chunk index that requests the manifest itself from a
+// peer.
 const manifestIndex = -1
 
-// maxManifestBytes bounds what a peer may send as a manifest: MaxChunks
-// entries of about fifty bytes.
+// maxManifestBytes bounds the size of a manifest received from a peer: MaxChunks
+// entries of about 50 bytes each.
 const maxManifestBytes = 8 << 20
 
-// Errors of a chunk exchange, matched to spread's reasons.
+// Errors of a chunk transfer, mapped to spread.Reason by reasonOf.
 var (
 	errBusy    = failure.Namespace.NewType("peer_busy", failure.Temporary)
 	errMissing = failure.Namespace.NewType("peer_missing_chunk")
 	errLocal   = failure.Namespace.NewType("stage_refuses_chunk", failure.Temporary)
 )
 
-// result is how a transfer ended. bytes counts what was taken in, also when
-// it failed, since the sender's link carried it.
+// result is the result of a transfer. bytes counts the received bytes, also of a
+// failed transfer, since they used the sender's link.
 type result struct {
 	bytes      int64
 	err        error
@@ -40,59 +41,60 @@
 	retryAfter time.Duration
 }
 
-func (g *gather) fetch(ctx context.Context, f spread.Fetch, from spread.Member) {
-	data, err := g.transfer(ctx, f, from)
+func (d *download) fetch(ctx context.Context, f spread.Fetch, from spread.Member) {
+	data, err := d.fetchFromSource(ctx, f, from)
 	r := result{bytes: int64(len(data)), err: err}
 	if err == nil {
-		r.err = g.keep(ctx, g.manifest.Chunks[f.Chunk], data)
+		r.err = d.verifyAndStage(ctx, d.manifest.Chunks[f.Chunk], data)
 	}
 	if r.err != nil {
 		r.reason = reasonOf(r.err)
 		r.retryAfter = failure.RetryAfter(r.err)
 	}
 	if r.reason == spread.ReasonUnavailable && r.bytes > 0 {
-		// Bytes crossed the source's link, so they count against the quota.
+		// Bytes were sent over the source's link, so they count against the
+		// quota.
 		r.reason = spread.ReasonGone
 	}
-	g.swarm.post(func(now time.Time) { g.fetched(now, f, r) })
+	d.swarm.post(func(now time.Time) { d.handleResult(now, f, r) })
 }
 
-func (g *gather) transfer(ctx context.Context, f spread.Fetch, from spread.Member) ([]byte, error) {
-	chunk := g.manifest.Chunks[f.Chunk]
+func (d *download) fetchFromSource(ctx context.Context, f spread.Fetch, from spread.Member) ([]byte, error) {
+	chunk := d.manifest.Chunks[f.Chunk]
 	switch f.Source {
 	case spread.SourceOrigin:
-		return g.swarm.opts.Origin.Chunk(ctx, g.version.Manifest, chunk)
+		return d.swarm.opts.Origin.Chunk(ctx, d.version.Manifest, chunk)
 	case spread.SourceStore:
-		if g.swarm.opts.Store == nil {
+		if d.swarm.opts.Store == nil {
 			return nil, failure.NotFound.New("the platform has no store")
 		}
-		return g.swarm.opts.Store.Chunk(ctx, g.version.Manifest, chunk)
+		return d.swarm.opts.Store.Chunk(ctx, d.version.Manifest, chunk)
 	default:
-		return g.fromPeer(ctx, from, f.Chunk, chunk.Bytes)
+		return d.fetchFromPeer(ctx, from, f.Chunk, chunk.Bytes)
 	}
 }
 
-// keep checks a chunk before it is staged. Without the check one bad sender
-// would hand bad bytes on to all its neighbours, and the whole would only be
-// found bad after the last chunk.
-func (g *gather) keep(ctx context.Context, c weights.Chunk, data []byte) error {
+// verifyAndStage verifies a chunk before it is staged. Without the check, one
+// bad sender would spread corrupt bytes to all its neighbours, and the
+// corruption would only be found after the last chunk.
+func (d *download) verifyAndStage(ctx context.Context, c weights.Chunk, data []byte) error {
 	if err := c.Verify(data); err != nil {
 		return err
 	}
-	if err := g.swarm.opts.Stage.Put(ctx, g.version.Manifest, c.Index, data); err != nil {
+	if err := d.swarm.opts.Stage.Put(ctx, d.version.Manifest, c.Index, data); err != nil {
 		return errLocal.Wrap(err, "stage chunk %d", c.Index)
 	}
 	return nil
 }
 
-func (g *gather) fromPeer(ctx context.Context, from spread.Member, index, most int) ([]byte, error) {
-	s, err := g.swarm.opts.Endpoint.Open(ctx, from.Addr, from.ID, peer.KindChunk)
+func (d *download) fetchFromPeer(ctx context.Context, from spread.Member, index, maxBytes int) ([]byte, error) {
+	s, err := d.swarm.opts.Endpoint.Open(ctx, from.Addr, from.ID, peer.KindChunk)
 	if err != nil {
 		return nil, err
 	}
 	defer s.Abort()
-	s.SetStall(g.swarm.opts.Stall)
-	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Index: index}); err != nil {
+	s.SetStall(d.swarm.opts.Stall)
+	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
 	var head wire.ChunkHead
@@ -101,25 +103,25 @@
 	}
 	switch head.Status {
 	case wire.ChunkFollows:
-		return receive(ctx, s, g.swarm.opts.Down, head.Bytes, most)
+		return receive(ctx, s, d.swarm.opts.Down, head.Bytes, maxBytes)
 	case wire.ChunkBusy:
-		return nil, errBusy.New("peer %s is busy", from.ID)
+		return nil, errBusy.New("peer %s has no free upload slot", from.ID)
 	default:
 		return nil, errMissing.New("peer %s does not hold chunk %d", from.ID, index)
 	}
 }
 
-// receive takes size bytes in frames. On failure it returns what came.
-func receive(ctx context.Context, s *peer.Stream, down Limiter, size, most int) ([]byte, error) {
-	if size < 0 || size > most {
-		return nil, failure.Corrupt.New("peer offers %d bytes, want at most %d", size, most)
+// receive reads size bytes in frames. On failure it returns what was received.
+func receive(ctx context.Context, s *peer.Stream, limiter Limiter, size, maxBytes int) ([]byte, error) {
+	if size < 0 || size > maxBytes {
+		return nil, failure.Corrupt.New("peer announced %d bytes, limit is %d", size, maxBytes)
 	}
 	data := make([]byte, 0, size)
 	buf := make([]byte, min(PieceBytes, size))
 	for len(data) < size {
 		piece, err := s.RecvBytes(buf)
 		if errors.Is(err, io.EOF) {
-			return data, failure.Unavailable.New("peer ended a chunk after %d of %d bytes", len(data), size)
+			return data, failure.Unavailable.New("peer closed the stream after %d of %d bytes of a chunk", len(data), size)
 		}
 		if err != nil {
 			return data, err
@@ -128,8 +130,8 @@
 			return data, failure.Corrupt.New("peer sent more than %d bytes", size)
 		}
 		data = append(data, piece...)
-		if err := down.WaitN(ctx, len(piece)); err != nil {
-			return data, failure.Timeout.Wrap(err, "wait for the link's share")
+		if err := limiter.WaitN(ctx, len(piece)); err != nil {
+			return data, failure.Timeout.Wrap(err, "wait for weight traffic bandwidth")
 		}
 	}
 	return data, nil
@@ -156,130 +158,135 @@
 	}
 }
 
-// manifestTurn is how long each later member in rank leaves the origin to
-// those before it. With two members asking at first, hundreds of instances
-// cost the origin a handful of manifests.
+// Delays by rank before a member requests the manifest upstream. Each further
+// group of manifestFetchersPerRank members waits manifestRankDelay longer, up to
+// manifestMaxRank times. With two members that contact the origin at first,
+// hundreds of instances cost the origin only a few manifest requests.
 const (
-	manifestTurn     = 500 * time.Millisecond
-	manifestAskers   = 2
-	manifestMaxTurns = 20
+	manifestRankDelay       = 500 * time.Millisecond
+	manifestFetchersPerRank = 2
+	manifestMaxRank         = 20
 )
 
 // findManifest fetches the manifest from a peer or, in the order of rank, from
-// the origin or the store, until it has one with the pinned digest. The
-// members are looked up at each try: those of the beginning may all have gone,
-// or the list may not have been there yet.
-func (g *gather) findManifest() {
-	search := newManifestSearch(g)
-	for attempt := 0; g.ctx.Err() == nil; attempt++ {
-		raw, err := search.ask(attempt)
+// the origin or the store, until it has one with the pinned digest. Each attempt
+// uses the current members: those known at the start may all have left, or the
+// list may not have been available yet.
+func (d *download) findManifest() {
+	search := newManifestSearch(d)
+	for attempt := 0; d.ctx.Err() == nil; attempt++ {
+		raw, err := search.try(attempt)
 		if err == nil {
-			g.announceManifest(raw)
+			d.prepareManifest(raw)
 			return
 		}
-		g.swarm.opts.Logger.Debug("manifest_not_found", zap.Stringer("version", g.version), zap.Error(err))
-		pause(g.ctx, manifestPause(attempt))
+		d.swarm.opts.Logger.Debug("manifest_not_found", zap.Stringer("version", d.version), zap.Error(err))
+		sleep(d.ctx, manifestRetryDelay(attempt))
 	}
 }
 
-// manifestAtOnce is how many peers are asked for the manifest at the same
-// time, so that one behind a cut link does not cost its whole timeout.
-const manifestAtOnce = 3
+// manifestParallelPeers is the number of peers that the manifest is requested
+// from in parallel, so that one behind a broken link does not cost its whole
+// timeout.
+const manifestParallelPeers = 3
 
-// manifestFromPeers asks some peers at once and takes the first good answer.
-// The first tries go to those that ask the origin, later ones to ever more.
-func (g *gather) manifestFromPeers(peers []spread.Member, attempt int) ([]byte, error) {
+// manifestFromPeers requests the manifest from several peers in parallel and
+// returns the first valid response. The first attempts go to the members that
+// contact the origin, later ones to a growing set of peers.
+func (d *download) manifestFromPeers(peers []spread.Member, attempt int) ([]byte, error) {
 	if len(peers) == 0 {
-		return nil, failure.Unavailable.New("no peer to ask for the manifest")
+		return nil, failure.Unavailable.New("no peer to fetch the manifest from")
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, g.swarm.opts.Stall)
+	ctx, cancel := context.WithTimeout(d.ctx, d.swarm.opts.Stall)
 	defer cancel()
-	asked := min(manifestAtOnce, len(peers))
-	answers := make(chan manifestAnswer, asked)
-	widest := min(len(peers), (attempt+1)*manifestAtOnce)
-	for i := range asked {
-		from := peers[(attempt*manifestAtOnce+i)%widest]
-		go func() { answers <- g.manifestFromPeer(ctx, from) }()
+	count := min(manifestParallelPeers, len(peers))
+	results := make(chan manifestResult, count)
+	candidates := min(len(peers), (attempt+1)*manifestParallelPeers)
+	for i := range count {
+		from := peers[(attempt*manifestParallelPeers+i)%candidates]
+		go func() { results <- d.manifestFromPeer(ctx, from) }()
 	}
-	var last error
-	for range asked {
-		answer := <-answers
-		if answer.err == nil {
-			return answer.raw, nil
+	var lastErr error
+	for range count {
+		result := <-results
+		if result.err == nil {
+			return result.raw, nil
 		}
-		last = answer.err
+		lastErr = result.err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-type manifestAnswer struct {
+type manifestResult struct {
 	raw []byte
 	err error
 }
 
-func (g *gather) manifestFromPeer(ctx context.Context, from spread.Member) manifestAnswer {
-	raw, err := g.fromPeer(ctx, from, manifestIndex, maxManifestBytes)
+func (d *download) manifestFromPeer(ctx context.Context, from spread.Member) manifestResult {
+	raw, err := d.fetchFromPeer(ctx, from, manifestIndex, maxManifestBytes)
 	if err == nil {
-		_, err = weights.Decode(raw, g.version.Manifest)
+		_, err = weights.Decode(raw, d.version.Manifest)
 	}
-	return manifestAnswer{raw: raw, err: err}
+	return manifestResult{raw: raw, err: err}
 }
 
-// announceManifest reads what the stage holds already, so that a restarted
-// agent fetches nothing twice, and hands both to the control loop.
-func (g *gather) announceManifest(raw []byte) {
-	m, err := weights.Decode(raw, g.version.Manifest)
+// prepareManifest passes the manifest to the stage, determines which chunks are
+// staged already, so that a restarted agent fetches nothing twice, and posts the
+// manifest and these chunks to the control loop.
+func (d *download) prepareManifest(raw []byte) {
+	m, err := weights.Decode(raw, d.version.Manifest)
 	if err != nil {
 		return
 	}
-	if !g.tellStage(raw) {
+	if !d.passManifestToStage(raw) {
 		return
 	}
-	held := g.heldChunks(m)
-	held = append(held, g.copyReusable(m, held)...)
-	g.swarm.post(func(now time.Time) { g.manifestFound(now, raw, m, held) })
+	held := d.heldChunks(m)
+	held = append(held, d.copyReusable(m, held)...)
+	d.swarm.post(func(now time.Time) { d.handleManifest(now, raw, m, held) })
 }
 
-// tellStage hands the manifest to the stage, again until it takes it.
-func (g *gather) tellStage(raw []byte) bool {
-	if g.swarm.opts.OnManifest == nil {
+// passManifestToStage passes the manifest to the stage and retries until the
+// stage accepts it.
+func (d *download) passManifestToStage(raw []byte) bool {
+	if d.swarm.opts.OnManifest == nil {
 		return true
 	}
 	for {
-		err := g.swarm.opts.OnManifest(g.ctx, g.version.Manifest, raw)
+		err := d.swarm.opts.OnManifest(d.ctx, d.version.Manifest, raw)
 		if err == nil {
 			return true
 		}
-		g.swarm.opts.Logger.Warn("stage_manifest_refused", zap.Stringer("version", g.version), zap.Error(err))
-		if !pause(g.ctx, manifestRetry) {
+		d.swarm.opts.Logger.Warn("stage_manifest_refused", zap.Stringer("version", d.version), zap.Error(err))
+		if !sleep(d.ctx, manifestRetryMin) {
 			return false
 		}
 	}
 }
 
-func (g *gather) heldChunks(m weights.Manifest) []int {
-	held, err := g.swarm.opts.Stage.Held(g.ctx, g.version.Manifest)
+func (d *download) heldChunks(m weights.Manifest) []int {
+	held, err := d.swarm.opts.Stage.Held(d.ctx, d.version.Manifest)
 	if err != nil {
-		g.swarm.opts.Logger.Warn("stage_not_listed", zap.Error(err))
+		d.swarm.opts.Logger.Warn("stage_not_listed", zap.Error(err))
 		return nil
 	}
-	return valid(held, len(m.Chunks))
+	return validIndexes(held, len(m.Chunks))
 }
 
-// copyReusable stages chunks that another version on this instance has with
-// the same digest, and returns their indexes. Bytes that are here need not
-// cross any link.
-func (g *gather) copyReusable(m weights.Manifest, held []int) []int {
+// copyReusable stages chunks with the same digest from other versions on this
+// instance, and returns their indexes. Bytes that are already on the instance
+// need not cross a link.
+func (d *download) copyReusable(m weights.Manifest, held []int) []int {
 	have := weights.SetOf(len(m.Chunks), held...)
 	var copied []int
-	for _, other := range g.reuse {
-		at := make(map[fleet.Digest]int, len(other.chunks.Chunks))
+	for _, other := range d.reusable {
+		indexes := make(map[fleet.Digest]int, len(other.chunks.Chunks))
 		for i := range other.held.All() {
-			at[other.chunks.Chunks[i].Digest] = i
+			indexes[other.chunks.Chunks[i].Digest] = i
 		}
 		for _, c := range m.Chunks {
-			from, found := at[c.Digest]
-			if !found || have.Has(c.Index) || !g.copyChunk(other.manifest, from, c) {
+			index, found := indexes[c.Digest]
+			if !found || have.Has(c.Index) || !d.copyChunk(other.manifest, index, c) {
 				continue
 			}
 			have.Add(c.Index)
@@ -289,20 +296,20 @@
 	return copied
 }
 
-func (g *gather) copyChunk(from fleet.Digest, index int, c weights.Chunk) bool {
-	data, err := g.swarm.opts.Stage.Get(g.ctx, from, index)
+func (d *download) copyChunk(from fleet.Digest, index int, c weights.Chunk) bool {
+	data, err := d.swarm.opts.Stage.Get(d.ctx, from, index)
 	if err != nil {
 		return false
 	}
-	return g.keep(g.ctx, c, data) == nil
+	return d.verifyAndStage(d.ctx, c, data) == nil
 }
 
-func others(members []spread.Member, self fleet.InstanceID) []spread.Member {
-	var rest []spread.Member
+func withoutSelf(members []spread.Member, self fleet.InstanceID) []spread.Member {
+	var others []spread.Member
 	for _, m := range members {
 		if m.ID != self {
-			rest = append(rest, m)
+			others = append(others, m)
 		}
 	}
-	return rest
+	return others
 }
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -17,21 +17,21 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// newsQueue bounds the news that wait for a slow neighbour. News that do not
-// fit are put together with the next ones.
-const newsQueue = 4
+// reportQueueLen bounds the reports that wait for a slow neighbour. The content
+// of a report that does not fit is included in the next one.
+const reportQueueLen = 4
 
-// link is an open exchange with one neighbour about one version.
+// link is an open exchange of reports with one neighbour about one version.
 type link struct {
-	member   spread.Member
-	dialer   fleet.InstanceID
-	stream   *peer.Stream
-	news     chan wire.ChunkNews
-	once     sync.Once
-	closed   chan struct{}
-	sentHave *weights.Set
-	sentSeen *weights.Set
-	heard    bool // the neighbour has told what it has
+	member      spread.Member
+	dialer      fleet.InstanceID
+	stream      *peer.Stream
+	reports     chan wire.ChunkNews
+	once        sync.Once
+	closed      chan struct{}
+	sentHave    *weights.Set
+	sentSeen    *weights.Set
+	hasReported bool // the neighbour's first report, with all its chunks, was received
 }
 
 func newLink(member spread.Member, dialer fleet.InstanceID, s *peer.Stream, chunks int) *link {
@@ -39,7 +39,7 @@
 		member:   member,
 		dialer:   dialer,
 		stream:   s,
-		news:     make(chan wire.ChunkNews, newsQueue),
+		reports:  make(chan wire.ChunkNews, reportQueueLen),
 		closed:   make(chan struct{}),
 		sentHave: weights.NewSet(chunks),
 		sentSeen: weights.NewSet(chunks),
@@ -53,187 +53,187 @@
 	})
 }
 
-// link opens exchanges with chosen neighbours that have none.
-func (g *gather) link(now time.Time) {
-	for _, m := range g.plan.Neighbours() {
-		if g.links[m.ID] != nil || g.dialing[m.ID] || now.Before(g.retryAt[m.ID]) {
+// dialNeighbours opens exchanges with chosen neighbours that have none.
+func (d *download) dialNeighbours(now time.Time) {
+	for _, m := range d.plan.Neighbours() {
+		if d.links[m.ID] != nil || d.dialing[m.ID] || now.Before(d.retryAt[m.ID]) {
 			continue
 		}
-		g.dialing[m.ID] = true
-		go g.dial(m)
+		d.dialing[m.ID] = true
+		go d.dial(m)
 	}
 }
 
-// dial opens an exchange. A member that cannot be reached is told to the plan,
-// which then chooses others: a part of a split fleet would otherwise wait for
-// the neighbours on the other side. One that only refuses has not begun to
-// gather yet and is asked again soon.
-func (g *gather) dial(m spread.Member) {
-	s, err := g.swarm.opts.Endpoint.Open(g.ctx, m.Addr, m.ID, peer.KindChunk)
+// dial opens an exchange. A member that cannot be reached is reported to the
+// plan, which then chooses others: otherwise one side of a network partition
+// would wait for neighbours on the other side. A member that only refuses does
+// not know the version or this instance yet and is dialled again soon.
+func (d *download) dial(m spread.Member) {
+	s, err := d.swarm.opts.Endpoint.Open(d.ctx, m.Addr, m.ID, peer.KindChunk)
 	if err != nil {
-		g.swarm.post(func(now time.Time) { g.notLinked(now, m.ID, true) })
+		d.swarm.post(func(now time.Time) { d.dialFailed(now, m.ID, true) })
 		return
 	}
-	first, err := g.openExchange(s)
+	first, err := d.openExchange(s)
 	if err != nil {
 		s.Abort()
 		unreachable := errorx.IsOfType(err, failure.Timeout)
-		g.swarm.post(func(now time.Time) { g.notLinked(now, m.ID, unreachable) })
+		d.swarm.post(func(now time.Time) { d.dialFailed(now, m.ID, unreachable) })
 		return
 	}
-	g.swarm.post(func(now time.Time) {
-		delete(g.dialing, m.ID)
-		g.linked(now, newLink(m, g.swarm.opts.Self.ID, s, len(g.manifest.Chunks)), &first)
+	d.swarm.post(func(now time.Time) {
+		delete(d.dialing, m.ID)
+		d.addLink(now, newLink(m, d.swarm.opts.Self.ID, s, len(d.manifest.Chunks)), &first)
 	})
 }
 
-// openExchange asks for the exchange and waits for the neighbour's first news,
-// at most for the stall timeout: a connection whose other side has vanished
+// openExchange requests the exchange and waits for the neighbour's first report,
+// at most for the stall timeout: a connection whose remote process has vanished
 // opens streams without an error.
-func (g *gather) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
-	s.SetStall(g.swarm.opts.Stall)
+func (d *download) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
+	s.SetStall(d.swarm.opts.Stall)
 	defer s.SetStall(0)
 	var first wire.ChunkNews
-	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Exchange: true}); err != nil {
+	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Exchange: true}); err != nil {
 		return first, err
 	}
 	err := s.Recv(&first)
 	return first, err
 }
 
-// notLinked ends a dial that came to nothing.
-func (g *gather) notLinked(now time.Time, id fleet.InstanceID, unreachable bool) {
-	delete(g.dialing, id)
-	g.retryAt[id] = now.Add(relinkAfter)
-	if unreachable && g.ctx.Err() == nil && g.links[id] == nil {
-		g.plan.PeerDown(now, id)
-		g.nextLink = now
+// dialFailed handles a dial that failed.
+func (d *download) dialFailed(now time.Time, id fleet.InstanceID, unreachable bool) {
+	delete(d.dialing, id)
+	d.retryAt[id] = now.Add(linkRetryDelay)
+	if unreachable && d.ctx.Err() == nil && d.links[id] == nil {
+		d.plan.PeerDown(now, id)
+		d.nextLink = now
 	}
 }
 
-// linked adds an open exchange; first is what the neighbour has told, nil if
-// nothing yet. Two neighbours that chose each other may open one each at the
-// same time; both keep the one that the lesser id opened, so that neither
-// closes the one that the other keeps.
-func (g *gather) linked(now time.Time, l *link, first *wire.ChunkNews) {
+// addLink adds an open exchange; first is the neighbour's first report, or nil
+// if none was received yet. Two neighbours that chose each other may each open
+// an exchange at the same time; both keep the one opened by the lower ID, so
+// that neither closes the one that the other keeps.
+func (d *download) addLink(now time.Time, l *link, first *wire.ChunkNews) {
 	id := l.member.ID
-	old, ok := g.links[id]
-	if g.ctx.Err() != nil || ok && old.dialer != l.dialer && old.dialer < l.dialer {
+	old, ok := d.links[id]
+	if d.ctx.Err() != nil || ok && old.dialer != l.dialer && old.dialer < l.dialer {
 		l.close()
 		return
 	}
 	if ok {
 		old.close()
-		g.plan.PeerDown(now, id)
+		d.plan.PeerDown(now, id)
 	}
-	g.links[id] = l
-	g.plan.PeerUp(now, l.member)
+	d.links[id] = l
+	d.plan.PeerUp(now, l.member)
 	if first != nil {
-		g.heard(now, id, *first)
+		d.handleReport(now, id, *first)
 	}
-	go g.readNews(l)
-	go g.writeNews(l)
-	// The first news go out even if there is nothing to tell: the neighbour
-	// draws from the origin only once it has heard what others hold.
-	l.tell(g.plan.Have(), g.plan.Seen())
-	if !g.paused {
-		g.startFetches(now)
+	go d.readReports(l)
+	go d.writeReports(l)
+	// The first report is sent even if it is empty: the neighbour fetches from
+	// the origin only once it has received reports from others.
+	l.queueReport(d.plan.Have(), d.plan.Seen())
+	if !d.paused {
+		d.startFetches(now)
 	}
 }
 
-func (g *gather) unlinked(now time.Time, l *link) {
+func (d *download) removeLink(now time.Time, l *link) {
 	l.close()
-	if g.links[l.member.ID] != l {
+	if d.links[l.member.ID] != l {
 		return
 	}
-	delete(g.links, l.member.ID)
-	g.retryAt[l.member.ID] = now.Add(relinkAfter)
-	g.plan.PeerDown(now, l.member.ID)
+	delete(d.links, l.member.ID)
+	d.retryAt[l.member.ID] = now.Add(linkRetryDelay)
+	d.plan.PeerDown(now, l.member.ID)
 }
 
-func (g *gather) readNews(l *link) {
+func (d *download) readReports(l *link) {
 	for {
-		var news wire.ChunkNews
-		if err := l.stream.Recv(&news); err != nil {
-			g.swarm.post(func(now time.Time) { g.unlinked(now, l) })
+		var report wire.ChunkNews
+		if err := l.stream.Recv(&report); err != nil {
+			d.swarm.post(func(now time.Time) { d.removeLink(now, l) })
 			return
 		}
-		g.swarm.post(func(now time.Time) {
-			g.heard(now, l.member.ID, news)
-			if !g.paused {
-				g.startFetches(now)
+		d.swarm.post(func(now time.Time) {
+			d.handleReport(now, l.member.ID, report)
+			if !d.paused {
+				d.startFetches(now)
 			}
 		})
 	}
 }
 
-func (g *gather) writeNews(l *link) {
+func (d *download) writeReports(l *link) {
 	for {
 		select {
 		case <-l.closed:
 			return
-		case news := <-l.news:
-			if err := l.stream.Send(news); err != nil {
-				g.swarm.post(func(now time.Time) { g.unlinked(now, l) })
+		case report := <-l.reports:
+			if err := l.stream.Send(report); err != nil {
+				d.swarm.post(func(now time.Time) { d.removeLink(now, l) })
 				return
 			}
 		}
 	}
 }
 
-// heard takes a neighbour's news; the first tell all that it has. Indexes that
-// the manifest does not have are left out: they come from a peer that is
-// broken.
-func (g *gather) heard(now time.Time, from fleet.InstanceID, news wire.ChunkNews) {
-	l := g.links[from]
-	if g.ctx.Err() != nil || l == nil {
+// handleReport processes a neighbour's report; the first one lists all chunks
+// that the neighbour holds. Indexes that are not in the manifest come from a
+// faulty peer and are ignored.
+func (d *download) handleReport(now time.Time, from fleet.InstanceID, report wire.ChunkNews) {
+	l := d.links[from]
+	if d.ctx.Err() != nil || l == nil {
 		return
 	}
-	chunks := len(g.manifest.Chunks)
-	g.plan.MergeSeen(now, weights.SetOf(chunks, valid(news.Seen, chunks)...))
-	have := valid(news.Have, chunks)
-	if l.heard {
-		g.plan.AddPeerChunks(now, from, have)
+	chunks := len(d.manifest.Chunks)
+	d.plan.MergeSeen(now, weights.SetOf(chunks, validIndexes(report.Seen, chunks)...))
+	have := validIndexes(report.Have, chunks)
+	if l.hasReported {
+		d.plan.AddPeerChunks(now, from, have)
 		return
 	}
-	l.heard = true
-	g.plan.SetPeerChunks(now, from, weights.SetOf(chunks, have...))
+	l.hasReported = true
+	d.plan.SetPeerChunks(now, from, weights.SetOf(chunks, have...))
 }
 
-func valid(indexes []int, chunks int) []int {
-	kept := indexes[:0:0]
+func validIndexes(indexes []int, chunks int) []int {
+	valid := indexes[:0:0]
 	for _, i := range indexes {
 		if i >= 0 && i < chunks {
-			kept = append(kept, i)
+			valid = append(valid, i)
 		}
 	}
-	return kept
+	return valid
 }
 
-// tellNews queues for each neighbour what it has not been told.
-func (g *gather) tellNews() {
-	for _, l := range g.links {
-		have, seen := g.plan.Have(), g.plan.Seen()
+// queueReports queues a report of unsent changes for each neighbour.
+func (d *download) queueReports() {
+	for _, l := range d.links {
+		have, seen := d.plan.Have(), d.plan.Seen()
 		if l.sentHave.Count() < have.Count() || l.sentSeen.Count() < seen.Count() {
-			l.tell(have, seen)
+			l.queueReport(have, seen)
 		}
 	}
 }
 
-// tell queues what the neighbour has not been told. If its queue is full the
-// next call tells it.
-func (l *link) tell(have, seen *weights.Set) {
-	news := wire.ChunkNews{Have: missing(have, l.sentHave), Seen: missing(seen, l.sentSeen)}
+// queueReport queues a report of unsent changes. If the queue is full, the
+// changes are included in the next report.
+func (l *link) queueReport(have, seen *weights.Set) {
+	report := wire.ChunkNews{Have: unsent(have, l.sentHave), Seen: unsent(seen, l.sentSeen)}
 	select {
-	case l.news <- news:
-		addAll(l.sentHave, news.Have)
-		addAll(l.sentSeen, news.Seen)
+	case l.reports <- report:
+		addAll(l.sentHave, report.Have)
+		addAll(l.sentSeen, report.Seen)
 	default:
 	}
 }
 
-// missing lists what is in all and not in sent.
-func missing(all, sent *weights.Set) []int {
+// unsent returns the indexes that are in all but not in sent.
+func unsent(all, sent *weights.Set) []int {
 	return slices.Collect(all.Difference(sent))
 }
 
@@ -243,20 +243,20 @@
 	}
 }
 
-// acceptExchange takes a neighbour's exchange into use. A version that is not
-// gathered here, or a neighbour that is not known here yet, is refused; the
-// neighbour asks again, since this process may only be late.
+// acceptExchange accepts an exchange opened by a neighbour. It refuses if the
+// version is not being fetched here or the neighbour is not a known member; the
+// neighbour retries, since this process may just not be up to date.
 func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
 	var accepted bool
 	st.SetStall(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
-		g, ok := s.gathers[open.Manifest]
+		d, ok := s.downloads[open.Manifest]
 		member, listed := s.member(from.ID)
-		if !ok || g.plan == nil || !listed {
+		if !ok || d.plan == nil || !listed {
 			return
 		}
 		accepted = true
-		g.linked(now, newLink(member, from.ID, st, len(g.manifest.Chunks)), nil)
+		d.addLink(now, newLink(member, from.ID, st, len(d.manifest.Chunks)), nil)
 	})
 	if err != nil || !accepted {
 		st.Abort()
--- a/daemon/swarm/manifest.go
+++ b/daemon/swarm/manifest.go
@@ -10,95 +10,98 @@
 	"chivespindle.example/core/weights"
 )
 
-// Pauses of the search for a manifest. A digest that nobody has, as after a
-// slip of the operator, is searched for until the text is mended; hundreds of
-// agents must not do that at full speed.
+// Retry delays for fetching a manifest. A digest that no source has, for example
+// after an operator's typing error, is requested until the configuration is
+// corrected; hundreds of agents must not do that at full speed.
 const (
-	manifestRetry    = 100 * time.Millisecond
+	manifestRetryMin = 100 * time.Millisecond
 	manifestRetryMax = 2 * time.Second
 	sourceRetryMin   = 200 * time.Millisecond
 	sourceRetryMax   = 15 * time.Second
 	maxDoublings     = 16
 )
 
-// manifestPause is the wait after a try to get the manifest.
-func manifestPause(attempt int) time.Duration {
-	return min(manifestRetryMax, manifestRetry<<min(attempt/2, maxDoublings))
+// manifestRetryDelay returns the delay after a failed attempt to fetch the
+// manifest.
+func manifestRetryDelay(attempt int) time.Duration {
+	return min(manifestRetryMax, manifestRetryMin<<min(attempt/2, maxDoublings))
 }
 
-// manifestSearch is one search for a manifest.
+// manifestSearch is the state of one search for a manifest.
 type manifestSearch struct {
-	gather  *gather
-	started time.Time
-	sources []*restingSource
+	download  *download
+	started   time.Time
+	upstreams []*upstream
 }
 
-// restingSource is the origin or the store, which rests after a failure.
-type restingSource struct {
+// upstream is the origin or the store, with its backoff after failures.
+type upstream struct {
 	weights.Source
-	failures int
-	until    time.Time
+	failures    int
+	pausedUntil time.Time
 }
 
-func newManifestSearch(g *gather) *manifestSearch {
-	s := &manifestSearch{gather: g, started: time.Now(), sources: []*restingSource{{Source: g.swarm.opts.Origin}}}
-	if g.swarm.opts.Store != nil {
-		s.sources = append(s.sources, &restingSource{Source: g.swarm.opts.Store})
+func newManifestSearch(d *download) *manifestSearch {
+	s := &manifestSearch{download: d, started: time.Now(), upstreams: []*upstream{{Source: d.swarm.opts.Origin}}}
+	if d.swarm.opts.Store != nil {
+		s.upstreams = append(s.upstreams, &upstream{Source: d.swarm.opts.Store})
 	}
 	return s
 }
 
-// ask asks one source, if it is this member's turn and one is due, and then
-// some peers.
-func (s *manifestSearch) ask(attempt int) ([]byte, error) {
-	g := s.gather
+// try requests the manifest from one upstream source, if this member's delay has
+// passed and a source is due, and then from some peers.
+func (s *manifestSearch) try(attempt int) ([]byte, error) {
+	d := s.download
 	var members []spread.Member
-	if err := g.swarm.opts.Loop.Do(g.ctx, func(time.Time) { members = g.swarm.members }); err != nil {
+	if err := d.swarm.opts.Loop.Do(d.ctx, func(time.Time) { members = d.swarm.members }); err != nil {
 		return nil, err
 	}
-	ranked := rankMembers(g.version.Manifest, members)
-	turn := time.Duration(min(rankOf(ranked, g.swarm.opts.Self.ID)/manifestAskers, manifestMaxTurns)) * manifestTurn
-	if time.Since(s.started) >= turn {
-		raw, err := s.askSource()
+	ranked := rankMembers(d.version.Manifest, members)
+	delay := time.Duration(min(rankOf(ranked, d.swarm.opts.Self.ID)/manifestFetchersPerRank, manifestMaxRank)) * manifestRankDelay
+	if time.Since(s.started) >= delay {
+		raw, err := s.tryUpstream()
 		if err == nil {
 			return raw, nil
 		}
 	}
-	return g.manifestFromPeers(others(ranked, g.swarm.opts.Self.ID), attempt)
+	return d.manifestFromPeers(withoutSelf(ranked, d.swarm.opts.Self.ID), attempt)
 }
 
-// askSource asks the source that has rested longest, if any is due.
-func (s *manifestSearch) askSource() ([]byte, error) {
-	due := s.sources[0]
-	for _, other := range s.sources {
-		if other.until.Before(due.until) {
+// tryUpstream requests the manifest from the source whose backoff ended first,
+// if any is due.
+func (s *manifestSearch) tryUpstream() ([]byte, error) {
+	due := s.upstreams[0]
+	for _, other := range s.upstreams {
+		if other.pausedUntil.Before(due.pausedUntil) {
 			due = other
 		}
 	}
-	if time.Now().Before(due.until) {
-		return nil, failure.Unavailable.New("the origin and the store rest")
+	if time.Now().Before(due.pausedUntil) {
+		return nil, failure.Unavailable.New("origin and store are in backoff after failures")
 	}
-	manifest := s.gather.version.Manifest
-	raw, err := due.Manifest(s.gather.ctx, manifest)
+	manifest := s.download.version.Manifest
+	raw, err := due.Manifest(s.download.ctx, manifest)
 	if err == nil {
 		_, err = weights.Decode(raw, manifest)
 	}
 	if err != nil {
-		due.rest(failure.RetryAfter(err))
+		due.backOff(failure.RetryAfter(err))
 	}
 	return raw, err
 }
 
-// rest keeps to the pause that the source asked for, and else doubles its own.
-func (r *restingSource) rest(asked time.Duration) {
-	own := min(sourceRetryMax, sourceRetryMin<<min(r.failures, maxDoublings))
+// backOff pauses the source for the longer of the delay that it requested and an
+// exponential backoff, plus jitter.
+func (r *upstream) backOff(requested time.Duration) {
+	backoff := min(sourceRetryMax, sourceRetryMin<<min(r.failures, maxDoublings))
 	r.failures++
-	wait := max(asked, own)
-	r.until = time.Now().Add(wait + rand.N(wait/2+1))
+	wait := max(requested, backoff)
+	r.pausedUntil = time.Now().Add(wait + rand.N(wait/2+1))
 }
 
-// pause waits for d and reports whether ctx is still alive.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/swarm/sources_test.go
+++ b/daemon/swarm/sources_test.go
@@ -14,20 +14,21 @@
 	"chivespindle.example/daemon/internal/daemontest"
 )
 
-// forTheFirst meets the first n draws of chunks with a fault.
-func forTheFirst(n int64, fault func(ctx context.Context) error) func(context.Context, daemontest.Draw) error {
-	var met atomic.Int64
-	return func(ctx context.Context, draw daemontest.Draw) error {
-		if draw.Chunk < 0 || met.Add(1) > n {
+// failFirst applies a fault to the first n fetches of chunks.
+func failFirst(n int64, fault func(ctx context.Context) error) func(context.Context, daemontest.Draw) error {
+	var calls atomic.Int64
+	return func(ctx context.Context, fetch daemontest.Draw) error {
+		if fetch.Chunk < 0 || calls.Add(1) > n {
 			return nil
 		}
 		return fault(ctx)
 	}
 }
 
-// stalled ends as a source does whose link brings no byte.
+// stalled fails like a source whose link delivers no byte until the stall
+// timeout.
 func stalled(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, stall)
+	ctx, cancel := context.WithTimeout(ctx, stallTimeout)
 	defer cancel()
 	return daemontest.Stall(ctx)
 }
@@ -35,10 +36,10 @@
 func unavailable(context.Context) error { return failure.Unavailable.New("connection reset") }
 
 var _ = Describe("The origin", func() {
-	// The origin fails an agent's first draws in some way and then works. The
-	// agent goes on: with the store if there is one, else with the origin once
-	// more after a pause. The version becomes whole, and no wrong byte is staged.
-	DescribeTable("that fails for a while delays a version and no more",
+	// The origin fails an agent's first fetches and then works. The agent uses
+	// the store if there is one, and otherwise retries the origin after a delay.
+	// The version becomes complete, and no corrupt byte is staged.
+	DescribeTable("only delays a version when it fails temporarily",
 		func(fail func(origin *daemontest.Source), withStore bool) {
 			m := newModel("r1", 6)
 			from := sources{origin: daemontest.NewSource(m)}
@@ -46,20 +47,20 @@
 				from.store = daemontest.NewSource(m)
 			}
 			fail(from.origin)
-			h := start("agent-1", daemontest.NewStage(), from)
-			h.gather(m, nil)
-			h.expectWhole(m)
-			Expect(h.stage.Puts()).To(Equal(6), "each chunk was staged once, and whole")
+			a := start("agent-1", daemontest.NewStage(), from)
+			a.fetch(m, nil)
+			a.expectComplete(m)
+			Expect(a.stage.Puts()).To(Equal(6), "each chunk was staged once and completely")
 		},
-		Entry("it stalls", func(o *daemontest.Source) { o.Fail(forTheFirst(1, stalled)) }, true),
-		Entry("it is down, and there is a store", func(o *daemontest.Source) { o.Fail(forTheFirst(4, unavailable)) }, true),
-		Entry("it is down, and there is no store", func(o *daemontest.Source) { o.Fail(forTheFirst(4, unavailable)) }, false),
-		Entry("it sends a wrong byte, and there is a store", spoilFirst, true),
-		Entry("it sends a wrong byte, and there is no store", spoilFirst, false),
-		Entry("it sends half of a chunk", func(o *daemontest.Source) {
-			var met atomic.Bool
+		Entry("stalled link, with a store", func(o *daemontest.Source) { o.Fail(failFirst(1, stalled)) }, true),
+		Entry("origin down, with a store", func(o *daemontest.Source) { o.Fail(failFirst(4, unavailable)) }, true),
+		Entry("origin down, without a store", func(o *daemontest.Source) { o.Fail(failFirst(4, unavailable)) }, false),
+		Entry("corrupt byte, with a store", corruptFirst, true),
+		Entry("corrupt byte, without a store", corruptFirst, false),
+		Entry("half of a chunk, with a store", func(o *daemontest.Source) {
+			var done atomic.Bool
 			o.Spoil(func(_ daemontest.Draw, data []byte) []byte {
-				if met.Swap(true) {
+				if done.Swap(true) {
 					return data
 				}
 				return data[:len(data)/2]
@@ -67,78 +68,84 @@
 		}, true),
 	)
 
-	// The origin refuses an agent and names a pause. Of the draws that run at
-	// once each may be refused; then the origin is left alone for that time.
-	// Seen with RetryAfter not passed on to the plan: it was asked again at once.
-	It("that asks for a pause gets it", func() {
+	// The origin refuses an agent's requests with a retry delay. Each of the
+	// concurrent fetches may be refused; after that the origin receives no
+	// request for that time.
+	//
+	// Without passing RetryAfter to the plan, the origin received requests again
+	// at once.
+	It("receives no chunk requests during the retry delay that it requested", func() {
 		m := newModel("r1", 6)
 		from := sources{origin: daemontest.NewSource(m)}
-		const pause, atOnce = 8 * time.Second, 2
+		const pause, parallel = 8 * time.Second, 2
 		var mu sync.Mutex
-		var asked []time.Time
-		from.origin.Fail(func(_ context.Context, draw daemontest.Draw) error {
-			if draw.Chunk < 0 {
+		var requestedAt []time.Time
+		from.origin.Fail(func(_ context.Context, fetch daemontest.Draw) error {
+			if fetch.Chunk < 0 {
 				return nil
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			asked = append(asked, time.Now())
-			if len(asked) > atOnce {
+			requestedAt = append(requestedAt, time.Now())
+			if len(requestedAt) > parallel {
 				return nil
 			}
 			return failure.WithRetryAfter(failure.RateLimited.New("status 429"), pause)
 		})
-		h := start("agent-1", daemontest.NewStage(), from)
-		h.gather(m, nil)
-		h.expectWhole(m)
-		Expect(asked[atOnce].Sub(asked[0])).To(BeNumerically(">=", pause/speed))
+		a := start("agent-1", daemontest.NewStage(), from)
+		a.fetch(m, nil)
+		a.expectComplete(m)
+		Expect(requestedAt[parallel].Sub(requestedAt[0])).To(BeNumerically(">=", pause/clockSpeed))
 	})
 
-	// A text names a manifest that the origin refuses for an hour, and the store
-	// lacks. The agent asks the store again and again, less and less often, and
-	// leaves the origin alone: hundreds of agents that asked ten times a second
-	// would take from live transfers what the origin can serve.
-	// Seen before the mend, and with the pause left out: the origin was asked as
-	// often as the store.
-	It("that asks for a pause gets it from the search for a manifest", func() {
+	// The configuration names a manifest that the origin refuses for an hour and
+	// that the store does not have. The agent requests it from the store with
+	// increasing delays and does not contact the origin: hundreds of agents that
+	// retried ten times per second would use origin capacity that live transfers
+	// need.
+	//
+	// The fault, also seen with the delay ignored, was that the origin received
+	// as many requests as the store.
+	It("receives no manifest requests during the retry delay that it requested", func() {
 		m := newModel("r1", 1)
 		from := sources{origin: daemontest.NewSource(), store: daemontest.NewSource()}
 		from.origin.Fail(func(context.Context, daemontest.Draw) error {
 			return failure.WithRetryAfter(failure.RateLimited.New("status 429"), time.Hour)
 		})
-		h := start("agent-1", daemontest.NewStage(), from)
-		h.gather(m, nil)
+		a := start("agent-1", daemontest.NewStage(), from)
+		a.fetch(m, nil)
 		Eventually(from.store.Manifests).Should(BeNumerically(">=", 3))
 		Expect(from.origin.Manifests()).To(Equal(1))
 	})
 
-	// The origin breaks every transfer off in the middle. Bytes have crossed its
-	// link each time, so each counts against the agent's share of the copies that
-	// the fleet may draw, and the agent turns to the store.
-	// Seen before the mend, and with it taken out: broken transfers were not
-	// counted, and the origin was drawn from 13 times where 4 are allowed.
-	It("that breaks transfers off is drawn from within the limit", func() {
+	// The origin aborts every transfer halfway. Each transfer has used the
+	// origin's link, so each counts against the agent's share of the copies that
+	// the fleet may fetch, and the agent uses the store.
+	//
+	// The fault, also seen without the count, was that aborted transfers were
+	// not counted: the origin received 13 fetches where 4 are allowed.
+	It("is not used beyond the limit when it aborts transfers", func() {
 		m := newModel("r1", 4)
 		from := sources{origin: daemontest.NewSource(m), store: daemontest.NewSource(m)}
 		from.origin.Break()
-		from.store.Fail(forTheFirst(1000, func(context.Context) error { return failure.NotFound.New("not stored") }))
-		h := start("agent-1", daemontest.NewStage(), from)
-		settings := quick
+		from.store.Fail(failFirst(1000, func(context.Context) error { return failure.NotFound.New("not stored") }))
+		a := start("agent-1", daemontest.NewStage(), from)
+		settings := fastSettings
 		settings.OriginCopies = 1
-		h.OnLoop(func(now time.Time) {
-			h.swarm.SetMembers(now, []spread.Member{h.member()})
-			h.swarm.Gather(now, m.Version, settings, nil)
+		a.OnLoop(func(now time.Time) {
+			a.swarm.SetMembers(now, []spread.Member{a.member()})
+			a.swarm.Gather(now, m.Version, settings, nil)
 		})
 		Eventually(func() int { return len(from.store.Drawn()) }).Should(BeNumerically(">=", 6))
 		Expect(len(from.origin.Drawn())).To(BeNumerically("<=", 4))
 	})
 })
 
-// spoilFirst changes a byte of the first chunk that is drawn.
-func spoilFirst(o *daemontest.Source) {
-	var met atomic.Bool
+// corruptFirst changes a byte of the first chunk that is fetched.
+func corruptFirst(o *daemontest.Source) {
+	var done atomic.Bool
 	o.Spoil(func(_ daemontest.Draw, data []byte) []byte {
-		if !met.Swap(true) {
+		if !done.Swap(true) {
 			data[7]++
 		}
 		return data
--- a/daemon/swarm/swarm.go
+++ b/daemon/swarm/swarm.go
@@ -1,9 +1,9 @@
-// Package swarm gathers the chunks of a model version from peers, the origin
-// and the weight store, and gives them to peers.
+// Package swarm fetches the chunks of a model version from peers, the origin and
+// the weight store, and uploads them to peers.
 //
-// The decisions are core/spread's; this package carries them out. Its state
-// belongs to the control loop. Bytes move on goroutines of their own, one for
-// each transfer, which post an event when they end.
+// Package core/spread makes the decisions; this package carries them out. The
+// state belongs to the control loop. Each transfer runs on its own goroutine,
+// which posts an event to the loop when the transfer ends.
 package swarm
 
 import (
@@ -23,17 +23,18 @@
 	"chivespindle.example/daemon/control"
 )
 
-// Limiter slows bytes down to the share of the machine's link that weight
-// traffic may use. WaitN is called for each piece of at most PieceBytes.
+// Limiter limits weight traffic to its share of the machine's link. WaitN is
+// called for each piece of at most PieceBytes.
 type Limiter interface {
 	WaitN(ctx context.Context, n int) error
 }
 
-// PieceBytes is the largest number of bytes that a transfer sends or takes in
+// PieceBytes is the maximum number of bytes that a transfer sends or receives in
 // one step. It bounds how long a live request waits behind weight traffic.
 const PieceBytes = 64 << 10
 
-// Options of a Swarm. All fields are needed unless a comment says otherwise.
+// Options configures a Swarm. All fields are required unless a comment says
+// otherwise.
 type Options struct {
 	Self     spread.Member
 	Loop     *control.Loop
@@ -42,88 +43,91 @@
 	Origin   weights.Source
 	Store    weights.Source // nil if the platform has no store
 	Up, Down Limiter
-	// SendBytes is the most that is sent in one step, 0 for PieceBytes. On a
-	// narrow link smaller steps keep the link's queue short for live requests.
+	// SendBytes is the maximum number of bytes sent in one step; 0 means
+	// PieceBytes. On a narrow link, smaller steps keep the link's queue short
+	// for live requests.
 	SendBytes int
-	// Stall is the progress deadline of a transfer: a stalled link does not
-	// close, so a transfer without a byte for this long is given up.
+	// Stall is the progress deadline of a transfer. A stalled link does not
+	// close its connections, so a transfer that receives no byte for this long
+	// is aborted.
 	Stall   time.Duration
 	Rand    *rand.Rand
 	Logger  *zap.Logger
 	Metrics tally.Scope
 	// OnManifest is called on a traffic goroutine once a manifest has been
-	// checked and before any chunk is staged; nil: not called. While it fails
-	// the gather waits.
+	// verified and before any chunk is staged; it may be nil. The download
+	// waits, and the call is retried, until it succeeds.
 	OnManifest func(ctx context.Context, manifest fleet.Digest, raw []byte) error
-	// Known returns a manifest that the process has checked before, so that it
-	// is not searched for; nil if it has none. Known itself may be nil.
+	// Known returns a manifest that the process has verified before, so that it
+	// need not be fetched, or nil if there is none. Known itself may be nil.
 	Known func(manifest fleet.Digest) []byte
-	// OnComplete is called on the control loop when every chunk of a version
-	// has been checked and staged.
+	// OnComplete is called on the control loop when every chunk of a version has
+	// been verified and staged.
 	OnComplete func(now time.Time, version fleet.Version)
 }
 
-// Swarm holds the gathers of an agent: the version it wants and, until they
-// are dropped, versions it still gives to peers.
+// Swarm holds the downloads of an agent: that of the version it wants and, until
+// they are dropped, those of versions that it still uploads to peers.
 type Swarm struct {
-	opts    Options
-	ctx     context.Context
-	gathers map[fleet.Digest]*gather
-	members []spread.Member
-	drawn   status.Drawn
+	opts      Options
+	ctx       context.Context
+	downloads map[fleet.Digest]*download
+	members   []spread.Member
+	fetched   status.Drawn
 }
 
-// New returns a swarm without gathers. Transfers end with ctx.
+// New returns a swarm without downloads. Transfers end with ctx.
 func New(ctx context.Context, opts Options) *Swarm {
 	if opts.SendBytes == 0 {
 		opts.SendBytes = PieceBytes
 	}
-	return &Swarm{opts: opts, ctx: ctx, gathers: make(map[fleet.Digest]*gather)}
+	return &Swarm{opts: opts, ctx: ctx, downloads: make(map[fleet.Digest]*download)}
 }
 
-// Gather starts to gather a version. If it was gathered before, the stage is
-// asked anew what it holds, since the caller may have reason not to trust it;
-// chunks that are still held are not fetched again. Chunks of the manifests in
-// reuse with an equal digest are copied. It must be called on the control loop.
+// Gather starts to fetch a version. If the version was fetched before, the stage
+// is asked again which chunks it holds, since the caller may have reason not to
+// trust the earlier result; chunks that are still staged are not fetched again.
+// Chunks with the same digest in the manifests in reuse are copied. Gather must
+// be called on the control loop.
 func (s *Swarm) Gather(now time.Time, version fleet.Version, settings spread.Settings, reuse []fleet.Digest) {
 	var raw []byte
-	if former, ok := s.gathers[version.Manifest]; ok {
-		raw = former.raw
-		former.close()
+	if previous, ok := s.downloads[version.Manifest]; ok {
+		raw = previous.rawManifest
+		previous.close()
 	}
 	if raw == nil && s.opts.Known != nil {
 		raw = s.opts.Known(version.Manifest)
 	}
-	g := newGather(s, version, settings, now)
-	s.gathers[version.Manifest] = g
+	d := newDownload(s, version, settings, now)
+	s.downloads[version.Manifest] = d
 	for _, manifest := range reuse {
-		if other, ok := s.gathers[manifest]; ok && other.plan != nil && manifest != version.Manifest {
-			g.reuse = append(g.reuse, reusable{manifest: manifest, chunks: other.manifest, held: other.plan.Have().Clone()})
+		if other, ok := s.downloads[manifest]; ok && other.plan != nil && manifest != version.Manifest {
+			d.reusable = append(d.reusable, reusableVersion{manifest: manifest, chunks: other.manifest, held: other.plan.Have().Clone()})
 		}
 	}
-	g.start(raw)
+	d.start(raw)
 }
 
-// Stop ends the fetches of a version and keeps giving its chunks to peers. A
-// version whose manifest is not known yet has nothing to give; it is not
-// searched for any more.
+// Stop ends the fetches of a version but continues to upload its chunks to
+// peers. A version whose manifest is not known yet has nothing to upload; the
+// search for its manifest ends.
 func (s *Swarm) Stop(manifest fleet.Digest) {
-	g, ok := s.gathers[manifest]
+	d, ok := s.downloads[manifest]
 	if !ok {
 		return
 	}
-	g.pause()
-	if g.plan == nil {
-		g.close()
-		delete(s.gathers, manifest)
+	d.pause()
+	if d.plan == nil {
+		d.close()
+		delete(s.downloads, manifest)
 	}
 }
 
-// Drop ends everything about a version and forgets its chunks.
+// Drop ends all transfers of a version and deletes its chunks from the stage.
 func (s *Swarm) Drop(manifest fleet.Digest) {
-	if g, ok := s.gathers[manifest]; ok {
-		g.close()
-		delete(s.gathers, manifest)
+	if d, ok := s.downloads[manifest]; ok {
+		d.close()
+		delete(s.downloads, manifest)
 	}
 	go func() {
 		if err := s.opts.Stage.Drop(s.ctx, manifest); err != nil {
@@ -132,55 +136,59 @@
 	}()
 }
 
-// Forget tells that the stage has lost its chunks, as after the engine's
-// restart: nothing can be given to peers until it is gathered again.
+// Forget is called when the stage has lost its chunks, for example after a
+// restart of the engine. Nothing is uploaded to peers until a version has been
+// fetched again.
 func (s *Swarm) Forget() {
-	for manifest, g := range s.gathers {
-		g.close()
-		delete(s.gathers, manifest)
+	for manifest, d := range s.downloads {
+		d.close()
+		delete(s.downloads, manifest)
 	}
 }
 
-// Unseen returns the share of a version's chunks that no member is known to
-// hold; 1 if the version is not gathered.
+// Unseen returns the fraction of a version's chunks that no member is known to
+// hold, or 1 if the version is not being fetched.
 func (s *Swarm) Unseen(manifest fleet.Digest) float64 {
-	g, ok := s.gathers[manifest]
-	if !ok || g.plan == nil {
+	d, ok := s.downloads[manifest]
+	if !ok || d.plan == nil {
 		return 1
 	}
-	seen := g.plan.Seen()
+	seen := d.plan.Seen()
 	return 1 - float64(seen.Count())/float64(max(1, seen.Len()))
 }
 
-// SetMembers gives the agents that want the same version, this one included.
+// SetMembers sets the agents that want the same version, including this one.
 func (s *Swarm) SetMembers(now time.Time, members []spread.Member) {
 	s.members = members
-	for _, g := range s.gathers {
-		g.setMembers(now, members)
+	for _, d := range s.downloads {
+		d.setMembers(now, members)
 	}
 }
 
-// Tick starts what is due. It is called by the control loop.
+// Tick starts the fetches, dials and reports that are due. The control loop
+// calls it.
 func (s *Swarm) Tick(now time.Time) {
-	for _, g := range s.gathers {
-		g.tick(now)
+	for _, d := range s.downloads {
+		d.tick(now)
 	}
 }
 
-// Progress lists the gathers, ordered by version name.
+// Progress returns the progress of all downloads, ordered by version name.
 func (s *Swarm) Progress() []status.Gather {
 	var all []status.Gather
-	for _, g := range s.gathers {
-		all = append(all, g.progress())
+	for _, d := range s.downloads {
+		all = append(all, d.progress())
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Version.Name < all[j].Version.Name })
 	return all
 }
 
-// Drawn returns the bytes drawn so far. It must be called on the control loop.
-func (s *Swarm) Drawn() status.Drawn { return s.drawn }
+// Drawn returns the number of bytes fetched so far from each kind of source. It
+// must be called on the control loop.
+func (s *Swarm) Drawn() status.Drawn { return s.fetched }
 
-// post queues an event; transfers that end after the loop are forgotten.
+// post queues an event on the control loop; events of transfers that end after
+// the loop are dropped.
 func (s *Swarm) post(f func(now time.Time)) {
 	s.opts.Loop.Post(s.ctx, control.Func(f))
 }
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// maxWaiting is how many askers may wait for an upload slot. Without a
-	// queue a busy instance refuses five of six askers, who all ask again at
-	// once; with a long one askers wait here while others are idle.
-	maxWaiting = 4
-	// waitForSlot is how long an asker waits before it is told to go elsewhere.
-	waitForSlot = time.Second
+	// maxUploadQueue is the number of requests that may wait for an upload slot.
+	// Without a queue, a busy instance refuses five of six requests, and all of
+	// them are retried at once; with a long queue, peers wait here while other
+	// instances are idle.
+	maxUploadQueue = 4
+	// uploadQueueTimeout is how long a request waits for a slot before it is
+	// refused as busy, so that the peer can go elsewhere.
+	uploadQueueTimeout = time.Second
 )
 
-// ServeChunk answers a stream of peer.KindChunk. It runs on a traffic
-// goroutine.
+// ServeChunk serves a stream of peer.KindChunk. It runs on a traffic goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
 	st.SetStall(s.opts.Stall)
 	var open wire.ChunkOpen
@@ -36,13 +37,13 @@
 		s.acceptExchange(ctx, from, st, open)
 		return
 	}
-	s.giveChunk(ctx, from, st, open)
+	s.serveData(ctx, from, st, open)
 }
 
-// giveChunk sends one chunk, or the manifest, to a peer.
-func (s *Swarm) giveChunk(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
+// serveData sends one chunk, or the manifest, to a peer.
+func (s *Swarm) serveData(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
 	defer func() { _ = st.CloseSend() }()
-	data, status := s.takeUpload(ctx, from.ID, open)
+	data, status := s.acquireUpload(ctx, from.ID, open)
 	if status != wire.ChunkFollows {
 		_ = st.Send(wire.ChunkHead{Status: status})
 		return
@@ -56,99 +57,102 @@
 	}
 }
 
-func (s *Swarm) takeUpload(ctx context.Context, from fleet.InstanceID, open wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
-	deadline := time.Now().Add(waitForSlot)
+func (s *Swarm) acquireUpload(ctx context.Context, from fleet.InstanceID, open wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
+	deadline := time.Now().Add(uploadQueueTimeout)
 	for {
-		var answer uploadAnswer
-		err := s.opts.Loop.Do(ctx, func(now time.Time) { answer = s.askUpload(now, from, open) })
+		var decision uploadDecision
+		err := s.opts.Loop.Do(ctx, func(now time.Time) { decision = s.decideUpload(now, from, open) })
 		switch {
 		case err != nil:
-			s.giveBack(from, open, &answer)
+			s.revertDecision(from, open, &decision)
 			return nil, wire.ChunkMissing
-		case answer.wait != nil && waitUntil(ctx, answer.wait, deadline):
+		case decision.wait != nil && waitReady(ctx, decision.wait, deadline):
 			continue
-		case answer.wait != nil:
-			s.leaveQueue(open.Manifest, answer.wait)
+		case decision.wait != nil:
+			s.leaveUploadQueue(open.Manifest, decision.wait)
 			return nil, wire.ChunkBusy
-		case answer.status != wire.ChunkFollows || open.Index == manifestIndex:
-			return answer.data, answer.status
+		case decision.status != wire.ChunkFollows || open.Index == manifestIndex:
+			return decision.data, decision.status
 		}
-		return s.readUpload(ctx, from, open.Manifest, answer.chunk)
+		return s.readUploadChunk(ctx, from, open.Manifest, decision.chunk)
 	}
 }
 
-// giveBack undoes what an asker that has gone is granted all the same: its ask
-// may still lie in the queue of the control loop, where this comes behind it.
-// Kept, the slot would be lost for good.
-func (s *Swarm) giveBack(from fleet.InstanceID, open wire.ChunkOpen, answer *uploadAnswer) {
+// revertDecision undoes a decision for a request that has ended in the meantime:
+// the request may still be in the queue of the control loop, and this event is
+// queued behind it. Otherwise its upload slot would never be released.
+func (s *Swarm) revertDecision(from fleet.InstanceID, open wire.ChunkOpen, decision *uploadDecision) {
 	s.post(func(time.Time) {
-		g, ok := s.gathers[open.Manifest]
+		d, ok := s.downloads[open.Manifest]
 		switch {
 		case !ok:
-		case answer.wait != nil:
-			g.leaveWaiting(answer.wait)
-		case answer.status == wire.ChunkFollows && open.Index != manifestIndex:
-			g.plan.UploadEnded(from)
-			g.nextWaiting()
+		case decision.wait != nil:
+			d.removeQueued(decision.wait)
+		case decision.status == wire.ChunkFollows && open.Index != manifestIndex:
+			d.plan.UploadEnded(from)
+			d.wakeNextUpload()
 		}
 	})
 }
 
-// leaveQueue takes an asker that waits no more out of the queue, so that no
-// turn is wasted on it.
-func (s *Swarm) leaveQueue(manifest fleet.Digest, turn chan struct{}) {
+// leaveUploadQueue removes a request that no longer waits, so that no slot is
+// offered to it.
+func (s *Swarm) leaveUploadQueue(manifest fleet.Digest, ready chan struct{}) {
 	s.post(func(time.Time) {
-		if g, ok := s.gathers[manifest]; ok {
-			g.leaveWaiting(turn)
+		if d, ok := s.downloads[manifest]; ok {
+			d.removeQueued(ready)
 		}
 	})
 }
 
-// leaveWaiting removes a turn, or passes it on if it has come already.
-func (g *gather) leaveWaiting(turn chan struct{}) {
-	before := len(g.waiting)
-	g.waiting = slices.DeleteFunc(g.waiting, func(other chan struct{}) bool { return other == turn })
-	if len(g.waiting) == before {
-		g.nextWaiting()
+// removeQueued removes a request from the queue. If it has been woken already,
+// the next one is woken instead.
+func (d *download) removeQueued(ready chan struct{}) {
+	before := len(d.uploadQueue)
+	d.uploadQueue = slices.DeleteFunc(d.uploadQueue, func(other chan struct{}) bool { return other == ready })
+	if len(d.uploadQueue) == before {
+		d.wakeNextUpload()
 	}
 }
 
-// uploadAnswer is the control loop's answer to an asker: a status, or a
-// channel that closes when it should ask again.
-type uploadAnswer struct {
+// uploadDecision is the control loop's decision on a request: a status, or a
+// channel that is closed when the request should be tried again.
+type uploadDecision struct {
 	status wire.ChunkStatus
 	wait   chan struct{}
 	data   []byte // the manifest
 	chunk  weights.Chunk
 }
 
-// askUpload runs on the control loop.
-func (s *Swarm) askUpload(now time.Time, from fleet.InstanceID, open wire.ChunkOpen) uploadAnswer {
-	g, ok := s.gathers[open.Manifest]
+// decideUpload decides on a request for a chunk or the manifest. It runs on the
+// control loop.
+func (s *Swarm) decideUpload(now time.Time, from fleet.InstanceID, open wire.ChunkOpen) uploadDecision {
+	d, ok := s.downloads[open.Manifest]
 	switch {
-	case !ok || g.plan == nil:
-		return uploadAnswer{status: wire.ChunkMissing}
+	case !ok || d.plan == nil:
+		return uploadDecision{status: wire.ChunkMissing}
 	case open.Index == manifestIndex:
-		return uploadAnswer{status: wire.ChunkFollows, data: g.raw}
-	case open.Index < 0 || open.Index >= len(g.manifest.Chunks) || !g.plan.Have().Has(open.Index):
-		return uploadAnswer{status: wire.ChunkMissing}
-	case g.plan.GrantUpload(now, from, open.Index):
-		return uploadAnswer{status: wire.ChunkFollows, chunk: g.manifest.Chunks[open.Index]}
-	case len(g.waiting) < maxWaiting:
-		turn := make(chan struct{})
-		g.waiting = append(g.waiting, turn)
-		return uploadAnswer{wait: turn}
+		return uploadDecision{status: wire.ChunkFollows, data: d.rawManifest}
+	case open.Index < 0 || open.Index >= len(d.manifest.Chunks) || !d.plan.Have().Has(open.Index):
+		return uploadDecision{status: wire.ChunkMissing}
+	case d.plan.GrantUpload(now, from, open.Index):
+		return uploadDecision{status: wire.ChunkFollows, chunk: d.manifest.Chunks[open.Index]}
+	case len(d.uploadQueue) < maxUploadQueue:
+		ready := make(chan struct{})
+		d.uploadQueue = append(d.uploadQueue, ready)
+		return uploadDecision{wait: ready}
 	default:
-		return uploadAnswer{status: wire.ChunkBusy}
+		return uploadDecision{status: wire.ChunkBusy}
 	}
 }
 
-// waitUntil reports whether turn closed before the deadline and ctx's end.
-func waitUntil(ctx context.Context, turn chan struct{}, deadline time.Time) bool {
+// waitReady reports whether ready was closed before the deadline and before ctx
+// ended.
+func waitReady(ctx context.Context, ready chan struct{}, deadline time.Time) bool {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	case <-timer.C:
 		return false
@@ -157,8 +161,8 @@
 	}
 }
 
-func (s *Swarm) readUpload(ctx context.Context, from fleet.InstanceID, manifest fleet.Digest, chunk weights.Chunk) ([]byte, wire.ChunkStatus) {
-	data, err := s.fromStage(ctx, manifest, chunk)
+func (s *Swarm) readUploadChunk(ctx context.Context, from fleet.InstanceID, manifest fleet.Digest, chunk weights.Chunk) ([]byte, wire.ChunkStatus) {
+	data, err := s.readVerified(ctx, manifest, chunk)
 	if err != nil {
 		s.opts.Metrics.Counter("stage_read_failures").Inc(1)
 		s.opts.Logger.Warn("stage_chunk_unreadable", zap.Int("chunk", chunk.Index), zap.Error(err))
@@ -168,10 +172,11 @@
 	return data, wire.ChunkFollows
 }
 
-// fromStage reads a chunk back and checks it once more. A stage that spoils
-// bytes would otherwise make this instance a sender of bad chunks, which its
-// neighbours avoid with all that it holds.
-func (s *Swarm) fromStage(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
+// readVerified reads a chunk back from the stage and verifies it again.
+// Otherwise a stage that corrupts bytes would make this instance a sender of
+// corrupt chunks, and its neighbours would avoid it for all chunks that it
+// holds.
+func (s *Swarm) readVerified(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
 	data, err := s.opts.Stage.Get(ctx, manifest, chunk.Index)
 	if err != nil {
 		return nil, err
@@ -181,20 +186,20 @@
 
 func (s *Swarm) releaseUpload(from fleet.InstanceID, manifest fleet.Digest) {
 	s.post(func(time.Time) {
-		if g, ok := s.gathers[manifest]; ok && g.plan != nil {
-			g.plan.UploadEnded(from)
-			g.nextWaiting()
+		if d, ok := s.downloads[manifest]; ok && d.plan != nil {
+			d.plan.UploadEnded(from)
+			d.wakeNextUpload()
 		}
 	})
 }
 
-// nextWaiting lets the first waiting asker ask again.
-func (g *gather) nextWaiting() {
-	if len(g.waiting) == 0 {
+// wakeNextUpload wakes the first waiting request, which then tries again.
+func (d *download) wakeNextUpload() {
+	if len(d.uploadQueue) == 0 {
 		return
 	}
-	close(g.waiting[0])
-	g.waiting = g.waiting[1:]
+	close(d.uploadQueue[0])
+	d.uploadQueue = d.uploadQueue[1:]
 }
 
 func (s *Swarm) sendChunk(ctx context.Context, st *peer.Stream, data []byte) error {
