--- a/daemon/agent/change.go
+++ b/daemon/agent/change.go
@@ -44,7 +44,7 @@
 	switch action := action.(type) {
 	case serving.StartFetch:
 		a.turnFor = fleet.Version{}
-		a.swarm.Gather(now, action.Version, a.spreadSettings(), action.Reuse)
+		a.swarm.Fetch(now, action.Version, a.spreadSettings(), action.Reuse)
 	case serving.StopFetch:
 		a.swarm.Stop(action.Version.Manifest)
 	case serving.AskTurn:
@@ -122,7 +122,7 @@
 	}
 	if a.boot != "" && a.boot != status.Boot {
 		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.Boot))
-		a.swarm.Forget()
+		a.swarm.Reset()
 	}
 	a.boot = status.Boot
 	a.load = status.Load
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -109,7 +109,7 @@
 	o.Swarm = swarm.Options{
 		Self: spread.Member{ID: r.Self.ID, Place: r.Self.Place, Addr: r.Self.PeerAddr},
 		Loop: r.Loop, Endpoint: r.Endpoint, Stage: daemontest.NewStage(), Origin: daemontest.NewSource(),
-		Up: unlimited, Down: unlimited, Stall: time.Second, Rand: random, Logger: r.Logger, Metrics: r.Metrics,
+		UploadLimiter: unlimited, DownloadLimiter: unlimited, StallTimeout: time.Second, Rand: random, Logger: r.Logger, Metrics: r.Metrics,
 	}
 }
 
--- a/daemon/agent/status.go
+++ b/daemon/agent/status.go
@@ -43,7 +43,7 @@
 	if a.change != nil {
 		s.Phase = a.change.Phase().String()
 		s.Gathers = a.swarm.Progress()
-		s.Drawn = a.swarm.Drawn()
+		s.Drawn = a.swarm.FetchedBytes()
 	}
 	for _, p := range a.node.View().Peers {
 		s.KnownPeers++
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -75,7 +75,7 @@
 // little has left the origin is given up; else it is finished.
 func (l *Loader) gather(now time.Time, version uint64, named fleet.Version) {
 	for _, older := range l.gathers {
-		if l.plan.ShouldAbandon(l.swarm.Unseen(older.named.Manifest)) {
+		if l.plan.ShouldAbandon(l.swarm.UnseenShare(older.named.Manifest)) {
 			l.swarm.Stop(older.named.Manifest)
 		}
 	}
@@ -107,7 +107,7 @@
 	g := &l.gathers[last]
 	g.started = true
 	g.from = now
-	l.swarm.Gather(now, g.named, spread.Settings{
+	l.swarm.Fetch(now, g.named, spread.Settings{
 		Policy: spread.PolicyTime, OriginCopies: originCopies, OriginRate: l.supply.BytesPerSecond,
 		ReportWait: listenTime, TakeoverDelay: takeover, SourcePauseMax: originPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
 	}, nil)
@@ -117,7 +117,7 @@
 // origin whole: both would come late. What is in the fleet goes on.
 func (l *Loader) leaveOlder(newest int) {
 	for _, older := range l.gathers[:newest] {
-		if l.swarm.Unseen(older.named.Manifest) > 0 {
+		if l.swarm.UnseenShare(older.named.Manifest) > 0 {
 			l.swarm.Stop(older.named.Manifest)
 		}
 	}
@@ -126,6 +126,6 @@
 // isLeavingOrigin reports whether a version is on its way from the origin, which
 // was last seen to answer at a moment.
 func (l *Loader) isLeavingOrigin(now time.Time, g gathering, answered time.Time) bool {
-	unseen := l.swarm.Unseen(g.named.Manifest)
+	unseen := l.swarm.UnseenShare(g.named.Manifest)
 	return l.plan.ShouldFinishFirst(now, g.version, unseen) && l.stage.isArriving(now, g, answered)
 }
--- a/daemon/loader/steps.go
+++ b/daemon/loader/steps.go
@@ -162,7 +162,7 @@
 			continue
 		}
 		l.plan.MarkStaged(now, g.version)
-		drawn := l.swarm.Drawn()
+		drawn := l.swarm.FetchedBytes()
 		l.opts.Logger.Info("version_staged", zap.Uint64("version", g.version), zap.Duration("took", now.Sub(g.from)),
 			zap.Int64("origin_bytes", drawn.OriginBytes), zap.Int64("peer_bytes", drawn.PeerBytes))
 	}
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -139,19 +139,19 @@
 	}
 	self := p.Self()
 	o.Swarm = swarm.Options{
-		Self:       spread.Member{ID: self.ID, Place: self.Place, Addr: self.PeerAddr},
-		Loop:       p.loop,
-		Endpoint:   p.endpoint,
-		Stage:      client,
-		Origin:     origin,
-		Store:      store,
-		Up:         up,
-		Down:       down,
-		Stall:      p.settings.Link.StallTimeout,
-		Rand:       newRand(),
-		Logger:     p.logger,
-		Metrics:    p.metrics,
-		OnManifest: client.PutManifest,
+		Self:            spread.Member{ID: self.ID, Place: self.Place, Addr: self.PeerAddr},
+		Loop:            p.loop,
+		Endpoint:        p.endpoint,
+		Stage:           client,
+		Origin:          origin,
+		Store:           store,
+		UploadLimiter:   up,
+		DownloadLimiter: down,
+		StallTimeout:    p.settings.Link.StallTimeout,
+		Rand:            newRand(),
+		Logger:          p.logger,
+		Metrics:         p.metrics,
+		OnManifest:      client.PutManifest,
 	}
 	return nil
 }
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	defer s.Abort()
-	s.SetStall(d.swarm.opts.Stall)
+	s.SetStall(d.swarm.opts.StallTimeout)
 	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	}
 	switch head.Status {
 	case wire.ChunkFollows:
-		return receive(ctx, s, d.swarm.opts.Down, head.Bytes, maxBytes)
+		return receive(ctx, s, d.swarm.opts.DownloadLimiter, head.Bytes, maxBytes)
 	case wire.ChunkBusy:
 		return nil, errBusy.New("peer %s has no free upload slot", from.ID)
 	default:
@@ -197,7 +197,7 @@
 	if len(peers) == 0 {
 		return nil, failure.Unavailable.New("no peer to fetch the manifest from")
 	}
-	ctx, cancel := context.WithTimeout(d.ctx, d.swarm.opts.Stall)
+	ctx, cancel := context.WithTimeout(d.ctx, d.swarm.opts.StallTimeout)
 	defer cancel()
 	count := min(manifestParallelPeers, len(peers))
 	results := make(chan manifestResult, count)
--- a/daemon/swarm/helpers_test.go
+++ b/daemon/swarm/helpers_test.go
@@ -66,7 +66,7 @@
 	}
 	a.swarm = swarm.New(a.Context(), swarm.Options{
 		Self: a.member(), Loop: a.Loop, Endpoint: a.Endpoint, Stage: stage, Origin: from.origin, Store: store,
-		Up: unlimited, Down: unlimited, Stall: stallTimeout, Rand: rand.New(rand.NewPCG(1, 2)),
+		UploadLimiter: unlimited, DownloadLimiter: unlimited, StallTimeout: stallTimeout, Rand: rand.New(rand.NewPCG(1, 2)),
 		Logger: a.Logger, Metrics: a.Metrics, OnComplete: a.recordComplete,
 	})
 	a.Loop.AddTicker(a.swarm)
@@ -106,7 +106,7 @@
 	}
 	a.OnLoop(func(now time.Time) {
 		a.swarm.SetMembers(now, append([]spread.Member{a.member()}, members...))
-		a.swarm.Gather(now, m.Version, fastSettings, digests)
+		a.swarm.Fetch(now, m.Version, fastSettings, digests)
 	})
 }
 
@@ -120,7 +120,7 @@
 
 func (a *testAgent) fetchedBytes() (fetched status.Drawn) {
 	GinkgoHelper()
-	a.OnLoop(func(time.Time) { fetched = a.swarm.Drawn() })
+	a.OnLoop(func(time.Time) { fetched = a.swarm.FetchedBytes() })
 	return fetched
 }
 
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -91,7 +91,7 @@
 // at most for the stall timeout: a connection whose remote process has vanished
 // opens streams without an error.
 func (d *download) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
-	s.SetStall(d.swarm.opts.Stall)
+	s.SetStall(d.swarm.opts.StallTimeout)
 	defer s.SetStall(0)
 	var first wire.ChunkNews
 	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Exchange: true}); err != nil {
--- a/daemon/swarm/sources_test.go
+++ b/daemon/swarm/sources_test.go
@@ -134,7 +134,7 @@
 		settings.OriginCopies = 1
 		a.OnLoop(func(now time.Time) {
 			a.swarm.SetMembers(now, []spread.Member{a.member()})
-			a.swarm.Gather(now, m.Version, settings, nil)
+			a.swarm.Fetch(now, m.Version, settings, nil)
 		})
 		Eventually(func() int { return len(from.store.Drawn()) }).Should(BeNumerically(">=", 6))
 		Expect(len(from.origin.Drawn())).To(BeNumerically("<=", 4))
--- a/daemon/swarm/swarm.go
+++ b/daemon/swarm/swarm.go
@@ -36,31 +36,32 @@
 // Options configures a Swarm. All fields are required unless a comment says
 // otherwise.
 type Options struct {
-	Self     spread.Member
-	Loop     *control.Loop
-	Endpoint *peer.Endpoint
-	Stage    weights.Stage
-	Origin   weights.Source
-	Store    weights.Source // nil if the platform has no store
-	Up, Down Limiter
+	Self                           spread.Member
+	Loop                           *control.Loop
+	Endpoint                       *peer.Endpoint
+	Stage                          weights.Stage
+	Origin                         weights.Source
+	Store                          weights.Source // nil if the platform has no store
+	UploadLimiter, DownloadLimiter Limiter
 	// SendBytes is the maximum number of bytes sent in one step; 0 means
 	// PieceBytes. On a narrow link, smaller steps keep the link's queue short
 	// for live requests.
 	SendBytes int
-	// Stall is the progress deadline of a transfer. A stalled link does not
-	// close its connections, so a transfer that receives no byte for this long
-	// is aborted.
-	Stall   time.Duration
-	Rand    *rand.Rand
-	Logger  *zap.Logger
-	Metrics tally.Scope
+	// StallTimeout is the progress deadline of a transfer. A stalled link does
+	// not close its connections, so a transfer that receives no byte for this
+	// long is aborted.
+	StallTimeout time.Duration
+	Rand         *rand.Rand
+	Logger       *zap.Logger
+	Metrics      tally.Scope
 	// OnManifest is called on a traffic goroutine once a manifest has been
 	// verified and before any chunk is staged; it may be nil. The download
 	// waits, and the call is retried, until it succeeds.
 	OnManifest func(ctx context.Context, manifest fleet.Digest, raw []byte) error
-	// Known returns a manifest that the process has verified before, so that it
-	// need not be fetched, or nil if there is none. Known itself may be nil.
-	Known func(manifest fleet.Digest) []byte
+	// KnownManifest returns a manifest that the process has verified before, so
+	// that it need not be fetched, or nil if there is none. KnownManifest itself
+	// may be nil.
+	KnownManifest func(manifest fleet.Digest) []byte
 	// OnComplete is called on the control loop when every chunk of a version has
 	// been verified and staged.
 	OnComplete func(now time.Time, version fleet.Version)
@@ -84,19 +85,19 @@
 	return &Swarm{opts: opts, ctx: ctx, downloads: make(map[fleet.Digest]*download)}
 }
 
-// Gather starts to fetch a version. If the version was fetched before, the stage
+// Fetch starts to fetch a version. If the version was fetched before, the stage
 // is asked again which chunks it holds, since the caller may have reason not to
 // trust the earlier result; chunks that are still staged are not fetched again.
-// Chunks with the same digest in the manifests in reuse are copied. Gather must
+// Chunks with the same digest in the manifests in reuse are copied. Fetch must
 // be called on the control loop.
-func (s *Swarm) Gather(now time.Time, version fleet.Version, settings spread.Settings, reuse []fleet.Digest) {
+func (s *Swarm) Fetch(now time.Time, version fleet.Version, settings spread.Settings, reuse []fleet.Digest) {
 	var raw []byte
 	if previous, ok := s.downloads[version.Manifest]; ok {
 		raw = previous.rawManifest
 		previous.close()
 	}
-	if raw == nil && s.opts.Known != nil {
-		raw = s.opts.Known(version.Manifest)
+	if raw == nil && s.opts.KnownManifest != nil {
+		raw = s.opts.KnownManifest(version.Manifest)
 	}
 	d := newDownload(s, version, settings, now)
 	s.downloads[version.Manifest] = d
@@ -136,19 +137,19 @@
 	}()
 }
 
-// Forget is called when the stage has lost its chunks, for example after a
+// Reset is called when the stage has lost its chunks, for example after a
 // restart of the engine. Nothing is uploaded to peers until a version has been
 // fetched again.
-func (s *Swarm) Forget() {
+func (s *Swarm) Reset() {
 	for manifest, d := range s.downloads {
 		d.close()
 		delete(s.downloads, manifest)
 	}
 }
 
-// Unseen returns the fraction of a version's chunks that no member is known to
-// hold, or 1 if the version is not being fetched.
-func (s *Swarm) Unseen(manifest fleet.Digest) float64 {
+// UnseenShare returns the fraction of a version's chunks that no member is known
+// to hold, or 1 if the version is not being fetched.
+func (s *Swarm) UnseenShare(manifest fleet.Digest) float64 {
 	d, ok := s.downloads[manifest]
 	if !ok || d.plan == nil {
 		return 1
@@ -183,9 +184,9 @@
 	return all
 }
 
-// Drawn returns the number of bytes fetched so far from each kind of source. It
-// must be called on the control loop.
-func (s *Swarm) Drawn() status.Drawn { return s.fetched }
+// FetchedBytes returns the number of bytes fetched so far from each kind of
+// source. It must be called on the control loop.
+func (s *Swarm) FetchedBytes() status.Drawn { return s.fetched }
 
 // post queues an event on the control loop; events of transfers that end after
 // the loop are dropped.
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -27,7 +27,7 @@
 
 // ServeChunk serves a stream of peer.KindChunk. It runs on a traffic goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
-	st.SetStall(s.opts.Stall)
+	st.SetStall(s.opts.StallTimeout)
 	var open wire.ChunkOpen
 	if err := st.Recv(&open); err != nil {
 		st.Abort()
@@ -208,7 +208,7 @@
 	}
 	for start := 0; start < len(data); start += s.opts.SendBytes {
 		piece := data[start:min(start+s.opts.SendBytes, len(data))]
-		if err := s.opts.Up.WaitN(ctx, len(piece)); err != nil {
+		if err := s.opts.UploadLimiter.WaitN(ctx, len(piece)); err != nil {
 			return err
 		}
 		if err := st.SendBytes(piece); err != nil {
--- a/daemon/swarm/versions_test.go
+++ b/daemon/swarm/versions_test.go
@@ -38,7 +38,7 @@
 		a.fetch(m, nil)
 		a.expectComplete(m)
 		a.stage.Clear()
-		a.OnLoop(func(time.Time) { a.swarm.Forget() })
+		a.OnLoop(func(time.Time) { a.swarm.Reset() })
 		a.fetch(m, nil)
 		Eventually(a.completions).Should(HaveLen(2))
 		Expect(a.stage.Holds(m)).To(BeTrue())
