--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -157,7 +157,7 @@
 
 // Changed is told after the text in force or the view has changed.
 func (a *Agent) Changed(now time.Time) {
-	state := a.node.InForce()
+	state := a.node.ActiveConfig()
 	if state == nil {
 		return
 	}
--- a/daemon/agent/change.go
+++ b/daemon/agent/change.go
@@ -138,7 +138,7 @@
 func (a *Agent) readAgain(since time.Time) {
 	a.opts.Logger.Warn("woke")
 	for a.ctx.Err() == nil {
-		if a.node.Reread(a.ctx, since) {
+		if a.node.ConfirmContact(a.ctx, since) {
 			a.post(serving.Woke{Asked: since})
 			return
 		}
@@ -193,7 +193,7 @@
 // takeTurn asks the rollout's rule whether the replica may leave service now.
 func (a *Agent) takeTurn(now time.Time) {
 	a.nextTurn = now.Add(turnEvery)
-	state := a.node.InForce()
+	state := a.node.ActiveConfig()
 	if a.change == nil || state == nil {
 		return
 	}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -134,7 +134,7 @@
 func (e *Entry) describe(r *gossip.Record) {
 	r.Leaving = e.leaving
 	r.State = gossip.StateStarting
-	if e.node.InForce() != nil {
+	if e.node.ActiveConfig() != nil {
 		r.State = gossip.StateServing
 	}
 }
@@ -144,7 +144,7 @@
 	e.dirty = false
 	e.nextRebuild = now.Add(rebuildEvery)
 	p := &picture{
-		config:  e.node.InForce(),
+		config:  e.node.ActiveConfig(),
 		entries: e.entries(),
 		clocks:  make(map[fleet.InstanceID]*admission.RemoteClock, len(e.subs)),
 	}
@@ -216,7 +216,7 @@
 	for _, p := range view.Peers {
 		s.Fleet = append(s.Fleet, member(p))
 	}
-	if state := e.node.InForce(); state != nil {
+	if state := e.node.ActiveConfig(); state != nil {
 		s.Revision = state.Revision
 		s.Config.Digest = state.Digest
 		s.Config.Name = state.Fleet.Name()
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -84,7 +84,7 @@
 // share works this entry's shares out anew, from the text, the entries that
 // live and what they demand.
 func (e *Entry) share(now time.Time) {
-	state := e.node.InForce()
+	state := e.node.ActiveConfig()
 	if state == nil {
 		return
 	}
--- a/daemon/internal/daemontest/process.go
+++ b/daemon/internal/daemontest/process.go
@@ -120,17 +120,17 @@
 		changed = func(time.Time) {}
 	}
 	p.Node = node.New(p.ctx, time.Now(), node.Options{
-		Self:      gossip.NewRecord(p.Self, p.Incarnation),
-		Loop:      p.Loop,
-		Endpoint:  p.Endpoint,
-		Config:    p.Text,
-		List:      p.List,
-		ListEvery: listInterval,
-		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Logger:    p.Logger,
-		Metrics:   p.Metrics,
-		OnChange:  changed,
-		OnList:    listed,
+		Self:         gossip.NewRecord(p.Self, p.Incarnation),
+		Loop:         p.Loop,
+		Endpoint:     p.Endpoint,
+		Config:       p.Text,
+		InstanceList: p.List,
+		ListInterval: listInterval,
+		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Logger:       p.Logger,
+		Metrics:      p.Metrics,
+		OnChange:     changed,
+		OnList:       listed,
 		OnDuplicate: func(other gossip.Record) {
 			select {
 			case p.Duplicates <- other:
@@ -150,8 +150,8 @@
 	if p.Node == nil {
 		return
 	}
-	RunUntilEnd(p.untilStopped(p.Node.FollowText))
-	RunUntilEnd(p.untilStopped(p.Node.FollowList))
+	RunUntilEnd(p.untilStopped(p.Node.FollowConfig))
+	RunUntilEnd(p.untilStopped(p.Node.FollowInstances))
 }
 
 // untilStopped returns f with a context that also ends with the process.
@@ -190,7 +190,7 @@
 // Revision returns the revision of the active configuration, or 0 if there is
 // none.
 func (p *Process) Revision() revision.Revision {
-	state := p.Node.InForce()
+	state := p.Node.ActiveConfig()
 	if state == nil {
 		return 0
 	}
--- a/daemon/node/config_test.go
+++ b/daemon/node/config_test.go
@@ -37,7 +37,7 @@
 		Eventually(revisionsOf(all...)).Should(HaveEach(revision.Revision(2)))
 		digest := daemontest.DigestOf(configWith(2))
 		for _, m := range all {
-			Expect(m.Node.InForce().Digest).To(Equal(digest))
+			Expect(m.Node.ActiveConfig().Digest).To(Equal(digest))
 		}
 	})
 
@@ -100,7 +100,7 @@
 		Eventually(other.Revision).Should(Equal(revision.Revision(1)))
 		platform.Set(2, largeConfig(2))
 		Eventually(other.Revision).Should(Equal(revision.Revision(2)))
-		Expect(other.Node.InForce().Digest).To(Equal(daemontest.DigestOf(largeConfig(2))))
+		Expect(other.Node.ActiveConfig().Digest).To(Equal(daemontest.DigestOf(largeConfig(2))))
 	})
 
 	// The platform was restored from an old copy and assigned one revision to
@@ -117,8 +117,8 @@
 			Eventually(func() int64 { return m.Counter("config_conflicts+") }).Should(BeNumerically(">", 0))
 			Eventually(m.Node.ConfigStatus).Should(HaveField("Conflicts", HaveLen(1)))
 		}
-		Expect(a.Node.InForce().Digest).To(Equal(daemontest.DigestOf(configWith(1))))
-		Expect(b.Node.InForce().Digest).To(Equal(daemontest.DigestOf(configWith(2))))
+		Expect(a.Node.ActiveConfig().Digest).To(Equal(daemontest.DigestOf(configWith(1))))
+		Expect(b.Node.ActiveConfig().Digest).To(Equal(daemontest.DigestOf(configWith(2))))
 		left.Set(8, configWith(3))
 		Eventually(revisionsOf(a, b)).Should(HaveEach(revision.Revision(8)))
 		Eventually(b.Node.ConfigStatus).Should(HaveField("Conflicts", BeEmpty()))
@@ -267,6 +267,6 @@
 
 		honest.List.Set(m.Self)
 		Eventually(m.Revision).Should(Equal(revision.Revision(9)))
-		Expect(m.Node.InForce().Digest).To(Equal(digest(configWith(9))))
+		Expect(m.Node.ActiveConfig().Digest).To(Equal(digest(configWith(9))))
 	})
 })
--- a/daemon/node/fleet_test.go
+++ b/daemon/node/fleet_test.go
@@ -68,20 +68,20 @@
 	// the pause; earlier messages do not count.
 	It("confirms contact after a pause only by later messages", func() {
 		alone := start("agent-1", fleet.RoleAgent, nil)
-		Expect(alone.Node.Reread(context.Background(), time.Now())).To(BeFalse(), "no platform and no neighbour")
+		Expect(alone.Node.ConfirmContact(context.Background(), time.Now())).To(BeFalse(), "no platform and no neighbour")
 
 		other := start("agent-2", fleet.RoleAgent, nil)
 		listEachOther(alone, other)
 		var since time.Time
 		alone.OnLoop(func(now time.Time) { since = now })
-		Eventually(func() bool { return alone.Node.Reread(context.Background(), since) }).Should(BeTrue())
+		Eventually(func() bool { return alone.Node.ConfirmContact(context.Background(), since) }).Should(BeTrue())
 		other.Stop()
 		Eventually(alone.sees(other)).Should(BeFalse())
 		alone.OnLoop(func(now time.Time) { since = now })
-		Expect(alone.Node.Reread(context.Background(), since)).To(BeFalse(), "the neighbour is gone")
+		Expect(alone.Node.ConfirmContact(context.Background(), since)).To(BeFalse(), "the neighbour is gone")
 
 		alone.Text.Set(1, configWith(1))
 		alone.Text.SetDown(false)
-		Expect(alone.Node.Reread(context.Background(), since)).To(BeTrue(), "the platform responds")
+		Expect(alone.Node.ConfirmContact(context.Background(), since)).To(BeTrue(), "the platform responds")
 	})
 })
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -2,7 +2,7 @@
 // role: it follows the configuration and keeps a view of the other processes.
 //
 // Its state belongs to the control loop. Other goroutines read the snapshots
-// returned by InForce and View.
+// returned by ActiveConfig and View.
 package node
 
 import (
@@ -42,17 +42,17 @@
 // Options configures a Node. All fields are required unless a comment says
 // otherwise.
 type Options struct {
-	Self     gossip.Record
-	Loop     *control.Loop
-	Endpoint *peer.Endpoint
-	Config   revision.Source
-	List     gossip.InstanceList
-	// ListEvery is the mean interval between reads of the instance list by a
+	Self         gossip.Record
+	Loop         *control.Loop
+	Endpoint     *peer.Endpoint
+	Config       revision.Source
+	InstanceList gossip.InstanceList
+	// ListInterval is the mean interval between reads of the instance list by a
 	// process that watches the platform; other processes read it less often.
-	ListEvery time.Duration
-	Rand      *rand.Rand
-	Logger    *zap.Logger
-	Metrics   tally.Scope
+	ListInterval time.Duration
+	Rand         *rand.Rand
+	Logger       *zap.Logger
+	Metrics      tally.Scope
 	// OnChange is called on the control loop after the active configuration or
 	// the view has changed.
 	OnChange func(now time.Time)
@@ -105,9 +105,9 @@
 	return n
 }
 
-// InForce returns the active configuration, or nil while there is none. It is
-// safe for concurrent use.
-func (n *Node) InForce() *revision.State { return n.active.Load() }
+// ActiveConfig returns the active configuration, or nil while there is none. It
+// is safe for concurrent use.
+func (n *Node) ActiveConfig() *revision.State { return n.active.Load() }
 
 // ConfigStatus returns the status of the configuration for operators. It is safe
 // for concurrent use.
--- a/daemon/node/platform.go
+++ b/daemon/node/platform.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// listIntervalFactor times ListEvery is the mean interval between reads of
-	// the instance list by a process that does not watch the platform. It learns
-	// of other processes from its neighbours' records in the meantime. With
-	// 3,910 processes and 2 s, this is 130 calls per second instead of 1,955 of
-	// the 2,000 that the platform allows.
+	// listIntervalFactor times ListInterval is the mean interval between reads
+	// of the instance list by a process that does not watch the platform. It
+	// learns of other processes from its neighbours' records in the meantime.
+	// With 3,910 processes and 2 s, this is 130 calls per second instead of
+	// 1,955 of the 2,000 that the platform allows.
 	listIntervalFactor = 15
 	// initialListReads is the number of reads after the start that every process
-	// makes at ListEvery, so that the processes of a new fleet find each other
-	// quickly.
+	// makes at ListInterval, so that the processes of a new fleet find each
+	// other quickly.
 	initialListReads = 5
 	// watchRetryMin and watchRetryMean are the ReadOptions of the watches: a
 	// failed watch is retried after 0.2 s to 1.2 s at first, and then after 0.2
@@ -35,14 +35,14 @@
 	roleCheckInterval = 500 * time.Millisecond
 )
 
-// FollowText reads the platform's configuration according to the process's read
-// plan and, while the process is one of the watchers of its availability zone,
-// also watches it. It ends with ctx.
+// FollowConfig reads the platform's configuration according to the process's
+// read plan and, while the process is one of the watchers of its availability
+// zone, also watches it. It ends with ctx.
 //
 // Reads do not wait for watches: behind a stalled link a watch is answered late
 // or never, and a process that waited for it would not become ready, or would
 // miss a change, although the platform can be read.
-func (n *Node) FollowText(ctx context.Context) error {
+func (n *Node) FollowConfig(ctx context.Context) error {
 	var parts sync.WaitGroup
 	parts.Go(func() { n.followReads(ctx) })
 	parts.Go(func() { n.followWatches(ctx) })
@@ -127,18 +127,18 @@
 		return
 	}
 	var base *fleettext.Fleet
-	if state := n.InForce(); state != nil {
+	if state := n.ActiveConfig(); state != nil {
 		base = state.Fleet
 	}
 	candidate := revision.ReadDocument(doc, base)
 	n.post(func(now time.Time) { n.apply(now, n.selector.HandleCandidate(now, candidate)) })
 }
 
-// Reread reads the platform's configuration again and reports whether the
-// process has had contact since the given time: the platform responded, or a
+// ConfirmContact reads the platform's configuration again and reports whether
+// the process has had contact since the given time: the platform responded, or a
 // neighbour sent a message. It is for a process that was paused and must not act
 // on what it knew before.
-func (n *Node) Reread(ctx context.Context, since time.Time) bool {
+func (n *Node) ConfirmContact(ctx context.Context, since time.Time) bool {
 	if n.readOnce(ctx) == nil {
 		return true
 	}
@@ -150,7 +150,7 @@
 // isBehind reports whether this process has no active configuration or an older
 // one than some peer in the view.
 func (n *Node) isBehind() bool {
-	state := n.InForce()
+	state := n.ActiveConfig()
 	if state == nil {
 		return true
 	}
@@ -181,11 +181,11 @@
 	return false
 }
 
-// FollowList reads the platform's instance list repeatedly until ctx ends.
-func (n *Node) FollowList(ctx context.Context) error {
+// FollowInstances reads the platform's instance list repeatedly until ctx ends.
+func (n *Node) FollowInstances(ctx context.Context) error {
 	random := n.newRand()
 	for reads := 0; ctx.Err() == nil; reads++ {
-		list, err := n.opts.List.Instances(ctx)
+		list, err := n.opts.InstanceList.Instances(ctx)
 		n.opts.Metrics.Counter("platform_list_calls").Inc(1)
 		if err != nil {
 			n.opts.Metrics.Counter("platform_list_failures").Inc(1)
@@ -193,7 +193,7 @@
 		} else {
 			n.post(func(now time.Time) { n.handleList(now, list) })
 		}
-		wait := n.opts.ListEvery
+		wait := n.opts.ListInterval
 		if reads >= initialListReads && !n.isWatcher() {
 			wait *= listIntervalFactor
 		}
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -142,18 +142,18 @@
 	self := s.Self()
 	self.PeerAddr = b.endpoint.Addr()
 	b.node = node.New(b.ctx, time.Now(), node.Options{
-		Self:        gossip.NewRecord(self, b.incarnation),
-		Loop:        b.loop,
-		Endpoint:    b.endpoint,
-		Config:      config,
-		List:        list,
-		ListEvery:   s.Platform.ListEvery,
-		Rand:        newRand(),
-		Logger:      b.logger,
-		Metrics:     b.metrics,
-		OnChange:    changed,
-		OnList:      listRead,
-		OnDuplicate: b.duplicate,
+		Self:         gossip.NewRecord(self, b.incarnation),
+		Loop:         b.loop,
+		Endpoint:     b.endpoint,
+		Config:       config,
+		InstanceList: list,
+		ListInterval: s.Platform.ListEvery,
+		Rand:         newRand(),
+		Logger:       b.logger,
+		Metrics:      b.metrics,
+		OnChange:     changed,
+		OnList:       listRead,
+		OnDuplicate:  b.duplicate,
 	})
 	b.loop.AddTicker(b.node)
 	return nil
@@ -177,8 +177,8 @@
 	return []Actor{
 		b.actor(b.endpoint.Run),
 		b.actor(b.loop.Run),
-		b.actor(b.node.FollowText),
-		b.actor(b.node.FollowList),
+		b.actor(b.node.FollowConfig),
+		b.actor(b.node.FollowInstances),
 		b.actor(b.reloadKeys),
 		b.actor(b.waitFatal),
 		{Execute: func() error { return ops.Run(b.ctx) }, Interrupt: func(error) { _ = ops.Close() }},
--- a/standin/bench/relay/relay.go
+++ b/standin/bench/relay/relay.go
@@ -134,7 +134,7 @@
 }
 
 func (m *member) revision() revision.Revision {
-	state := m.process.Node().InForce()
+	state := m.process.Node().ActiveConfig()
 	if state == nil {
 		return 0
 	}
