--- a/daemon/agent/agent_suite_test.go
+++ b/daemon/agent/agent_suite_test.go
@@ -11,6 +11,6 @@
 
 func TestAgent(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(daemontest.Patience)
+	SetDefaultEventuallyTimeout(daemontest.WaitTimeout)
 	RunSpecs(t, "Agent")
 }
--- a/daemon/agent/extras_test.go
+++ b/daemon/agent/extras_test.go
@@ -27,6 +27,6 @@
 		Eventually(loaded).Should(SatisfyAll(
 			HaveField("Adapters", ConsistOf("hydraulics", "masts")), HaveField("EngineRole", "decode"), HaveField("Loaded", v1)))
 		Expect(r.admits()).To(BeTrue())
-		Expect(r.entry.Ask(wire.Request{ID: "one", Service: pool}, "why").End).NotTo(BeNil())
+		Expect(r.entry.Do(wire.Request{ID: "one", Service: pool}, "why").End).NotTo(BeNil())
 	})
 })
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -28,19 +28,19 @@
 	It("keeps the answer that was lost on the way back", func() {
 		r := newPlain()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		key := r.key(1)
 		lost := r.entry.Send(r.order("first", key), work)
 		Eventually(r.backend.Calls).Should(HaveLen(1))
 		lost.Abort()
 
-		running := r.entry.Ask(r.order("second", key), work).End
+		running := r.entry.Do(r.order("second", key), work).End
 		Expect(running).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("Decided", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0)))))
 
 		close(release)
-		Eventually(func() daemontest.Answer { return r.entry.Ask(r.order("third", key), work) }).Should(SatisfyAll(
+		Eventually(func() daemontest.Response { return r.entry.Do(r.order("third", key), work) }).Should(SatisfyAll(
 			HaveField("Body", work),
 			HaveField("End", HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("ID", "third"))))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
@@ -55,14 +55,14 @@
 	It("runs one of two asks that come through two entries at once", func() {
 		r := newPlain()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		key := r.key(1)
 		other := daemontest.NewEntry("entry-2", r.Self)
 		ends := make(chan wire.AnswerEnd, 2)
 		for id, entry := range map[string]*daemontest.Entry{"by-1": r.entry, "by-2": other} {
 			s := entry.Send(r.order(id, key), work)
 			go func() {
-				if answer := daemontest.ReadAnswer(s); answer.End != nil {
+				if answer := daemontest.ReadResponse(s); answer.End != nil {
 					ends <- *answer.End
 				}
 			}()
@@ -84,7 +84,7 @@
 	DescribeTable("leaves alone what another process may have run",
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
 			r := newPlain()
-			end := r.entry.Ask(r.order("late", keyOf(r).Text), work).End
+			end := r.entry.Do(r.order("late", keyOf(r).Text), work).End
 			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Decided", true),
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
@@ -107,26 +107,26 @@
 	It("answers by the record of the key while its gate is closed", func() {
 		r := newPlain()
 		done, lost, fresh := r.key(1), r.key(2), r.key(3)
-		Expect(r.entry.Ask(r.order("done-1", done), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
-		r.backend.Answer(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
+		Expect(r.entry.Do(r.order("done-1", done), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+		r.backend.SetHandler(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
 			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
 		})
-		Expect(r.entry.Ask(r.order("lost-1", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
-		r.backend.Answer(daemontest.Echo)
+		Expect(r.entry.Do(r.order("lost-1", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		r.backend.SetHandler(daemontest.Echo)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
 
-		Expect(r.entry.Ask(r.order("fresh-1", fresh), work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(r.order("fresh-1", fresh), work).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Decided", true))))
-		Expect(r.entry.Ask(r.order("lost-2", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
-		again := r.entry.Ask(r.order("done-2", done), work)
+		Expect(r.entry.Do(r.order("lost-2", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		again := r.entry.Do(r.order("done-2", done), work)
 		Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		Expect(again.Body).To(Equal(work), "the stored answer")
 		Expect(r.backend.Calls()).To(HaveLen(2))
 
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(r.order("fresh-2", fresh), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+		Expect(r.entry.Do(r.order("fresh-2", fresh), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		Expect(r.backend.Calls()).To(HaveLen(3))
 	})
 
@@ -140,10 +140,10 @@
 		heldUp := r.order("held-up", key)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
-		Expect(r.entry.Ask(r.order("prompt", key), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
+		Expect(r.entry.Do(r.order("prompt", key), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(heldUp, work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(heldUp, work).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Reason", ContainSubstring(string(once.Closed))))))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	})
@@ -152,9 +152,9 @@
 	It("answers a second ask without the answer if that was too large to keep", func() {
 		r := newPlain()
 		key, goods := r.key(1), strings.Repeat("goods ", 4<<10)
-		Expect(r.entry.Ask(r.order("first", key), goods)).To(SatisfyAll(
+		Expect(r.entry.Do(r.order("first", key), goods)).To(SatisfyAll(
 			HaveField("Body", goods), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeRan)))))
-		again := r.entry.Ask(r.order("second", key), goods)
+		again := r.entry.Do(r.order("second", key), goods)
 		Expect(again.Begin).To(BeNil())
 		Expect(again.End).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 	})
@@ -162,16 +162,16 @@
 	// Guards against an answer that ends as whole without one of its pieces.
 	It("does not end as whole if a piece was not sent", func() {
 		r := newPlain()
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			for _, size := range []int{1, peer.DefaultMaxMessage, 1} {
 				_ = emit(serving.Piece{Status: 200, Data: make([]byte, size)})
 			}
 			return serving.Answer{ID: call.ID, Status: 200}, nil
 		})
 		key := r.key(1)
-		Expect(r.entry.Ask(r.order("first", key), work)).To(SatisfyAll(
+		Expect(r.entry.Do(r.order("first", key), work)).To(SatisfyAll(
 			HaveField("Body", HaveLen(1)), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))))
-		Expect(r.entry.Ask(r.order("second", key), work).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(r.order("second", key), work).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
@@ -184,17 +184,17 @@
 	It("keeps no answer that names another request", func() {
 		r := newPlain()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			other := swapped[call.ID]
 			return serving.Answer{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
 		})
 		keys := map[string]string{"mine": r.key(1), "yours": r.key(2)}
 		for id, key := range keys {
-			Expect(r.entry.Ask(r.order(id, key), work).End).To(HaveValue(SatisfyAll(
+			Expect(r.entry.Do(r.order(id, key), work).End).To(HaveValue(SatisfyAll(
 				HaveField("Outcome", wire.OutcomeUnknown), HaveField("ID", id))))
 		}
 		for id, key := range keys {
-			again := r.entry.Ask(r.order(id+" again", key), work)
+			again := r.entry.Do(r.order(id+" again", key), work)
 			Expect(again.Body).To(BeEmpty())
 			Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		}
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -33,7 +33,7 @@
 	backend *daemontest.Backend
 	engine  *daemontest.Engine // nil beside a plain service
 	entry   *daemontest.Entry
-	text    *daemontest.Text // the platform's
+	text    *daemontest.ConfigService // the platform's
 }
 
 func textOf(v fleet.Version) string {
@@ -75,20 +75,20 @@
 
 func newRig(service fleet.ServiceName, engine *daemontest.Engine) *rig {
 	GinkgoHelper()
-	instance := fleet.Instance{ID: self, Role: fleet.RoleAgent, Service: service, Place: daemontest.Here}
-	text := daemontest.NewText(1, textOf(v1))
+	instance := fleet.Instance{ID: self, Role: fleet.RoleAgent, Service: service, Place: daemontest.LocalPlace}
+	text := daemontest.NewConfigService(1, textOf(v1))
 	r := &rig{backend: daemontest.NewBackend(), engine: engine, text: text}
-	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Text: text})
-	r.List.Set(r.Self)
+	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Config: text})
+	r.Instances.Set(r.Self)
 	options := agent.Options{
 		Self: r.Self, Loop: r.Loop, Backend: r.backend, MaxInFlight: 64, MaxBody: 1 << 20,
-		DrainTimeout: daemontest.Patience, Incarnation: r.Incarnation,
+		DrainTimeout: daemontest.WaitTimeout, Incarnation: r.Incarnation,
 		Tracer: r.Tracer, Logger: r.Logger, Metrics: r.Metrics,
 	}
 	if engine == nil {
 		options.Plain = r.backend
 	} else {
-		engine.Set(func(s *serving.EngineStatus) { s.Loaded = v1 })
+		engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v1 })
 		r.useEngine(&options)
 	}
 	r.role = agent.New(r.Context(), options)
@@ -96,7 +96,7 @@
 	r.role.Attach(r.Node)
 	r.Loop.AddTicker(r.role)
 	r.Run(r.role)
-	r.TakeText(1, textOf(v1))
+	r.ActivateConfig(1, textOf(v1))
 	r.entry = daemontest.NewEntry("entry-1", r.Self)
 	return r
 }
@@ -129,6 +129,6 @@
 	GinkgoHelper()
 	return wire.Request{
 		ID: id, Service: r.Self.Service, Path: "orders", IdempotencyKey: key, NonIdempotent: true,
-		Deadline: admission.Deadline{Sent: r.entry.Report().Clock, Remaining: daemontest.Patience},
+		Deadline: admission.Deadline{Sent: r.entry.Report().Clock, Remaining: daemontest.WaitTimeout},
 	}
 }
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -19,7 +19,7 @@
 
 // answering answers as a backend server that says that it computed the answer
 // from a version.
-func answering(version fleet.Version) daemontest.Answering {
+func answering(version fleet.Version) daemontest.CallHandler {
 	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 		return serving.Answer{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
 	}
@@ -43,7 +43,7 @@
 			req.NonIdempotent = true
 			req.IdempotencyKey = r.key(1)
 		}
-		end := r.entry.Ask(req, "two cones").End
+		end := r.entry.Do(req, "two cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
 			HaveField("Reason", ContainSubstring("deadline")), HaveField("Decided", once))))
 		Expect(r.backend.Calls()).To(BeEmpty())
@@ -57,10 +57,10 @@
 	It("passes the server's status on", func() {
 		r := newPlain()
 		const notFound = 404
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			return serving.Answer{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
 		})
-		answer := r.entry.Ask(wire.Request{ID: "job", Service: orders}, "")
+		answer := r.entry.Do(wire.Request{ID: "job", Service: orders}, "")
 		Expect(answer.Begin).To(HaveValue(HaveField("Status", notFound)))
 		Expect(answer.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 	})
@@ -71,13 +71,13 @@
 	// Seen without serving.CheckAnswer: the answer ended as a whole one.
 	It("never calls an answer of another version whole", func() {
 		r := newModel()
-		r.backend.Answer(answering(v2))
-		answer := r.entry.Ask(wire.Request{ID: "mixed", Service: pool}, "why does it stop")
+		r.backend.SetHandler(answering(v2))
+		answer := r.entry.Do(wire.Request{ID: "mixed", Service: pool}, "why does it stop")
 		Expect(answer.Begin).To(HaveValue(HaveField("Version", v1)))
 		Expect(answer.End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 
-		r.backend.Answer(answering(v1))
-		answer = r.entry.Ask(wire.Request{ID: "right", Service: pool}, "why does it stop")
+		r.backend.SetHandler(answering(v1))
+		answer = r.entry.Do(wire.Request{ID: "right", Service: pool}, "why does it stop")
 		Expect(answer.End).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("Version", v1))))
 	})
 
@@ -85,11 +85,11 @@
 	// The caller is not given the pieces that came as a whole answer.
 	It("calls no answer whole that failed, whatever the failure says", func() {
 		r := newPlain()
-		r.backend.Answer(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			Expect(emit(serving.Piece{Data: []byte("half of")})).To(Succeed())
 			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
 		})
-		answer := r.entry.Ask(wire.Request{ID: "half", Service: orders}, "two cones")
+		answer := r.entry.Do(wire.Request{ID: "half", Service: orders}, "two cones")
 		Expect(answer.End).To(HaveValue(SatisfyAny(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true))))
 	})
 
@@ -99,9 +99,9 @@
 	It("passes nothing to an engine that reports another version", func() {
 		r := newModel()
 		r.engine.FailOrders(failure.Unavailable.New("the engine takes no orders"))
-		r.engine.Set(func(s *serving.EngineStatus) { s.Loaded = v2 })
+		r.engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v2 })
 		Eventually(r.admits).Should(BeFalse())
-		end := r.entry.Ask(wire.Request{ID: "refused", Service: pool}, "why").End
+		end := r.entry.Do(wire.Request{ID: "refused", Service: pool}, "why").End
 		Expect(end).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	})
@@ -114,7 +114,7 @@
 		r := newPlain()
 		gaveUp := make(chan struct{})
 		sent := make(chan error, 1)
-		r.backend.Answer(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			<-ctx.Done()
 			close(gaveUp)
 			err := emit(serving.Piece{Data: []byte("late goods")})
@@ -127,8 +127,8 @@
 		Eventually(gaveUp).Should(BeClosed())
 		Eventually(sent).Should(Receive(HaveOccurred()))
 
-		r.backend.Answer(daemontest.Echo)
-		answer := r.entry.Ask(wire.Request{ID: "next", Service: orders}, "three cones")
+		r.backend.SetHandler(daemontest.Echo)
+		answer := r.entry.Do(wire.Request{ID: "next", Service: orders}, "three cones")
 		Expect(answer.Body).To(Equal("three cones"))
 		Expect(answer.End).To(HaveValue(SatisfyAll(HaveField("ID", "next"), HaveField("Outcome", wire.OutcomeRan))))
 	})
@@ -139,21 +139,21 @@
 	It("finishes what runs when it leaves, and takes nothing new", func() {
 		r := newPlain()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		running := r.entry.Send(wire.Request{ID: "running", Service: orders}, "two cones")
 		Eventually(r.backend.Calls).Should(HaveLen(1))
-		ctx, cancel := context.WithTimeout(context.Background(), daemontest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), daemontest.WaitTimeout)
 		defer cancel()
 		Expect(r.role.Leave(ctx)).To(Succeed())
 		drained := make(chan bool, 1)
 		go func() { drained <- r.role.Drain(ctx) }()
 
-		end := r.entry.Ask(wire.Request{ID: "new", Service: orders}, "three cones").End
+		end := r.entry.Do(wire.Request{ID: "new", Service: orders}, "three cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
 			HaveField("Reason", ContainSubstring(string(serving.ReasonLeaving))))))
 		Expect(drained).NotTo(Receive())
 		close(release)
-		Expect(daemontest.ReadAnswer(running).Body).To(Equal("two cones"))
+		Expect(daemontest.ReadResponse(running).Body).To(Equal("two cones"))
 		Eventually(drained).Should(Receive(BeTrue()))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
@@ -173,7 +173,7 @@
 			return load.Running
 		}).Should(Equal(7))
 		Expect(urgent).NotTo(BeClosed(), "a change of load alone is not urgent")
-		ctx, cancel := context.WithTimeout(context.Background(), daemontest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), daemontest.WaitTimeout)
 		defer cancel()
 		Expect(r.role.Leave(ctx)).To(Succeed())
 		Expect(urgent).To(BeClosed())
@@ -197,7 +197,7 @@
 			}()
 		}
 		r.engine.FailOrders(errors.New("the engine takes no orders"))
-		r.engine.Set(func(s *serving.EngineStatus) { s.Loaded = v2 })
+		r.engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v2 })
 		Eventually(r.admits).Should(BeFalse())
 		cancel()
 		r.OnLoop(func(time.Time) {})
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -43,7 +43,7 @@
 func beforeReading(x *daemontest.Exchange) { x.Stream.Abort() }
 
 func whileReading(x *daemontest.Exchange) {
-	x.ReadHead()
+	x.ReadHeader()
 	x.Stream.Abort()
 }
 
@@ -92,11 +92,11 @@
 		func(point func(*daemontest.Exchange)) {
 			r := newRig(2)
 			for _, a := range r.agents {
-				a.Do(point)
+				a.SetScript(point)
 			}
 			Expect(r.send(r.order(r.agents[0], work)).Err).To(haveOutcome(failure.Unknown))
-			Expect(r.agents[0].Opened()).To(Equal(1))
-			Expect(r.agents[1].Opened()).To(BeZero())
+			Expect(r.agents[0].OpenedStreams()).To(Equal(1))
+			Expect(r.agents[1].OpenedStreams()).To(BeZero())
 		},
 		Entry("before it read the request", beforeReading),
 		Entry("while it read the request", whileReading),
@@ -124,7 +124,7 @@
 	// Seen before the mend: the caller was told "not_run" of work that had run.
 	It("is not forgotten when no other agent is left to try", func() {
 		r := newRig(1)
-		r.agents[0].Do(afterPassingOn)
+		r.agents[0].SetScript(afterPassingOn)
 		Expect(r.send(r.request(work)).Err).To(haveOutcome(failure.Unknown))
 		Expect(r.passed()).To(Equal(1))
 	})
@@ -135,7 +135,7 @@
 	// caller gets its word, with its pause, and no other agent is tried.
 	It("is passed on from the key's home", func() {
 		r := newRig(2)
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			x.End(wire.AnswerEnd{Outcome: wire.OutcomeNotRun, Decided: true, RetryAfterMS: 700})
 		})
@@ -207,7 +207,7 @@
 	// is asked.
 	It("is not made of the home's word that the work runs", func() {
 		r := newRig(2)
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			x.End(wire.AnswerEnd{Decided: true, Duplicate: true, RetryAfterMS: 900})
 		})
@@ -276,7 +276,7 @@
 		r := newRig(1)
 		met := make(chan *daemontest.Exchange, 2)
 		both := make(chan struct{})
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			met <- x
 			<-both
@@ -389,7 +389,7 @@
 		Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
 		var tries []wire.Request
 		for _, a := range r.agents {
-			tries = append(tries, a.Passed()...)
+			tries = append(tries, a.ReceivedRequests()...)
 		}
 		Expect(tries).To(HaveLen(2))
 		slices.SortFunc(tries, func(a, b wire.Request) int { return cmp.Compare(a.Deadline.Waited, b.Deadline.Waited) })
--- a/daemon/entry/entry_suite_test.go
+++ b/daemon/entry/entry_suite_test.go
@@ -11,6 +11,6 @@
 
 func TestEntry(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(daemontest.Patience)
+	SetDefaultEventuallyTimeout(daemontest.WaitTimeout)
 	RunSpecs(t, "Entry")
 }
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -52,7 +52,7 @@
 func newRig(agents int) *rig {
 	GinkgoHelper()
 	r := newUnready(agents)
-	r.TakeText(1, fleetText)
+	r.ActivateConfig(1, fleetText)
 	Eventually(r.eligible).Should(HaveLen(agents))
 	return r
 }
@@ -61,15 +61,15 @@
 func newUnready(agents int) *rig {
 	GinkgoHelper()
 	r := &rig{}
-	self := fleet.Instance{ID: "entry-1", Role: fleet.RoleEntry, Place: daemontest.Here}
-	r.Process = daemontest.NewProcess(daemontest.Options{Self: self, Text: daemontest.NewText(1, fleetText)})
+	self := fleet.Instance{ID: "entry-1", Role: fleet.RoleEntry, Place: daemontest.LocalPlace}
+	r.Process = daemontest.NewProcess(daemontest.Options{Self: self, Config: daemontest.NewConfigService(1, fleetText)})
 	r.role = entry.New(r.Context(), time.Now(), entry.Options{
 		Self: r.Self, Loop: r.Loop, Endpoint: r.Endpoint, AddressTTL: time.Second, MaxInFlight: 128,
 		Tracer: r.Tracer, Logger: r.Logger, Metrics: r.Metrics,
 	})
 	for n := range agents {
 		r.agents = append(r.agents, daemontest.NewAgent(fleet.InstanceID("agent-"+strconv.Itoa(n+1)), orders))
-		r.List.Add(r.agents[n].Instance)
+		r.Instances.Add(r.agents[n].Instance)
 	}
 	r.AttachNode(r.role.Changed, nil)
 	r.role.Attach(r.Node)
@@ -109,7 +109,7 @@
 func (r *rig) script(first, later func(*daemontest.Exchange)) {
 	var begun atomic.Bool
 	for _, a := range r.agents {
-		a.Do(func(x *daemontest.Exchange) {
+		a.SetScript(func(x *daemontest.Exchange) {
 			if begun.Swap(true) {
 				later(x)
 				return
@@ -123,23 +123,23 @@
 // whole.
 func (r *rig) opened() (sum int) {
 	for _, a := range r.agents {
-		sum += a.Opened()
+		sum += a.OpenedStreams()
 	}
 	return sum
 }
 
 func (r *rig) passed() (sum int) {
 	for _, a := range r.agents {
-		sum += len(a.Passed())
+		sum += len(a.ReceivedRequests())
 	}
 	return sum
 }
 
-// request is an idempotent one, whose caller waits for Patience.
+// request is an idempotent one, whose caller waits for WaitTimeout.
 func (r *rig) request(body string) calls.Request {
 	return calls.Request{
 		ID: "request-" + strconv.FormatInt(r.asked.Add(1), 10), Service: orders, Priority: -1,
-		Deadline: time.Now().Add(daemontest.Patience), Body: []byte(body),
+		Deadline: time.Now().Add(daemontest.WaitTimeout), Body: []byte(body),
 	}
 }
 
--- a/daemon/entry/servers_test.go
+++ b/daemon/entry/servers_test.go
@@ -23,7 +23,7 @@
 	It("that all fail get no storm of retries", func() {
 		r := newRig(6)
 		for _, a := range r.agents {
-			a.Do(afterPassingOn)
+			a.SetScript(afterPassingOn)
 		}
 		const requests, burst, perRequest, perSecond = 100, 20, 0.1, 1.0
 		began := time.Now()
@@ -60,7 +60,7 @@
 	It("that answer in time, piece by piece, are not ejected by callers' deadlines", func() {
 		r := newRig(2)
 		for _, a := range r.agents {
-			a.Do(func(x *daemontest.Exchange) {
+			a.SetScript(func(x *daemontest.Exchange) {
 				x.Read()
 				x.Begin(fleet.Version{})
 				for x.Ctx.Err() == nil {
@@ -86,16 +86,16 @@
 	It("that report to leave get no new work, whatever list and gossip say", func() {
 		r := newRig(2)
 		leaving := r.agents[0]
-		leaving.Report(func(report *wire.Report) { report.Leaving = true })
+		leaving.UpdateReport(func(report *wire.Report) { report.Leaving = true })
 		Eventually(r.verdicts).Should(HaveKeyWithValue(leaving.Instance.ID, balance.Draining))
-		before := leaving.Opened()
+		before := leaving.OpenedStreams()
 		const requests = 40
 		for range requests {
 			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
 		}
-		Expect(leaving.Opened()).To(Equal(before))
+		Expect(leaving.OpenedStreams()).To(Equal(before))
 		Expect(r.send(r.order(leaving, work)).Err).NotTo(HaveOccurred())
-		Expect(leaving.Opened()).To(Equal(before + 1))
+		Expect(leaving.OpenedStreams()).To(Equal(before + 1))
 	})
 
 	// The same for an agent whose gate is closed, as while its engine loads.
@@ -103,14 +103,14 @@
 	It("whose gate is closed get no new work", func() {
 		r := newRig(2)
 		closed := r.agents[0]
-		closed.Report(func(report *wire.Report) { report.Admitting = false })
+		closed.UpdateReport(func(report *wire.Report) { report.Admitting = false })
 		Eventually(r.verdicts).Should(HaveKeyWithValue(closed.Instance.ID, balance.Draining))
 		const requests = 40
 		for range requests {
 			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
 		}
-		Expect(closed.Opened()).To(BeZero())
-		closed.Report(func(report *wire.Report) { report.Admitting = true })
+		Expect(closed.OpenedStreams()).To(BeZero())
+		closed.UpdateReport(func(report *wire.Report) { report.Admitting = true })
 		Eventually(r.eligible).Should(HaveLen(2))
 	})
 
@@ -127,7 +127,7 @@
 		for range requests {
 			Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
 		}
-		Expect(lost.Opened()).To(BeZero())
+		Expect(lost.OpenedStreams()).To(BeZero())
 	})
 
 	// An agent is cut off: its datagrams are dropped, and no connection closes.
@@ -137,9 +137,9 @@
 	It("that are cut off are taken out though no connection closes", func() {
 		r := newRig(2)
 		cut := r.agents[0]
-		cut.Link.Cut(r.Self.PeerAddr)
+		cut.Link.Block(r.Self.PeerAddr)
 		Eventually(r.eligible).Should(ConsistOf(r.agents[1].Instance.ID))
 		Expect(r.send(r.request(work)).Err).NotTo(HaveOccurred())
-		Expect(cut.Opened()).To(BeZero())
+		Expect(cut.OpenedStreams()).To(BeZero())
 	})
 })
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -50,7 +50,7 @@
 		Load: serving.Load{Slots: 64},
 	}
 	a.Endpoint = newEndpoint(fleet.RoleAgent, id, Handler(a.serve), a.Link)
-	a.Instance = fleet.Instance{ID: id, Role: fleet.RoleAgent, Service: service, Place: Here, PeerAddr: a.Endpoint.Addr()}
+	a.Instance = fleet.Instance{ID: id, Role: fleet.RoleAgent, Service: service, Place: LocalPlace, PeerAddr: a.Endpoint.Addr()}
 	a.stop = RunUntilEnd(a.Endpoint.Run)
 	return a
 }
@@ -58,8 +58,8 @@
 // Kill stops the agent; its peers are notified that its connections are closed.
 func (a *Agent) Kill() { a.stop() }
 
-// Report changes the content of the agent's reports from now on.
-func (a *Agent) Report(edit func(*wire.Report)) {
+// UpdateReport changes the content of the agent's reports from now on.
+func (a *Agent) UpdateReport(edit func(*wire.Report)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	edit(&a.report)
@@ -72,23 +72,23 @@
 	a.silent = true
 }
 
-// Do replaces the script for later requests.
-func (a *Agent) Do(script func(*Exchange)) {
+// SetScript replaces the script for later requests.
+func (a *Agent) SetScript(script func(*Exchange)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = script
 }
 
-// Opened returns the number of request streams that reached the agent.
-func (a *Agent) Opened() int {
+// OpenedStreams returns the number of request streams that reached the agent.
+func (a *Agent) OpenedStreams() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.opened
 }
 
-// Passed returns the requests that were read completely, so that a real agent
-// would forward them.
-func (a *Agent) Passed() []wire.Request {
+// ReceivedRequests returns the requests that were read completely, so that a
+// real agent would forward them.
+func (a *Agent) ReceivedRequests() []wire.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.received)
@@ -139,12 +139,12 @@
 	agent   *Agent
 }
 
-// ReadHead reads the request without its body.
-func (x *Exchange) ReadHead() { _ = x.Stream.Recv(&x.Request) }
+// ReadHeader reads the request without its body.
+func (x *Exchange) ReadHeader() { _ = x.Stream.Recv(&x.Request) }
 
 // Read reads the request and its body.
 func (x *Exchange) Read() {
-	x.ReadHead()
+	x.ReadHeader()
 	for len(x.Body) < x.Request.BodyBytes {
 		piece, err := x.Stream.RecvBytes(nil)
 		if err != nil {
@@ -202,7 +202,7 @@
 	s, err := e.Endpoint.Open(context.Background(), e.agent, e.id, kind)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	ginkgo.DeferCleanup(s.Abort)
-	s.SetStall(Patience)
+	s.SetStall(WaitTimeout)
 	return s
 }
 
@@ -218,11 +218,11 @@
 }
 
 // Send sends a request without reading its response. Without a deadline, one is
-// set that is Patience from now on the agent's clock.
+// set that is WaitTimeout from now on the agent's clock.
 func (e *Entry) Send(req wire.Request, body string) *peer.Stream {
 	ginkgo.GinkgoHelper()
 	if req.Deadline.Sent.IsZero() {
-		req.Deadline = admission.Deadline{Sent: e.Report().Clock, Remaining: Patience}
+		req.Deadline = admission.Deadline{Sent: e.Report().Clock, Remaining: WaitTimeout}
 	}
 	req.BodyBytes = len(body)
 	s := e.Open(peer.KindRequest)
@@ -233,23 +233,23 @@
 	return s
 }
 
-// Answer is the part of a response that was received.
-type Answer struct {
+// Response is the part of a response that was received.
+type Response struct {
 	Begin *wire.AnswerBegin
 	Body  string
 	End   *wire.AnswerEnd // nil: the stream ended without one
 }
 
-// Ask sends a request and reads its response.
-func (e *Entry) Ask(req wire.Request, body string) Answer {
+// Do sends a request and reads its response.
+func (e *Entry) Do(req wire.Request, body string) Response {
 	ginkgo.GinkgoHelper()
-	return ReadAnswer(e.Send(req, body))
+	return ReadResponse(e.Send(req, body))
 }
 
-// ReadAnswer reads a response until its end or until the stream fails.
-func ReadAnswer(s *peer.Stream) Answer {
+// ReadResponse reads a response until its end or until the stream fails.
+func ReadResponse(s *peer.Stream) Response {
 	defer s.Abort()
-	var response Answer
+	var response Response
 	for {
 		var part wire.AnswerPart
 		if err := s.Recv(&part); err != nil {
--- a/daemon/internal/daemontest/backend.go
+++ b/daemon/internal/daemontest/backend.go
@@ -10,15 +10,16 @@
 	"chivespindle.example/core/serving"
 )
 
-// Answering handles one call to a backend server.
-type Answering func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error)
+// CallHandler handles one call to a backend server.
+type CallHandler func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error)
 
-// Backend is a fake backend server. It echoes the body of each call until Answer
-// replaces its handler, and also reports the status of a plain service.
+// Backend is a fake backend server. It echoes the body of each call until
+// SetHandler replaces its handler, and also reports the status of a plain
+// service.
 type Backend struct {
 	mu      sync.Mutex
 	calls   []serving.Call
-	handler Answering
+	handler CallHandler
 	load    serving.Load
 	down    bool
 }
@@ -38,9 +39,9 @@
 	return serving.Answer{ID: call.ID, Status: http.StatusOK}, nil
 }
 
-// Held calls next once release is closed, and fails with an unknown outcome if
-// the call is cancelled before.
-func Held(release <-chan struct{}, next Answering) Answering {
+// HandleAfter calls next once release is closed, and fails with an unknown
+// outcome if the call is cancelled before.
+func HandleAfter(release <-chan struct{}, next CallHandler) CallHandler {
 	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 		select {
 		case <-release:
@@ -51,8 +52,8 @@
 	}
 }
 
-// Answer replaces the handler for later calls.
-func (b *Backend) Answer(f Answering) {
+// SetHandler replaces the handler for later calls.
+func (b *Backend) SetHandler(f CallHandler) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handler = f
@@ -114,8 +115,8 @@
 	return &Engine{status: serving.EngineStatus{Boot: "boot-1", Load: serving.Load{Slots: 64}}}
 }
 
-// Set changes the status that the engine reports.
-func (e *Engine) Set(edit func(*serving.EngineStatus)) {
+// UpdateStatus changes the status that the engine reports.
+func (e *Engine) UpdateStatus(edit func(*serving.EngineStatus)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	edit(&e.status)
--- a/daemon/internal/daemontest/daemontest.go
+++ b/daemon/internal/daemontest/daemontest.go
@@ -25,14 +25,15 @@
 	"chivespindle.example/standin/pki"
 )
 
-// Patience is the maximum wait for a condition that must become true; no test
+// WaitTimeout is the maximum wait for a condition that must become true; no test
 // passes because it expires.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
-// Here and There are two places in different availability zones of one region.
+// LocalPlace and RemotePlace are two places in different availability zones of
+// one region.
 var (
-	Here  = fleet.Place{Zone: "apapa-hall", Region: "lagos"}
-	There = fleet.Place{Zone: "ikeja-hall", Region: "lagos"}
+	LocalPlace  = fleet.Place{Zone: "apapa-hall", Region: "lagos"}
+	RemotePlace = fleet.Place{Zone: "ikeja-hall", Region: "lagos"}
 )
 
 // Loopback is a UDP or TCP address whose port is chosen by the system.
@@ -99,15 +100,15 @@
 	}()
 	stop = func() {
 		cancel()
-		gomega.Eventually(done, Patience).Should(gomega.BeClosed())
+		gomega.Eventually(done, WaitTimeout).Should(gomega.BeClosed())
 	}
 	ginkgo.DeferCleanup(stop)
 	return stop
 }
 
-// Link is the network link below a process's QUIC endpoint. It can be cut
-// towards other addresses: datagrams to them are then dropped without an error,
-// as when a link between racks fails.
+// Link is the network link below a process's QUIC endpoint. Other addresses can
+// be blocked: datagrams to them are then dropped without an error, as when a
+// link between racks fails.
 type Link struct {
 	mu      sync.Mutex
 	blocked map[netip.AddrPort]bool
@@ -116,12 +117,12 @@
 // NewLink returns a link that drops nothing.
 func NewLink() *Link { return &Link{blocked: make(map[netip.AddrPort]bool)} }
 
-// Cut drops datagrams to the given addresses from now on. A partition needs a
-// cut on both sides.
-func (l *Link) Cut(to ...netip.AddrPort) { l.set(true, to) }
+// Block drops datagrams to the given addresses from now on. A partition needs a
+// block on both sides.
+func (l *Link) Block(to ...netip.AddrPort) { l.set(true, to) }
 
-// Join ends a Cut.
-func (l *Link) Join(to ...netip.AddrPort) { l.set(false, to) }
+// Unblock ends a Block.
+func (l *Link) Unblock(to ...netip.AddrPort) { l.set(false, to) }
 
 func (l *Link) set(blocked bool, to []netip.AddrPort) {
 	l.mu.Lock()
--- a/daemon/internal/daemontest/platform.go
+++ b/daemon/internal/daemontest/platform.go
@@ -15,9 +15,9 @@
 	"chivespindle.example/core/revision"
 )
 
-// Text is a fake of the platform's configuration service. It can be down, hold
-// an old revision, or leave watches without a response.
-type Text struct {
+// ConfigService is a fake of the platform's configuration service. It can be
+// down, hold an old revision, or leave watches without a response.
+type ConfigService struct {
 	mu           sync.Mutex
 	doc          revision.Document
 	changed      chan struct{} // closed at the next change
@@ -27,27 +27,27 @@
 	watchCalls   int
 }
 
-var _ revision.Source = (*Text)(nil)
+var _ revision.Source = (*ConfigService)(nil)
 
-// NewText returns a service that holds a configuration.
-func NewText(number revision.Revision, text string) *Text {
-	t := &Text{changed: make(chan struct{})}
+// NewConfigService returns a service that holds a configuration.
+func NewConfigService(number revision.Revision, text string) *ConfigService {
+	t := &ConfigService{changed: make(chan struct{})}
 	t.Set(number, text)
 	return t
 }
 
 // Set replaces the configuration, also by one with a lower revision.
-func (t *Text) Set(number revision.Revision, text string) {
+func (t *ConfigService) Set(number revision.Revision, text string) {
 	t.update(func() { t.doc = revision.Document{Revision: number, Text: []byte(text)} })
 }
 
 // SetDown sets whether calls fail, including those that are waiting.
-func (t *Text) SetDown(down bool) { t.update(func() { t.down = down }) }
+func (t *ConfigService) SetDown(down bool) { t.update(func() { t.down = down }) }
 
-// MuteWatch makes all watches block until they are cancelled.
-func (t *Text) MuteWatch() { t.update(func() { t.blockWatches = true }) }
+// BlockWatches makes all watches block until they are cancelled.
+func (t *ConfigService) BlockWatches() { t.update(func() { t.blockWatches = true }) }
 
-func (t *Text) update(edit func()) {
+func (t *ConfigService) update(edit func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	edit()
@@ -55,22 +55,22 @@
 	t.changed = make(chan struct{})
 }
 
-// Watches returns the number of calls of Watch.
-func (t *Text) Watches() int {
+// WatchCalls returns the number of calls of Watch.
+func (t *ConfigService) WatchCalls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.watchCalls
 }
 
 // Read implements revision.Source.
-func (t *Text) Read(context.Context) (revision.Document, error) {
+func (t *ConfigService) Read(context.Context) (revision.Document, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
 	return t.response()
 }
 
-func (t *Text) response() (revision.Document, error) {
+func (t *ConfigService) response() (revision.Document, error) {
 	if t.down {
 		return revision.Document{}, failure.Unavailable.New("configuration service is down")
 	}
@@ -78,7 +78,7 @@
 }
 
 // Watch implements revision.Source.
-func (t *Text) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
+func (t *ConfigService) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
 	t.mu.Lock()
 	t.watchCalls++
 	for t.blockWatches || !t.down && t.doc.Revision == after {
@@ -104,33 +104,35 @@
 	return parsed.Digest()
 }
 
-// List is a fake of the platform's instance list.
-type List struct {
+// InstanceList is a fake of the platform's instance list.
+type InstanceList struct {
 	mu        sync.Mutex
 	instances []fleet.Instance
 }
 
-var _ gossip.InstanceList = (*List)(nil)
+var _ gossip.InstanceList = (*InstanceList)(nil)
 
-// NewList returns a list with the given instances.
-func NewList(instances ...fleet.Instance) *List { return &List{instances: instances} }
+// NewInstanceList returns a list with the given instances.
+func NewInstanceList(instances ...fleet.Instance) *InstanceList {
+	return &InstanceList{instances: instances}
+}
 
 // Set replaces the list.
-func (l *List) Set(instances ...fleet.Instance) {
+func (l *InstanceList) Set(instances ...fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances = instances
 }
 
 // Add adds instances to the list.
-func (l *List) Add(instances ...fleet.Instance) {
+func (l *InstanceList) Add(instances ...fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances = append(l.instances, instances...)
 }
 
 // Instances implements gossip.InstanceList.
-func (l *List) Instances(context.Context) ([]fleet.Instance, error) {
+func (l *InstanceList) Instances(context.Context) ([]fleet.Instance, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.instances), nil
--- a/daemon/internal/daemontest/process.go
+++ b/daemon/internal/daemontest/process.go
@@ -31,8 +31,8 @@
 	// Incarnation is the start time of the process in Unix milliseconds; 0 means
 	// now.
 	Incarnation uint64
-	Text        *Text // nil: a configuration service that is down
-	List        *List // nil: an empty instance list
+	Config      *ConfigService // nil: a configuration service that is down
+	Instances   *InstanceList  // nil: an empty instance list
 	// Speed is the speed of the control loop's clock relative to real time; 0
 	// means the real clock. It applies to heartbeats, silence timeouts and the
 	// delays before a configuration is activated, but not to traffic.
@@ -46,8 +46,8 @@
 type Process struct {
 	Self        fleet.Instance
 	Incarnation uint64
-	Text        *Text
-	List        *List
+	Config      *ConfigService
+	Instances   *InstanceList
 	Loop        *control.Loop
 	Endpoint    *peer.Endpoint
 	Node        *node.Node
@@ -66,20 +66,20 @@
 // context ends with the spec.
 func NewProcess(o Options) *Process {
 	ginkgo.GinkgoHelper()
-	if o.Text == nil {
-		o.Text = NewText(0, "")
-		o.Text.SetDown(true)
+	if o.Config == nil {
+		o.Config = NewConfigService(0, "")
+		o.Config.SetDown(true)
 	}
-	if o.List == nil {
-		o.List = NewList()
+	if o.Instances == nil {
+		o.Instances = NewInstanceList()
 	}
 	if o.Incarnation == 0 {
 		o.Incarnation = uint64(time.Now().UnixMilli())
 	}
 	p := &Process{
 		Incarnation: o.Incarnation,
-		Text:        o.Text,
-		List:        o.List,
+		Config:      o.Config,
+		Instances:   o.Instances,
 		Loop:        control.New(loopOptions(o.Speed)),
 		Tracer:      telemetry.NewTracer("test", nil),
 		Logger:      Logger(string(o.Self.ID)),
@@ -123,8 +123,8 @@
 		Self:         gossip.NewRecord(p.Self, p.Incarnation),
 		Loop:         p.Loop,
 		Endpoint:     p.Endpoint,
-		Config:       p.Text,
-		InstanceList: p.List,
+		Config:       p.Config,
+		InstanceList: p.Instances,
 		ListInterval: listInterval,
 		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Logger:       p.Logger,
@@ -182,7 +182,7 @@
 // OnLoop runs f on the control loop and waits until it returns.
 func (p *Process) OnLoop(f func(now time.Time)) {
 	ginkgo.GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 	defer cancel()
 	gomega.Expect(p.Loop.Do(ctx, f)).To(gomega.Succeed())
 }
@@ -207,9 +207,9 @@
 	return counter.Value()
 }
 
-// TakeText makes the process activate a configuration at once, by reports from
-// three peers that have it active, and waits until it is active.
-func (p *Process) TakeText(number revision.Revision, config string) {
+// ActivateConfig makes the process activate a configuration at once, by reports
+// from three peers that have it active, and waits until it is active.
+func (p *Process) ActivateConfig(number revision.Revision, config string) {
 	ginkgo.GinkgoHelper()
 	digest := DigestOf(config)
 	for _, id := range []fleet.InstanceID{"witness-1", "witness-2", "witness-3"} {
@@ -219,5 +219,5 @@
 		defer s.Abort()
 		gomega.Expect(s.Send(wire.Gossip{Revision: number, Digest: digest})).To(gomega.Succeed())
 	}
-	gomega.Eventually(p.Revision, Patience).Should(gomega.Equal(number))
+	gomega.Eventually(p.Revision, WaitTimeout).Should(gomega.Equal(number))
 }
--- a/daemon/internal/daemontest/weights.go
+++ b/daemon/internal/daemontest/weights.go
@@ -69,14 +69,14 @@
 	mu        sync.Mutex
 	models    map[fleet.Digest]Model
 	manifests int
-	fetches   []Draw
-	fault     func(ctx context.Context, draw Draw) error
-	corrupt   func(draw Draw, data []byte) []byte
+	fetches   []Fetch
+	fault     func(ctx context.Context, draw Fetch) error
+	corrupt   func(draw Fetch, data []byte) []byte
 	truncate  bool
 }
 
-// Draw is one fetch from a Source. Chunk is -1 for the manifest.
-type Draw struct {
+// Fetch is one fetch from a Source. Chunk is -1 for the manifest.
+type Fetch struct {
 	Manifest fleet.Digest
 	Chunk    int
 }
@@ -92,38 +92,38 @@
 	return s
 }
 
-// Fail calls fault before each response: an error is returned to the caller, nil
-// lets the fetch succeed. A fault that blocks is a stall. Fail(nil) ends the
-// faults.
-func (s *Source) Fail(fault func(ctx context.Context, fetch Draw) error) {
+// SetFault sets a function that is called before each response: if it returns an
+// error, the fetch fails with that error. A fault that blocks is a stall. A nil
+// function ends the faults.
+func (s *Source) SetFault(fault func(ctx context.Context, fetch Fetch) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
 }
 
-// Spoil lets a function change the bytes of chunks; nil ends this.
-func (s *Source) Spoil(corrupt func(fetch Draw, data []byte) []byte) {
+// CorruptWith lets a function change the bytes of chunks; nil ends this.
+func (s *Source) CorruptWith(corrupt func(fetch Fetch, data []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corrupt = corrupt
 }
 
-// Break makes every transfer of a chunk end halfway with an error.
-func (s *Source) Break() {
+// TruncateTransfers makes every transfer of a chunk end halfway with an error.
+func (s *Source) TruncateTransfers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.truncate = true
 }
 
-// Drawn returns the fetches of chunks so far, including failed ones.
-func (s *Source) Drawn() []Draw {
+// Fetches returns the fetches of chunks so far, including failed ones.
+func (s *Source) Fetches() []Fetch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.fetches)
 }
 
-// Manifests returns the number of requests for a manifest.
-func (s *Source) Manifests() int {
+// ManifestFetches returns the number of requests for a manifest.
+func (s *Source) ManifestFetches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.manifests
@@ -137,7 +137,7 @@
 	fault := s.fault
 	s.mu.Unlock()
 	if fault != nil {
-		if err := fault(ctx, Draw{Manifest: manifest, Chunk: -1}); err != nil {
+		if err := fault(ctx, Fetch{Manifest: manifest, Chunk: -1}); err != nil {
 			return nil, err
 		}
 	}
@@ -149,7 +149,7 @@
 
 // Chunk implements weights.Source.
 func (s *Source) Chunk(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
-	fetch := Draw{Manifest: manifest, Chunk: chunk.Index}
+	fetch := Fetch{Manifest: manifest, Chunk: chunk.Index}
 	s.mu.Lock()
 	s.fetches = append(s.fetches, fetch)
 	m, found := s.models[manifest]
@@ -183,11 +183,11 @@
 // Stage is a fake stage that keeps chunks in memory and outlives the process
 // that filled it.
 type Stage struct {
-	mu      sync.Mutex
-	chunks  map[fleet.Digest]map[int][]byte
-	puts    int
-	refuse  bool
-	corrupt bool
+	mu        sync.Mutex
+	chunks    map[fleet.Digest]map[int][]byte
+	puts      int
+	rejecting bool
+	corrupt   bool
 }
 
 var _ weights.Stage = (*Stage)(nil)
@@ -209,15 +209,15 @@
 	}
 }
 
-// Refuse sets whether Put fails.
-func (s *Stage) Refuse(refuse bool) {
+// SetRejecting sets whether Put fails.
+func (s *Stage) SetRejecting(rejecting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuse = refuse
+	s.rejecting = rejecting
 }
 
-// Spoil makes Get return other bytes than were stored.
-func (s *Stage) Spoil() {
+// Corrupt makes Get return other bytes than were stored.
+func (s *Stage) Corrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corrupt = true
@@ -273,7 +273,7 @@
 func (s *Stage) Put(_ context.Context, manifest fleet.Digest, index int, data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refuse {
+	if s.rejecting {
 		return failure.Refused.New("stage rejects all chunks")
 	}
 	s.puts++
--- a/daemon/node/config_test.go
+++ b/daemon/node/config_test.go
@@ -23,7 +23,7 @@
 	//
 	// Without requests to neighbours, the others stayed without a configuration.
 	It("reaches processes that cannot reach the platform", func() {
-		platform := daemontest.NewText(1, configWith(1))
+		platform := daemontest.NewConfigService(1, configWith(1))
 		watcher := start("entry-1", fleet.RoleEntry, platform)
 		others := []*testProcess{
 			start("agent-1", fleet.RoleAgent, nil),
@@ -49,7 +49,7 @@
 	// When the process activated the platform's response at once, the old
 	// configuration was active first.
 	It("of the neighbours takes precedence over that of a stale platform", func() {
-		current := daemontest.NewText(5, configWith(5))
+		current := daemontest.NewConfigService(5, configWith(5))
 		old := []*testProcess{
 			start("entry-1", fleet.RoleEntry, current),
 			start("entry-2", fleet.RoleEntry, current),
@@ -57,7 +57,7 @@
 		}
 		listEachOther(old...)
 		Eventually(revisionsOf(old...)).Should(HaveEach(revision.Revision(5)))
-		fresh := start("entry-4", fleet.RoleEntry, daemontest.NewText(3, configWith(3)))
+		fresh := start("entry-4", fleet.RoleEntry, daemontest.NewConfigService(3, configWith(3)))
 		listEachOther(append(old, fresh)...)
 		Eventually(fresh.Revision).Should(Equal(revision.Revision(5)))
 		Eventually(fresh.revisions).Should(Equal([]revision.Revision{5}))
@@ -72,7 +72,7 @@
 	// When lost neighbours were never dialled again, the two sides stayed
 	// separate.
 	It("is the higher revision on both sides after a partition heals", func() {
-		left, right := daemontest.NewText(1, configWith(1)), daemontest.NewText(1, configWith(1))
+		left, right := daemontest.NewConfigService(1, configWith(1)), daemontest.NewConfigService(1, configWith(1))
 		a, b := start("entry-1", fleet.RoleEntry, left), start("agent-1", fleet.RoleAgent, nil)
 		c, d := start("entry-2", fleet.RoleEntry, right), start("agent-2", fleet.RoleAgent, nil)
 		listEachOther(a, b, c, d)
@@ -93,7 +93,7 @@
 	// the platform fetches it from a neighbour: the complete configuration at
 	// first, then only the one changed section.
 	It("of a megabyte reaches a neighbour, and then a change of one section", func() {
-		platform := daemontest.NewText(1, largeConfig(1))
+		platform := daemontest.NewConfigService(1, largeConfig(1))
 		watcher := start("entry-1", fleet.RoleEntry, platform)
 		other := start("agent-1", fleet.RoleAgent, nil)
 		listEachOther(watcher, other)
@@ -109,7 +109,7 @@
 	// raise an alarm. The operator publishes once more, and the fleet is
 	// consistent again.
 	It("is kept and raises an alarm if one revision has two digests", func() {
-		left, right := daemontest.NewText(7, configWith(1)), daemontest.NewText(7, configWith(2))
+		left, right := daemontest.NewConfigService(7, configWith(1)), daemontest.NewConfigService(7, configWith(2))
 		a, b := start("entry-1", fleet.RoleEntry, left), start("entry-2", fleet.RoleEntry, right)
 		Eventually(revisionsOf(a, b)).Should(HaveEach(revision.Revision(7)))
 		listEachOther(a, b)
@@ -128,7 +128,7 @@
 	// stays active everywhere, and the error is reported with its line; the next
 	// configuration is accepted.
 	It("with an error is reported and leaves the previous one active", func() {
-		platform := daemontest.NewText(1, configWith(1))
+		platform := daemontest.NewConfigService(1, configWith(1))
 		m := start("entry-1", fleet.RoleEntry, platform)
 		Eventually(m.Revision).Should(Equal(revision.Revision(1)))
 		platform.Set(2, "[fleet]\nname = ffsan\n[workspace apapa]\nrequests_per_second = many\n")
@@ -146,10 +146,10 @@
 	// The fault was that the process waited for its watch, and was not ready for
 	// as long as that lasted.
 	It("is read by a process whose watch gets no response", func() {
-		platform := daemontest.NewText(4, configWith(4))
-		platform.MuteWatch()
+		platform := daemontest.NewConfigService(4, configWith(4))
+		platform.BlockWatches()
 		m := start("entry-1", fleet.RoleEntry, platform)
-		Eventually(platform.Watches).Should(BeNumerically(">", 0))
+		Eventually(platform.WatchCalls).Should(BeNumerically(">", 0))
 		Eventually(m.Revision).Should(Equal(revision.Revision(4)))
 	})
 })
@@ -180,7 +180,7 @@
 }
 
 func (l *fakePeer) instance() fleet.Instance {
-	return fleet.Instance{ID: l.id, Role: fleet.RoleEntry, Place: daemontest.Here, PeerAddr: l.endpoint.Addr()}
+	return fleet.Instance{ID: l.id, Role: fleet.RoleEntry, Place: daemontest.LocalPlace, PeerAddr: l.endpoint.Addr()}
 }
 
 // claim repeatedly reports to m that the fake peer has an active configuration,
@@ -244,8 +244,8 @@
 	// Without the progress deadline of the exchange, the neighbour that never
 	// responds was the last one to get a request.
 	It("have no effect if they do not send it", func() {
-		m := start("entry-1", fleet.RoleEntry, daemontest.NewText(1, configWith(1)))
-		honest := start("entry-2", fleet.RoleEntry, daemontest.NewText(9, configWith(9)))
+		m := start("entry-1", fleet.RoleEntry, daemontest.NewConfigService(1, configWith(1)))
+		honest := start("entry-2", fleet.RoleEntry, daemontest.NewConfigService(9, configWith(9)))
 		Eventually(m.Revision).Should(Equal(revision.Revision(1)))
 		list := []fleet.Instance{m.Self}
 		var fakes []*fakePeer
@@ -253,7 +253,7 @@
 			fakes = append(fakes, newFakePeer(id, respond))
 			list = append(list, fakes[len(fakes)-1].instance())
 		}
-		m.List.Set(list...)
+		m.Instances.Set(list...)
 		stop := make(map[fleet.InstanceID]func())
 		for _, l := range fakes {
 			stop[l.id] = l.claim(m, 9, digest(configWith(9)))
@@ -265,7 +265,7 @@
 		Eventually(honest.Revision).Should(Equal(revision.Revision(9)))
 		Expect(m.Revision()).To(Equal(revision.Revision(1)))
 
-		honest.List.Set(m.Self)
+		honest.Instances.Set(m.Self)
 		Eventually(m.Revision).Should(Equal(revision.Revision(9)))
 		Expect(m.Node.ActiveConfig().Digest).To(Equal(digest(configWith(9))))
 	})
--- a/daemon/node/fleet_test.go
+++ b/daemon/node/fleet_test.go
@@ -21,12 +21,12 @@
 	// would give orders to one engine.
 	It("reports a duplicate ID only to the older of two processes", func() {
 		third := start("entry-9", fleet.RoleEntry, nil)
-		self := fleet.Instance{ID: "agent-1", Role: fleet.RoleAgent, Place: daemontest.Here}
+		self := fleet.Instance{ID: "agent-1", Role: fleet.RoleAgent, Place: daemontest.LocalPlace}
 		older := startAs(self, 1000, nil)
 		newer := startAs(self, 2000, nil)
-		older.List.Set(third.Self)
-		newer.List.Set(third.Self)
-		third.List.Set(newer.Self)
+		older.Instances.Set(third.Self)
+		newer.Instances.Set(third.Self)
+		third.Instances.Set(newer.Self)
 		var other gossip.Record
 		Eventually(older.Duplicates).Should(Receive(&other))
 		Expect(other.Incarnation).To(BeEquivalentTo(2000))
@@ -80,8 +80,8 @@
 		alone.OnLoop(func(now time.Time) { since = now })
 		Expect(alone.Node.ConfirmContact(context.Background(), since)).To(BeFalse(), "the neighbour is gone")
 
-		alone.Text.Set(1, configWith(1))
-		alone.Text.SetDown(false)
+		alone.Config.Set(1, configWith(1))
+		alone.Config.SetDown(false)
 		Expect(alone.Node.ConfirmContact(context.Background(), since)).To(BeTrue(), "the platform responds")
 	})
 })
--- a/daemon/node/helpers_test.go
+++ b/daemon/node/helpers_test.go
@@ -28,14 +28,14 @@
 
 // start runs a process that reads its configuration from config, or whose
 // platform is down if config is nil.
-func start(id fleet.InstanceID, role fleet.Role, config *daemontest.Text) *testProcess {
-	return startAs(fleet.Instance{ID: id, Role: role, Place: daemontest.Here}, 0, config)
+func start(id fleet.InstanceID, role fleet.Role, config *daemontest.ConfigService) *testProcess {
+	return startAs(fleet.Instance{ID: id, Role: role, Place: daemontest.LocalPlace}, 0, config)
 }
 
-func startAs(self fleet.Instance, incarnation uint64, config *daemontest.Text) *testProcess {
+func startAs(self fleet.Instance, incarnation uint64, config *daemontest.ConfigService) *testProcess {
 	m := &testProcess{link: daemontest.NewLink()}
 	m.Process = daemontest.NewProcess(daemontest.Options{
-		Self: self, Incarnation: incarnation, Text: config, Speed: clockSpeed, Link: m.link,
+		Self: self, Incarnation: incarnation, Config: config, Speed: clockSpeed, Link: m.link,
 	})
 	m.AttachNode(m.recordRevision, nil)
 	m.Run(daemontest.Handler(m.ServeNode))
@@ -64,7 +64,7 @@
 		list = append(list, m.Self)
 	}
 	for _, m := range members {
-		m.List.Set(list...)
+		m.Instances.Set(list...)
 	}
 }
 
@@ -83,12 +83,12 @@
 	for _, a := range left {
 		for _, b := range right {
 			if partitioned {
-				a.link.Cut(b.Self.PeerAddr)
-				b.link.Cut(a.Self.PeerAddr)
+				a.link.Block(b.Self.PeerAddr)
+				b.link.Block(a.Self.PeerAddr)
 				continue
 			}
-			a.link.Join(b.Self.PeerAddr)
-			b.link.Join(a.Self.PeerAddr)
+			a.link.Unblock(b.Self.PeerAddr)
+			b.link.Unblock(a.Self.PeerAddr)
 		}
 	}
 }
--- a/daemon/node/link_test.go
+++ b/daemon/node/link_test.go
@@ -42,7 +42,7 @@
 		var first wire.Gossip
 		Expect(s.Recv(&first)).To(Succeed(), "the link is in use")
 
-		m.List.Set(fleet.Instance{ID: id, Role: fleet.RoleAgent, Place: daemontest.Here, PeerAddr: neighbour.Addr()})
+		m.Instances.Set(fleet.Instance{ID: id, Role: fleet.RoleAgent, Place: daemontest.LocalPlace, PeerAddr: neighbour.Addr()})
 		Eventually(dialled).Should(BeClosed())
 	})
 })
--- a/daemon/swarm/helpers_test.go
+++ b/daemon/swarm/helpers_test.go
@@ -58,7 +58,7 @@
 	GinkgoHelper()
 	a := &testAgent{stage: stage}
 	a.Process = daemontest.NewProcess(daemontest.Options{
-		Self: fleet.Instance{ID: id, Role: fleet.RoleAgent, Place: daemontest.Here}, Speed: clockSpeed})
+		Self: fleet.Instance{ID: id, Role: fleet.RoleAgent, Place: daemontest.LocalPlace}, Speed: clockSpeed})
 	unlimited := rate.NewLimiter(rate.Inf, swarm.PieceBytes)
 	var store weights.Source
 	if from.store != nil {
@@ -147,7 +147,7 @@
 }
 
 func (p *fakePeer) member() spread.Member {
-	return spread.Member{ID: p.id, Place: daemontest.Here, Addr: p.endpoint.Addr()}
+	return spread.Member{ID: p.id, Place: daemontest.LocalPlace, Addr: p.endpoint.Addr()}
 }
 
 func (p *fakePeer) serve(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
--- a/daemon/swarm/peers_test.go
+++ b/daemon/swarm/peers_test.go
@@ -33,7 +33,7 @@
 		for _, a := range all {
 			a.expectComplete(m)
 		}
-		Expect(len(from.origin.Drawn())).To(BeNumerically("<", 2*12), "chunks fetched from the origin by three agents")
+		Expect(len(from.origin.Fetches())).To(BeNumerically("<", 2*12), "chunks fetched from the origin by three agents")
 		Expect(all[0].fetchedBytes().PeerBytes).To(BeNumerically(">", 0))
 	})
 
@@ -163,7 +163,7 @@
 		a := start("agent-1", stage, sources{origin: daemontest.NewSource(m)})
 		a.fetch(m, nil)
 		a.expectComplete(m)
-		stage.Spoil()
+		stage.Corrupt()
 		s := daemontest.NewEntry("agent-2", a.Self).Open(peer.KindChunk)
 		Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 1})).To(Succeed())
 		var head wire.ChunkHead
@@ -180,10 +180,10 @@
 	It("listed after the start of the search are asked for the manifest", func() {
 		m := newModel("r1", 4)
 		down := daemontest.NewSource(m)
-		down.Fail(func(ctx context.Context, _ daemontest.Draw) error { return unavailable(ctx) })
+		down.SetFault(func(ctx context.Context, _ daemontest.Fetch) error { return unavailable(ctx) })
 		a := start("agent-1", daemontest.NewStage(), sources{origin: down})
 		a.fetch(m, nil)
-		Eventually(down.Manifests).Should(BeNumerically(">", 0))
+		Eventually(down.ManifestFetches).Should(BeNumerically(">", 0))
 		complete := newFakePeer("agent-0", m, func(_ context.Context, s *peer.Stream, index int) { sendChunk(s, m.Chunks[index]) })
 		a.OnLoop(func(now time.Time) { a.swarm.SetMembers(now, []spread.Member{a.member(), complete.member()}) })
 		a.expectComplete(m)
--- a/daemon/swarm/sources_test.go
+++ b/daemon/swarm/sources_test.go
@@ -15,9 +15,9 @@
 )
 
 // failFirst applies a fault to the first n fetches of chunks.
-func failFirst(n int64, fault func(ctx context.Context) error) func(context.Context, daemontest.Draw) error {
+func failFirst(n int64, fault func(ctx context.Context) error) func(context.Context, daemontest.Fetch) error {
 	var calls atomic.Int64
-	return func(ctx context.Context, fetch daemontest.Draw) error {
+	return func(ctx context.Context, fetch daemontest.Fetch) error {
 		if fetch.Chunk < 0 || calls.Add(1) > n {
 			return nil
 		}
@@ -52,14 +52,14 @@
 			a.expectComplete(m)
 			Expect(a.stage.Puts()).To(Equal(6), "each chunk was staged once and completely")
 		},
-		Entry("stalled link, with a store", func(o *daemontest.Source) { o.Fail(failFirst(1, stalled)) }, true),
-		Entry("origin down, with a store", func(o *daemontest.Source) { o.Fail(failFirst(4, unavailable)) }, true),
-		Entry("origin down, without a store", func(o *daemontest.Source) { o.Fail(failFirst(4, unavailable)) }, false),
+		Entry("stalled link, with a store", func(o *daemontest.Source) { o.SetFault(failFirst(1, stalled)) }, true),
+		Entry("origin down, with a store", func(o *daemontest.Source) { o.SetFault(failFirst(4, unavailable)) }, true),
+		Entry("origin down, without a store", func(o *daemontest.Source) { o.SetFault(failFirst(4, unavailable)) }, false),
 		Entry("corrupt byte, with a store", corruptFirst, true),
 		Entry("corrupt byte, without a store", corruptFirst, false),
 		Entry("half of a chunk, with a store", func(o *daemontest.Source) {
 			var done atomic.Bool
-			o.Spoil(func(_ daemontest.Draw, data []byte) []byte {
+			o.CorruptWith(func(_ daemontest.Fetch, data []byte) []byte {
 				if done.Swap(true) {
 					return data
 				}
@@ -80,7 +80,7 @@
 		const pause, parallel = 8 * time.Second, 2
 		var mu sync.Mutex
 		var requestedAt []time.Time
-		from.origin.Fail(func(_ context.Context, fetch daemontest.Draw) error {
+		from.origin.SetFault(func(_ context.Context, fetch daemontest.Fetch) error {
 			if fetch.Chunk < 0 {
 				return nil
 			}
@@ -109,13 +109,13 @@
 	It("receives no manifest requests during the retry delay that it requested", func() {
 		m := newModel("r1", 1)
 		from := sources{origin: daemontest.NewSource(), store: daemontest.NewSource()}
-		from.origin.Fail(func(context.Context, daemontest.Draw) error {
+		from.origin.SetFault(func(context.Context, daemontest.Fetch) error {
 			return failure.WithRetryAfter(failure.RateLimited.New("status 429"), time.Hour)
 		})
 		a := start("agent-1", daemontest.NewStage(), from)
 		a.fetch(m, nil)
-		Eventually(from.store.Manifests).Should(BeNumerically(">=", 3))
-		Expect(from.origin.Manifests()).To(Equal(1))
+		Eventually(from.store.ManifestFetches).Should(BeNumerically(">=", 3))
+		Expect(from.origin.ManifestFetches()).To(Equal(1))
 	})
 
 	// The origin aborts every transfer halfway. Each transfer has used the
@@ -127,8 +127,8 @@
 	It("is not used beyond the limit when it aborts transfers", func() {
 		m := newModel("r1", 4)
 		from := sources{origin: daemontest.NewSource(m), store: daemontest.NewSource(m)}
-		from.origin.Break()
-		from.store.Fail(failFirst(1000, func(context.Context) error { return failure.NotFound.New("not stored") }))
+		from.origin.TruncateTransfers()
+		from.store.SetFault(failFirst(1000, func(context.Context) error { return failure.NotFound.New("not stored") }))
 		a := start("agent-1", daemontest.NewStage(), from)
 		settings := fastSettings
 		settings.OriginCopies = 1
@@ -136,15 +136,15 @@
 			a.swarm.SetMembers(now, []spread.Member{a.member()})
 			a.swarm.Fetch(now, m.Version, settings, nil)
 		})
-		Eventually(func() int { return len(from.store.Drawn()) }).Should(BeNumerically(">=", 6))
-		Expect(len(from.origin.Drawn())).To(BeNumerically("<=", 4))
+		Eventually(func() int { return len(from.store.Fetches()) }).Should(BeNumerically(">=", 6))
+		Expect(len(from.origin.Fetches())).To(BeNumerically("<=", 4))
 	})
 })
 
 // corruptFirst changes a byte of the first chunk that is fetched.
 func corruptFirst(o *daemontest.Source) {
 	var done atomic.Bool
-	o.Spoil(func(_ daemontest.Draw, data []byte) []byte {
+	o.CorruptWith(func(_ daemontest.Fetch, data []byte) []byte {
 		if !done.Swap(true) {
 			data[7]++
 		}
--- a/daemon/swarm/versions_test.go
+++ b/daemon/swarm/versions_test.go
@@ -18,14 +18,14 @@
 		m := newModel("r1", 4)
 		from := sources{origin: daemontest.NewSource(m), store: daemontest.NewSource(m)}
 		stage := daemontest.NewStage()
-		stage.Refuse(true)
+		stage.SetRejecting(true)
 		a := start("agent-1", stage, from)
 		a.fetch(m, nil)
-		Eventually(func() int { return len(from.origin.Drawn()) }).Should(BeNumerically(">", 2))
+		Eventually(func() int { return len(from.origin.Fetches()) }).Should(BeNumerically(">", 2))
 		Expect(a.completions()).To(BeEmpty())
-		stage.Refuse(false)
+		stage.SetRejecting(false)
 		a.expectComplete(m)
-		Expect(len(from.origin.Drawn())).To(BeNumerically("<=", 14), "the limit of 3.5 copies")
+		Expect(len(from.origin.Fetches())).To(BeNumerically("<=", 14), "the limit of 3.5 copies")
 	})
 
 	// The engine restarts and loses what it had staged. The agent discards what
@@ -42,7 +42,7 @@
 		a.fetch(m, nil)
 		Eventually(a.completions).Should(HaveLen(2))
 		Expect(a.stage.Holds(m)).To(BeTrue())
-		Expect(from.origin.Drawn()).To(HaveLen(8))
+		Expect(from.origin.Fetches()).To(HaveLen(8))
 	})
 
 	// The agent restarts while the engine continues to run with all chunks
@@ -58,7 +58,7 @@
 		a := start("agent-1", stage, from)
 		a.fetch(m, nil)
 		a.expectComplete(m)
-		Expect(from.origin.Drawn()).To(BeEmpty())
+		Expect(from.origin.Fetches()).To(BeEmpty())
 		Expect(stage.Puts()).To(BeZero())
 	})
 
@@ -71,7 +71,7 @@
 		a := start("agent-1", stage, from)
 		a.fetch(m, nil)
 		a.expectComplete(m)
-		Expect(from.origin.Drawn()).To(HaveLen(3))
+		Expect(from.origin.Fetches()).To(HaveLen(3))
 	})
 
 	// The operator configures another version while the first one is being
@@ -86,7 +86,7 @@
 		newer := daemontest.NewModel("r2", append(daemontest.RandomChunks(1, chunkBytes), shared...)...)
 		from := sources{origin: daemontest.NewSource(previous, newer)}
 		cancelled := make(chan struct{})
-		from.origin.Fail(func(ctx context.Context, fetch daemontest.Draw) error {
+		from.origin.SetFault(func(ctx context.Context, fetch daemontest.Fetch) error {
 			if fetch.Manifest != previous.Version.Manifest || fetch.Chunk != 0 {
 				return nil
 			}
@@ -102,7 +102,7 @@
 		a.fetch(newer, nil, previous)
 		a.expectComplete(newer)
 		var fetched []int
-		for _, fetch := range from.origin.Drawn() {
+		for _, fetch := range from.origin.Fetches() {
 			if fetch.Manifest == newer.Version.Manifest {
 				fetched = append(fetched, fetch.Chunk)
 			}
@@ -120,7 +120,7 @@
 		wrong, right := newModel("typo", 1), newModel("r1", 2)
 		from := sources{origin: daemontest.NewSource(right)}
 		requested, cancelled := make(chan struct{}), make(chan struct{})
-		from.origin.Fail(func(ctx context.Context, fetch daemontest.Draw) error {
+		from.origin.SetFault(func(ctx context.Context, fetch daemontest.Fetch) error {
 			if fetch.Manifest == right.Version.Manifest {
 				return nil
 			}
