--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -24,8 +24,8 @@
 const reportInterval = 20 * time.Millisecond
 
 // Agent is a fake agent that an entry connects to over the network. It reports
-// that it accepts requests and echoes the body of each until told otherwise by
-// the test.
+// that it accepts requests and echoes the body of each until SetScript replaces
+// its script.
 type Agent struct {
 	Instance fleet.Instance
 	Endpoint *peer.Endpoint
--- a/daemon/internal/daemontest/platform.go
+++ b/daemon/internal/daemontest/platform.go
@@ -31,68 +31,68 @@
 
 // NewConfigService returns a service that holds a configuration.
 func NewConfigService(number revision.Revision, text string) *ConfigService {
-	t := &ConfigService{changed: make(chan struct{})}
-	t.Set(number, text)
-	return t
+	s := &ConfigService{changed: make(chan struct{})}
+	s.Set(number, text)
+	return s
 }
 
 // Set replaces the configuration, also by one with a lower revision.
-func (t *ConfigService) Set(number revision.Revision, text string) {
-	t.update(func() { t.doc = revision.Document{Revision: number, Text: []byte(text)} })
+func (s *ConfigService) Set(number revision.Revision, text string) {
+	s.update(func() { s.doc = revision.Document{Revision: number, Text: []byte(text)} })
 }
 
 // SetDown sets whether calls fail, including those that are waiting.
-func (t *ConfigService) SetDown(down bool) { t.update(func() { t.down = down }) }
+func (s *ConfigService) SetDown(down bool) { s.update(func() { s.down = down }) }
 
 // BlockWatches makes all watches block until they are cancelled.
-func (t *ConfigService) BlockWatches() { t.update(func() { t.blockWatches = true }) }
+func (s *ConfigService) BlockWatches() { s.update(func() { s.blockWatches = true }) }
 
-func (t *ConfigService) update(edit func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *ConfigService) update(edit func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	edit()
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // WatchCalls returns the number of calls of Watch.
-func (t *ConfigService) WatchCalls() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.watchCalls
+func (s *ConfigService) WatchCalls() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.watchCalls
 }
 
 // Read implements revision.Source.
-func (t *ConfigService) Read(context.Context) (revision.Document, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.reads++
-	return t.response()
+func (s *ConfigService) Read(context.Context) (revision.Document, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reads++
+	return s.response()
 }
 
-func (t *ConfigService) response() (revision.Document, error) {
-	if t.down {
+func (s *ConfigService) response() (revision.Document, error) {
+	if s.down {
 		return revision.Document{}, failure.Unavailable.New("configuration service is down")
 	}
-	return t.doc, nil
+	return s.doc, nil
 }
 
 // Watch implements revision.Source.
-func (t *ConfigService) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
-	t.mu.Lock()
-	t.watchCalls++
-	for t.blockWatches || !t.down && t.doc.Revision == after {
-		changed := t.changed
-		t.mu.Unlock()
+func (s *ConfigService) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
+	s.mu.Lock()
+	s.watchCalls++
+	for s.blockWatches || !s.down && s.doc.Revision == after {
+		changed := s.changed
+		s.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return revision.Document{}, failure.Timeout.Wrap(ctx.Err(), "watch")
 		}
-		t.mu.Lock()
+		s.mu.Lock()
 	}
-	defer t.mu.Unlock()
-	return t.response()
+	defer s.mu.Unlock()
+	return s.response()
 }
 
 // DigestOf returns the digest of a configuration, as processes report it to each
--- a/daemon/internal/daemontest/weights.go
+++ b/daemon/internal/daemontest/weights.go
@@ -70,8 +70,8 @@
 	models    map[fleet.Digest]Model
 	manifests int
 	fetches   []Fetch
-	fault     func(ctx context.Context, draw Fetch) error
-	corrupt   func(draw Fetch, data []byte) []byte
+	fault     func(ctx context.Context, fetch Fetch) error
+	corrupt   func(fetch Fetch, data []byte) []byte
 	truncate  bool
 }
 
--- a/daemon/node/config_test.go
+++ b/daemon/node/config_test.go
@@ -163,33 +163,33 @@
 }
 
 func newFakePeer(id fleet.InstanceID, respond func(s *peer.Stream)) *fakePeer {
-	l := &fakePeer{id: id, requested: make(chan struct{}, 1)}
-	l.endpoint = daemontest.Endpoint(fleet.RoleEntry, id, daemontest.Handler(
+	p := &fakePeer{id: id, requested: make(chan struct{}, 1)}
+	p.endpoint = daemontest.Endpoint(fleet.RoleEntry, id, daemontest.Handler(
 		func(ctx context.Context, _ keys.Identity, kind peer.Kind, s *peer.Stream) {
 			if kind != peer.KindConfig {
 				<-ctx.Done()
 				return
 			}
 			select {
-			case l.requested <- struct{}{}:
+			case p.requested <- struct{}{}:
 			default:
 			}
 			respond(s)
 		}))
-	return l
+	return p
 }
 
-func (l *fakePeer) instance() fleet.Instance {
-	return fleet.Instance{ID: l.id, Role: fleet.RoleEntry, Place: daemontest.LocalPlace, PeerAddr: l.endpoint.Addr()}
+func (p *fakePeer) instance() fleet.Instance {
+	return fleet.Instance{ID: p.id, Role: fleet.RoleEntry, Place: daemontest.LocalPlace, PeerAddr: p.endpoint.Addr()}
 }
 
 // claim repeatedly reports to m that the fake peer has an active configuration,
 // until stop is called.
-func (l *fakePeer) claim(m *testProcess, number revision.Revision, digest fleet.Digest) (stop func()) {
+func (p *fakePeer) claim(m *testProcess, number revision.Revision, digest fleet.Digest) (stop func()) {
 	GinkgoHelper()
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	s, err := l.endpoint.Open(ctx, m.Self.PeerAddr, m.Self.ID, peer.KindGossip)
+	s, err := p.endpoint.Open(ctx, m.Self.PeerAddr, m.Self.ID, peer.KindGossip)
 	Expect(err).NotTo(HaveOccurred())
 	return daemontest.RunUntilEnd(func(until context.Context) error {
 		ticker := time.NewTicker(20 * time.Millisecond)
@@ -255,11 +255,11 @@
 		}
 		m.Instances.Set(list...)
 		stop := make(map[fleet.InstanceID]func())
-		for _, l := range fakes {
-			stop[l.id] = l.claim(m, 9, digest(configWith(9)))
+		for _, p := range fakes {
+			stop[p.id] = p.claim(m, 9, digest(configWith(9)))
 		}
-		for _, l := range fakes {
-			Eventually(l.requested).Should(Receive(), "%s", l.id)
+		for _, p := range fakes {
+			Eventually(p.requested).Should(Receive(), "%s", p.id)
 		}
 		stop["a-no-answer"]() // each request to it takes two seconds
 		Eventually(honest.Revision).Should(Equal(revision.Revision(9)))
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -159,13 +159,13 @@
 }
 
 // Delays by rank before a member requests the manifest upstream. Each further
-// group of manifestFetchersPerRank members waits manifestRankDelay longer, up to
-// manifestMaxRank times. With two members that contact the origin at first,
+// group of manifestFetchersPerStep members waits manifestRankDelay longer, up to
+// manifestMaxDelays times. With two members that contact the origin at first,
 // hundreds of instances cost the origin only a few manifest requests.
 const (
 	manifestRankDelay       = 500 * time.Millisecond
-	manifestFetchersPerRank = 2
-	manifestMaxRank         = 20
+	manifestFetchersPerStep = 2
+	manifestMaxDelays       = 20
 )
 
 // findManifest fetches the manifest from a peer or, in the order of rank, from
--- a/daemon/swarm/helpers_test.go
+++ b/daemon/swarm/helpers_test.go
@@ -151,22 +151,22 @@
 }
 
 func (p *fakePeer) serve(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-	var open wire.ChunkOpen
-	if s.Recv(&open) != nil {
+	var request wire.ChunkOpen
+	if s.Recv(&request) != nil {
 		return
 	}
-	if open.Exchange {
+	if request.Exchange {
 		p.exchange(ctx, s)
 		return
 	}
-	if open.Index < 0 {
+	if request.Index < 0 {
 		sendChunk(s, p.model.Raw)
 		return
 	}
 	p.mu.Lock()
 	p.requested++
 	p.mu.Unlock()
-	p.serveChunk(ctx, s, open.Index)
+	p.serveChunk(ctx, s, request.Index)
 }
 
 func (p *fakePeer) exchange(ctx context.Context, s *peer.Stream) {
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -246,11 +246,11 @@
 // acceptExchange accepts an exchange opened by a neighbour. It refuses if the
 // version is not being fetched here or the neighbour is not a known member; the
 // neighbour retries, since this process may just not be up to date.
-func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
+func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkOpen) {
 	var accepted bool
 	st.SetStall(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
-		d, ok := s.downloads[open.Manifest]
+		d, ok := s.downloads[request.Manifest]
 		member, listed := s.member(from.ID)
 		if !ok || d.plan == nil || !listed {
 			return
--- a/daemon/swarm/manifest.go
+++ b/daemon/swarm/manifest.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	ranked := rankMembers(d.version.Manifest, members)
-	delay := time.Duration(min(rankOf(ranked, d.swarm.opts.Self.ID)/manifestFetchersPerRank, manifestMaxRank)) * manifestRankDelay
+	delay := time.Duration(min(rankOf(ranked, d.swarm.opts.Self.ID)/manifestFetchersPerStep, manifestMaxDelays)) * manifestRankDelay
 	if time.Since(s.started) >= delay {
 		raw, err := s.tryUpstream()
 		if err == nil {
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -28,28 +28,28 @@
 // ServeChunk serves a stream of peer.KindChunk. It runs on a traffic goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
 	st.SetStall(s.opts.StallTimeout)
-	var open wire.ChunkOpen
-	if err := st.Recv(&open); err != nil {
+	var request wire.ChunkOpen
+	if err := st.Recv(&request); err != nil {
 		st.Abort()
 		return
 	}
-	if open.Exchange {
-		s.acceptExchange(ctx, from, st, open)
+	if request.Exchange {
+		s.acceptExchange(ctx, from, st, request)
 		return
 	}
-	s.serveData(ctx, from, st, open)
+	s.serveData(ctx, from, st, request)
 }
 
 // serveData sends one chunk, or the manifest, to a peer.
-func (s *Swarm) serveData(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
+func (s *Swarm) serveData(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkOpen) {
 	defer func() { _ = st.CloseSend() }()
-	data, status := s.acquireUpload(ctx, from.ID, open)
+	data, status := s.acquireUpload(ctx, from.ID, request)
 	if status != wire.ChunkFollows {
 		_ = st.Send(wire.ChunkHead{Status: status})
 		return
 	}
-	if open.Index != manifestIndex {
-		defer s.releaseUpload(from.ID, open.Manifest)
+	if request.Index != manifestIndex {
+		defer s.releaseUpload(from.ID, request.Manifest)
 	}
 	if err := s.sendChunk(ctx, st, data); err != nil {
 		s.opts.Logger.Debug("chunk_upload_cut", zap.String("peer", string(from.ID)), zap.Error(err))
@@ -57,38 +57,38 @@
 	}
 }
 
-func (s *Swarm) acquireUpload(ctx context.Context, from fleet.InstanceID, open wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
+func (s *Swarm) acquireUpload(ctx context.Context, from fleet.InstanceID, request wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
 	deadline := time.Now().Add(uploadQueueTimeout)
 	for {
 		var decision uploadDecision
-		err := s.opts.Loop.Do(ctx, func(now time.Time) { decision = s.decideUpload(now, from, open) })
+		err := s.opts.Loop.Do(ctx, func(now time.Time) { decision = s.decideUpload(now, from, request) })
 		switch {
 		case err != nil:
-			s.revertDecision(from, open, &decision)
+			s.revertDecision(from, request, &decision)
 			return nil, wire.ChunkMissing
 		case decision.wait != nil && waitReady(ctx, decision.wait, deadline):
 			continue
 		case decision.wait != nil:
-			s.leaveUploadQueue(open.Manifest, decision.wait)
+			s.leaveUploadQueue(request.Manifest, decision.wait)
 			return nil, wire.ChunkBusy
-		case decision.status != wire.ChunkFollows || open.Index == manifestIndex:
+		case decision.status != wire.ChunkFollows || request.Index == manifestIndex:
 			return decision.data, decision.status
 		}
-		return s.readUploadChunk(ctx, from, open.Manifest, decision.chunk)
+		return s.readUploadChunk(ctx, from, request.Manifest, decision.chunk)
 	}
 }
 
 // revertDecision undoes a decision for a request that has ended in the meantime:
 // the request may still be in the queue of the control loop, and this event is
 // queued behind it. Otherwise its upload slot would never be released.
-func (s *Swarm) revertDecision(from fleet.InstanceID, open wire.ChunkOpen, decision *uploadDecision) {
+func (s *Swarm) revertDecision(from fleet.InstanceID, request wire.ChunkOpen, decision *uploadDecision) {
 	s.post(func(time.Time) {
-		d, ok := s.downloads[open.Manifest]
+		d, ok := s.downloads[request.Manifest]
 		switch {
 		case !ok:
 		case decision.wait != nil:
 			d.removeQueued(decision.wait)
-		case decision.status == wire.ChunkFollows && open.Index != manifestIndex:
+		case decision.status == wire.ChunkFollows && request.Index != manifestIndex:
 			d.plan.UploadEnded(from)
 			d.wakeNextUpload()
 		}
@@ -126,17 +126,17 @@
 
 // decideUpload decides on a request for a chunk or the manifest. It runs on the
 // control loop.
-func (s *Swarm) decideUpload(now time.Time, from fleet.InstanceID, open wire.ChunkOpen) uploadDecision {
-	d, ok := s.downloads[open.Manifest]
+func (s *Swarm) decideUpload(now time.Time, from fleet.InstanceID, request wire.ChunkOpen) uploadDecision {
+	d, ok := s.downloads[request.Manifest]
 	switch {
 	case !ok || d.plan == nil:
 		return uploadDecision{status: wire.ChunkMissing}
-	case open.Index == manifestIndex:
+	case request.Index == manifestIndex:
 		return uploadDecision{status: wire.ChunkFollows, data: d.rawManifest}
-	case open.Index < 0 || open.Index >= len(d.manifest.Chunks) || !d.plan.Have().Has(open.Index):
+	case request.Index < 0 || request.Index >= len(d.manifest.Chunks) || !d.plan.Have().Has(request.Index):
 		return uploadDecision{status: wire.ChunkMissing}
-	case d.plan.GrantUpload(now, from, open.Index):
-		return uploadDecision{status: wire.ChunkFollows, chunk: d.manifest.Chunks[open.Index]}
+	case d.plan.GrantUpload(now, from, request.Index):
+		return uploadDecision{status: wire.ChunkFollows, chunk: d.manifest.Chunks[request.Index]}
 	case len(d.uploadQueue) < maxUploadQueue:
 		ready := make(chan struct{})
 		d.uploadQueue = append(d.uploadQueue, ready)
