--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -159,7 +159,7 @@
 // HandleChange is called after the active configuration or the view of the fleet
 // has changed.
 func (a *Agent) HandleChange(now time.Time) {
-	state := a.node.InForce()
+	state := a.node.ActiveConfig()
 	if state == nil {
 		return
 	}
--- a/daemon/agent/changeover.go
+++ b/daemon/agent/changeover.go
@@ -45,7 +45,7 @@
 	switch action := action.(type) {
 	case serving.StartFetch:
 		a.pendingVersion = fleet.Version{}
-		a.swarm.Gather(now, action.Version, a.spreadSettings(), action.Reuse)
+		a.swarm.Fetch(now, action.Version, a.spreadSettings(), action.Reuse)
 	case serving.StopFetch:
 		a.swarm.Stop(action.Version.Manifest)
 	case serving.AskTurn:
@@ -123,7 +123,7 @@
 	}
 	if a.engineBoot != "" && a.engineBoot != status.Boot {
 		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.Boot))
-		a.swarm.Forget()
+		a.swarm.Reset()
 	}
 	a.engineBoot = status.Boot
 	a.load = status.Load
@@ -140,7 +140,7 @@
 func (a *Agent) rereadAfterPause(since time.Time) {
 	a.opts.Logger.Warn("woke")
 	for a.ctx.Err() == nil {
-		if a.node.Reread(a.ctx, since) {
+		if a.node.ConfirmContact(a.ctx, since) {
 			a.post(serving.Woke{Asked: since})
 			return
 		}
@@ -196,7 +196,7 @@
 // checkRollout asks the rollout rules whether the replica may leave service now.
 func (a *Agent) checkRollout(now time.Time) {
 	a.nextRolloutCheck = now.Add(rolloutCheckInterval)
-	state := a.node.InForce()
+	state := a.node.ActiveConfig()
 	if a.changeover == nil || state == nil {
 		return
 	}
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -28,19 +28,19 @@
 	It("has its response recorded when it is lost on the way back", func() {
 		r := newPlainRig()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		key := r.issueKey(1)
 		aborted := r.entry.Send(r.nonIdempotentRequest("first", key), requestBody)
 		Eventually(r.backend.Calls).Should(HaveLen(1))
 		aborted.Abort()
 
-		running := r.entry.Ask(r.nonIdempotentRequest("second", key), requestBody).End
+		running := r.entry.Do(r.nonIdempotentRequest("second", key), requestBody).End
 		Expect(running).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("Decided", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0)))))
 
 		close(release)
-		Eventually(func() daemontest.Answer { return r.entry.Ask(r.nonIdempotentRequest("third", key), requestBody) }).Should(SatisfyAll(
+		Eventually(func() daemontest.Response { return r.entry.Do(r.nonIdempotentRequest("third", key), requestBody) }).Should(SatisfyAll(
 			HaveField("Body", requestBody),
 			HaveField("End", HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("ID", "third"))))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
@@ -54,14 +54,14 @@
 	It("runs once if it arrives through two entries at once", func() {
 		r := newPlainRig()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		key := r.issueKey(1)
 		other := daemontest.NewEntry("entry-2", r.Self)
 		ends := make(chan wire.AnswerEnd, 2)
 		for id, entry := range map[string]*daemontest.Entry{"by-1": r.entry, "by-2": other} {
 			s := entry.Send(r.nonIdempotentRequest(id, key), requestBody)
 			go func() {
-				if answer := daemontest.ReadAnswer(s); answer.End != nil {
+				if answer := daemontest.ReadResponse(s); answer.End != nil {
 					ends <- *answer.End
 				}
 			}()
@@ -83,7 +83,7 @@
 	DescribeTable("is not run if another process may have run it",
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
 			r := newPlainRig()
-			end := r.entry.Ask(r.nonIdempotentRequest("late", keyOf(r).Text), requestBody).End
+			end := r.entry.Do(r.nonIdempotentRequest("late", keyOf(r).Text), requestBody).End
 			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Decided", true),
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
@@ -106,26 +106,26 @@
 	It("is answered from the record of its key while the gate is closed", func() {
 		r := newPlainRig()
 		done, lost, fresh := r.issueKey(1), r.issueKey(2), r.issueKey(3)
-		Expect(r.entry.Ask(r.nonIdempotentRequest("done-1", done), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
-		r.backend.Answer(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
+		Expect(r.entry.Do(r.nonIdempotentRequest("done-1", done), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+		r.backend.SetHandler(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
 			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
 		})
-		Expect(r.entry.Ask(r.nonIdempotentRequest("lost-1", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
-		r.backend.Answer(daemontest.Echo)
+		Expect(r.entry.Do(r.nonIdempotentRequest("lost-1", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		r.backend.SetHandler(daemontest.Echo)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
 
-		Expect(r.entry.Ask(r.nonIdempotentRequest("fresh-1", fresh), requestBody).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(r.nonIdempotentRequest("fresh-1", fresh), requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Decided", true))))
-		Expect(r.entry.Ask(r.nonIdempotentRequest("lost-2", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
-		again := r.entry.Ask(r.nonIdempotentRequest("done-2", done), requestBody)
+		Expect(r.entry.Do(r.nonIdempotentRequest("lost-2", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
+		again := r.entry.Do(r.nonIdempotentRequest("done-2", done), requestBody)
 		Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		Expect(again.Body).To(Equal(requestBody), "the recorded response")
 		Expect(r.backend.Calls()).To(HaveLen(2))
 
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(r.nonIdempotentRequest("fresh-2", fresh), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
+		Expect(r.entry.Do(r.nonIdempotentRequest("fresh-2", fresh), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 		Expect(r.backend.Calls()).To(HaveLen(3))
 	})
 
@@ -139,10 +139,10 @@
 		delayed := r.nonIdempotentRequest("held-up", key)
 		r.backend.SetDown(true)
 		Eventually(r.admits).Should(BeFalse())
-		Expect(r.entry.Ask(r.nonIdempotentRequest("prompt", key), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
+		Expect(r.entry.Do(r.nonIdempotentRequest("prompt", key), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
 		r.backend.SetDown(false)
 		Eventually(r.admits).Should(BeTrue())
-		Expect(r.entry.Ask(delayed, requestBody).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(delayed, requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Reason", ContainSubstring(string(once.Closed))))))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	})
@@ -151,9 +151,9 @@
 	It("is answered without its response on a retry if that was too large to keep", func() {
 		r := newPlainRig()
 		key, goods := r.issueKey(1), strings.Repeat("goods ", 4<<10)
-		Expect(r.entry.Ask(r.nonIdempotentRequest("first", key), goods)).To(SatisfyAll(
+		Expect(r.entry.Do(r.nonIdempotentRequest("first", key), goods)).To(SatisfyAll(
 			HaveField("Body", goods), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeRan)))))
-		again := r.entry.Ask(r.nonIdempotentRequest("second", key), goods)
+		again := r.entry.Do(r.nonIdempotentRequest("second", key), goods)
 		Expect(again.Begin).To(BeNil())
 		Expect(again.End).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 	})
@@ -161,16 +161,16 @@
 	// Guards against a response that ends as complete without one of its pieces.
 	It("does not end as complete if a piece was not sent", func() {
 		r := newPlainRig()
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			for _, size := range []int{1, peer.DefaultMaxMessage, 1} {
 				_ = emit(serving.Piece{Status: 200, Data: make([]byte, size)})
 			}
 			return serving.Answer{ID: call.ID, Status: 200}, nil
 		})
 		key := r.issueKey(1)
-		Expect(r.entry.Ask(r.nonIdempotentRequest("first", key), requestBody)).To(SatisfyAll(
+		Expect(r.entry.Do(r.nonIdempotentRequest("first", key), requestBody)).To(SatisfyAll(
 			HaveField("Body", HaveLen(1)), HaveField("End", HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))))
-		Expect(r.entry.Ask(r.nonIdempotentRequest("second", key), requestBody).End).To(HaveValue(SatisfyAll(
+		Expect(r.entry.Do(r.nonIdempotentRequest("second", key), requestBody).End).To(HaveValue(SatisfyAll(
 			HaveField("Outcome", wire.OutcomeRan), HaveField("Duplicate", true))))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
@@ -183,17 +183,17 @@
 	It("has no response recorded that names another request", func() {
 		r := newPlainRig()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			other := swapped[call.ID]
 			return serving.Answer{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
 		})
 		keys := map[string]string{"mine": r.issueKey(1), "yours": r.issueKey(2)}
 		for id, key := range keys {
-			Expect(r.entry.Ask(r.nonIdempotentRequest(id, key), requestBody).End).To(HaveValue(SatisfyAll(
+			Expect(r.entry.Do(r.nonIdempotentRequest(id, key), requestBody).End).To(HaveValue(SatisfyAll(
 				HaveField("Outcome", wire.OutcomeUnknown), HaveField("ID", id))))
 		}
 		for id, key := range keys {
-			again := r.entry.Ask(r.nonIdempotentRequest(id+" again", key), requestBody)
+			again := r.entry.Do(r.nonIdempotentRequest(id+" again", key), requestBody)
 			Expect(again.Body).To(BeEmpty())
 			Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		}
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -33,7 +33,7 @@
 	backend *daemontest.Backend
 	engine  *daemontest.Engine // nil for a plain service
 	entry   *daemontest.Entry
-	config  *daemontest.Text // platform's configuration
+	config  *daemontest.ConfigService // platform's configuration
 }
 
 func configOf(v fleet.Version) string {
@@ -75,20 +75,20 @@
 
 func newRig(service fleet.ServiceName, engine *daemontest.Engine) *rig {
 	GinkgoHelper()
-	instance := fleet.Instance{ID: self, Role: fleet.RoleAgent, Service: service, Place: daemontest.Here}
-	config := daemontest.NewText(1, configOf(v1))
+	instance := fleet.Instance{ID: self, Role: fleet.RoleAgent, Service: service, Place: daemontest.LocalPlace}
+	config := daemontest.NewConfigService(1, configOf(v1))
 	r := &rig{backend: daemontest.NewBackend(), engine: engine, config: config}
-	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Text: config})
-	r.List.Set(r.Self)
+	r.Process = daemontest.NewProcess(daemontest.Options{Self: instance, Config: config})
+	r.Instances.Set(r.Self)
 	options := agent.Options{
 		Self: r.Self, Loop: r.Loop, Backend: r.backend, MaxInFlight: 64, MaxBody: 1 << 20,
-		DrainTimeout: daemontest.Patience, Incarnation: r.Incarnation,
+		DrainTimeout: daemontest.WaitTimeout, Incarnation: r.Incarnation,
 		Tracer: r.Tracer, Logger: r.Logger, Metrics: r.Metrics,
 	}
 	if engine == nil {
 		options.Plain = r.backend
 	} else {
-		engine.Set(func(s *serving.EngineStatus) { s.Loaded = v1 })
+		engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v1 })
 		r.setEngineOptions(&options)
 	}
 	r.role = agent.New(r.Context(), options)
@@ -96,7 +96,7 @@
 	r.role.Attach(r.Node)
 	r.Loop.AddTicker(r.role)
 	r.Run(r.role)
-	r.TakeText(1, configOf(v1))
+	r.ActivateConfig(1, configOf(v1))
 	r.entry = daemontest.NewEntry("entry-1", r.Self)
 	return r
 }
@@ -109,7 +109,7 @@
 	o.Swarm = swarm.Options{
 		Self: spread.Member{ID: r.Self.ID, Place: r.Self.Place, Addr: r.Self.PeerAddr},
 		Loop: r.Loop, Endpoint: r.Endpoint, Stage: daemontest.NewStage(), Origin: daemontest.NewSource(),
-		Up: unlimited, Down: unlimited, Stall: time.Second, Rand: random, Logger: r.Logger, Metrics: r.Metrics,
+		UploadLimiter: unlimited, DownloadLimiter: unlimited, StallTimeout: time.Second, Rand: random, Logger: r.Logger, Metrics: r.Metrics,
 	}
 }
 
@@ -129,6 +129,6 @@
 	GinkgoHelper()
 	return wire.Request{
 		ID: id, Service: r.Self.Service, Path: "orders", IdempotencyKey: key, NonIdempotent: true,
-		Deadline: admission.Deadline{Sent: r.entry.Report().Clock, Remaining: daemontest.Patience},
+		Deadline: admission.Deadline{Sent: r.entry.Report().Clock, Remaining: daemontest.WaitTimeout},
 	}
 }
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -19,7 +19,7 @@
 
 // respondFrom returns the behaviour of a backend server that reports a version for
 // each response.
-func respondFrom(version fleet.Version) daemontest.Answering {
+func respondFrom(version fleet.Version) daemontest.CallHandler {
 	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 		return serving.Answer{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
 	}
@@ -42,7 +42,7 @@
 			req.NonIdempotent = true
 			req.IdempotencyKey = r.issueKey(1)
 		}
-		end := r.entry.Ask(req, "two cones").End
+		end := r.entry.Do(req, "two cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
 			HaveField("Reason", ContainSubstring("deadline")), HaveField("Decided", once))))
 		Expect(r.backend.Calls()).To(BeEmpty())
@@ -56,10 +56,10 @@
 	It("forwards the server's status", func() {
 		r := newPlainRig()
 		const notFound = 404
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			return serving.Answer{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
 		})
-		answer := r.entry.Ask(wire.Request{ID: "job", Service: plainService}, "")
+		answer := r.entry.Do(wire.Request{ID: "job", Service: plainService}, "")
 		Expect(answer.Begin).To(HaveValue(HaveField("Status", notFound)))
 		Expect(answer.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
 	})
@@ -70,13 +70,13 @@
 	// Without serving.CheckAnswer, the response ended as complete.
 	It("never reports a response of another version as complete", func() {
 		r := newModelRig()
-		r.backend.Answer(respondFrom(v2))
-		answer := r.entry.Ask(wire.Request{ID: "mixed", Service: modelService}, "why does it stop")
+		r.backend.SetHandler(respondFrom(v2))
+		answer := r.entry.Do(wire.Request{ID: "mixed", Service: modelService}, "why does it stop")
 		Expect(answer.Begin).To(HaveValue(HaveField("Version", v1)))
 		Expect(answer.End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 
-		r.backend.Answer(respondFrom(v1))
-		answer = r.entry.Ask(wire.Request{ID: "right", Service: modelService}, "why does it stop")
+		r.backend.SetHandler(respondFrom(v1))
+		answer = r.entry.Do(wire.Request{ID: "right", Service: modelService}, "why does it stop")
 		Expect(answer.End).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeRan), HaveField("Version", v1))))
 	})
 
@@ -85,11 +85,11 @@
 	// response.
 	It("reports no failed response as complete, whatever the outcome of the failure", func() {
 		r := newPlainRig()
-		r.backend.Answer(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			Expect(emit(serving.Piece{Data: []byte("half of")})).To(Succeed())
 			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
 		})
-		answer := r.entry.Ask(wire.Request{ID: "half", Service: plainService}, "two cones")
+		answer := r.entry.Do(wire.Request{ID: "half", Service: plainService}, "two cones")
 		Expect(answer.End).To(HaveValue(SatisfyAny(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true))))
 	})
 
@@ -99,9 +99,9 @@
 	It("forwards nothing to an engine that reports another version", func() {
 		r := newModelRig()
 		r.engine.FailOrders(failure.Unavailable.New("the engine takes no orders"))
-		r.engine.Set(func(s *serving.EngineStatus) { s.Loaded = v2 })
+		r.engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v2 })
 		Eventually(r.admits).Should(BeFalse())
-		end := r.entry.Ask(wire.Request{ID: "refused", Service: modelService}, "why").End
+		end := r.entry.Do(wire.Request{ID: "refused", Service: modelService}, "why").End
 		Expect(end).To(HaveValue(HaveField("Outcome", wire.OutcomeNotRun)))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	})
@@ -114,7 +114,7 @@
 		r := newPlainRig()
 		gaveUp := make(chan struct{})
 		sent := make(chan error, 1)
-		r.backend.Answer(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 			<-ctx.Done()
 			close(gaveUp)
 			err := emit(serving.Piece{Data: []byte("late goods")})
@@ -127,8 +127,8 @@
 		Eventually(gaveUp).Should(BeClosed())
 		Eventually(sent).Should(Receive(HaveOccurred()))
 
-		r.backend.Answer(daemontest.Echo)
-		answer := r.entry.Ask(wire.Request{ID: "next", Service: plainService}, "three cones")
+		r.backend.SetHandler(daemontest.Echo)
+		answer := r.entry.Do(wire.Request{ID: "next", Service: plainService}, "three cones")
 		Expect(answer.Body).To(Equal("three cones"))
 		Expect(answer.End).To(HaveValue(SatisfyAll(HaveField("ID", "next"), HaveField("Outcome", wire.OutcomeRan))))
 	})
@@ -139,21 +139,21 @@
 	It("finishes running requests when it leaves, and admits no new ones", func() {
 		r := newPlainRig()
 		release := make(chan struct{})
-		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
+		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		running := r.entry.Send(wire.Request{ID: "running", Service: plainService}, "two cones")
 		Eventually(r.backend.Calls).Should(HaveLen(1))
-		ctx, cancel := context.WithTimeout(context.Background(), daemontest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), daemontest.WaitTimeout)
 		defer cancel()
 		Expect(r.role.Leave(ctx)).To(Succeed())
 		drained := make(chan bool, 1)
 		go func() { drained <- r.role.Drain(ctx) }()
 
-		end := r.entry.Ask(wire.Request{ID: "new", Service: plainService}, "three cones").End
+		end := r.entry.Do(wire.Request{ID: "new", Service: plainService}, "three cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
 			HaveField("Reason", ContainSubstring(string(serving.ReasonLeaving))))))
 		Expect(drained).NotTo(Receive())
 		close(release)
-		Expect(daemontest.ReadAnswer(running).Body).To(Equal("two cones"))
+		Expect(daemontest.ReadResponse(running).Body).To(Equal("two cones"))
 		Eventually(drained).Should(Receive(BeTrue()))
 		Expect(r.backend.Calls()).To(HaveLen(1))
 	})
@@ -172,7 +172,7 @@
 			return load.Running
 		}).Should(Equal(7))
 		Expect(urgent).NotTo(BeClosed(), "a change of load alone is not urgent")
-		ctx, cancel := context.WithTimeout(context.Background(), daemontest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), daemontest.WaitTimeout)
 		defer cancel()
 		Expect(r.role.Leave(ctx)).To(Succeed())
 		Expect(urgent).To(BeClosed())
@@ -196,7 +196,7 @@
 			}()
 		}
 		r.engine.FailOrders(errors.New("the engine takes no orders"))
-		r.engine.Set(func(s *serving.EngineStatus) { s.Loaded = v2 })
+		r.engine.UpdateStatus(func(s *serving.EngineStatus) { s.Loaded = v2 })
 		Eventually(r.admits).Should(BeFalse())
 		cancel()
 		r.OnLoop(func(time.Time) {})
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -43,7 +43,7 @@
 func abortBeforeRead(x *daemontest.Exchange) { x.Stream.Abort() }
 
 func abortWhileReading(x *daemontest.Exchange) {
-	x.ReadHead()
+	x.ReadHeader()
 	x.Stream.Abort()
 }
 
@@ -90,11 +90,11 @@
 		func(failurePoint func(*daemontest.Exchange)) {
 			r := newRig(2)
 			for _, a := range r.agents {
-				a.Do(failurePoint)
+				a.SetScript(failurePoint)
 			}
 			Expect(r.send(r.nonIdempotentRequest(r.agents[0], requestBody)).Err).To(haveOutcome(failure.Unknown))
-			Expect(r.agents[0].Opened()).To(Equal(1))
-			Expect(r.agents[1].Opened()).To(BeZero())
+			Expect(r.agents[0].OpenedStreams()).To(Equal(1))
+			Expect(r.agents[1].OpenedStreams()).To(BeZero())
 		},
 		Entry("before it reads the request", abortBeforeRead),
 		Entry("while it reads the request", abortWhileReading),
@@ -122,7 +122,7 @@
 	// "not_run" of a request that had run.
 	It("leaves the outcome unknown when no other agent is left to try", func() {
 		r := newRig(1)
-		r.agents[0].Do(abortAfterRead)
+		r.agents[0].SetScript(abortAfterRead)
 		Expect(r.send(r.request(requestBody)).Err).To(haveOutcome(failure.Unknown))
 		Expect(r.passed()).To(Equal(1))
 	})
@@ -133,7 +133,7 @@
 	// this outcome and the retry delay, and no other agent is tried.
 	It("is forwarded from the key's home", func() {
 		r := newRig(2)
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			x.End(wire.AnswerEnd{Outcome: wire.OutcomeNotRun, Decided: true, RetryAfterMS: 700})
 		})
@@ -205,7 +205,7 @@
 	// tried.
 	It("is not reported when the home reports that the request is running", func() {
 		r := newRig(2)
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			x.End(wire.AnswerEnd{Decided: true, Duplicate: true, RetryAfterMS: 900})
 		})
@@ -275,7 +275,7 @@
 		r := newRig(1)
 		arrived := make(chan *daemontest.Exchange, 2)
 		bothArrived := make(chan struct{})
-		r.agents[0].Do(func(x *daemontest.Exchange) {
+		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
 			arrived <- x
 			<-bothArrived
@@ -389,7 +389,7 @@
 		Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		var attempts []wire.Request
 		for _, a := range r.agents {
-			attempts = append(attempts, a.Passed()...)
+			attempts = append(attempts, a.ReceivedRequests()...)
 		}
 		Expect(attempts).To(HaveLen(2))
 		slices.SortFunc(attempts, func(a, b wire.Request) int { return cmp.Compare(a.Deadline.Waited, b.Deadline.Waited) })
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -85,7 +85,7 @@
 // updateShares recomputes this entry's shares from the configuration, the live
 // entries and their demand.
 func (e *Entry) updateShares(now time.Time) {
-	state := e.node.InForce()
+	state := e.node.ActiveConfig()
 	if state == nil {
 		return
 	}
--- a/daemon/entry/servers_test.go
+++ b/daemon/entry/servers_test.go
@@ -22,7 +22,7 @@
 	It("that all fail do not cause a retry storm", func() {
 		r := newRig(6)
 		for _, a := range r.agents {
-			a.Do(abortAfterRead)
+			a.SetScript(abortAfterRead)
 		}
 		const requests, burst, retriesPerRequest, retriesPerSecond = 100, 20, 0.1, 1.0
 		began := time.Now()
@@ -58,7 +58,7 @@
 	It("that respond piece by piece are not ejected by callers' deadlines", func() {
 		r := newRig(2)
 		for _, a := range r.agents {
-			a.Do(func(x *daemontest.Exchange) {
+			a.SetScript(func(x *daemontest.Exchange) {
 				x.Read()
 				x.Begin(fleet.Version{})
 				for x.Ctx.Err() == nil {
@@ -84,16 +84,16 @@
 	It("that report that they are leaving get no new requests, regardless of list and gossip", func() {
 		r := newRig(2)
 		leaving := r.agents[0]
-		leaving.Report(func(report *wire.Report) { report.Leaving = true })
+		leaving.UpdateReport(func(report *wire.Report) { report.Leaving = true })
 		Eventually(r.verdicts).Should(HaveKeyWithValue(leaving.Instance.ID, balance.Draining))
-		before := leaving.Opened()
+		before := leaving.OpenedStreams()
 		const requests = 40
 		for range requests {
 			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
-		Expect(leaving.Opened()).To(Equal(before))
+		Expect(leaving.OpenedStreams()).To(Equal(before))
 		Expect(r.send(r.nonIdempotentRequest(leaving, requestBody)).Err).NotTo(HaveOccurred())
-		Expect(leaving.Opened()).To(Equal(before + 1))
+		Expect(leaving.OpenedStreams()).To(Equal(before + 1))
 	})
 
 	// The same for an agent whose gate is closed, for example while its engine
@@ -102,14 +102,14 @@
 	It("whose gate is closed get no new requests", func() {
 		r := newRig(2)
 		closed := r.agents[0]
-		closed.Report(func(report *wire.Report) { report.Admitting = false })
+		closed.UpdateReport(func(report *wire.Report) { report.Admitting = false })
 		Eventually(r.verdicts).Should(HaveKeyWithValue(closed.Instance.ID, balance.Draining))
 		const requests = 40
 		for range requests {
 			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
-		Expect(closed.Opened()).To(BeZero())
-		closed.Report(func(report *wire.Report) { report.Admitting = true })
+		Expect(closed.OpenedStreams()).To(BeZero())
+		closed.UpdateReport(func(report *wire.Report) { report.Admitting = true })
 		Eventually(r.eligible).Should(HaveLen(2))
 	})
 
@@ -126,7 +126,7 @@
 		for range requests {
 			Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
 		}
-		Expect(silenced.Opened()).To(BeZero())
+		Expect(silenced.OpenedStreams()).To(BeZero())
 	})
 
 	// All datagrams of an agent are dropped, and no connection closes. The entry
@@ -136,9 +136,9 @@
 	It("whose datagrams are dropped are removed although no connection closes", func() {
 		r := newRig(2)
 		isolated := r.agents[0]
-		isolated.Link.Cut(r.Self.PeerAddr)
+		isolated.Link.Block(r.Self.PeerAddr)
 		Eventually(r.eligible).Should(ConsistOf(r.agents[1].Instance.ID))
 		Expect(r.send(r.request(requestBody)).Err).NotTo(HaveOccurred())
-		Expect(isolated.Opened()).To(BeZero())
+		Expect(isolated.OpenedStreams()).To(BeZero())
 	})
 })
--- a/daemon/internal/daemontest/platform.go
+++ b/daemon/internal/daemontest/platform.go
@@ -15,87 +15,88 @@
 	"chivespindle.example/core/revision"
 )
 
-// Text is the platform's configuration service. It can be down, stale, or
-// leave watches without an answer.
-type Text struct {
-	mu         sync.Mutex
-	doc        revision.Document
-	changed    chan struct{} // closed at the next change
-	down       bool
-	muteWatch  bool
-	reads      int
-	watchCalls int
+// ConfigService is a fake of the platform's configuration service. It can be
+// down, hold an old revision, or leave watches without a response.
+type ConfigService struct {
+	mu           sync.Mutex
+	doc          revision.Document
+	changed      chan struct{} // closed at the next change
+	down         bool
+	blockWatches bool
+	reads        int
+	watchCalls   int
 }
 
-var _ revision.Source = (*Text)(nil)
+var _ revision.Source = (*ConfigService)(nil)
 
-// NewText returns a service that holds a text.
-func NewText(number revision.Revision, text string) *Text {
-	t := &Text{changed: make(chan struct{})}
-	t.Set(number, text)
-	return t
+// NewConfigService returns a service that holds a configuration.
+func NewConfigService(number revision.Revision, text string) *ConfigService {
+	s := &ConfigService{changed: make(chan struct{})}
+	s.Set(number, text)
+	return s
 }
 
-// Set replaces what the service holds, by a lower revision too.
-func (t *Text) Set(number revision.Revision, text string) {
-	t.change(func() { t.doc = revision.Document{Revision: number, Text: []byte(text)} })
+// Set replaces the configuration, also by one with a lower revision.
+func (s *ConfigService) Set(number revision.Revision, text string) {
+	s.update(func() { s.doc = revision.Document{Revision: number, Text: []byte(text)} })
 }
 
-// SetDown makes calls fail, those that wait included, or ends that.
-func (t *Text) SetDown(down bool) { t.change(func() { t.down = down }) }
+// SetDown sets whether calls fail, including those that are waiting.
+func (s *ConfigService) SetDown(down bool) { s.update(func() { s.down = down }) }
 
-// MuteWatch makes watches wait for ever, whatever changes.
-func (t *Text) MuteWatch() { t.change(func() { t.muteWatch = true }) }
+// BlockWatches makes all watches block until they are cancelled.
+func (s *ConfigService) BlockWatches() { s.update(func() { s.blockWatches = true }) }
 
-func (t *Text) change(edit func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *ConfigService) update(edit func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	edit()
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Watches returns how many watches were made.
-func (t *Text) Watches() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.watchCalls
+// WatchCalls returns the number of calls of Watch.
+func (s *ConfigService) WatchCalls() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.watchCalls
 }
 
 // Read implements revision.Source.
-func (t *Text) Read(context.Context) (revision.Document, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.reads++
-	return t.answer()
+func (s *ConfigService) Read(context.Context) (revision.Document, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reads++
+	return s.response()
 }
 
-func (t *Text) answer() (revision.Document, error) {
-	if t.down {
-		return revision.Document{}, failure.Unavailable.New("the configuration service is down")
+func (s *ConfigService) response() (revision.Document, error) {
+	if s.down {
+		return revision.Document{}, failure.Unavailable.New("configuration service is down")
 	}
-	return t.doc, nil
+	return s.doc, nil
 }
 
 // Watch implements revision.Source.
-func (t *Text) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
-	t.mu.Lock()
-	t.watchCalls++
-	for t.muteWatch || !t.down && t.doc.Revision == after {
-		changed := t.changed
-		t.mu.Unlock()
+func (s *ConfigService) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
+	s.mu.Lock()
+	s.watchCalls++
+	for s.blockWatches || !s.down && s.doc.Revision == after {
+		changed := s.changed
+		s.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return revision.Document{}, failure.Timeout.Wrap(ctx.Err(), "watch")
 		}
-		t.mu.Lock()
+		s.mu.Lock()
 	}
-	defer t.mu.Unlock()
-	return t.answer()
+	defer s.mu.Unlock()
+	return s.response()
 }
 
-// DigestOf returns the digest of a text as processes tell it each other.
+// DigestOf returns the digest of a configuration, as processes report it to each
+// other.
 func DigestOf(text string) fleet.Digest {
 	ginkgo.GinkgoHelper()
 	parsed, err := fleettext.Load(revision.FileName, []byte(text))
@@ -103,33 +104,35 @@
 	return parsed.Digest()
 }
 
-// List is the platform's instance list.
-type List struct {
+// InstanceList is a fake of the platform's instance list.
+type InstanceList struct {
 	mu        sync.Mutex
 	instances []fleet.Instance
 }
 
-var _ gossip.InstanceList = (*List)(nil)
+var _ gossip.InstanceList = (*InstanceList)(nil)
 
-// NewList returns a list of instances.
-func NewList(instances ...fleet.Instance) *List { return &List{instances: instances} }
+// NewInstanceList returns a list with the given instances.
+func NewInstanceList(instances ...fleet.Instance) *InstanceList {
+	return &InstanceList{instances: instances}
+}
 
 // Set replaces the list.
-func (l *List) Set(instances ...fleet.Instance) {
+func (l *InstanceList) Set(instances ...fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances = instances
 }
 
-// Add adds to the list.
-func (l *List) Add(instances ...fleet.Instance) {
+// Add adds instances to the list.
+func (l *InstanceList) Add(instances ...fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances = append(l.instances, instances...)
 }
 
 // Instances implements gossip.InstanceList.
-func (l *List) Instances(context.Context) ([]fleet.Instance, error) {
+func (l *InstanceList) Instances(context.Context) ([]fleet.Instance, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.instances), nil
