--- a/adapters/engine/call.go
+++ b/adapters/engine/call.go
@@ -22,10 +22,10 @@
 // reached or says that it did not run the call, else failure.Unknown. An
 // answer to another request, from two versions or with a gap is
 // failure.Corrupt and cut; its last line is never handed over.
-func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	if call.Path != "" && call.Path != PathGenerate {
 		refused := failure.Invalid.New("a model engine has no path %q", call.Path)
-		return serving.Answer{}, failure.WithOutcome(refused, failure.NotRun)
+		return serving.Response{}, failure.WithOutcome(refused, failure.NotRun)
 	}
 	header := attempt.CallHeader(call)
 	header.Set("Content-Type", "application/json")
@@ -38,10 +38,10 @@
 		Stall:  c.options.StallTimeout,
 	})
 	if err != nil {
-		return serving.Answer{}, err
+		return serving.Response{}, err
 	}
 	defer a.Close()
-	answer := serving.Answer{ID: a.ID(), Status: a.Status}
+	answer := serving.Response{ID: a.ID(), Status: a.Status}
 	if a.Status != http.StatusOK {
 		return answer, a.Declined(attempt.Kind(a.Status))
 	}
--- a/adapters/engine/engine_test.go
+++ b/adapters/engine/engine_test.go
@@ -65,7 +65,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(pieces).To(Equal(3))
-		Expect(answer).To(Equal(serving.Answer{ID: "a", Status: 200, Version: v1}))
+		Expect(answer).To(Equal(serving.Response{ID: "a", Status: 200, Version: v1}))
 	})
 
 	It("gives a stalled engine up", func(ctx SpecContext) {
--- a/adapters/plainservice/plainservice.go
+++ b/adapters/plainservice/plainservice.go
@@ -97,10 +97,10 @@
 // that it did not: that is a failure by its status with failure.NotRun. An
 // answer that names another request is failure.Corrupt; no piece of it is
 // handed over. Other failures are as for any attempt.
-func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	path, err := pathOf(call)
 	if err != nil {
-		return serving.Answer{}, err
+		return serving.Response{}, err
 	}
 	a, err := c.attempt.Send(ctx, attempt.Request{
 		Method: http.MethodPost,
@@ -111,10 +111,10 @@
 		Stall:  c.options.StallTimeout,
 	})
 	if err != nil {
-		return serving.Answer{}, err
+		return serving.Response{}, err
 	}
 	defer a.Close()
-	answer := serving.Answer{ID: a.ID(), Status: a.Status}
+	answer := serving.Response{ID: a.ID(), Status: a.Status}
 	if a.NotRun() {
 		return answer, a.Declined(attempt.Kind(a.Status))
 	}
--- a/core/serving/changeover.go
+++ b/core/serving/changeover.go
@@ -32,8 +32,8 @@
 	PhaseWaiting
 	// PhaseLeaving: the instance is leaving; nothing is changed any more.
 	PhaseLeaving
-	// PhaseDown: another process has taken over.
-	PhaseDown
+	// PhaseStoodDown: another process has taken over.
+	PhaseStoodDown
 )
 
 var phaseNames = [...]string{
@@ -52,13 +52,13 @@
 type ChangeoverOptions struct {
 	// Rand spreads the back-offs.
 	Rand *rand.Rand
-	// PauseLimit is the longest time between two steps that is not taken for
+	// PauseThreshold is the longest time between two steps that is not taken for
 	// a pause of the process; default 2 s. Tick must be posted several times
 	// within it.
-	PauseLimit time.Duration
-	// PollEvery is the time between two reads of the engine's status; default
+	PauseThreshold time.Duration
+	// PollInterval is the time between two reads of the engine's status; default
 	// 500 ms.
-	PollEvery time.Duration
+	PollInterval time.Duration
 	// MaxStatusAge is how long a status is believed; default 3 s.
 	MaxStatusAge time.Duration
 	// DrainTimeout is how long requests in progress may take before the change
@@ -69,24 +69,24 @@
 	// LoadTimeout is how long the engine may load before an Alarm; default
 	// 10 min.
 	LoadTimeout time.Duration
-	// BackOff is the pause after the first failed attempt; it doubles up to
-	// MaxBackOff. Defaults 1 s and 5 min.
-	BackOff    time.Duration
-	MaxBackOff time.Duration
+	// InitialBackoff is the pause after the first failed attempt; it doubles up to
+	// MaxBackoff. Defaults 1 s and 5 min.
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 	// MaxFailures is how many attempts may fail before a replica that serves
 	// nothing goes back to the version it served before; default 3.
 	MaxFailures int
 }
 
 func (o *ChangeoverOptions) applyDefaults() {
-	setDefault(&o.PauseLimit, 2*time.Second)
-	setDefault(&o.PollEvery, 500*time.Millisecond)
+	setDefault(&o.PauseThreshold, 2*time.Second)
+	setDefault(&o.PollInterval, 500*time.Millisecond)
 	setDefault(&o.MaxStatusAge, 3*time.Second)
 	setDefault(&o.DrainTimeout, 2*time.Minute)
 	setDefault(&o.OrderTimeout, 30*time.Second)
 	setDefault(&o.LoadTimeout, 10*time.Minute)
-	setDefault(&o.BackOff, time.Second)
-	setDefault(&o.MaxBackOff, 5*time.Minute)
+	setDefault(&o.InitialBackoff, time.Second)
+	setDefault(&o.MaxBackoff, 5*time.Minute)
 	setDefault(&o.MaxFailures, 3)
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(1, 1))
@@ -163,7 +163,7 @@
 	opt.applyDefaults()
 	return &Changeover{
 		opt:      opt,
-		detector: NewPauseDetector(opt.PauseLimit),
+		detector: NewPauseDetector(opt.PauseThreshold),
 		staged:   map[fleet.Digest]bool{},
 		partial:  map[fleet.Digest]bool{},
 	}
@@ -201,7 +201,7 @@
 		return gossip.StateFetching
 	case PhaseStaged:
 		return gossip.StateStaged
-	case PhaseDown:
+	case PhaseStoodDown:
 		return gossip.StateStarting
 	}
 	switch {
@@ -221,7 +221,7 @@
 func (c *Changeover) Gate() GateState {
 	return GateState{
 		Pinned:       c.target,
-		Before:       c.before,
+		LastServed:   c.before,
 		Intended:     c.before,
 		Verified:     c.verified,
 		Status:       c.status,
@@ -230,7 +230,7 @@
 		Changing:     !c.admitting,
 		Leaving:      c.phase == PhaseLeaving,
 		Paused:       c.statusAt.Before(c.pausedAt),
-		StoodDown:    c.phase == PhaseDown,
+		StoodDown:    c.phase == PhaseStoodDown,
 	}
 }
 
@@ -239,7 +239,7 @@
 func (c *Changeover) Step(now time.Time, event Event) []Action {
 	c.actions = nil
 	paused := c.detector.Tick(now)
-	if c.phase == PhaseDown {
+	if c.phase == PhaseStoodDown {
 		return nil
 	}
 	if !c.started {
@@ -266,22 +266,22 @@
 		c.drained(now, e.Drain)
 	case DrainDeadline:
 		c.drainDeadline(now)
-	case OrderDone:
+	case OrderAccepted:
 		c.orderDone(now, e.Attempt)
 	case OrderFailed:
 		c.orderFailed(now, e)
 	case StatusRead:
 		c.statusRead(now, e)
-	case Vouched:
+	case ServedElsewhere:
 		c.vouchedFor(now, e.Versions)
 	case EngineRestarted:
 		c.engineRestarted(now)
-	case Reorder:
+	case EngineConfigDrifted:
 		c.reorder(now)
 	case Paused:
 		c.pause(now)
-	case Woke:
-		c.woke(now, e.Asked)
+	case Refreshed:
+		c.woke(now, e.RequestedAt)
 	case Leaving:
 		c.leave()
 	}
@@ -295,7 +295,7 @@
 }
 
 func (c *Changeover) tick(now time.Time) {
-	if now.Sub(c.askedAt) >= c.opt.PollEvery {
+	if now.Sub(c.askedAt) >= c.opt.PollInterval {
 		c.readStatus(now)
 	}
 	if c.paused {
@@ -377,7 +377,7 @@
 
 func (c *Changeover) askTurn() {
 	if !c.paused {
-		c.do(AskTurn{Version: c.goal})
+		c.do(RequestTurn{Version: c.goal})
 	}
 }
 
--- a/core/serving/changeover_model_test.go
+++ b/core/serving/changeover_model_test.go
@@ -79,7 +79,7 @@
 func (w *world) restart() {
 	w.boots++
 	loaded := rapid.SampledFrom([]fleet.Version{{}, {}, v1, v3}).Draw(w.t, "found")
-	w.engine = serving.EngineStatus{Boot: strconv.Itoa(w.boots), Loaded: loaded}
+	w.engine = serving.EngineStatus{BootID: strconv.Itoa(w.boots), Loaded: loaded}
 	w.loading = fleet.Version{}
 	clear(w.staged)
 }
@@ -96,7 +96,7 @@
 	switch a := action.(type) {
 	case serving.StartFetch:
 		w.fetch = a
-	case serving.AskTurn:
+	case serving.RequestTurn:
 		w.turn = a.Version
 	case serving.StopAdmitting:
 		// Without time to drain, the engine has dropped its requests already.
@@ -112,7 +112,7 @@
 	case serving.ResumeAdmitting:
 		w.checkLoaded(a.Version)
 		w.admitting = true
-	case serving.ReadAgain:
+	case serving.Refresh:
 		w.asleep, w.pausedAt = true, w.now
 	case serving.StandDown:
 		w.down = true
@@ -132,7 +132,7 @@
 	case a.Order.Version.IsZero():
 	case w.admitting || !w.drained:
 		w.t.Fatalf("order %s while requests may be in progress", a.Order.Version)
-	case !w.evicted && !w.staged[a.Order.Version.Manifest] && w.told.status.Boot == w.engine.Boot:
+	case !w.evicted && !w.staged[a.Order.Version.Manifest] && w.told.status.BootID == w.engine.BootID:
 		w.t.Fatalf("order %s without its chunks", a.Order.Version)
 	}
 	w.lastFence = a.Order.Fence
@@ -204,7 +204,7 @@
 		if !w.asleep && a.Order.Fence == w.lastFence {
 			w.acceptedAt = w.now.Add(time.Millisecond)
 		}
-		w.post(serving.OrderDone{Attempt: a.Attempt})
+		w.post(serving.OrderAccepted{Attempt: a.Attempt})
 	}
 }
 
@@ -236,7 +236,7 @@
 		return
 	}
 	if !r.asked.Before(w.told.asked) && !r.asked.Before(w.pausedAt) {
-		if r.status.Boot != w.told.status.Boot {
+		if r.status.BootID != w.told.status.BootID {
 			w.acceptedAt = time.Time{}
 		}
 		w.told = r
@@ -244,7 +244,7 @@
 		// An engine that has left the version has dropped its requests.
 		w.drained = w.drained || r.status.Loading || r.status.Loaded != w.served
 	}
-	w.post(serving.StatusRead{Status: r.status, Asked: r.asked})
+	w.post(serving.StatusRead{Status: r.status, RequestedAt: r.asked})
 }
 
 func (w *world) complete() {
@@ -266,7 +266,7 @@
 		w.asleep = false
 		w.acceptedAt = time.Time{}
 	}
-	w.post(serving.Woke{Asked: asked})
+	w.post(serving.Refreshed{RequestedAt: asked})
 }
 
 func (w *world) finishDrain(drain uint64) {
@@ -328,7 +328,7 @@
 			w.engine.Fence += 1 << 21
 		}
 	case "vouch":
-		w.post(serving.Vouched{Versions: slices.Collect(maps.Keys(w.named))})
+		w.post(serving.ServedElsewhere{Versions: slices.Collect(maps.Keys(w.named))})
 	case "evict":
 		w.evicted = true
 		delete(w.staged, w.target.Manifest)
@@ -375,7 +375,7 @@
 // served (3 tries); a read-back from before the order (6) or from the engine's
 // former life (27); a status overtaken by a newer one (551) or asked for before
 // a pause (9,855); an order after a pause because it was not noticed (1) or an
-// old Woke counted (5); a version served after a pause without a new claim
+// old Refreshed counted (5); a version served after a pause without a new claim
 // (2,921); an order amid requests because a late Drained counted (240); an order
 // over a successor's number (6); a foreign change of the engine not seen
 // (5,756); traffic on a status from before a pause (6); and, where a failed
--- a/core/serving/changeover_test.go
+++ b/core/serving/changeover_test.go
@@ -36,7 +36,7 @@
 	return &bench{
 		now:     time.Now(),
 		machine: serving.NewChangeover(serving.ChangeoverOptions{}),
-		engine:  serving.EngineStatus{Boot: "boot-1"},
+		engine:  serving.EngineStatus{BootID: "boot-1"},
 	}
 }
 
@@ -51,7 +51,7 @@
 }
 
 func (b *bench) read() []serving.Action {
-	return b.step(serving.StatusRead{Status: b.engine, Asked: b.now})
+	return b.step(serving.StatusRead{Status: b.engine, RequestedAt: b.now})
 }
 
 func find[T serving.Action](actions []serving.Action) (T, bool) {
@@ -79,7 +79,7 @@
 	if !order.Version.IsZero() {
 		b.engine.Loaded = order.Version
 	}
-	b.step(serving.OrderDone{Attempt: b.order.Attempt})
+	b.step(serving.OrderAccepted{Attempt: b.order.Attempt})
 	return b.read()
 }
 
@@ -107,7 +107,7 @@
 	GinkgoHelper()
 	b := claimed(v, fleet.Version{})
 	b.fetch()
-	must[serving.AskTurn](b.last)
+	must[serving.RequestTurn](b.last)
 	b.step(serving.TurnGranted{Version: v})
 	b.accept()
 	Expect(must[serving.StartServing](b.last).Version).To(Equal(v))
@@ -190,9 +190,9 @@
 	It("serves on what it found once others are seen to serve it", func() {
 		b := claimed(v2, v1)
 		Expect(b.machine.Serving().IsZero()).To(BeTrue())
-		b.step(serving.Vouched{Versions: []fleet.Version{v3}})
+		b.step(serving.ServedElsewhere{Versions: []fleet.Version{v3}})
 		Expect(b.machine.Serving().IsZero()).To(BeTrue())
-		b.step(serving.Vouched{Versions: []fleet.Version{v1}})
+		b.step(serving.ServedElsewhere{Versions: []fleet.Version{v1}})
 		Expect(must[serving.StartServing](b.last).Version).To(Equal(v1))
 		Expect(b.machine.Phase()).To(Equal(serving.PhaseFetching))
 	})
@@ -202,7 +202,7 @@
 		b.engine.Loaded = v2
 		b.read()
 		b.accept()
-		b.step(serving.Vouched{Versions: []fleet.Version{v2}})
+		b.step(serving.ServedElsewhere{Versions: []fleet.Version{v2}})
 		Expect(b.machine.Serving().IsZero()).To(BeTrue())
 	})
 
@@ -253,7 +253,7 @@
 			b := order(v2)
 			b.accept()
 			b.step(serving.TargetChanged{Version: v1})
-			Expect(must[serving.AskTurn](b.last).Version).To(Equal(v1))
+			Expect(must[serving.RequestTurn](b.last).Version).To(Equal(v1))
 		})
 	})
 
@@ -284,7 +284,7 @@
 			if b.machine.Phase() == serving.PhaseFetching {
 				b.fetch()
 			}
-			b.step(serving.TurnGranted{Version: must[serving.AskTurn](b.last).Version})
+			b.step(serving.TurnGranted{Version: must[serving.RequestTurn](b.last).Version})
 		}
 		Expect(must[serving.SendOrder](b.last).Order.Version).To(Equal(v1))
 		b.accept()
@@ -300,7 +300,7 @@
 	// staged went with it, so an order now would be refused for ever.
 	It("fetches again after the engine has restarted", func() {
 		b := order(v2)
-		b.engine = serving.EngineStatus{Boot: "boot-2"}
+		b.engine = serving.EngineStatus{BootID: "boot-2"}
 		b.read()
 		b.accept()
 		Expect(must[serving.StartFetch](b.last).Version).To(Equal(v2))
@@ -316,7 +316,7 @@
 		b.pass(40 * time.Second)
 		b.read()
 		b.step(serving.OrderFailed{Attempt: late.Attempt, Err: failure.Refused.New("old number")})
-		Expect(b.machine.Phase()).NotTo(Equal(serving.PhaseDown))
+		Expect(b.machine.Phase()).NotTo(Equal(serving.PhaseStoodDown))
 	})
 
 	It("stands down for good when the engine refuses its newest number", func() {
@@ -332,7 +332,7 @@
 
 	It("raises an alarm when a load does not end, and goes on reading", func() {
 		b := order(v2)
-		b.step(serving.OrderDone{Attempt: must[serving.SendOrder](b.last).Attempt})
+		b.step(serving.OrderAccepted{Attempt: must[serving.SendOrder](b.last).Attempt})
 		b.engine.Loading = true
 		b.read()
 		Expect(b.pass(11 * time.Minute)).To(ContainElement(BeAssignableToTypeOf(serving.Alarm{})))
--- a/core/serving/events.go
+++ b/core/serving/events.go
@@ -10,8 +10,8 @@
 type Event interface{ event() }
 
 type (
-	// Tick is posted several times within ChangeoverOptions.PauseLimit. Deadlines are
-	// looked at, and the engine's status is read every PollEvery.
+	// Tick is posted several times within ChangeoverOptions.PauseThreshold. Deadlines are
+	// looked at, and the engine's status is read every PollInterval.
 	Tick struct{}
 	// TargetChanged says that the text in force pins Version; zero if it pins
 	// none.
@@ -24,7 +24,7 @@
 		Fetch   uint64
 		Version fleet.Version
 	}
-	// TurnGranted answers AskTurn: the replica may leave service now.
+	// TurnGranted answers RequestTurn: the replica may leave service now.
 	TurnGranted struct{ Version fleet.Version }
 	// Drained says that no request is in progress any more. Drain repeats the
 	// number of the StopAdmitting that it answers.
@@ -32,8 +32,8 @@
 	// DrainDeadline says that requests are still in progress at the deadline
 	// that StopAdmitting named. A Tick after the deadline does the same.
 	DrainDeadline struct{}
-	// OrderDone says that the engine accepted the order.
-	OrderDone struct{ Attempt uint64 }
+	// OrderAccepted says that the engine accepted the order.
+	OrderAccepted struct{ Attempt uint64 }
 	// OrderFailed says that the order failed. failure.Refused means that the
 	// engine has seen a higher fencing number; after any other error the order
 	// may or may not have been carried out.
@@ -41,46 +41,46 @@
 		Attempt uint64
 		Err     error
 	}
-	// StatusRead is the engine's status. Asked is when the question was sent.
+	// StatusRead is the engine's status. RequestedAt is when the question was sent.
 	StatusRead struct {
-		Status EngineStatus
-		Asked  time.Time
+		Status      EngineStatus
+		RequestedAt time.Time
 	}
-	// Vouched says that other replicas of the service serve these versions now,
+	// ServedElsewhere says that other replicas of the service serve these versions now,
 	// so that an accepted text has named each of them.
-	Vouched struct{ Versions []fleet.Version }
-	// Reorder says that the engine's adapters or role are not as ordered. An
+	ServedElsewhere struct{ Versions []fleet.Version }
+	// EngineConfigDrifted says that the engine's adapters or role are not as ordered. An
 	// engine that is not being changed is claimed once more, and the caller
 	// sends both along with every order.
-	Reorder struct{}
+	EngineConfigDrifted struct{}
 	// EngineRestarted says that the engine was seen to have restarted, before
 	// its status could be read.
 	EngineRestarted struct{}
 	// Paused says that the process has found that it was paused.
 	Paused struct{}
-	// Woke says that the text in force and the neighbours have been read again.
-	// Asked is when the first of these readings began; it must lie after the
+	// Refreshed says that the text in force and the neighbours have been read again.
+	// RequestedAt is when the first of these readings began; it must lie after the
 	// pause.
-	Woke struct{ Asked time.Time }
+	Refreshed struct{ RequestedAt time.Time }
 	// Leaving says that the instance has begun its planned stop.
 	Leaving struct{}
 )
 
-func (Tick) event()            {}
-func (TargetChanged) event()   {}
-func (ChunksComplete) event()  {}
-func (TurnGranted) event()     {}
-func (Drained) event()         {}
-func (DrainDeadline) event()   {}
-func (OrderDone) event()       {}
-func (OrderFailed) event()     {}
-func (StatusRead) event()      {}
-func (Vouched) event()         {}
-func (EngineRestarted) event() {}
-func (Reorder) event()         {}
-func (Paused) event()          {}
-func (Woke) event()            {}
-func (Leaving) event()         {}
+func (Tick) event()                {}
+func (TargetChanged) event()       {}
+func (ChunksComplete) event()      {}
+func (TurnGranted) event()         {}
+func (Drained) event()             {}
+func (DrainDeadline) event()       {}
+func (OrderAccepted) event()       {}
+func (OrderFailed) event()         {}
+func (StatusRead) event()          {}
+func (ServedElsewhere) event()     {}
+func (EngineRestarted) event()     {}
+func (EngineConfigDrifted) event() {}
+func (Paused) event()              {}
+func (Refreshed) event()           {}
+func (Leaving) event()             {}
 
 // Action is something that the caller of Changeover.Step has to do.
 type Action interface{ action() }
@@ -96,10 +96,10 @@
 	}
 	// StopFetch asks to fetch no more of Version.
 	StopFetch struct{ Version fleet.Version }
-	// AskTurn asks for TurnGranted once the rollout allows this replica to
-	// leave service for Version. A later AskTurn or any change of phase
+	// RequestTurn asks for TurnGranted once the rollout allows this replica to
+	// leave service for Version. A later RequestTurn or any change of phase
 	// replaces it.
-	AskTurn struct{ Version fleet.Version }
+	RequestTurn struct{ Version fleet.Version }
 	// StopAdmitting asks to admit no request from now on, and post Drained when
 	// none is in progress, or DrainDeadline. Requests in progress are never
 	// cut.
@@ -109,7 +109,7 @@
 	}
 	// ResumeAdmitting puts the change off: Version is served on.
 	ResumeAdmitting struct{ Version fleet.Version }
-	// SendOrder asks to send Order and post OrderDone or OrderFailed. Just
+	// SendOrder asks to send Order and post OrderAccepted or OrderFailed. Just
 	// before sending, Expired is asked: an order that has expired must not be
 	// sent, and the process posts OrderFailed with failure.Timeout.
 	SendOrder struct {
@@ -124,9 +124,9 @@
 	StartServing struct{ Version fleet.Version }
 	// DropStage says that the chunks of this manifest are not needed any more.
 	DropStage struct{ Manifest fleet.Digest }
-	// ReadAgain asks to read the text in force and the neighbours again after a
-	// pause of the process, then to post Woke.
-	ReadAgain struct{}
+	// Refresh asks to read the text in force and the neighbours again after a
+	// pause of the process, then to post Refreshed.
+	Refresh struct{}
 	// Alarm says that the replica cannot go on by itself.
 	Alarm struct{ Reason string }
 	// StandDown says that another process has taken over. No order will follow.
@@ -141,13 +141,13 @@
 
 func (StartFetch) action()      {}
 func (StopFetch) action()       {}
-func (AskTurn) action()         {}
+func (RequestTurn) action()     {}
 func (StopAdmitting) action()   {}
 func (ResumeAdmitting) action() {}
 func (SendOrder) action()       {}
 func (ReadStatus) action()      {}
 func (StartServing) action()    {}
 func (DropStage) action()       {}
-func (ReadAgain) action()       {}
+func (Refresh) action()         {}
 func (Alarm) action()           {}
 func (StandDown) action()       {}
--- a/core/serving/fence.go
+++ b/core/serving/fence.go
@@ -50,9 +50,9 @@
 	return f.check()
 }
 
-// Refused notes that the engine refused an order for its number, so it has
+// RecordRefusal notes that the engine refused an order for its number, so it has
 // seen a higher one.
-func (f *Fence) Refused() { f.superseded = true }
+func (f *Fence) RecordRefusal() { f.superseded = true }
 
 // Next returns the number for the next order. It fails with Superseded, or
 // with failure.Internal before TakeOver.
@@ -74,9 +74,9 @@
 	return Order{Fence: number}, err
 }
 
-// Checked reports whether the engine has shown the own number, which one that
+// IsAcknowledged reports whether the engine has shown the own number, which one that
 // ignores fences never does.
-func (f *Fence) Checked() bool { return f.number != 0 && f.reported == f.number }
+func (f *Fence) IsAcknowledged() bool { return f.number != 0 && f.reported == f.number }
 
 // IsSuperseded reports whether another process has taken over.
 func (f *Fence) IsSuperseded() bool { return f.superseded }
--- a/core/serving/gate.go
+++ b/core/serving/gate.go
@@ -57,12 +57,12 @@
 
 	// Pinned is the version that the text in force pins.
 	Pinned fleet.Version
-	// Before is the version served last by intention: one that an accepted
+	// LastServed is the version served last by intention: one that an accepted
 	// text pinned and that this process put or confirmed in service. It may be
 	// served until Pinned is ready. An engine found with any other version
 	// serves nothing until it is ordered.
-	Before fleet.Version
-	// Intended is the version to serve now, Pinned or Before.
+	LastServed fleet.Version
+	// Intended is the version to serve now, Pinned or LastServed.
 	Intended fleet.Version
 	// Verified is the digest of the manifest against which all chunks of
 	// Intended were checked, or which the engine was found to report.
@@ -91,12 +91,12 @@
 	return g.Intended, nil
 }
 
-// CheckAnswer checks the version that an answer names against the one that
+// CheckResponse checks the version that an answer names against the one that
 // its request was admitted for. The error is failure.Corrupt: the request ran,
 // but on the wrong version, and its answer must not be passed on. A request's
 // stream is bound to the version that it was admitted for, whatever is
 // intended by now.
-func CheckAnswer(admitted, answered fleet.Version) error {
+func CheckResponse(admitted, answered fleet.Version) error {
 	if admitted == answered {
 		return nil
 	}
@@ -104,10 +104,10 @@
 	return failure.WithOutcome(err, failure.Unknown)
 }
 
-// CheckAnswer checks the version that an answer names against the one
-// intended now; see the function CheckAnswer.
-func (g GateState) CheckAnswer(answered fleet.Version) error {
-	return CheckAnswer(g.Intended, answered)
+// CheckResponse checks the version that an answer names against the one
+// intended now; see the function CheckResponse.
+func (g GateState) CheckResponse(answered fleet.Version) error {
+	return CheckResponse(g.Intended, answered)
 }
 
 func (g GateState) closed(now time.Time) Reason {
@@ -130,7 +130,7 @@
 
 func (g GateState) closedVersion(now time.Time) Reason {
 	switch {
-	case g.Intended != g.Pinned && g.Intended != g.Before:
+	case g.Intended != g.Pinned && g.Intended != g.LastServed:
 		return ReasonUnpinned
 	case g.Verified != g.Intended.Manifest:
 		return ReasonUnverified
--- a/core/serving/gate_test.go
+++ b/core/serving/gate_test.go
@@ -15,8 +15,8 @@
 // open returns a gate that lets requests through at now.
 func open(now time.Time, edits ...func(*serving.GateState)) serving.GateState {
 	g := serving.GateState{
-		Pinned: v2, Before: v1, Intended: v1, Verified: v1.Manifest,
-		Status: serving.EngineStatus{Boot: "b", Loaded: v1}, StatusAt: now, MaxStatusAge: 3 * time.Second,
+		Pinned: v2, LastServed: v1, Intended: v1, Verified: v1.Manifest,
+		Status: serving.EngineStatus{BootID: "b", Loaded: v1}, StatusAt: now, MaxStatusAge: 3 * time.Second,
 	}
 	for _, edit := range edits {
 		edit(&g)
@@ -63,8 +63,8 @@
 	// is whole but of another version, and the request may have run: it must
 	// neither be shown nor be called not run.
 	It("does not pass on an answer of another version", func() {
-		Expect(serving.CheckAnswer(v1, v1)).To(Succeed())
-		err := open(now).CheckAnswer(v2)
+		Expect(serving.CheckResponse(v1, v1)).To(Succeed())
+		err := open(now).CheckResponse(v2)
 		Expect(errorx.IsOfType(err, failure.Corrupt)).To(BeTrue())
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		Expect(serving.ReasonOf(err)).To(BeEmpty())
@@ -85,7 +85,7 @@
 		Expect(claim).To(Equal(serving.Order{Fence: 6<<20 + 1}))
 		Expect(f.Next()).To(Equal(uint64(6<<20 + 2)))
 		Expect(f.Observe(6<<20 + 2)).To(Succeed())
-		Expect(f.Checked()).To(BeTrue())
+		Expect(f.IsAcknowledged()).To(BeTrue())
 		Expect(f.Observe(0)).To(Succeed(), "the engine has restarted")
 	})
 
@@ -106,27 +106,27 @@
 	It("suspects a pause by either clock", func() {
 		now := time.Now()
 		d := serving.NewPauseDetector(2 * time.Second)
-		Expect(d.Suspect(now)).To(BeTrue(), "before the first tick")
+		Expect(d.SuspectsPause(now)).To(BeTrue(), "before the first tick")
 		d.Tick(now)
-		Expect(d.Suspect(now.Add(2 * time.Second))).To(BeFalse())
-		Expect(d.Suspect(now.Add(2*time.Second + 1))).To(BeTrue())
-		Expect(d.Suspect(now.Round(0).Add(3*time.Second))).To(BeTrue(), "wall clock alone")
+		Expect(d.SuspectsPause(now.Add(2 * time.Second))).To(BeFalse())
+		Expect(d.SuspectsPause(now.Add(2*time.Second + 1))).To(BeTrue())
+		Expect(d.SuspectsPause(now.Round(0).Add(3*time.Second))).To(BeTrue(), "wall clock alone")
 		Expect(d.Tick(now.Add(time.Minute))).To(BeTrue())
 		Expect(d.Tick(now.Add(time.Minute))).To(BeFalse())
 	})
 
 	It("asks for everything again, and takes no answer to an old question", func() {
 		now := time.Now()
-		var f serving.Freshness
-		f.Read(serving.ReadingConfig, now)
-		f.Read(serving.ReadingEngine, now)
-		f.Read(serving.ReadingMembers, now)
-		Expect(f.Fresh()).To(BeTrue())
+		var f serving.RefreshTracker
+		f.Record(serving.SourceConfig, now)
+		f.Record(serving.SourceEngine, now)
+		f.Record(serving.SourceMembers, now)
+		Expect(f.IsFresh()).To(BeTrue())
 		f.Invalidate(now.Add(time.Second))
-		Expect(f.Read(serving.ReadingEngine, now)).To(BeFalse())
-		Expect(f.Read(serving.ReadingConfig, now.Add(time.Second))).To(BeTrue())
-		Expect(f.Missing()).To(Equal([]serving.Reading{serving.ReadingEngine, serving.ReadingMembers}))
-		Expect(serving.ReadingMembers.String()).To(Equal("members"))
+		Expect(f.Record(serving.SourceEngine, now)).To(BeFalse())
+		Expect(f.Record(serving.SourceConfig, now.Add(time.Second))).To(BeTrue())
+		Expect(f.Missing()).To(Equal([]serving.StateSource{serving.SourceEngine, serving.SourceMembers}))
+		Expect(serving.SourceMembers.String()).To(Equal("members"))
 	})
 
 	// The control loop decides on an order, the process is stopped, and the
--- a/core/serving/orders.go
+++ b/core/serving/orders.go
@@ -40,7 +40,7 @@
 	}
 	c.phase = PhaseOrdering
 	c.deadline = now.Add(c.opt.OrderTimeout)
-	c.do(SendOrder{Attempt: c.attempt, Order: order, NotAfter: now.Add(c.opt.PauseLimit)})
+	c.do(SendOrder{Attempt: c.attempt, Order: order, NotAfter: now.Add(c.opt.PauseThreshold)})
 }
 
 func (c *Changeover) orderDone(now time.Time, attempt uint64) {
@@ -62,7 +62,7 @@
 		return
 	}
 	if errorx.IsOfType(e.Err, failure.Refused) {
-		c.fence.Refused()
+		c.fence.RecordRefusal()
 		c.standDown(c.fence.check())
 		return
 	}
@@ -90,8 +90,8 @@
 // backOff puts off the next attempt after the given number of failed ones.
 func (c *Changeover) backOff(now time.Time, failed int) {
 	const maxDoublings = 20
-	pause := c.opt.BackOff << min(failed-1, maxDoublings)
-	pause = min(pause, c.opt.MaxBackOff)
+	pause := c.opt.InitialBackoff << min(failed-1, maxDoublings)
+	pause = min(pause, c.opt.MaxBackoff)
 	jitter := time.Duration(c.opt.Rand.Int64N(int64(pause)/2 + 1))
 	c.notBefore = now.Add(pause/2 + jitter)
 }
@@ -113,20 +113,20 @@
 }
 
 func (c *Changeover) statusRead(now time.Time, e StatusRead) {
-	if e.Asked.Before(c.statusAt) || e.Asked.Before(c.pausedAt) {
+	if e.RequestedAt.Before(c.statusAt) || e.RequestedAt.Before(c.pausedAt) {
 		return
 	}
 	if err := c.fence.Observe(e.Status.Fence); err != nil {
 		c.standDown(err)
 		return
 	}
-	rebooted := c.boot != "" && c.boot != e.Status.Boot
+	rebooted := c.boot != "" && c.boot != e.Status.BootID
 	c.status = e.Status
-	c.statusAt = e.Asked
+	c.statusAt = e.RequestedAt
 	if rebooted {
 		c.engineRestarted(now)
 	}
-	c.boot = e.Status.Boot
+	c.boot = e.Status.BootID
 	if c.paused || c.phase == PhaseLeaving {
 		return
 	}
@@ -157,7 +157,7 @@
 // readBack looks at the first status that was asked for after the engine
 // accepted the order.
 func (c *Changeover) readBack(now time.Time, e StatusRead) {
-	if e.Asked.Before(c.acceptedAt) || e.Status.Loading {
+	if e.RequestedAt.Before(c.acceptedAt) || e.Status.Loading {
 		return
 	}
 	if !c.ordered.IsZero() && e.Status.Loaded != c.ordered {
@@ -263,7 +263,7 @@
 	case loaded == c.target:
 		c.clearFailures()
 	case c.failures >= c.opt.MaxFailures:
-		c.notBefore = now.Add(c.opt.MaxBackOff)
+		c.notBefore = now.Add(c.opt.MaxBackoff)
 	}
 	c.before = loaded
 	c.verified = loaded.Manifest
@@ -339,7 +339,7 @@
 	c.pausedAt = now
 	c.attempt++
 	c.claimed = false
-	c.do(ReadAgain{})
+	c.do(Refresh{})
 	c.readStatus(now)
 }
 
@@ -357,7 +357,7 @@
 
 func (c *Changeover) standDown(err error) {
 	c.stopFetch()
-	c.phase = PhaseDown
+	c.phase = PhaseStoodDown
 	c.admitting = false
 	c.do(StandDown{Err: err})
 }
--- a/core/serving/pause.go
+++ b/core/serving/pause.go
@@ -25,14 +25,14 @@
 // Tick notes that the process runs. It reports whether a pause lies between
 // this tick and the one before.
 func (d *PauseDetector) Tick(now time.Time) bool {
-	paused := d.Suspect(now)
+	paused := d.SuspectsPause(now)
 	d.last = now
 	return paused
 }
 
-// Suspect reports whether the last tick is too long ago. It is asked just
+// SuspectsPause reports whether the last tick is too long ago. It is asked just
 // before an order is sent. Before the first tick it is true.
-func (d *PauseDetector) Suspect(now time.Time) bool {
+func (d *PauseDetector) SuspectsPause(now time.Time) bool {
 	if d.last.IsZero() {
 		return true
 	}
@@ -45,51 +45,51 @@
 	return max(now.Sub(then), wall)
 }
 
-// Reading is something that a process must have read before it may order.
-type Reading uint8
+// StateSource is something that a process must have read before it may order.
+type StateSource uint8
 
 const (
-	// ReadingConfig is the text in force, as peers or the platform give it.
-	ReadingConfig Reading = iota
-	// ReadingEngine is the engine's status.
-	ReadingEngine
-	// ReadingMembers is what the neighbours say, on which the own turn rests.
-	ReadingMembers
+	// SourceConfig is the text in force, as peers or the platform give it.
+	SourceConfig StateSource = iota
+	// SourceEngine is the engine's status.
+	SourceEngine
+	// SourceMembers is what the neighbours say, on which the own turn rests.
+	SourceMembers
 
 	readings
 )
 
 // String returns the reading's name for logs.
-func (r Reading) String() string {
+func (r StateSource) String() string {
 	switch r {
-	case ReadingConfig:
+	case SourceConfig:
 		return "config"
-	case ReadingEngine:
+	case SourceEngine:
 		return "engine"
-	case ReadingMembers:
+	case SourceMembers:
 		return "members"
 	default:
 		return "unknown"
 	}
 }
 
-// Freshness tells what has to be read again after a pause. The zero value has
+// RefreshTracker tells what has to be read again after a pause. The zero value has
 // read nothing.
-type Freshness struct {
+type RefreshTracker struct {
 	since time.Time
 	read  [readings]bool
 }
 
 // Invalidate forgets all readings. It is called when a pause is found.
-func (f *Freshness) Invalidate(now time.Time) {
+func (f *RefreshTracker) Invalidate(now time.Time) {
 	f.since = now
 	f.read = [readings]bool{}
 }
 
-// Read notes a reading that was asked for at asked. An answer to a question
+// Record notes a reading that was asked for at asked. An answer to a question
 // that was asked before the pause may be as old as the pause, so it does not
-// count; Read then returns false.
-func (f *Freshness) Read(r Reading, asked time.Time) bool {
+// count; Record then returns false.
+func (f *RefreshTracker) Record(r StateSource, asked time.Time) bool {
 	if asked.Before(f.since) {
 		return false
 	}
@@ -98,8 +98,8 @@
 }
 
 // Missing returns what is still to be read.
-func (f *Freshness) Missing() []Reading {
-	var missing []Reading
+func (f *RefreshTracker) Missing() []StateSource {
+	var missing []StateSource
 	for r := range readings {
 		if !f.read[r] {
 			missing = append(missing, r)
@@ -108,5 +108,5 @@
 	return missing
 }
 
-// Fresh reports whether everything has been read since the last pause.
-func (f *Freshness) Fresh() bool { return len(f.Missing()) == 0 }
+// IsFresh reports whether everything has been read since the last pause.
+func (f *RefreshTracker) IsFresh() bool { return len(f.Missing()) == 0 }
--- a/core/serving/ports.go
+++ b/core/serving/ports.go
@@ -16,8 +16,8 @@
 
 // EngineStatus is what an engine reports of itself.
 type EngineStatus struct {
-	// Boot names one life of the engine's process; it changes at each restart.
-	Boot string `json:"boot"`
+	// BootID names one life of the engine's process; it changes at each restart.
+	BootID string `json:"boot"`
 	// Loaded is the version that answers are computed from; zero if none.
 	Loaded fleet.Version `json:"loaded"`
 	// Loading is true while an order is being carried out; the engine answers
@@ -65,8 +65,8 @@
 	Data   []byte
 }
 
-// Answer is the end of a streamed answer.
-type Answer struct {
+// Response is the end of a streamed answer.
+type Response struct {
 	ID      string        // the Call's ID as the server repeated it
 	Status  int           // HTTP status of the server
 	Version fleet.Version // the version that computed it; zero for a plain service
@@ -77,5 +77,5 @@
 	// Do passes the call on and hands over each piece as it comes; it stops
 	// when emit fails or ctx ends. A failure whose outcome is failure.NotRun
 	// means the server never got the call or said that it did not run it.
-	Do(ctx context.Context, call Call, emit func(Piece) error) (Answer, error)
+	Do(ctx context.Context, call Call, emit func(Piece) error) (Response, error)
 }
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -164,7 +164,7 @@
 	a.followText(now, state)
 	if a.swarm != nil {
 		a.swarm.SetMembers(now, a.members(state.Fleet))
-		a.step(now, serving.Vouched{Versions: rollout.ServedVersions(a.replicas(), a.opts.Self.ID)})
+		a.step(now, serving.ServedElsewhere{Versions: rollout.ServedVersions(a.replicas(), a.opts.Self.ID)})
 	}
 	a.takeTurn(now)
 	a.publish(now)
--- a/daemon/agent/change.go
+++ b/daemon/agent/change.go
@@ -47,7 +47,7 @@
 		a.swarm.Gather(now, action.Version, a.spreadSettings(), action.Reuse)
 	case serving.StopFetch:
 		a.swarm.Stop(action.Version.Manifest)
-	case serving.AskTurn:
+	case serving.RequestTurn:
 		a.turnFor = action.Version
 		a.nextTurn = now
 	case serving.StopAdmitting:
@@ -63,7 +63,7 @@
 		a.readStatus(now)
 	case serving.DropStage:
 		a.swarm.Drop(action.Manifest)
-	case serving.ReadAgain:
+	case serving.Refresh:
 		go a.readAgain(now)
 	case serving.Alarm:
 		a.opts.Metrics.Counter("alarms").Inc(1)
@@ -96,7 +96,7 @@
 		a.post(serving.OrderFailed{Attempt: order.Attempt, Err: err})
 		return
 	}
-	a.post(serving.OrderDone{Attempt: order.Attempt})
+	a.post(serving.OrderAccepted{Attempt: order.Attempt})
 }
 
 // readStatus reads the engine's status unless a read is under way.
@@ -120,13 +120,13 @@
 		a.opts.Logger.Debug("engine_status_not_read", zap.Error(err))
 		return
 	}
-	if a.boot != "" && a.boot != status.Boot {
-		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.Boot))
+	if a.boot != "" && a.boot != status.BootID {
+		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.BootID))
 		a.swarm.Forget()
 	}
-	a.boot = status.Boot
+	a.boot = status.BootID
 	a.load = status.Load
-	a.step(now, serving.StatusRead{Status: status, Asked: asked})
+	a.step(now, serving.StatusRead{Status: status, RequestedAt: asked})
 	a.orderExtras(now, status)
 	a.checkFencing()
 	a.publish(now)
@@ -139,7 +139,7 @@
 	a.opts.Logger.Warn("woke")
 	for a.ctx.Err() == nil {
 		if a.node.Reread(a.ctx, since) {
-			a.post(serving.Woke{Asked: since})
+			a.post(serving.Refreshed{RequestedAt: since})
 			return
 		}
 		select {
@@ -255,7 +255,7 @@
 func (a *Agent) checkFencing() {
 	fence := a.change.Fence()
 	ignored := a.service.EngineFencing == fleettext.FencingChecked &&
-		a.change.Phase() == serving.PhaseIdle && !fence.Checked()
+		a.change.Phase() == serving.PhaseIdle && !fence.IsAcknowledged()
 	if ignored && !a.unfenced {
 		a.opts.Metrics.Counter("alarms").Inc(1)
 		a.opts.Logger.Error("alarm", zap.String("reason", "the text says that this engine checks fencing numbers, and it does not"))
--- a/daemon/agent/extras.go
+++ b/daemon/agent/extras.go
@@ -34,7 +34,7 @@
 	a.nextReorder = now.Add(reorderEvery)
 	a.opts.Logger.Info("engine_extras_differ",
 		zap.Strings("adapters", status.Adapters), zap.String("engine_role", status.EngineRole))
-	a.step(now, serving.Reorder{})
+	a.step(now, serving.EngineConfigDrifted{})
 }
 
 func (a *Agent) hasExtras(status serving.EngineStatus) bool {
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -108,8 +108,8 @@
 		r := newPlain()
 		done, lost, fresh := r.key(1), r.key(2), r.key(3)
 		Expect(r.entry.Ask(r.order("done-1", done), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
-		r.backend.Answer(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
-			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
+		r.backend.Answer(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Response, error) {
+			return serving.Response{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
 		})
 		Expect(r.entry.Ask(r.order("lost-1", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		r.backend.Answer(daemontest.Echo)
@@ -162,11 +162,11 @@
 	// Guards against an answer that ends as whole without one of its pieces.
 	It("does not end as whole if a piece was not sent", func() {
 		r := newPlain()
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			for _, size := range []int{1, peer.DefaultMaxMessage, 1} {
 				_ = emit(serving.Piece{Status: 200, Data: make([]byte, size)})
 			}
-			return serving.Answer{ID: call.ID, Status: 200}, nil
+			return serving.Response{ID: call.ID, Status: 200}, nil
 		})
 		key := r.key(1)
 		Expect(r.entry.Ask(r.order("first", key), work)).To(SatisfyAll(
@@ -184,9 +184,9 @@
 	It("keeps no answer that names another request", func() {
 		r := newPlain()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			other := swapped[call.ID]
-			return serving.Answer{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
+			return serving.Response{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
 		})
 		keys := map[string]string{"mine": r.key(1), "yours": r.key(2)}
 		for id, key := range keys {
--- a/daemon/agent/rig_test.go
+++ b/daemon/agent/rig_test.go
@@ -105,7 +105,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	unlimited := rate.NewLimiter(rate.Inf, swarm.PieceBytes)
 	o.Engine = r.engine
-	o.Changeover = serving.ChangeoverOptions{Rand: random, PollEvery: 20 * time.Millisecond}
+	o.Changeover = serving.ChangeoverOptions{Rand: random, PollInterval: 20 * time.Millisecond}
 	o.Swarm = swarm.Options{
 		Self: spread.Member{ID: r.Self.ID, Place: r.Self.Place, Addr: r.Self.PeerAddr},
 		Loop: r.Loop, Endpoint: r.Endpoint, Stage: daemontest.NewStage(), Origin: daemontest.NewSource(),
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -245,12 +245,12 @@
 	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: answer.ID, Status: answer.Status, Version: answer.Version}
 }
 
-func checkAnswer(req wire.Request, version fleet.Version, answer serving.Answer) error {
+func checkAnswer(req wire.Request, version fleet.Version, answer serving.Response) error {
 	if answer.ID != req.ID {
 		err := failure.Corrupt.New("the answer names request %q", answer.ID)
 		return failure.WithOutcome(err, failure.Unknown)
 	}
-	return serving.CheckAnswer(version, answer.Version)
+	return serving.CheckResponse(version, answer.Version)
 }
 
 // answerStream sends an answer to the entry. Nothing follows a part that could not be
@@ -307,7 +307,7 @@
 // CheckVersion refuses an answer whose first line names another version than
 // the one that is to be served, before any of it goes to the caller.
 func (a *Agent) CheckVersion(answered fleet.Version) error {
-	return a.gate.Load().CheckAnswer(answered)
+	return a.gate.Load().CheckResponse(answered)
 }
 
 func statusOr200(status int) int {
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -20,8 +20,8 @@
 // answering answers as a backend server that says that it computed the answer
 // from a version.
 func answering(version fleet.Version) daemontest.Answering {
-	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
-		return serving.Answer{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
+	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
+		return serving.Response{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
 	}
 }
 
@@ -57,8 +57,8 @@
 	It("passes the server's status on", func() {
 		r := newPlain()
 		const notFound = 404
-		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
-			return serving.Answer{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
+		r.backend.Answer(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
+			return serving.Response{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
 		})
 		answer := r.entry.Ask(wire.Request{ID: "job", Service: orders}, "")
 		Expect(answer.Begin).To(HaveValue(HaveField("Status", notFound)))
@@ -68,7 +68,7 @@
 	// The engine answers from another version than the one that the request was
 	// admitted for: it was changed without an order in the middle of the answer.
 	// The pieces have gone out already; the end never says that they are whole.
-	// Seen without serving.CheckAnswer: the answer ended as a whole one.
+	// Seen without serving.CheckResponse: the answer ended as a whole one.
 	It("never calls an answer of another version whole", func() {
 		r := newModel()
 		r.backend.Answer(answering(v2))
@@ -85,9 +85,9 @@
 	// The caller is not given the pieces that came as a whole answer.
 	It("calls no answer whole that failed, whatever the failure says", func() {
 		r := newPlain()
-		r.backend.Answer(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.Answer(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			Expect(emit(serving.Piece{Data: []byte("half of")})).To(Succeed())
-			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
+			return serving.Response{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
 		})
 		answer := r.entry.Ask(wire.Request{ID: "half", Service: orders}, "two cones")
 		Expect(answer.End).To(HaveValue(SatisfyAny(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true))))
@@ -114,12 +114,12 @@
 		r := newPlain()
 		gaveUp := make(chan struct{})
 		sent := make(chan error, 1)
-		r.backend.Answer(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.Answer(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			<-ctx.Done()
 			close(gaveUp)
 			err := emit(serving.Piece{Data: []byte("late goods")})
 			sent <- err
-			return serving.Answer{ID: call.ID}, err
+			return serving.Response{ID: call.ID}, err
 		})
 		s := r.entry.Send(wire.Request{ID: "cancelled", Service: orders}, "two cones")
 		Eventually(r.backend.Calls).Should(HaveLen(1))
--- a/daemon/internal/daemontest/backend.go
+++ b/daemon/internal/daemontest/backend.go
@@ -11,7 +11,7 @@
 )
 
 // Answering is what a backend server makes of one call.
-type Answering func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error)
+type Answering func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error)
 
 // Backend is a backend server. It gives each call its own body back until
 // told otherwise, and is the status of a plain service too.
@@ -31,22 +31,22 @@
 }
 
 // Echo answers with the body of the call.
-func Echo(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func Echo(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	if err := emit(serving.Piece{Status: http.StatusOK, Data: call.Body}); err != nil {
-		return serving.Answer{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "the receiver failed"), failure.Unknown)
+		return serving.Response{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "the receiver failed"), failure.Unknown)
 	}
-	return serving.Answer{ID: call.ID, Status: http.StatusOK}, nil
+	return serving.Response{ID: call.ID, Status: http.StatusOK}, nil
 }
 
 // Held answers as then says once release is closed, and fails with an unknown
 // outcome when the call is given up before.
 func Held(release <-chan struct{}, then Answering) Answering {
-	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 		select {
 		case <-release:
 			return then(ctx, call, emit)
 		case <-ctx.Done():
-			return serving.Answer{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "given up"), failure.Unknown)
+			return serving.Response{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "given up"), failure.Unknown)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 }
 
 // Do implements serving.Backend.
-func (b *Backend) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func (b *Backend) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	b.mu.Lock()
 	b.calls = append(b.calls, call)
 	answering := b.answering
@@ -110,7 +110,7 @@
 
 // NewEngine returns an engine that has just started.
 func NewEngine() *Engine {
-	return &Engine{status: serving.EngineStatus{Boot: "boot-1", Load: serving.Load{Slots: 64}}}
+	return &Engine{status: serving.EngineStatus{BootID: "boot-1", Load: serving.Load{Slots: 64}}}
 }
 
 // Set changes what the engine reports.
--- a/standin/engine/calls_test.go
+++ b/standin/engine/calls_test.go
@@ -32,7 +32,7 @@
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.last).To(BeTrue())
 		Expect(got.tokens).To(Equal(engine.ExpectedTokens("fault 17", 9, r.version)))
-		Expect(got.answer).To(Equal(serving.Answer{ID: "a1", Status: 200, Version: r.version}))
+		Expect(got.answer).To(Equal(serving.Response{ID: "a1", Status: 200, Version: r.version}))
 
 		counters := e.Counters()
 		Expect(counters.ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 1}))
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -195,7 +195,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return serving.EngineStatus{
-		Boot:       e.boot,
+		BootID:     e.boot,
 		Loaded:     e.loaded,
 		Loading:    e.loading,
 		Adapters:   append([]string{}, e.adapters...),
--- a/standin/engine/helpers_test.go
+++ b/standin/engine/helpers_test.go
@@ -87,7 +87,7 @@
 
 // result is what one call came to.
 type result struct {
-	answer serving.Answer
+	answer serving.Response
 	err    error
 	tokens []string
 	last   bool // the last line was handed over
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -205,7 +205,7 @@
 		before := e.Status()
 		e.Restart()
 		after := e.Status()
-		Expect(after.Boot).NotTo(Equal(before.Boot))
+		Expect(after.BootID).NotTo(Equal(before.BootID))
 		Expect(after.Loaded.IsZero()).To(BeTrue())
 		Expect(after.Fence).To(BeZero())
 		Expect(client.Held(ctx, r.version.Manifest)).To(BeEmpty())
--- a/standin/plainservice/calls_test.go
+++ b/standin/plainservice/calls_test.go
@@ -24,7 +24,7 @@
 
 // result is what one call came to.
 type result struct {
-	answer serving.Answer
+	answer serving.Response
 	err    error
 	body   []byte
 }
@@ -65,7 +65,7 @@
 	It("hands over the receipt of the call", func(ctx SpecContext) {
 		got := do(ctx, client, callOf("a1"))
 		Expect(got.err).NotTo(HaveOccurred())
-		Expect(got.answer).To(Equal(serving.Answer{ID: "a1", Status: 200}))
+		Expect(got.answer).To(Equal(serving.Response{ID: "a1", Status: 200}))
 		var receipt plainservice.Receipt
 		Expect(json.Unmarshal(got.body, &receipt)).To(Succeed())
 		Expect(receipt).To(Equal(plainservice.Receipt{
