--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -40,18 +40,18 @@
 	// ServingSince is when it began to answer from Version, as its agent
 	// tells; zero: long ago. It takes its share of requests by and by.
 	ServingSince time.Time
-	// Limit is the highest number of this entry's own requests at the server
+	// ConcurrencyLimit is the highest number of this entry's own requests at the server
 	// at once, as an adaptive limit found it; 0: none.
-	Limit int
+	ConcurrencyLimit int
 }
 
 // Report is the latest load report of a server. It lags.
 type Report struct {
 	Load     serving.Load
 	Received time.Time // when this entry got it; zero: never
-	// Lag is how old the load was already when the report came, 0 if the
+	// AgeOnReceipt is how old the load was already when the report came, 0 if the
 	// agent did not say.
-	Lag time.Duration
+	AgeOnReceipt time.Duration
 }
 
 // Request is what Pick needs to know of a request.
@@ -118,20 +118,20 @@
 
 // Candidate tells an operator how Pick sees one server.
 type Candidate struct {
-	ID       fleet.InstanceID
-	Tier     Tier
-	Verdict  Verdict
-	InFlight int     // this entry's own requests there now
-	Others   float64 // estimate of everyone else's requests there
-	Slots    float64 // requests the server runs at once
+	ID            fleet.InstanceID
+	Tier          Tier
+	Verdict       Verdict
+	InFlight      int     // this entry's own requests there now
+	OtherInFlight float64 // estimate of everyone else's requests there
+	Slots         float64 // requests the server runs at once
 	// Cost is what two servers are compared by, the penalty of a farther tier
 	// not included: expected requests for each slot after this one, raised
 	// for a cold server.
-	Cost      float64
-	ReportAge time.Duration // negative: never reported
-	Pace      time.Duration // mean time between pieces, as this entry saw it; 0: not known
-	EjectedIn time.Duration // time left of an ejection, 0 if none
-	Preferred bool          // the server that the prefix key leads to
+	Cost          float64
+	ReportAge     time.Duration // negative: never reported
+	PieceInterval time.Duration // mean time between pieces, as this entry saw it; 0: not known
+	EjectionLeft  time.Duration // time left of an ejection, 0 if none
+	Preferred     bool          // the server that the prefix key leads to
 }
 
 // ResultKind says how a request ended, as far as it tells of the server.
@@ -157,9 +157,9 @@
 type Result struct {
 	At   time.Time // when it ended
 	Kind ResultKind
-	// Pace is the mean time between two pieces of the answer, the first one
+	// PieceInterval is the mean time between two pieces of the answer, the first one
 	// left out, since it may have waited; 0: too few pieces came to tell.
-	Pace time.Duration
+	PieceInterval time.Duration
 	// RetryAfter is the pause that a Declined request was given.
 	RetryAfter time.Duration
 }
--- a/core/balance/explain.go
+++ b/core/balance/explain.go
@@ -30,23 +30,23 @@
 func (k *picking) describe(m *member, preferred bool) Candidate {
 	age := time.Duration(-1)
 	if !m.Report.Received.IsZero() {
-		age = k.now.Sub(m.Report.Received) + m.Report.Lag
+		age = k.now.Sub(m.Report.Received) + m.Report.AgeOnReceipt
 	}
 	ejectedIn := time.Duration(0)
 	if until := m.state.ejectedUntil.Load(); until > k.at {
 		ejectedIn = time.Duration(until - k.at)
 	}
 	return Candidate{
-		ID:        m.ID,
-		Tier:      m.tier,
-		Verdict:   k.verdict(m),
-		InFlight:  int(m.state.inFlight.Load()),
-		Others:    k.othersNow(m),
-		Slots:     m.slots,
-		Cost:      k.cost(m),
-		ReportAge: age,
-		Pace:      time.Duration(math.Float64frombits(m.state.pace.Load()) * float64(time.Second)),
-		EjectedIn: ejectedIn,
-		Preferred: preferred,
+		ID:            m.ID,
+		Tier:          m.tier,
+		Verdict:       k.verdict(m),
+		InFlight:      int(m.state.inFlight.Load()),
+		OtherInFlight: k.othersNow(m),
+		Slots:         m.slots,
+		Cost:          k.cost(m),
+		ReportAge:     age,
+		PieceInterval: time.Duration(math.Float64frombits(m.state.pace.Load()) * float64(time.Second)),
+		EjectionLeft:  ejectedIn,
+		Preferred:     preferred,
 	}
 }
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -91,7 +91,7 @@
 		t.every(reportPeriod, func() {
 			load := serving.Load{Running: t.nodes[i].running, Waiting: len(t.nodes[i].queue), Slots: slots}
 			t.at(reportLag, func() {
-				t.infos[i].Report = balance.Report{Load: load, Received: t.now, Lag: reportLag}
+				t.infos[i].Report = balance.Report{Load: load, Received: t.now, AgeOnReceipt: reportLag}
 			})
 		})
 	}
--- a/core/balance/outlier.go
+++ b/core/balance/outlier.go
@@ -42,7 +42,7 @@
 	now := tk.tracker.since(result.At)
 	switch result.Kind {
 	case Succeeded:
-		tk.succeeded(now, result.Pace)
+		tk.succeeded(now, result.PieceInterval)
 		average(&tk.group.duration, time.Duration(now-tk.picked), durationWeight)
 	case Failed:
 		tk.fail(now, 1)
@@ -103,7 +103,7 @@
 	st.strikes = 0
 	st.results++
 	st.failRate -= failWeight * st.failRate
-	if st.ejections > 0 && now >= st.warmFrom.Load()+int64(settings.SlowStart) {
+	if st.ejections > 0 && now >= st.warmFrom.Load()+int64(settings.SlowStartTime) {
 		st.ejections = 0
 	}
 }
@@ -132,7 +132,7 @@
 	if !g.mayEject(now) {
 		return
 	}
-	length := backoff(tk.settings.EjectBase, tk.settings.EjectMax, st.ejections, jitter)
+	length := backoff(tk.settings.BaseEjection, tk.settings.MaxEjection, st.ejections, jitter)
 	end := now + int64(length)
 	st.ejectedUntil.Store(end)
 	st.warmFrom.Store(end)
@@ -148,10 +148,10 @@
 	if st.ejections > 0 {
 		return st.strikes > 0
 	}
-	if st.strikes >= settings.EjectAfter {
+	if st.strikes >= settings.EjectAfterFailures {
 		return true
 	}
-	return st.results >= minResults && st.failRate >= settings.EjectRate
+	return st.results >= minResults && st.failRate >= settings.EjectFailureRate
 }
 
 // mayEject reports whether one more of the group may be ejected.
--- a/core/balance/outlier_test.go
+++ b/core/balance/outlier_test.go
@@ -72,7 +72,7 @@
 			}
 			for _, c := range s.Explain(now, anyRequest) {
 				if c.ID == servers[0].ID {
-					return c.EjectedIn
+					return c.EjectionLeft
 				}
 			}
 			return 0
--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -74,7 +74,7 @@
 // refuse returns a not-run failure with a pause between one and three times
 // the setting, so that those refused together do not return together.
 func (s *Snapshot) refuse(kind *errorx.Type, rnd Rand, service fleet.ServiceName) error {
-	base := float64(s.settings.RetryAfter)
+	base := float64(s.settings.MinRetryAfter)
 	pause := time.Duration(base * (1 + 2*rnd.Float64()))
 	err := kind.New("service %q", string(service))
 	return failure.WithRetryAfter(failure.WithOutcome(err, failure.NotRun), pause)
@@ -141,7 +141,7 @@
 		if m != nil && cost+penalties[tier] < bestCost {
 			best, bestCost = m, cost+penalties[tier]
 		}
-		if bestCost < k.settings.SpillAt {
+		if bestCost < k.settings.SpillThreshold {
 			break
 		}
 	}
@@ -303,7 +303,7 @@
 // not taken for full for ever.
 func (k *picking) full(m *member) bool {
 	own := float64(m.state.inFlight.Load())
-	if m.Limit > 0 && own >= float64(m.Limit) {
+	if m.ConcurrencyLimit > 0 && own >= float64(m.ConcurrencyLimit) {
 		return true
 	}
 	others := m.others * m.freshness(k.now, k.life)
@@ -319,7 +319,7 @@
 // server; the mean of many reports does not swing.
 func (k *picking) othersNow(m *member) float64 {
 	mean := k.pool.tierOthers[m.tier] * m.slots
-	trust := k.settings.ReportTrust * m.freshness(k.now, k.life)
+	trust := k.settings.ReportWeight * m.freshness(k.now, k.life)
 	return mean + trust*(m.others-mean)
 }
 
@@ -347,6 +347,6 @@
 	if from == longAgo {
 		return 1
 	}
-	passed := float64(k.at-from) / float64(k.settings.SlowStart)
+	passed := float64(k.at-from) / float64(k.settings.SlowStartTime)
 	return min(1, max(coldShare, passed))
 }
--- a/core/balance/pick_test.go
+++ b/core/balance/pick_test.go
@@ -93,7 +93,7 @@
 		servers[0].Report.Received = start.Add(-time.Minute)
 		costs := map[fleet.InstanceID]float64{}
 		for _, c := range snapshotOf(newTracker(), servers).Explain(start, anyRequest) {
-			costs[c.ID] = c.Others
+			costs[c.ID] = c.OtherInFlight
 		}
 		Expect(costs[servers[0].ID]).To(BeNumerically("~", 4, 0.1))
 	})
@@ -162,7 +162,7 @@
 
 	It("keeps the adaptive limit of a server", func() {
 		servers := serversAt(apapa, 2, 0)
-		servers[0].Limit = 3
+		servers[0].ConcurrencyLimit = 3
 		counts := pickN(snapshotOf(newTracker(), servers), newRand(5), 15, anyRequest)
 		Expect(counts).To(Equal(map[fleet.InstanceID]int{servers[0].ID: 3, servers[1].ID: 12}))
 	})
@@ -240,7 +240,7 @@
 					if err != nil {
 						continue
 					}
-					choice.Release(balance.Result{At: start, Kind: balance.Succeeded, Pace: time.Millisecond})
+					choice.Release(balance.Result{At: start, Kind: balance.Succeeded, PieceInterval: time.Millisecond})
 					choice.Release(balance.Result{At: start, Kind: balance.Failed})
 				}
 			})
--- a/core/balance/slow_test.go
+++ b/core/balance/slow_test.go
@@ -16,7 +16,7 @@
 func answerAt(s *balance.Snapshot, id fleet.InstanceID, pace time.Duration) {
 	choice, err := s.Pick(start, newRand(1), balance.Request{Service: spindle, Require: id})
 	Expect(err).NotTo(HaveOccurred())
-	choice.Release(balance.Result{At: start, Kind: balance.Succeeded, Pace: pace})
+	choice.Release(balance.Result{At: start, Kind: balance.Succeeded, PieceInterval: pace})
 }
 
 var _ = Describe("a slow server", func() {
--- a/core/balance/snapshot.go
+++ b/core/balance/snapshot.go
@@ -125,7 +125,7 @@
 	if m.Report.Received.IsZero() {
 		return 0
 	}
-	age := now.Sub(m.Report.Received) + m.Report.Lag
+	age := now.Sub(m.Report.Received) + m.Report.AgeOnReceipt
 	if age <= 0 {
 		return 1
 	}
@@ -143,7 +143,7 @@
 func (p *pool) reportLife(settings *Settings) time.Duration {
 	seconds := math.Float64frombits(p.group.duration.Load())
 	if seconds == 0 {
-		return settings.ReportLife
+		return settings.ReportDecay
 	}
 	life := time.Duration(seconds * float64(time.Second))
 	return min(max(life, minReportLife), maxReportLife)
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -209,7 +209,7 @@
 // result tells the balancer how the attempt went, as far as it says something
 // of the server.
 func (a *attempt) result(ctx context.Context, err error) balance.Result {
-	result := balance.Result{At: time.Now(), Pace: a.pace(), RetryAfter: failure.RetryAfter(err)}
+	result := balance.Result{At: time.Now(), PieceInterval: a.pace(), RetryAfter: failure.RetryAfter(err)}
 	switch {
 	case err == nil:
 		result.Kind = balance.Succeeded
--- a/daemon/entry/explain.go
+++ b/daemon/entry/explain.go
@@ -105,11 +105,11 @@
 		Tier:        c.Tier.String(),
 		Verdict:     c.Verdict,
 		InFlight:    c.InFlight,
-		Others:      c.Others,
+		Others:      c.OtherInFlight,
 		Slots:       c.Slots,
 		Cost:        c.Cost,
 		ReportAgeMS: c.ReportAge.Milliseconds(),
-		EjectedMS:   c.EjectedIn.Milliseconds(),
+		EjectedMS:   c.EjectionLeft.Milliseconds(),
 		Preferred:   c.Preferred,
 	}
 }
