--- a/adapters/opsclient/opsclient.go
+++ b/adapters/opsclient/opsclient.go
@@ -64,7 +64,7 @@
 // Failures of all methods: failure.Unavailable if the process cannot be
 // reached, failure.Timeout at the end of ctx's time, failure.Corrupt if the
 // answer is not what such a process sends.
-func (c *Client) Status(ctx context.Context, addr netip.AddrPort) (status.Of, error) {
+func (c *Client) Status(ctx context.Context, addr netip.AddrPort) (status.ProcessStatus, error) {
 	body, err := c.get(ctx, addr, "/status", nil)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	if err := decode(addr, body, &head); err != nil {
 		return nil, err
 	}
-	var answer status.Of
+	var answer status.ProcessStatus
 	switch head.Role {
 	case fleet.RoleEntry:
 		answer = &status.Entry{}
@@ -99,7 +99,7 @@
 	}
 	entry, isEntry := answer.(*status.Entry)
 	if !isEntry {
-		return nil, WrongRole.New("%s is %s %s; the fleet's state is known by entries", addr, fleet.RoleAgent, answer.Process())
+		return nil, WrongRole.New("%s is %s %s; the fleet's state is known by entries", addr, fleet.RoleAgent, answer.ProcessID())
 	}
 	return entry, nil
 }
--- a/adapters/opsclient/opsclient_test.go
+++ b/adapters/opsclient/opsclient_test.go
@@ -77,12 +77,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		s, isAgent := answer.(*status.Agent)
 		Expect(isAgent).To(BeTrue())
-		Expect(s.Process()).To(BeEquivalentTo("spindle-pool-1"))
+		Expect(s.ProcessID()).To(BeEquivalentTo("spindle-pool-1"))
 		Expect(s.Phase).To(Equal("fetching"))
 		Expect(s.Load.Slots).To(Equal(8))
-		Expect(s.Drawn.PeerBytes).To(BeEquivalentTo(62390272))
-		Expect(s.Gathers).To(HaveLen(2))
-		Expect(s.Gathers[1].Plan.Have).To(Equal(39))
+		Expect(s.Fetched.PeerBytes).To(BeEquivalentTo(62390272))
+		Expect(s.Fetches).To(HaveLen(2))
+		Expect(s.Fetches[1].Plan.Have).To(Equal(39))
 	})
 
 	It("asks for an explanation with what was given, and nothing else", func(ctx SpecContext) {
--- a/cmd/chivespindle/explain.go
+++ b/cmd/chivespindle/explain.go
@@ -128,7 +128,7 @@
 	t := newTable("SERVER", "TIER", "VERDICT", "COST", "IN-FLIGHT", "OTHERS", "SLOTS", "REPORT", "WHY")
 	for _, s := range r.Candidates {
 		t.row(string(s.ID), s.Tier, string(s.Verdict), decimal(s.Cost), strconv.Itoa(s.InFlight),
-			decimal(s.Others), strconv.FormatFloat(s.Slots, 'f', -1, 64), ageText(s.ReportAgeMS), whyText(s))
+			decimal(s.OtherInFlight), strconv.FormatFloat(s.Slots, 'f', -1, 64), ageText(s.ReportAgeMS), whyText(s))
 	}
 	for _, s := range r.Unknown {
 		t.row(string(s.ID), none, "unknown", none, none, none, none, none, s.Reason)
--- a/cmd/chivespindle/instance.go
+++ b/cmd/chivespindle/instance.go
@@ -72,9 +72,9 @@
 		{"revision", revisionText(r.Revision)},
 		{"in flight", fmt.Sprint(r.InFlight)},
 		{"load", loadText(r.Agent)},
-		{"drawn", drawnText(r.Drawn.OriginBytes, r.Drawn.StoreBytes, r.Drawn.PeerBytes)},
+		{"drawn", drawnText(r.Fetched.OriginBytes, r.Fetched.StoreBytes, r.Fetched.PeerBytes)},
 	}
-	for _, g := range r.Gathers {
+	for _, g := range r.Fetches {
 		facts = append(facts, fact{"gather", gatherText(g)})
 	}
 	facts = append(facts, peersFact(r.KnownPeers, r.SilentPeers))
@@ -106,7 +106,7 @@
 		bytesText(origin), bytesText(store), bytesText(peers))
 }
 
-func gatherText(g status.Gather) string {
+func gatherText(g status.ChunkFetch) string {
 	text := fmt.Sprintf("%s: %d of %d chunks, %d links, %s", g.Version, g.Plan.Have, g.Plan.Total, g.Links,
 		drawnText(g.Plan.OriginBytes, g.Plan.StoreBytes, g.Plan.PeerBytes))
 	if !g.Known {
--- a/cmd/wholepath/platform_test.go
+++ b/cmd/wholepath/platform_test.go
@@ -159,7 +159,7 @@
 		Expect(f.Engines["pool-2"].Counters().Loads).To(Equal(loads))
 		status, err := agentStatus(restarted)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(status.Drawn).To(BeZero())
+		Expect(status.Fetched).To(BeZero())
 
 		f.publish(r3)
 		for _, id := range f.modelAgents() {
--- a/core/status/status.go
+++ b/core/status/status.go
@@ -12,17 +12,17 @@
 	"chivespindle.example/core/spread"
 )
 
-// Of is what a process says of itself: *Entry or *Agent.
-type Of interface {
-	// Process is the id of the process.
-	Process() fleet.InstanceID
+// ProcessStatus is what a process says of itself: *Entry or *Agent.
+type ProcessStatus interface {
+	// ProcessID is the id of the process.
+	ProcessID() fleet.InstanceID
 }
 
-// Process implements Of.
-func (s *Entry) Process() fleet.InstanceID { return s.ID }
+// ProcessID implements ProcessStatus.
+func (s *Entry) ProcessID() fleet.InstanceID { return s.ID }
 
-// Process implements Of.
-func (s *Agent) Process() fleet.InstanceID { return s.ID }
+// ProcessID implements ProcessStatus.
+func (s *Agent) ProcessID() fleet.InstanceID { return s.ID }
 
 // Entry is the status of an entry, which knows the whole fleet.
 type Entry struct {
@@ -94,21 +94,21 @@
 	Revision    revision.Revision  `json:"revision"`
 	InFlight    int64              `json:"in_flight"`
 	Load        serving.Load       `json:"load"`
-	Drawn       Drawn              `json:"drawn"`
-	Gathers     []Gather           `json:"gathers"`
+	Fetched     FetchedBytes       `json:"drawn"`
+	Fetches     []ChunkFetch       `json:"gathers"`
 	KnownPeers  int                `json:"known_peers"`
 	SilentPeers []fleet.InstanceID `json:"silent_peers"`
 }
 
-// Drawn counts the bytes of chunks by where they came from.
-type Drawn struct {
+// FetchedBytes counts the bytes of chunks by where they came from.
+type FetchedBytes struct {
 	OriginBytes int64 `json:"origin_bytes"`
 	StoreBytes  int64 `json:"store_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 }
 
-// Gather is the work on one version's chunks.
-type Gather struct {
+// ChunkFetch is the work on one version's chunks.
+type ChunkFetch struct {
 	Version fleet.Version   `json:"version"`
 	Known   bool            `json:"manifest_known"`
 	Paused  bool            `json:"paused"`
@@ -134,13 +134,13 @@
 // Candidate is one server as the entry's balancer sees it; see
 // balance.Candidate.
 type Candidate struct {
-	ID       fleet.InstanceID `json:"id"`
-	Tier     string           `json:"tier"` // zone, region or fleet
-	Verdict  balance.Verdict  `json:"verdict"`
-	InFlight int              `json:"in_flight"`
-	Others   float64          `json:"others"`
-	Slots    float64          `json:"slots"`
-	Cost     float64          `json:"cost"`
+	ID            fleet.InstanceID `json:"id"`
+	Tier          string           `json:"tier"` // zone, region or fleet
+	Verdict       balance.Verdict  `json:"verdict"`
+	InFlight      int              `json:"in_flight"`
+	OtherInFlight float64          `json:"others"`
+	Slots         float64          `json:"slots"`
+	Cost          float64          `json:"cost"`
 	// ReportAgeMS is negative if the server never reported.
 	ReportAgeMS int64 `json:"report_age_ms"`
 	EjectedMS   int64 `json:"ejected_ms"` // time left of an ejection
--- a/daemon/agent/status.go
+++ b/daemon/agent/status.go
@@ -42,8 +42,8 @@
 	}
 	if a.change != nil {
 		s.Phase = a.change.Phase().String()
-		s.Gathers = a.swarm.Progress()
-		s.Drawn = a.swarm.Drawn()
+		s.Fetches = a.swarm.Progress()
+		s.Fetched = a.swarm.Drawn()
 	}
 	for _, p := range a.node.View().Peers {
 		s.KnownPeers++
--- a/daemon/entry/explain.go
+++ b/daemon/entry/explain.go
@@ -101,16 +101,16 @@
 
 func candidate(c balance.Candidate) status.Candidate {
 	return status.Candidate{
-		ID:          c.ID,
-		Tier:        c.Tier.String(),
-		Verdict:     c.Verdict,
-		InFlight:    c.InFlight,
-		Others:      c.OtherInFlight,
-		Slots:       c.Slots,
-		Cost:        c.Cost,
-		ReportAgeMS: c.ReportAge.Milliseconds(),
-		EjectedMS:   c.EjectionLeft.Milliseconds(),
-		Preferred:   c.Preferred,
+		ID:            c.ID,
+		Tier:          c.Tier.String(),
+		Verdict:       c.Verdict,
+		InFlight:      c.InFlight,
+		OtherInFlight: c.OtherInFlight,
+		Slots:         c.Slots,
+		Cost:          c.Cost,
+		ReportAgeMS:   c.ReportAge.Milliseconds(),
+		EjectedMS:     c.EjectionLeft.Milliseconds(),
+		Preferred:     c.Preferred,
 	}
 }
 
--- a/daemon/swarm/gather.go
+++ b/daemon/swarm/gather.go
@@ -122,8 +122,8 @@
 	}
 }
 
-func (g *gather) progress() status.Gather {
-	p := status.Gather{Version: g.version, Known: g.plan != nil, Paused: g.paused, Links: len(g.links)}
+func (g *gather) progress() status.ChunkFetch {
+	p := status.ChunkFetch{Version: g.version, Known: g.plan != nil, Paused: g.paused, Links: len(g.links)}
 	if g.plan != nil {
 		p.Plan = g.plan.Progress()
 	}
--- a/daemon/swarm/rig_test.go
+++ b/daemon/swarm/rig_test.go
@@ -118,7 +118,7 @@
 	Expect(h.stage.Holds(m)).To(BeTrue(), "the staged bytes")
 }
 
-func (h *holder) drawn() (drawn status.Drawn) {
+func (h *holder) drawn() (drawn status.FetchedBytes) {
 	GinkgoHelper()
 	h.OnLoop(func(time.Time) { drawn = h.swarm.Drawn() })
 	return drawn
--- a/daemon/swarm/swarm.go
+++ b/daemon/swarm/swarm.go
@@ -70,7 +70,7 @@
 	ctx     context.Context
 	gathers map[fleet.Digest]*gather
 	members []spread.Member
-	drawn   status.Drawn
+	drawn   status.FetchedBytes
 }
 
 // New returns a swarm without gathers. Transfers end with ctx.
@@ -168,8 +168,8 @@
 }
 
 // Progress lists the gathers, ordered by version name.
-func (s *Swarm) Progress() []status.Gather {
-	var all []status.Gather
+func (s *Swarm) Progress() []status.ChunkFetch {
+	var all []status.ChunkFetch
 	for _, g := range s.gathers {
 		all = append(all, g.progress())
 	}
@@ -178,7 +178,7 @@
 }
 
 // Drawn returns the bytes drawn so far. It must be called on the control loop.
-func (s *Swarm) Drawn() status.Drawn { return s.drawn }
+func (s *Swarm) Drawn() status.FetchedBytes { return s.drawn }
 
 // post queues an event; transfers that end after the loop are forgotten.
 func (s *Swarm) post(f func(now time.Time)) {
