--- a/adapters/callerclient/client_test.go
+++ b/adapters/callerclient/client_test.go
@@ -63,11 +63,11 @@
 }
 
 // echo gives the request's path and body back.
-func echo(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
-	if err := sink.Begin(calls.Begin{Status: http.StatusOK}); err != nil {
-		return calls.End{}, err
+func echo(_ context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
+	if err := sink.Begin(calls.ResponseHeader{Status: http.StatusOK}); err != nil {
+		return calls.Completion{}, err
 	}
-	return calls.End{}, sink.Piece([]byte(r.Path + " " + string(r.Body)))
+	return calls.Completion{}, sink.Piece([]byte(r.Path + " " + string(r.Body)))
 }
 
 var _ = Describe("Addresses", func() {
@@ -77,7 +77,7 @@
 	// connection.
 	It("that are gone are passed over", func() {
 		var asked, ran atomic.Int64
-		entry := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+		entry := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 			ran.Add(1)
 			return echo(ctx, r, sink)
 		}, callerhttptest.Book{})
@@ -252,9 +252,9 @@
 	// Seen with a body that net/http can rewind: the request came twice.
 	It("is sent once, also on a connection that dies under it", func() {
 		var came atomic.Int64
-		other := callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.End, error) {
+		other := callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.Completion, error) {
 			came.Add(1)
-			return calls.End{}, nil
+			return calls.Completion{}, nil
 		}, callerhttptest.Book{})
 		dying := dieAtSecond(&came)
 		var asked atomic.Int64
@@ -310,7 +310,7 @@
 	// All that a caller may say of its request arrives.
 	It("carries its headers", func() {
 		seen := make(chan calls.Request, 1)
-		addr := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+		addr := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 			seen <- r
 			return echo(ctx, r, sink)
 		}, callerhttptest.Book{})
@@ -320,7 +320,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Receive(SatisfyAll(
 			HaveField("Service", fleet.ServiceName("workshop-api")), HaveField("Workspace", fleet.Workspace("apapa")),
-			HaveField("IdempotencyKey", "order-1"), HaveField("NonIdempotent", true), HaveField("FirstAsk", true),
+			HaveField("IdempotencyKey", "order-1"), HaveField("NonIdempotent", true), HaveField("FirstAttempt", true),
 			HaveField("Priority", 1), HaveField("PrefixKey", Not(BeZero())), HaveField("Body", []byte("two cones")),
 			HaveField("Deadline", BeTemporally(">", time.Now().Add(callerhttptest.DefaultDeadline))))))
 	})
@@ -329,11 +329,11 @@
 	// the outcome is not known.
 	It("that is given up is unknown", func() {
 		running, ended := make(chan struct{}), make(chan struct{})
-		addr := callerhttptest.Serve(func(ctx context.Context, _ calls.Request, _ calls.Sink) (calls.End, error) {
+		addr := callerhttptest.Serve(func(ctx context.Context, _ calls.Request, _ calls.Sink) (calls.Completion, error) {
 			close(running)
 			<-ctx.Done()
 			close(ended)
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
+			return calls.Completion{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
 		}, callerhttptest.Book{})
 		giveUp, cancel := context.WithCancel(ctx)
 		failed := make(chan error, 1)
--- a/adapters/callerhttp/callerhttptest/callerhttptest.go
+++ b/adapters/callerhttp/callerhttptest/callerhttptest.go
@@ -31,10 +31,10 @@
 )
 
 // Dispatcher adapts a function to calls.Dispatcher.
-type Dispatcher func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error)
+type Dispatcher func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error)
 
 // Dispatch implements calls.Dispatcher.
-func (d Dispatcher) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (d Dispatcher) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	return d(ctx, r, sink)
 }
 
@@ -89,22 +89,24 @@
 
 // Answered gives an answer piece by piece and then ends with err.
 func Answered(status int, version fleet.Version, err error, pieces ...string) Dispatcher {
-	return func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
-		if err := sink.Begin(calls.Begin{Status: status, Version: version}); err != nil {
-			return calls.End{}, err
+	return func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.Completion, error) {
+		if err := sink.Begin(calls.ResponseHeader{Status: status, Version: version}); err != nil {
+			return calls.Completion{}, err
 		}
 		for _, piece := range pieces {
 			if err := sink.Piece([]byte(piece)); err != nil {
-				return calls.End{}, err
+				return calls.Completion{}, err
 			}
 		}
-		return calls.End{Version: version, Server: "agent-1"}, err
+		return calls.Completion{Version: version, Server: "agent-1"}, err
 	}
 }
 
 // Refused ends without an answer.
 func Refused(err error) Dispatcher {
-	return func(context.Context, calls.Request, calls.Sink) (calls.End, error) { return calls.End{}, err }
+	return func(context.Context, calls.Request, calls.Sink) (calls.Completion, error) {
+		return calls.Completion{}, err
+	}
 }
 
 // Failed makes a failure with an outcome, and a pause if that is not 0.
--- a/adapters/callerhttp/contract_test.go
+++ b/adapters/callerhttp/contract_test.go
@@ -76,10 +76,10 @@
 // "not_run", and nothing reaches the dispatcher.
 var _ = DescribeTable("A request that breaks the rules",
 	func(name, request string) {
-		expectGolden(name, raw(callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.End, error) {
+		expectGolden(name, raw(callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.Completion, error) {
 			defer GinkgoRecover()
 			Fail("the dispatcher was asked")
-			return calls.End{}, nil
+			return calls.Completion{}, nil
 		}, pages(nil)), request))
 	},
 	Entry("a mark that is none", "400-mark", post(service, "", key, "Chivespindle-Non-Idempotent: yes")),
@@ -105,9 +105,9 @@
 var _ = DescribeTable("A request as the dispatcher gets it",
 	func(request string, want func() any) {
 		seen := make(chan calls.Request, 1)
-		_ = raw(callerhttptest.Serve(func(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+		_ = raw(callerhttptest.Serve(func(_ context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 			seen <- r
-			return calls.End{}, sink.Begin(calls.Begin{Status: http.StatusOK})
+			return calls.Completion{}, sink.Begin(calls.ResponseHeader{Status: http.StatusOK})
 		}, pages(nil)), request)
 		var r calls.Request
 		Expect(seen).To(Receive(&r))
@@ -117,19 +117,19 @@
 	Entry("with defaults", post(service, "{}"), func() any {
 		return SatisfyAll(HaveField("Service", fleet.ServiceName("workshop-api")), HaveField("Path", ""),
 			HaveField("Workspace", fleet.Workspace("")), HaveField("IdempotencyKey", ""), HaveField("NonIdempotent", false),
-			HaveField("FirstAsk", false), HaveField("Priority", -1), HaveField("PrefixKey", BeZero()),
+			HaveField("FirstAttempt", false), HaveField("Priority", -1), HaveField("PrefixKey", BeZero()),
 			HaveField("Body", []byte("{}")),
 			HaveField("Deadline", BeTemporally("~", time.Now().Add(callerhttptest.DefaultDeadline), callerhttptest.DefaultDeadline/2)))
 	}),
 	Entry("with everything", post(service+"/orders/two%20cones%3F", "{}", key, once, "Chivespindle-First-Ask: ?1",
 		"Chivespindle-Workspace: apapa", "Chivespindle-Deadline: 1h", "Priority: u=5, i", "Chivespindle-Prefix: fault-log"), func() any {
 		return SatisfyAll(HaveField("Path", "orders/two cones?"), HaveField("Workspace", fleet.Workspace("apapa")),
-			HaveField("IdempotencyKey", "order-1"), HaveField("NonIdempotent", true), HaveField("FirstAsk", true),
+			HaveField("IdempotencyKey", "order-1"), HaveField("NonIdempotent", true), HaveField("FirstAttempt", true),
 			HaveField("Priority", 5), HaveField("PrefixKey", callerhttp.PrefixKey("fault-log")),
 			HaveField("Deadline", BeTemporally(">", time.Now().Add(callerhttptest.DefaultDeadline))))
 	}),
 	Entry("with marks that say no", post(service, "", "Chivespindle-Non-Idempotent: ?0", "Chivespindle-First-Ask: ?0"), func() any {
-		return SatisfyAll(HaveField("NonIdempotent", false), HaveField("FirstAsk", false))
+		return SatisfyAll(HaveField("NonIdempotent", false), HaveField("FirstAttempt", false))
 	}),
 	Entry("with parameters of a priority that are not used", post(service, "", "Priority: i, x=1"), func() any {
 		return HaveField("Priority", -1)
@@ -147,11 +147,11 @@
 	// cancels: the dispatcher's context ends, and with it the work at the agent.
 	It("ends its request", func() {
 		running, ended := make(chan struct{}), make(chan struct{})
-		addr := callerhttptest.Serve(func(ctx context.Context, _ calls.Request, _ calls.Sink) (calls.End, error) {
+		addr := callerhttptest.Serve(func(ctx context.Context, _ calls.Request, _ calls.Sink) (calls.Completion, error) {
 			close(running)
 			<-ctx.Done()
 			close(ended)
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
+			return calls.Completion{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
 		}, pages(nil))
 		conn, err := net.Dial("tcp", addr.String())
 		Expect(err).NotTo(HaveOccurred())
@@ -167,15 +167,15 @@
 	It("is noticed by the next pieces of its answer", func() {
 		told := make(chan error, 1)
 		gone := make(chan struct{})
-		addr := callerhttptest.Serve(func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
-			_ = sink.Begin(calls.Begin{Status: http.StatusOK})
+		addr := callerhttptest.Serve(func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.Completion, error) {
+			_ = sink.Begin(calls.ResponseHeader{Status: http.StatusOK})
 			err := sink.Piece([]byte("one\n"))
 			<-gone
 			for err == nil {
 				err = sink.Piece([]byte("two\n"))
 			}
 			told <- err
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}, pages(nil))
 		conn, err := net.Dial("tcp", addr.String())
 		Expect(err).NotTo(HaveOccurred())
@@ -192,9 +192,9 @@
 	// reaches nobody.
 	It("before its body is whole has asked for nothing", func() {
 		asked := make(chan struct{}, 1)
-		addr := callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.End, error) {
+		addr := callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.Completion, error) {
 			asked <- struct{}{}
-			return calls.End{}, nil
+			return calls.Completion{}, nil
 		}, pages(nil))
 		conn, err := net.Dial("tcp", addr.String())
 		Expect(err).NotTo(HaveOccurred())
--- a/adapters/callerhttp/request.go
+++ b/adapters/callerhttp/request.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *Server) logRequest(req calls.Request, started time.Time, end calls.End, got stage, err error) {
+func (s *Server) logRequest(req calls.Request, started time.Time, end calls.Completion, got stage, err error) {
 	fields := []zap.Field{
 		zap.String("request_id", req.ID),
 		zap.String("service", string(req.Service)),
@@ -120,7 +120,7 @@
 	if req.NonIdempotent, err = parseMark(r.Header, HeaderNonIdempotent); err != nil {
 		return calls.Request{}, err
 	}
-	if req.FirstAsk, err = parseMark(r.Header, HeaderFirstAsk); err != nil {
+	if req.FirstAttempt, err = parseMark(r.Header, HeaderFirstAsk); err != nil {
 		return calls.Request{}, err
 	}
 	if req.NonIdempotent && req.IdempotencyKey == "" {
--- a/adapters/callerhttp/sink.go
+++ b/adapters/callerhttp/sink.go
@@ -44,7 +44,7 @@
 }
 
 // Begin implements calls.Sink.
-func (k *sink) Begin(b calls.Begin) error {
+func (k *sink) Begin(b calls.ResponseHeader) error {
 	if err := k.expect(nothing, "begins"); err != nil {
 		return err
 	}
--- a/adapters/callerhttp/steps_test.go
+++ b/adapters/callerhttp/steps_test.go
@@ -33,26 +33,26 @@
 )
 
 // play is a dispatcher that takes the steps of the request's body and ignores failures.
-func play(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func play(_ context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	for _, step := range r.Body {
 		switch step {
 		case begin:
-			_ = sink.Begin(calls.Begin{Status: http.StatusOK})
+			_ = sink.Begin(calls.ResponseHeader{Status: http.StatusOK})
 		case beginEmpty:
-			_ = sink.Begin(calls.Begin{Status: http.StatusNoContent})
+			_ = sink.Begin(calls.ResponseHeader{Status: http.StatusNoContent})
 		case beginInterim:
-			_ = sink.Begin(calls.Begin{Status: http.StatusEarlyHints})
+			_ = sink.Begin(calls.ResponseHeader{Status: http.StatusEarlyHints})
 		case piece:
 			_ = sink.Piece([]byte("p"))
 		case emptyPiece:
 			_ = sink.Piece(nil)
 		case fail:
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
+			return calls.Completion{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
 		case abort:
 			panic(http.ErrAbortHandler)
 		}
 	}
-	return calls.End{}, nil
+	return calls.Completion{}, nil
 }
 
 // What a caller can make of the bytes that it got.
@@ -155,8 +155,8 @@
 // Guards against an answer that was cut by a fault of our own, with nothing in the log.
 var _ = It("A panic that cuts an answer is logged", func() {
 	core, logged := observer.New(zap.WarnLevel)
-	addr := callerhttptest.ServeWith(func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
-		Expect(sink.Begin(calls.Begin{Status: http.StatusOK})).To(Succeed())
+	addr := callerhttptest.ServeWith(func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.Completion, error) {
+		Expect(sink.Begin(calls.ResponseHeader{Status: http.StatusOK})).To(Succeed())
 		Expect(sink.Piece([]byte("p"))).To(Succeed())
 		panic("for the test")
 	}, pages(nil), tally.NoopScope, zap.New(core))
--- a/cmd/chivespindle/session_test.go
+++ b/cmd/chivespindle/session_test.go
@@ -185,26 +185,26 @@
 	return "agent-3.1795000000000.1795000012345.5f0c9a", nil
 }
 
-func (e *callers) Dispatch(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (e *callers) Dispatch(_ context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	switch r.Service {
 	case "full":
 		err := failure.WithOutcome(calls.Overloaded.New("9 requests run on this entry"), failure.NotRun)
-		return calls.End{}, failure.WithRetryAfter(err, 1400*time.Millisecond)
+		return calls.Completion{}, failure.WithRetryAfter(err, 1400*time.Millisecond)
 	case "lost":
-		return calls.End{}, failure.WithOutcome(calls.Interrupted.New("agent-1: it went away"), failure.Unknown)
+		return calls.Completion{}, failure.WithOutcome(calls.Interrupted.New("agent-1: it went away"), failure.Unknown)
 	case "repeated":
-		return calls.End{}, failure.WithOutcome(calls.Duplicate.New("key %s was taken before", r.IdempotencyKey), failure.Ran)
+		return calls.Completion{}, failure.WithOutcome(calls.Duplicate.New("key %s was taken before", r.IdempotencyKey), failure.Ran)
 	}
 	version := fleet.Version{Name: "r3", Manifest: fleet.DigestOf([]byte("r3"))}
-	if err := sink.Begin(calls.Begin{Status: http.StatusOK, Version: version}); err != nil {
-		return calls.End{}, err
+	if err := sink.Begin(calls.ResponseHeader{Status: http.StatusOK, Version: version}); err != nil {
+		return calls.Completion{}, err
 	}
 	said := fmt.Sprintf("%s|%s|%t|%d|%d|%s\n", r.Path, r.Workspace, r.NonIdempotent, r.Priority, len(r.IdempotencyKey), r.Body)
 	if err := sink.Piece([]byte(said)); err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	if r.Service == "cut" {
-		return calls.End{}, failure.WithOutcome(calls.Interrupted.New("agent-1: it went away"), failure.Unknown)
+		return calls.Completion{}, failure.WithOutcome(calls.Interrupted.New("agent-1: it went away"), failure.Unknown)
 	}
-	return calls.End{Version: version}, nil
+	return calls.Completion{Version: version}, nil
 }
--- a/core/calls/calls.go
+++ b/core/calls/calls.go
@@ -24,10 +24,10 @@
 	IdempotencyKey string
 	// NonIdempotent marks work that must run at most once. It needs a key.
 	NonIdempotent bool
-	// FirstAsk is the caller's word that it has not asked with this key
+	// FirstAttempt is the caller's word that it has not asked with this key
 	// before. Only then can a non-idempotent request that could not be handed
 	// to its home be called not run: an earlier ask may have run there.
-	FirstAsk bool
+	FirstAttempt bool
 	// Priority is the RFC 9218 urgency, 0 (highest) to 7; -1: none given, the
 	// workspace's default holds.
 	Priority int
@@ -38,14 +38,14 @@
 	PrefixKey uint64
 }
 
-// Begin is what is known when the first piece of an answer is there.
-type Begin struct {
+// ResponseHeader is what is known when the first piece of an answer is there.
+type ResponseHeader struct {
 	Status  int           // HTTP status of the backend server
 	Version fleet.Version // version that answers; zero for a plain service
 }
 
-// End is how an answer that ran ended.
-type End struct {
+// Completion is how an answer that ran ended.
+type Completion struct {
 	Version fleet.Version
 	Server  fleet.InstanceID
 }
@@ -54,14 +54,14 @@
 // An error from either ends the request: the caller is gone, or the step was not
 // the next one. The answer is complete only if none failed.
 type Sink interface {
-	Begin(Begin) error
+	Begin(ResponseHeader) error
 	Piece([]byte) error
 }
 
 // Dispatcher serves requests. When it returns an error, failure.OutcomeOf
 // tells whether the request ran and failure.RetryAfter when to come back.
 type Dispatcher interface {
-	Dispatch(ctx context.Context, r Request, sink Sink) (End, error)
+	Dispatch(ctx context.Context, r Request, sink Sink) (Completion, error)
 }
 
 // AddressBook answers which entry addresses a caller should use.
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -37,7 +37,7 @@
 )
 
 // Dispatch implements calls.Dispatcher.
-func (e *Entry) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (e *Entry) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	started := time.Now()
 	end, err := e.serve(ctx, r, sink)
 	err = atMostOnce(r, err)
@@ -52,23 +52,23 @@
 	return end, err
 }
 
-func (e *Entry) serve(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (e *Entry) serve(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	running := e.running.Add(1)
 	defer e.running.Add(-1)
 	if running > int64(e.opts.MaxInFlight) {
-		return calls.End{}, notRun(calls.Overloaded.New("%d requests run on this entry", running-1), fullRetry)
+		return calls.Completion{}, notRun(calls.Overloaded.New("%d requests run on this entry", running-1), fullRetry)
 	}
 	p := e.picture.Load()
 	if p.config == nil {
-		return calls.End{}, notRun(calls.NotReady.New("no text is in force yet"), notReadyRetry)
+		return calls.Completion{}, notRun(calls.NotReady.New("no text is in force yet"), notReadyRetry)
 	}
 	service, ok := p.config.Fleet.Service(r.Service)
 	if !ok {
-		return calls.End{}, failure.WithOutcome(calls.UnknownService.New("no service %q", r.Service), failure.NotRun)
+		return calls.Completion{}, failure.WithOutcome(calls.UnknownService.New("no service %q", r.Service), failure.NotRun)
 	}
 	leave, err := e.limit(r)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	defer leave()
 	r.Priority = priorityOf(r, p.config.Fleet)
@@ -82,7 +82,7 @@
 // nothing of an earlier one with the same key, which the home may have run;
 // only a caller that asks for the first time may be told "not run".
 func atMostOnce(r calls.Request, err error) error {
-	if !r.NonIdempotent || r.FirstAsk || failure.OutcomeOf(err) != failure.NotRun || isDecided(err) {
+	if !r.NonIdempotent || r.FirstAttempt || failure.OutcomeOf(err) != failure.NotRun || isDecided(err) {
 		return err
 	}
 	if typed := errorx.Cast(err); typed != nil {
@@ -115,12 +115,12 @@
 }
 
 // attempts tries a request at one server after another while that is safe.
-func (e *Entry) attempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.End, error) {
+func (e *Entry) attempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.Completion, error) {
 	e.budget.Deposit(time.Now())
 	policy := retry.New(retry.Options{Budget: e.budget, Rand: chance.Shared{}, MaxAttempts: service.MaxAttempts})
 	home, err := e.homeOf(r)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	var tried []fleet.InstanceID
 	var maybe bool // an earlier try may have run
@@ -135,7 +135,7 @@
 			err = failure.WithOutcome(calls.Interrupted.Wrap(err, "an earlier try may have run"), failure.Unknown)
 		}
 		if ctx.Err() != nil || a.server == "" || isDecided(err) {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 		maybe = maybe || failure.OutcomeOf(err) != failure.NotRun
 		tried = append(tried, a.server)
@@ -147,13 +147,13 @@
 			Deadline:   r.Deadline,
 		})
 		if !decision.Retry {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 		e.opts.Metrics.Counter("retries").Inc(1)
 		e.opts.Logger.Info("request_retried", zap.String("request_id", r.ID),
 			zap.String("server", string(a.server)), zap.Int("attempt", number), zap.Error(err))
 		if !sleep(ctx, decision.Pause) {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	lastPiece time.Time        // when the newest piece came
 }
 
-func (a *attempt) run(ctx context.Context, tried []fleet.InstanceID) (calls.End, error) {
+func (a *attempt) run(ctx context.Context, tried []fleet.InstanceID) (calls.Completion, error) {
 	e := a.entry
 	ctx, span := e.opts.Tracer.Start(ctx, "entry.attempt")
 	defer span.End()
@@ -198,7 +198,7 @@
 		Require:   a.home,
 	})
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	a.server = choice.Server.ID
 	end, err := a.exchange(ctx, choice.Server, p.clocks[a.server])
@@ -245,19 +245,19 @@
 }
 
 // exchange sends the request to an agent and hands the answer to the caller.
-func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.End, error) {
+func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.Completion, error) {
 	s, err := a.entry.opts.Endpoint.Open(ctx, server.Addr, server.ID, peer.KindRequest)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	defer s.Abort()
 	s.SetStall(answerStall)
 	if err := a.send(ctx, s, clock); err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	end, err := a.receive(s, server)
 	if err != nil && ctx.Err() != nil {
-		return calls.End{}, a.endedBy(ctx, err)
+		return calls.Completion{}, a.endedBy(ctx, err)
 	}
 	return end, err
 }
@@ -315,31 +315,31 @@
 }
 
 // receive hands the answer on until its end.
-func (a *attempt) receive(s *peer.Stream, server balance.Server) (calls.End, error) {
+func (a *attempt) receive(s *peer.Stream, server balance.Server) (calls.Completion, error) {
 	for {
 		var part wire.AnswerPart
 		if err := s.Recv(&part); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = calls.Interrupted.New("the agent ended the answer early")
 			}
-			return calls.End{}, interrupted(err, "receive the answer")
+			return calls.Completion{}, interrupted(err, "receive the answer")
 		}
 		switch {
 		case !part.IsOneStep():
-			return calls.End{}, corrupt("a part of the answer is more than one step")
+			return calls.Completion{}, corrupt("a part of the answer is more than one step")
 		case part.Begin != nil:
 			if err := a.begin(*part.Begin); err != nil {
-				return calls.End{}, err
+				return calls.Completion{}, err
 			}
 		case part.End != nil:
 			return a.finish(*part.End, server)
 		case !a.delivered:
-			return calls.End{}, corrupt("the answer has a piece before its beginning")
+			return calls.Completion{}, corrupt("the answer has a piece before its beginning")
 		default:
 			a.pieces++
 			a.lastPiece = time.Now()
 			if err := a.sink.Piece(part.Piece); err != nil {
-				return calls.End{}, failure.WithOutcome(errorx.Cast(err), failure.Unknown)
+				return calls.Completion{}, failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 			}
 		}
 	}
@@ -356,7 +356,7 @@
 	a.version = b.Version
 	a.delivered = true
 	a.first = time.Now()
-	if err := a.sink.Begin(calls.Begin{Status: b.Status, Version: b.Version}); err != nil {
+	if err := a.sink.Begin(calls.ResponseHeader{Status: b.Status, Version: b.Version}); err != nil {
 		return failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 	}
 	return nil
@@ -366,20 +366,20 @@
 // began. An answer that names another request is cut, since its pieces may be
 // another caller's, and one that names another version, since its pieces may
 // be of both.
-func (a *attempt) finish(end wire.AnswerEnd, server balance.Server) (calls.End, error) {
+func (a *attempt) finish(end wire.AnswerEnd, server balance.Server) (calls.Completion, error) {
 	if end.ID != a.request.ID {
-		return calls.End{}, corrupt("the answer names request %q", end.ID)
+		return calls.Completion{}, corrupt("the answer names request %q", end.ID)
 	}
 	if end.Outcome != wire.OutcomeRan || end.Duplicate {
-		return calls.End{}, endFailure(end, server.ID)
+		return calls.Completion{}, endFailure(end, server.ID)
 	}
 	if !a.delivered {
-		return calls.End{}, corrupt("the answer ends without a beginning")
+		return calls.Completion{}, corrupt("the answer ends without a beginning")
 	}
 	if end.Version != a.version {
-		return calls.End{}, corrupt("the answer began with version %s and ends with %s", a.version, end.Version)
+		return calls.Completion{}, corrupt("the answer began with version %s and ends with %s", a.version, end.Version)
 	}
-	return calls.End{Version: end.Version, Server: server.ID}, nil
+	return calls.Completion{Version: end.Version, Server: server.ID}, nil
 }
 
 // endFailure turns the end of an answer that is none into an error.
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -156,7 +156,7 @@
 			prepare(r)
 			for _, first := range []bool{false, true} {
 				req := r.order(r.agents[0], work)
-				req.FirstAsk = first
+				req.FirstAttempt = first
 				edit(&req)
 				want := failure.Unknown
 				if first {
@@ -188,7 +188,7 @@
 		r := newUnready(1)
 		req := r.order(r.agents[0], work)
 		Expect(r.send(req).Err).To(SatisfyAll(beOfType(calls.NotReady), haveOutcome(failure.Unknown), askForPause()))
-		req.FirstAsk = true
+		req.FirstAttempt = true
 		Expect(r.send(req).Err).To(haveOutcome(failure.NotRun))
 	})
 
--- a/daemon/entry/explain_test.go
+++ b/daemon/entry/explain_test.go
@@ -163,9 +163,9 @@
 // recorder is a dispatcher that passes on what it is given.
 type recorder chan<- calls.Request
 
-func (r recorder) Dispatch(_ context.Context, request calls.Request, sink calls.Sink) (calls.End, error) {
+func (r recorder) Dispatch(_ context.Context, request calls.Request, sink calls.Sink) (calls.Completion, error) {
 	r <- request
-	return calls.End{}, sink.Begin(calls.Begin{Status: http.StatusOK})
+	return calls.Completion{}, sink.Begin(calls.ResponseHeader{Status: http.StatusOK})
 }
 
 type noAddresses struct{}
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -162,7 +162,7 @@
 
 // got is what a caller got.
 type got struct {
-	End    calls.End
+	End    calls.Completion
 	Err    error
 	Begins int
 	Body   string
@@ -175,7 +175,7 @@
 	pieces strings.Builder
 }
 
-func (s *sink) Begin(calls.Begin) error {
+func (s *sink) Begin(calls.ResponseHeader) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.begins++
