--- a/core/serving/changeover.go
+++ b/core/serving/changeover.go
@@ -9,7 +9,7 @@
 	"chivespindle.example/core/gossip"
 )
 
-// Phase is where a Changeover stands.
+// Phase is the current step of a Changeover.
 type Phase uint8
 
 const (
@@ -17,22 +17,24 @@
 	PhaseClaiming Phase = iota
 	// PhaseIdle: the target is served, or there is none.
 	PhaseIdle
-	// PhaseFetching: chunks are being fetched.
+	// PhaseFetching: chunks of the goal are being fetched.
 	PhaseFetching
-	// PhaseStaged: all chunks are verified; the replica waits for its turn.
+	// PhaseStaged: all chunks are verified; the replica waits for its turn in
+	// the rollout.
 	PhaseStaged
-	// PhaseDraining: no new requests; those in progress run to their end.
+	// PhaseDraining: no new requests are admitted; those in progress run to
+	// completion.
 	PhaseDraining
-	// PhaseOrdering: an order was sent and its answer is awaited.
+	// PhaseOrdering: an order was sent and its response is pending.
 	PhaseOrdering
-	// PhaseReading: the order was accepted; the engine's status is read until
+	// PhaseReading: the order was accepted; the engine's status is polled until
 	// the engine has finished.
 	PhaseReading
-	// PhaseWaiting: an attempt failed; the next one comes after a back-off.
+	// PhaseWaiting: an attempt failed; the next one follows after a backoff.
 	PhaseWaiting
-	// PhaseLeaving: the instance is leaving; nothing is changed any more.
+	// PhaseLeaving: the instance is shutting down; nothing is changed any more.
 	PhaseLeaving
-	// PhaseStoodDown: another process has taken over.
+	// PhaseStoodDown: another process has taken over the engine.
 	PhaseStoodDown
 )
 
@@ -40,7 +42,7 @@
 	"claiming", "idle", "fetching", "staged", "draining", "ordering", "reading", "waiting", "leaving", "down",
 }
 
-// String returns the phase's name for logs.
+// String returns the phase's name as it appears in logs.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -48,33 +50,34 @@
 	return "unknown"
 }
 
-// ChangeoverOptions configures a Changeover. Zero fields take the defaults.
+// ChangeoverOptions configures a Changeover. Zero fields take their defaults.
 type ChangeoverOptions struct {
-	// Rand spreads the back-offs.
+	// Rand provides the jitter of the backoff.
 	Rand *rand.Rand
-	// PauseThreshold is the longest time between two steps that is not taken for
-	// a pause of the process; default 2 s. Tick must be posted several times
+	// PauseThreshold is the longest time between two steps that does not count
+	// as a pause of the process; default 2 s. Tick must be posted several times
 	// within it.
 	PauseThreshold time.Duration
-	// PollInterval is the time between two reads of the engine's status; default
-	// 500 ms.
+	// PollInterval is the time between two reads of the engine's status;
+	// default 500 ms.
 	PollInterval time.Duration
-	// MaxStatusAge is how long a status is believed; default 3 s.
+	// MaxStatusAge is how long a status is valid; default 3 s.
 	MaxStatusAge time.Duration
 	// DrainTimeout is how long requests in progress may take before the change
-	// is put off; default 2 min. It should exceed the longest request.
+	// is postponed; default 2 min. It should exceed the longest request.
 	DrainTimeout time.Duration
-	// OrderTimeout is how long the answer to an order may take; default 30 s.
+	// OrderTimeout is how long the engine may take to respond to an order;
+	// default 30 s.
 	OrderTimeout time.Duration
-	// LoadTimeout is how long the engine may load before an Alarm; default
-	// 10 min.
+	// LoadTimeout is how long the engine may load before an Alarm; default 10
+	// min.
 	LoadTimeout time.Duration
-	// InitialBackoff is the pause after the first failed attempt; it doubles up to
-	// MaxBackoff. Defaults 1 s and 5 min.
+	// InitialBackoff is the delay after the first failed attempt; it doubles up
+	// to MaxBackoff. Defaults 1 s and 5 min.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
 	// MaxFailures is how many attempts may fail before a replica that serves
-	// nothing goes back to the version it served before; default 3.
+	// nothing returns to the version that it served last; default 3.
 	MaxFailures int
 }
 
@@ -101,55 +104,55 @@
 }
 
 // Changeover takes one replica from version to version. It is a state machine:
-// Step takes an event and returns what is to be done, in order. It belongs to
-// the control goroutine.
+// Step takes an event and returns the actions to carry out, in order. It must
+// only be used from the control goroutine.
 //
 // Before the first order, and whenever the engine or the process may have
 // missed something, it claims the engine: it reads the status, sends an order
-// that carries nothing but the fencing number, and reads again. What it then
-// finds loaded it serves if it is the target or the version it served before.
-// A process that has just started also takes a version that other replicas
-// serve. Any other version is not served: nobody knows that an accepted text
-// named it.
+// that carries only the fencing number, and reads the status again. The version
+// that it then finds loaded is served if it is the target or the version that
+// this process served last. A process that has just started also accepts a
+// version that other replicas serve. Any other version is not served, because
+// no accepted configuration is known to have named it.
 type Changeover struct {
-	opt      ChangeoverOptions
+	opts     ChangeoverOptions
 	fence    Fence
 	detector *PauseDetector
 	phase    Phase
 	started  bool
 
-	target fleet.Version
-	goal   fleet.Version // what the present attempt loads: target or before
-	before fleet.Version // served last by intention
-	// vouched are the versions that other replicas serve.
-	vouched []fleet.Version
+	target     fleet.Version
+	goal       fleet.Version // version that the current attempt loads: target or lastServed
+	lastServed fleet.Version // last version that this process ordered or confirmed and served
+	// servedElsewhere are the versions that other replicas serve.
+	servedElsewhere []fleet.Version
 
-	admitting bool
-	verified  fleet.Digest // manifest of before, once verified or reported
-	staged    map[fleet.Digest]bool
-	partial   map[fleet.Digest]bool // staged in part
+	admitting    bool
+	verified     fleet.Digest // manifest of lastServed, once verified or reported
+	staged       map[fleet.Digest]bool
+	partlyStaged map[fleet.Digest]bool // staged in part
 
-	status   EngineStatus
-	statusAt time.Time
-	askedAt  time.Time // last ReadStatus
-	boot     string
-	claimed  bool
+	status            EngineStatus
+	statusAt          time.Time
+	statusRequestedAt time.Time // time of the last ReadStatus
+	bootID            string
+	claimed           bool
 
 	attempt    uint64
 	ordered    fleet.Version // zero for a claim
 	accepted   bool
 	acceptedAt time.Time
-	// lastOrdered is the last version that this process ordered, each the
-	// target of its time.
+	// lastOrdered is the last version that this process ordered; it was the
+	// target at that time or the version served before.
 	lastOrdered fleet.Version
-	deadline    time.Time // of the phase
+	deadline    time.Time // of the current phase
 	drain       uint64    // number of the last StopAdmitting
 	fetch       uint64    // number of the last StartFetch
 
-	failures      int // loads of the goal that failed
+	failures      int // failed loads of the goal
 	claimFailures int
-	putOffs       int // drains that were put off
-	notBefore     time.Time
+	drainTimeouts int // drains that timed out
+	retryAt       time.Time
 
 	paused   bool
 	pausedAt time.Time
@@ -157,30 +160,30 @@
 	actions []Action
 }
 
-// NewChangeover returns a machine that knows nothing; the first Tick starts
+// NewChangeover returns a Changeover without any state; the first Tick starts
 // it.
 func NewChangeover(opt ChangeoverOptions) *Changeover {
 	opt.applyDefaults()
 	return &Changeover{
-		opt:      opt,
-		detector: NewPauseDetector(opt.PauseThreshold),
-		staged:   map[fleet.Digest]bool{},
-		partial:  map[fleet.Digest]bool{},
+		opts:         opt,
+		detector:     NewPauseDetector(opt.PauseThreshold),
+		staged:       map[fleet.Digest]bool{},
+		partlyStaged: map[fleet.Digest]bool{},
 	}
 }
 
-// SetDrainTimeout takes the operator's time for requests in progress; 0 leaves
-// it as it is. It counts from the next drain on.
+// SetDrainTimeout sets the configured DrainTimeout; 0 leaves it unchanged. It
+// applies from the next drain on.
 func (c *Changeover) SetDrainTimeout(d time.Duration) {
 	if d > 0 {
-		c.opt.DrainTimeout = d
+		c.opts.DrainTimeout = d
 	}
 }
 
-// Phase returns where the replica stands.
+// Phase returns the current phase.
 func (c *Changeover) Phase() Phase { return c.phase }
 
-// Target returns the version that the text pins.
+// Target returns the version that the configuration pins.
 func (c *Changeover) Target() fleet.Version { return c.target }
 
 // Serving returns the version that requests are admitted for; zero if none.
@@ -188,13 +191,13 @@
 	if !c.admitting {
 		return fleet.Version{}
 	}
-	return c.before
+	return c.lastServed
 }
 
 // Fence returns the state of the fencing number, for status and metrics.
 func (c *Changeover) Fence() Fence { return c.fence }
 
-// State returns what the replica should say of itself.
+// State returns the state that the replica reports to its peers.
 func (c *Changeover) State() gossip.State {
 	switch c.phase {
 	case PhaseFetching, PhaseWaiting:
@@ -214,19 +217,19 @@
 	}
 }
 
-// Gate returns the state that traffic is checked against from now on. After a
-// pause it closes until the engine's status has been read again; the text and
-// the neighbours are needed for orders only, and a replica that cannot reach
-// them goes on serving what it served.
+// Gate returns the state that requests are checked against from now on. After a
+// pause it refuses until the engine's status has been read again. The
+// configuration and the neighbours are needed for orders only: a replica that
+// cannot reach them continues to serve the version that it served.
 func (c *Changeover) Gate() GateState {
 	return GateState{
 		Pinned:       c.target,
-		LastServed:   c.before,
-		Intended:     c.before,
+		LastServed:   c.lastServed,
+		Intended:     c.lastServed,
 		Verified:     c.verified,
 		Status:       c.status,
 		StatusAt:     c.statusAt,
-		MaxStatusAge: c.opt.MaxStatusAge,
+		MaxStatusAge: c.opts.MaxStatusAge,
 		Changing:     !c.admitting,
 		Leaving:      c.phase == PhaseLeaving,
 		Paused:       c.statusAt.Before(c.pausedAt),
@@ -234,8 +237,8 @@
 	}
 }
 
-// Step takes one event and returns the actions to carry out, in order. now
-// must carry Go's monotonic reading and never go back.
+// Step takes one event and returns the actions to carry out, in order. now must
+// carry Go's monotonic clock reading and must not decrease.
 func (c *Changeover) Step(now time.Time, event Event) []Action {
 	c.actions = nil
 	paused := c.detector.Tick(now)
@@ -246,7 +249,7 @@
 		c.started = true
 		c.readStatus(now)
 	} else if paused {
-		c.pause(now)
+		c.suspend(now)
 	}
 	c.handle(now, event)
 	return c.actions
@@ -273,29 +276,29 @@
 	case StatusRead:
 		c.statusRead(now, e)
 	case ServedElsewhere:
-		c.vouchedFor(now, e.Versions)
+		c.servedElsewhereChanged(now, e.Versions)
 	case EngineRestarted:
 		c.engineRestarted(now)
 	case EngineConfigDrifted:
-		c.reorder(now)
+		c.engineConfigDrifted(now)
 	case Paused:
-		c.pause(now)
+		c.suspend(now)
 	case Refreshed:
-		c.woke(now, e.RequestedAt)
+		c.refreshed(now, e.RequestedAt)
 	case Leaving:
 		c.leave()
 	}
 }
 
-func (c *Changeover) do(a Action) { c.actions = append(c.actions, a) }
+func (c *Changeover) emit(action Action) { c.actions = append(c.actions, action) }
 
 func (c *Changeover) readStatus(now time.Time) {
-	c.askedAt = now
-	c.do(ReadStatus{})
+	c.statusRequestedAt = now
+	c.emit(ReadStatus{})
 }
 
 func (c *Changeover) tick(now time.Time) {
-	if now.Sub(c.askedAt) >= c.opt.PollInterval {
+	if now.Sub(c.statusRequestedAt) >= c.opts.PollInterval {
 		c.readStatus(now)
 	}
 	if c.paused {
@@ -306,22 +309,22 @@
 		c.drainDeadline(now)
 	case PhaseOrdering:
 		if now.After(c.deadline) {
-			c.fail(now)
+			c.attemptFailed(now)
 		}
 	case PhaseReading:
 		if now.After(c.deadline) {
-			c.deadline = now.Add(c.opt.LoadTimeout)
-			c.do(Alarm{Reason: "the engine has been loading for too long"})
+			c.deadline = now.Add(c.opts.LoadTimeout)
+			c.emit(Alarm{Reason: "the engine has been loading for too long"})
 		}
 	case PhaseWaiting:
-		if !now.Before(c.notBefore) {
-			c.resume(now)
+		if !now.Before(c.retryAt) {
+			c.advance(now)
 		}
 	}
 }
 
-// targetChanged takes a newer target in any phase. An order that is under way
-// is let finish, since nobody can call it back.
+// targetChanged accepts a newer target in any phase. An order in progress is
+// allowed to finish, since it cannot be cancelled.
 func (c *Changeover) targetChanged(now time.Time, target fleet.Version) {
 	if target == c.target {
 		return
@@ -334,31 +337,32 @@
 	}
 	switch c.phase {
 	case PhaseIdle, PhaseFetching, PhaseStaged, PhaseWaiting:
-		c.resume(now)
+		c.advance(now)
 	case PhaseDraining:
 		c.resumeAdmitting()
-		c.resume(now)
+		c.advance(now)
 	}
 }
 
-// vouchedFor lets a process that has just started serve on what it found. Its
-// predecessor put it in service, but the text has moved on since. Without the
-// others' word a restart in the middle of a rollout would take the replica out
-// for as long as the fetch of the new version lasts, and a restart of all
-// agents would take out the service.
-func (c *Changeover) vouchedFor(now time.Time, versions []fleet.Version) {
-	c.vouched = versions
-	if c.paused || !c.claimed || !c.isVouched(c.status.Loaded) {
+// servedElsewhereChanged lets a process that has just started serve the version
+// that it found loaded. Its predecessor put that version in service, but the
+// configuration may have changed since. Without this rule, a restart in the
+// middle of a rollout would take the replica out of service until the new
+// version has been fetched, and a restart of all agents would take down the
+// service.
+func (c *Changeover) servedElsewhereChanged(now time.Time, versions []fleet.Version) {
+	c.servedElsewhere = versions
+	if c.paused || !c.claimed || !c.isServedElsewhere(c.status.Loaded) {
 		return
 	}
 	switch c.phase {
 	case PhaseIdle, PhaseFetching, PhaseStaged, PhaseWaiting:
-		c.resume(now)
+		c.advance(now)
 	}
 }
 
-func (c *Changeover) isVouched(v fleet.Version) bool {
-	return c.before.IsZero() && slices.Contains(c.vouched, v)
+func (c *Changeover) isServedElsewhere(v fleet.Version) bool {
+	return c.lastServed.IsZero() && slices.Contains(c.servedElsewhere, v)
 }
 
 func (c *Changeover) chunksComplete(e ChunksComplete) {
@@ -366,23 +370,23 @@
 	if c.phase != PhaseFetching || late || e.Version != c.goal {
 		return
 	}
-	delete(c.partial, c.goal.Manifest)
+	delete(c.partlyStaged, c.goal.Manifest)
 	c.staged[c.goal.Manifest] = true
-	for manifest := range c.partial {
+	for manifest := range c.partlyStaged {
 		c.dropStage(manifest)
 	}
 	c.phase = PhaseStaged
-	c.askTurn()
+	c.requestTurn()
 }
 
-func (c *Changeover) askTurn() {
+func (c *Changeover) requestTurn() {
 	if !c.paused {
-		c.do(RequestTurn{Version: c.goal})
+		c.emit(RequestTurn{Version: c.goal})
 	}
 }
 
-func (c *Changeover) turnGranted(now time.Time, v fleet.Version) {
-	if c.paused || c.phase != PhaseStaged || v != c.goal {
+func (c *Changeover) turnGranted(now time.Time, version fleet.Version) {
+	if c.paused || c.phase != PhaseStaged || version != c.goal {
 		return
 	}
 	if !c.admitting {
@@ -390,7 +394,7 @@
 		return
 	}
 	c.phase = PhaseDraining
-	c.deadline = now.Add(c.opt.DrainTimeout)
+	c.deadline = now.Add(c.opts.DrainTimeout)
 	c.stopAdmitting(c.deadline)
 }
 
@@ -401,22 +405,22 @@
 	c.sendOrder(now)
 }
 
-// drainDeadline puts the change off rather than cut a request in progress:
-// the version that is loaded goes on being served, and the turn is free for
-// others.
+// drainDeadline postpones the change instead of aborting a request in progress:
+// the loaded version continues to be served, and other replicas can take their
+// turn.
 func (c *Changeover) drainDeadline(now time.Time) {
 	if c.paused || c.phase != PhaseDraining || now.Before(c.deadline) {
 		return
 	}
 	c.resumeAdmitting()
-	c.putOffs++
-	c.backOff(now, c.putOffs)
-	c.resume(now)
+	c.drainTimeouts++
+	c.scheduleRetry(now, c.drainTimeouts)
+	c.advance(now)
 }
 
 func (c *Changeover) resumeAdmitting() {
 	c.admitting = true
-	c.do(ResumeAdmitting{Version: c.before})
+	c.emit(ResumeAdmitting{Version: c.lastServed})
 }
 
 func (c *Changeover) leave() {
--- a/core/serving/changeover_model_test.go
+++ b/core/serving/changeover_model_test.go
@@ -16,7 +16,8 @@
 	"chivespindle.example/core/serving"
 )
 
-// TestMain raises the number of tries; those that find anything are rare.
+// TestMain raises the number of rapid's checks, since sequences that reveal a
+// fault are rare.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
@@ -24,160 +25,161 @@
 	os.Exit(m.Run())
 }
 
-// read is a status on its way: what the engine said when it was asked.
-type read struct {
-	status serving.EngineStatus
-	asked  time.Time
+// statusReply is a status response in flight, with the time of its request.
+type statusReply struct {
+	status      serving.EngineStatus
+	requestedAt time.Time
 }
 
-// world is one Changeover, its engine, and what is on its way between them.
-// Everything on its way may arrive late, in another order, or never.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	machine *serving.Changeover
+// model holds one Changeover, its engine, and the messages in flight between
+// them. Each of them may arrive late, out of order, or never.
+type model struct {
+	t          *rapid.T
+	now        time.Time
+	changeover *serving.Changeover
 
-	engine  serving.EngineStatus
-	loading fleet.Version
-	staged  map[fleet.Digest]bool
-	checks  bool // the engine refuses lower fencing numbers
-	boots   int
-	evicted bool // the engine has dropped staged chunks
+	engine        serving.EngineStatus
+	loading       fleet.Version
+	staged        map[fleet.Digest]bool
+	enforcesFence bool // the engine refuses lower fencing numbers
+	bootCount     int
+	evicted       bool // the engine has dropped staged chunks
 
-	orders []serving.SendOrder
-	reads  []read
-	fetch  serving.StartFetch // the last one
-	drain  uint64
-	named  map[fleet.Version]bool // by a text, ever
-	target fleet.Version
-	turn   fleet.Version // the last one asked for
+	orders        []serving.SendOrder
+	statusReplies []statusReply
+	lastFetch     serving.StartFetch
+	lastDrain     uint64
+	configured    map[fleet.Version]bool // versions that a configuration has ever pinned
+	target        fleet.Version
+	requestedTurn fleet.Version // version of the last RequestTurn
 
-	// What the machine has been told, for the checks.
-	down       bool
+	// Events posted to the changeover and actions returned by it, for the checks.
+	stoodDown  bool
 	superseded bool
-	asleep     bool
+	paused     bool
 	pausedAt   time.Time
-	told       read      // the last status that it may rely on
-	acceptedAt time.Time // when it was told that its last order was accepted
+	lastStatus statusReply // last status that the changeover may rely on
+	acceptedAt time.Time   // when the acceptance of its last order was posted
 	admitting  bool
-	served     fleet.Version // last
+	lastServed fleet.Version
 	drained    bool
 	lastFence  uint64
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t: t, now: time.Now(), machine: serving.NewChangeover(serving.ChangeoverOptions{MaxFailures: 2}),
-		staged: map[fleet.Digest]bool{}, checks: rapid.Bool().Draw(t, "checks"), named: map[fleet.Version]bool{},
+func newModel(t *rapid.T) *model {
+	m := &model{
+		t: t, now: time.Now(), changeover: serving.NewChangeover(serving.ChangeoverOptions{MaxFailures: 2}),
+		staged: map[fleet.Digest]bool{}, enforcesFence: rapid.Bool().Draw(t, "checks"), configured: map[fleet.Version]bool{},
 		drained: true,
 	}
-	w.restart()
-	w.post(serving.Tick{})
-	return w
+	m.restart()
+	m.post(serving.Tick{})
+	return m
 }
 
-func (w *world) restart() {
-	w.boots++
-	loaded := rapid.SampledFrom([]fleet.Version{{}, {}, v1, v3}).Draw(w.t, "found")
-	w.engine = serving.EngineStatus{BootID: strconv.Itoa(w.boots), Loaded: loaded}
-	w.loading = fleet.Version{}
-	clear(w.staged)
+func (m *model) restart() {
+	m.bootCount++
+	loaded := rapid.SampledFrom([]fleet.Version{{}, {}, v1, v3}).Draw(m.t, "found")
+	m.engine = serving.EngineStatus{BootID: strconv.Itoa(m.bootCount), Loaded: loaded}
+	m.loading = fleet.Version{}
+	clear(m.staged)
 }
 
-func (w *world) post(event serving.Event) {
-	w.now = w.now.Add(time.Millisecond)
-	for _, action := range w.machine.Step(w.now, event) {
-		w.carryOut(action)
+func (m *model) post(event serving.Event) {
+	m.now = m.now.Add(time.Millisecond)
+	for _, action := range m.changeover.Step(m.now, event) {
+		m.carryOut(action)
 	}
-	w.checkGate()
+	m.checkAdmission()
 }
 
-func (w *world) carryOut(action serving.Action) {
+func (m *model) carryOut(action serving.Action) {
 	switch a := action.(type) {
 	case serving.StartFetch:
-		w.fetch = a
+		m.lastFetch = a
 	case serving.RequestTurn:
-		w.turn = a.Version
+		m.requestedTurn = a.Version
 	case serving.StopAdmitting:
-		// Without time to drain, the engine has dropped its requests already.
-		w.admitting, w.drained, w.drain = false, !a.Deadline.After(w.now), a.Drain
+		// A deadline that is not in the future means that the engine has
+		// already dropped its requests.
+		m.admitting, m.drained, m.lastDrain = false, !a.Deadline.After(m.now), a.Drain
 	case serving.SendOrder:
-		w.checkOrder(a)
-		w.orders = append(w.orders, a)
+		m.checkOrder(a)
+		m.orders = append(m.orders, a)
 	case serving.ReadStatus:
-		w.reads = append(w.reads, read{status: w.engine, asked: w.now})
+		m.statusReplies = append(m.statusReplies, statusReply{status: m.engine, requestedAt: m.now})
 	case serving.StartServing:
-		w.checkStart(a.Version)
-		w.admitting, w.served = true, a.Version
+		m.checkStart(a.Version)
+		m.admitting, m.lastServed = true, a.Version
 	case serving.ResumeAdmitting:
-		w.checkLoaded(a.Version)
-		w.admitting = true
+		m.checkLoaded(a.Version)
+		m.admitting = true
 	case serving.Refresh:
-		w.asleep, w.pausedAt = true, w.now
+		m.paused, m.pausedAt = true, m.now
 	case serving.StandDown:
-		w.down = true
+		m.stoodDown = true
 	}
 }
 
-func (w *world) checkOrder(a serving.SendOrder) {
+func (m *model) checkOrder(a serving.SendOrder) {
 	switch {
-	case w.down:
-		w.t.Fatalf("order %+v after standing down", a.Order)
-	case w.asleep:
-		w.t.Fatalf("order %+v before the world was read again after a pause", a.Order)
-	case w.superseded:
-		w.t.Fatalf("order %+v although the engine has shown a higher fence", a.Order)
-	case a.Order.Fence <= w.lastFence:
-		w.t.Fatalf("fence %d after %d", a.Order.Fence, w.lastFence)
+	case m.stoodDown:
+		m.t.Fatalf("order %+v after standing down", a.Order)
+	case m.paused:
+		m.t.Fatalf("order %+v before state was refreshed after a pause", a.Order)
+	case m.superseded:
+		m.t.Fatalf("order %+v although the engine has reported a higher fencing number", a.Order)
+	case a.Order.Fence <= m.lastFence:
+		m.t.Fatalf("fencing number %d after %d", a.Order.Fence, m.lastFence)
 	case a.Order.Version.IsZero():
-	case w.admitting || !w.drained:
-		w.t.Fatalf("order %s while requests may be in progress", a.Order.Version)
-	case !w.evicted && !w.staged[a.Order.Version.Manifest] && w.told.status.BootID == w.engine.BootID:
-		w.t.Fatalf("order %s without its chunks", a.Order.Version)
+	case m.admitting || !m.drained:
+		m.t.Fatalf("order for %s while requests may be in progress", a.Order.Version)
+	case !m.evicted && !m.staged[a.Order.Version.Manifest] && m.lastStatus.status.BootID == m.engine.BootID:
+		m.t.Fatalf("order for %s without its chunks", a.Order.Version)
 	}
-	w.lastFence = a.Order.Fence
-	w.acceptedAt = time.Time{}
+	m.lastFence = a.Order.Fence
+	m.acceptedAt = time.Time{}
 }
 
-// checkStart is the rule that no answer comes from anything but one intended
-// version: the engine has accepted an order of this process and has said
-// afterwards, in the same life, that it has just this version loaded.
-func (w *world) checkStart(v fleet.Version) {
+// checkStart checks that only one intended version is ever served: the engine
+// has accepted an order of this process and has reported afterwards, without a
+// restart in between, that exactly this version is loaded.
+func (m *model) checkStart(v fleet.Version) {
 	switch {
-	case w.acceptedAt.IsZero() || w.told.asked.Before(w.acceptedAt):
-		w.t.Fatalf("serves %s without an accepted order and a status read since", v)
-	case w.asleep || w.down:
-		w.t.Fatalf("serves %s after a pause or standing down", v)
+	case m.acceptedAt.IsZero() || m.lastStatus.requestedAt.Before(m.acceptedAt):
+		m.t.Fatalf("serves %s without an accepted order and a status requested after it", v)
+	case m.paused || m.stoodDown:
+		m.t.Fatalf("serves %s during a pause or after standing down", v)
 	}
-	w.checkLoaded(v)
+	m.checkLoaded(v)
 }
 
-func (w *world) checkLoaded(v fleet.Version) {
-	if w.told.status.Loaded != v || w.told.status.Loading {
-		w.t.Fatalf("serves %s, the engine has %+v", v, w.told.status)
+func (m *model) checkLoaded(v fleet.Version) {
+	if m.lastStatus.status.Loaded != v || m.lastStatus.status.Loading {
+		m.t.Fatalf("serves %s, engine status is %+v", v, m.lastStatus.status)
 	}
-	if !w.named[v] {
-		w.t.Fatalf("serves %s, which no text has named", v)
+	if !m.configured[v] {
+		m.t.Fatalf("serves %s, which no configuration has named", v)
 	}
 }
 
-// checkGate looks at what traffic would be told at this moment.
-func (w *world) checkGate() {
-	v, err := w.machine.Gate().Admit(w.now)
+// checkAdmission checks whether a request may be admitted at this moment.
+func (m *model) checkAdmission() {
+	v, err := m.changeover.Gate().Admit(m.now)
 	if err != nil {
 		return
 	}
-	if !w.admitting || w.down {
-		w.t.Fatalf("admits %s although it was told to stop", v)
+	if !m.admitting || m.stoodDown {
+		m.t.Fatalf("admits %s although admission was stopped", v)
 	}
-	if !w.pausedAt.IsZero() && w.told.asked.Before(w.pausedAt) {
-		w.t.Fatalf("admits %s on a status from before a pause", v)
+	if !m.pausedAt.IsZero() && m.lastStatus.requestedAt.Before(m.pausedAt) {
+		m.t.Fatalf("admits %s on a status from before a pause", v)
 	}
-	w.checkLoaded(v)
+	m.checkLoaded(v)
 }
 
-// take removes one of the things that are on their way.
-func take[T any](t *rapid.T, list *[]T, label string) (T, bool) {
+// takeRandom removes a random element.
+func takeRandom[T any](t *rapid.T, list *[]T, label string) (T, bool) {
 	if len(*list) == 0 {
 		var none T
 		return none, false
@@ -188,206 +190,210 @@
 	return taken, true
 }
 
-// deliver lets an order reach the engine; its answer may be lost.
-func (w *world) deliver(lose bool) {
-	a, ok := take(w.t, &w.orders, "order")
+// deliverOrder lets an order reach the engine; the engine's response may be
+// lost.
+func (m *model) deliverOrder(loseReply bool) {
+	a, ok := takeRandom(m.t, &m.orders, "order")
 	if !ok {
 		return
 	}
-	err := w.obey(a.Order)
+	err := m.executeOrder(a.Order)
 	switch {
-	case lose:
-		w.post(serving.OrderFailed{Attempt: a.Attempt, Err: failure.Timeout.New("no answer")})
+	case loseReply:
+		m.post(serving.OrderFailed{Attempt: a.Attempt, Err: failure.Timeout.New("no response")})
 	case err != nil:
-		w.post(serving.OrderFailed{Attempt: a.Attempt, Err: err})
+		m.post(serving.OrderFailed{Attempt: a.Attempt, Err: err})
 	default:
-		if !w.asleep && a.Order.Fence == w.lastFence {
-			w.acceptedAt = w.now.Add(time.Millisecond)
+		if !m.paused && a.Order.Fence == m.lastFence {
+			m.acceptedAt = m.now.Add(time.Millisecond)
 		}
-		w.post(serving.OrderAccepted{Attempt: a.Attempt})
+		m.post(serving.OrderAccepted{Attempt: a.Attempt})
 	}
 }
 
-func (w *world) obey(o serving.Order) error {
-	if w.checks && o.Fence < w.engine.Fence {
-		return failure.Refused.New("fence %d, seen %d", o.Fence, w.engine.Fence)
+func (m *model) executeOrder(o serving.Order) error {
+	if m.enforcesFence && o.Fence < m.engine.Fence {
+		return failure.Refused.New("fencing number %d, highest seen %d", o.Fence, m.engine.Fence)
 	}
-	if o.Version != w.engine.Loaded && !o.Version.IsZero() {
-		if !w.staged[o.Version.Manifest] {
+	if o.Version != m.engine.Loaded && !o.Version.IsZero() {
+		if !m.staged[o.Version.Manifest] {
 			return failure.NotFound.New("not staged")
 		}
-		w.engine.Loaded, w.engine.Loading, w.loading = fleet.Version{}, true, o.Version
+		m.engine.Loaded, m.engine.Loading, m.loading = fleet.Version{}, true, o.Version
 	}
-	if w.checks {
-		w.engine.Fence = max(w.engine.Fence, o.Fence)
+	if m.enforcesFence {
+		m.engine.Fence = max(m.engine.Fence, o.Fence)
 	}
 	return nil
 }
 
-func (w *world) finishLoad() {
-	if w.engine.Loading {
-		w.engine.Loaded, w.engine.Loading = w.loading, false
+func (m *model) finishLoad() {
+	if m.engine.Loading {
+		m.engine.Loaded, m.engine.Loading = m.loading, false
 	}
 }
 
-func (w *world) deliverStatus() {
-	r, ok := take(w.t, &w.reads, "status")
+func (m *model) deliverStatus() {
+	reply, ok := takeRandom(m.t, &m.statusReplies, "status")
 	if !ok {
 		return
 	}
-	if !r.asked.Before(w.told.asked) && !r.asked.Before(w.pausedAt) {
-		if r.status.BootID != w.told.status.BootID {
-			w.acceptedAt = time.Time{}
+	if !reply.requestedAt.Before(m.lastStatus.requestedAt) && !reply.requestedAt.Before(m.pausedAt) {
+		if reply.status.BootID != m.lastStatus.status.BootID {
+			m.acceptedAt = time.Time{}
 		}
-		w.told = r
-		w.superseded = w.superseded || w.lastFence != 0 && r.status.Fence > w.lastFence
-		// An engine that has left the version has dropped its requests.
-		w.drained = w.drained || r.status.Loading || r.status.Loaded != w.served
+		m.lastStatus = reply
+		m.superseded = m.superseded || m.lastFence != 0 && reply.status.Fence > m.lastFence
+		// An engine that no longer has the version loaded has dropped its
+		// requests.
+		m.drained = m.drained || reply.status.Loading || reply.status.Loaded != m.lastServed
 	}
-	w.post(serving.StatusRead{Status: r.status, RequestedAt: r.asked})
+	m.post(serving.StatusRead{Status: reply.status, RequestedAt: reply.requestedAt})
 }
 
-func (w *world) complete() {
-	if w.fetch.Version.IsZero() {
+func (m *model) completeFetch() {
+	if m.lastFetch.Version.IsZero() {
 		return
 	}
-	w.staged[w.fetch.Version.Manifest] = true
-	w.post(serving.ChunksComplete{Fetch: w.fetch.Fetch, Version: w.fetch.Version})
+	m.staged[m.lastFetch.Version.Manifest] = true
+	m.post(serving.ChunksComplete{Fetch: m.lastFetch.Fetch, Version: m.lastFetch.Version})
 }
 
-func (w *world) retarget() {
-	w.target = rapid.SampledFrom([]fleet.Version{v1, v2, v3}).Draw(w.t, "target")
-	w.named[w.target] = true
-	w.post(serving.TargetChanged{Version: w.target})
+func (m *model) changeTarget() {
+	m.target = rapid.SampledFrom([]fleet.Version{v1, v2, v3}).Draw(m.t, "target")
+	m.configured[m.target] = true
+	m.post(serving.TargetChanged{Version: m.target})
 }
 
-func (w *world) wake(asked time.Time) {
-	if w.asleep && !asked.Before(w.pausedAt) {
-		w.asleep = false
-		w.acceptedAt = time.Time{}
+func (m *model) refresh(requestedAt time.Time) {
+	if m.paused && !requestedAt.Before(m.pausedAt) {
+		m.paused = false
+		m.acceptedAt = time.Time{}
 	}
-	w.post(serving.Refreshed{RequestedAt: asked})
+	m.post(serving.Refreshed{RequestedAt: requestedAt})
 }
 
-func (w *world) finishDrain(drain uint64) {
-	if drain == w.drain {
-		w.drained = true
+func (m *model) finishDrain(drain uint64) {
+	if drain == m.lastDrain {
+		m.drained = true
 	}
-	w.post(serving.Drained{Drain: drain})
+	m.post(serving.Drained{Drain: drain})
 }
 
-// act lets one thing happen, in whatever order.
-func (w *world) act() {
+// randomStep performs one random event.
+func (m *model) randomStep() {
 	actions := []string{
-		"progress", "progress", "progress", "progress", "order", "status", "load", "chunks", "chunks", "turn", "turn", "drained",
-		"tick", "tick", "lose", "drop", "pause", "wake", "late wake", "restart", "restarted", "target", "late drain", "deadline", "successor", "foreign", "evict", "vouch",
+		"deliver all", "deliver all", "deliver all", "deliver all", "order", "status", "load", "chunks", "chunks", "turn", "turn", "drained",
+		"tick", "tick", "lose response", "drop order", "pause", "refresh", "stale refresh", "restart", "restart detected", "target", "late drain", "deadline", "successor", "foreign load", "evict", "served elsewhere",
 	}
-	switch rapid.SampledFrom(actions).Draw(w.t, "action") {
-	case "progress":
-		w.progress()
+	switch rapid.SampledFrom(actions).Draw(m.t, "action") {
+	case "deliver all":
+		m.deliverAll()
 	case "order":
-		w.deliver(false)
-	case "lose":
-		w.deliver(true)
-	case "drop":
-		take(w.t, &w.orders, "order")
+		m.deliverOrder(false)
+	case "lose response":
+		m.deliverOrder(true)
+	case "drop order":
+		takeRandom(m.t, &m.orders, "order")
 	case "status":
-		w.deliverStatus()
+		m.deliverStatus()
 	case "load":
-		w.finishLoad()
+		m.finishLoad()
 	case "chunks":
-		w.complete()
+		m.completeFetch()
 	case "turn":
-		w.post(serving.TurnGranted{Version: w.turn})
+		m.post(serving.TurnGranted{Version: m.requestedTurn})
 	case "drained":
-		w.finishDrain(w.drain)
+		m.finishDrain(m.lastDrain)
 	case "late drain":
-		w.finishDrain(w.drain - 1)
+		m.finishDrain(m.lastDrain - 1)
 	case "deadline":
-		w.now = w.now.Add(time.Second)
-		w.post(serving.DrainDeadline{})
+		m.now = m.now.Add(time.Second)
+		m.post(serving.DrainDeadline{})
 	case "tick":
-		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond)
-		w.post(serving.Tick{})
+		m.now = m.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(m.t, "ms")) * time.Millisecond)
+		m.post(serving.Tick{})
 	case "pause":
-		w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{2100, 60000}).Draw(w.t, "ms")) * time.Millisecond)
-		w.asleep, w.pausedAt = true, w.now.Add(time.Millisecond)
-		w.post(serving.Tick{})
-	case "wake":
-		w.wake(w.now)
-	case "late wake":
-		w.wake(w.now.Add(-time.Minute))
+		m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{2100, 60000}).Draw(m.t, "ms")) * time.Millisecond)
+		m.paused, m.pausedAt = true, m.now.Add(time.Millisecond)
+		m.post(serving.Tick{})
+	case "refresh":
+		m.refresh(m.now)
+	case "stale refresh":
+		m.refresh(m.now.Add(-time.Minute))
 	case "restart":
-		w.restart()
-	case "restarted":
-		w.post(serving.EngineRestarted{})
+		m.restart()
+	case "restart detected":
+		m.post(serving.EngineRestarted{})
 	case "target":
-		w.retarget()
+		m.changeTarget()
 	case "successor":
-		if rapid.IntRange(0, 19).Draw(w.t, "claims") == 0 {
-			w.engine.Fence += 1 << 21
+		if rapid.IntRange(0, 19).Draw(m.t, "claims") == 0 {
+			m.engine.Fence += 1 << 21
 		}
-	case "vouch":
-		w.post(serving.ServedElsewhere{Versions: slices.Collect(maps.Keys(w.named))})
+	case "served elsewhere":
+		m.post(serving.ServedElsewhere{Versions: slices.Collect(maps.Keys(m.configured))})
 	case "evict":
-		w.evicted = true
-		delete(w.staged, w.target.Manifest)
-	case "foreign":
-		w.engine.Loaded = rapid.SampledFrom([]fleet.Version{{}, v1, v2, v3}).Draw(w.t, "loads")
+		m.evicted = true
+		delete(m.staged, m.target.Manifest)
+	case "foreign load":
+		m.engine.Loaded = rapid.SampledFrom([]fleet.Version{{}, v1, v2, v3}).Draw(m.t, "loads")
 	}
 }
 
-// progress brings everything that is on its way to its end, in any order.
-func (w *world) progress() {
-	for len(w.orders)+len(w.reads) > 0 && !w.down {
-		w.deliver(false)
-		w.finishLoad()
-		w.deliverStatus()
+// deliverAll delivers all messages in flight, in random order.
+func (m *model) deliverAll() {
+	for len(m.orders)+len(m.statusReplies) > 0 && !m.stoodDown {
+		m.deliverOrder(false)
+		m.finishLoad()
+		m.deliverStatus()
 	}
 }
 
-// settle lets everything work from now on; the target must come to be served.
-func (w *world) settle() {
-	w.orders, w.reads = nil, nil
+// converge lets everything work from now on; the target must then be served.
+func (m *model) converge() {
+	m.orders, m.statusReplies = nil, nil
 	for range 4000 {
-		w.now = w.now.Add(500 * time.Millisecond)
-		w.post(serving.Tick{})
-		w.wake(w.now)
-		w.progress()
-		w.complete()
-		w.finishDrain(w.drain)
-		w.post(serving.TurnGranted{Version: w.turn})
-		if w.down || w.machine.Serving() == w.target {
+		m.now = m.now.Add(500 * time.Millisecond)
+		m.post(serving.Tick{})
+		m.refresh(m.now)
+		m.deliverAll()
+		m.completeFetch()
+		m.finishDrain(m.lastDrain)
+		m.post(serving.TurnGranted{Version: m.requestedTurn})
+		if m.stoodDown || m.changeover.Serving() == m.target {
 			return
 		}
 	}
-	w.t.Fatalf("does not serve %s: phase %s, engine %+v", w.target, w.machine.Phase(), w.engine)
+	m.t.Fatalf("does not serve %s: phase %s, engine %+v", m.target, m.changeover.Phase(), m.engine)
 }
 
-// TestChangeoverRules lets messages come late, twice or never, the process
-// pause, the engine restart or be ordered by others, and texts change, in any
-// order. Callers must never be answered from a version that was not ordered or
-// confirmed, read back and named by a text; no order may follow a pause before
-// the world was read again, nor a successor's claim. And once things work, the
-// target must be served, unless a successor has taken over.
+// TestChangeoverRules delivers messages late, twice or never, pauses the
+// process, restarts the engine, lets others give it orders, and changes the
+// configuration, all in random order. A version must never be served unless it
+// was ordered or confirmed, read back from the engine and named by a
+// configuration. No order may follow a pause before state was refreshed, or
+// follow a successor's claim. Once everything works, the target must be served
+// unless a successor has taken over.
 //
-// What rapid found on copies with one safeguard taken out: an unknown version
-// served (3 tries); a read-back from before the order (6) or from the engine's
-// former life (27); a status overtaken by a newer one (551) or asked for before
-// a pause (9,855); an order after a pause because it was not noticed (1) or an
-// old Refreshed counted (5); a version served after a pause without a new claim
-// (2,921); an order amid requests because a late Drained counted (240); an order
-// over a successor's number (6); a foreign change of the engine not seen
-// (5,756); traffic on a status from before a pause (6); and, where a failed
-// order left the stage trusted, a replica that ordered evicted chunks for ever
-// (1,973).
+// Mutation checks, each on a copy with one safeguard removed, with the number
+// of checks that rapid needed: an unknown version served (3); a status read
+// before the order accepted as confirmation (6), or one from before a restart
+// of the engine (27); a status replaced by an older one (551), or one requested
+// before a pause (9,855); an order after a pause because the pause was not
+// detected (1) or an old Refreshed counted (5); a version served after a pause
+// without a new claim (2,921); an order during requests because a late Drained
+// counted (240); an order despite a successor's number (6); a foreign change of
+// the engine not detected (5,756); requests admitted on a status from before a
+// pause (6); and, when a failed order left the stage trusted, a replica that
+// kept ordering evicted chunks (1,973).
 func TestChangeoverRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.retarget()
+		m := newModel(t)
+		m.changeTarget()
 		for range rapid.IntRange(50, 200).Draw(t, "actions") {
-			w.act()
+			m.randomStep()
 		}
-		w.settle()
+		m.converge()
 	})
 }
--- a/core/serving/events.go
+++ b/core/serving/events.go
@@ -6,63 +6,65 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Event is something that happened to a replica; see Changeover.Step.
+// Event is an input of Changeover.Step.
 type Event interface{ event() }
 
 type (
-	// Tick is posted several times within ChangeoverOptions.PauseThreshold. Deadlines are
-	// looked at, and the engine's status is read every PollInterval.
+	// Tick is posted several times within ChangeoverOptions.PauseThreshold. It
+	// checks the deadlines and reads the engine's status every PollInterval.
 	Tick struct{}
-	// TargetChanged says that the text in force pins Version; zero if it pins
-	// none.
+	// TargetChanged reports that the active configuration pins Version; zero if
+	// it pins none.
 	TargetChanged struct{ Version fleet.Version }
-	// ChunksComplete says that all chunks of Version are staged and verified.
-	// Fetch repeats the number of the StartFetch that it answers; it may be 0
-	// if the caller makes sure that none comes late, after an engine's restart
-	// say.
+	// ChunksComplete reports that all chunks of Version are staged and
+	// verified. Fetch repeats the number of the StartFetch that this completes.
+	// It may be 0 if the caller ensures that no such event arrives late, for
+	// example after a restart of the engine.
 	ChunksComplete struct {
 		Fetch   uint64
 		Version fleet.Version
 	}
-	// TurnGranted answers RequestTurn: the replica may leave service now.
+	// TurnGranted follows RequestTurn: the replica may leave service now.
 	TurnGranted struct{ Version fleet.Version }
-	// Drained says that no request is in progress any more. Drain repeats the
-	// number of the StopAdmitting that it answers.
+	// Drained reports that no request is in progress any more. Drain repeats
+	// the number of the StopAdmitting that this completes.
 	Drained struct{ Drain uint64 }
-	// DrainDeadline says that requests are still in progress at the deadline
-	// that StopAdmitting named. A Tick after the deadline does the same.
+	// DrainDeadline reports that requests are still in progress at the deadline
+	// given by StopAdmitting. A Tick after the deadline has the same effect.
 	DrainDeadline struct{}
-	// OrderAccepted says that the engine accepted the order.
+	// OrderAccepted reports that the engine accepted the order.
 	OrderAccepted struct{ Attempt uint64 }
-	// OrderFailed says that the order failed. failure.Refused means that the
+	// OrderFailed reports that the order failed. failure.Refused means that the
 	// engine has seen a higher fencing number; after any other error the order
 	// may or may not have been carried out.
 	OrderFailed struct {
 		Attempt uint64
 		Err     error
 	}
-	// StatusRead is the engine's status. RequestedAt is when the question was sent.
+	// StatusRead reports the engine's status. RequestedAt is when the request
+	// for it was sent.
 	StatusRead struct {
 		Status      EngineStatus
 		RequestedAt time.Time
 	}
-	// ServedElsewhere says that other replicas of the service serve these versions now,
-	// so that an accepted text has named each of them.
+	// ServedElsewhere reports that other replicas of the service serve these
+	// versions now, which means that an accepted configuration has named each
+	// of them.
 	ServedElsewhere struct{ Versions []fleet.Version }
-	// EngineConfigDrifted says that the engine's adapters or role are not as ordered. An
-	// engine that is not being changed is claimed once more, and the caller
-	// sends both along with every order.
+	// EngineConfigDrifted reports that the engine's adapters or role differ
+	// from those ordered. An idle engine is claimed again; the caller adds both
+	// to every order.
 	EngineConfigDrifted struct{}
-	// EngineRestarted says that the engine was seen to have restarted, before
+	// EngineRestarted reports a restart of the engine that was detected before
 	// its status could be read.
 	EngineRestarted struct{}
-	// Paused says that the process has found that it was paused.
+	// Paused reports that the process has detected that it was paused.
 	Paused struct{}
-	// Refreshed says that the text in force and the neighbours have been read again.
-	// RequestedAt is when the first of these readings began; it must lie after the
-	// pause.
+	// Refreshed reports that the active configuration and the neighbours have
+	// been read again. RequestedAt is when the first of these reads began; it
+	// must be after the pause.
 	Refreshed struct{ RequestedAt time.Time }
-	// Leaving says that the instance has begun its planned stop.
+	// Leaving reports that the instance has begun its planned shutdown.
 	Leaving struct{}
 )
 
@@ -82,59 +84,62 @@
 func (Refreshed) event()           {}
 func (Leaving) event()             {}
 
-// Action is something that the caller of Changeover.Step has to do.
+// Action is an output of Changeover.Step that the caller has to carry out.
 type Action interface{ action() }
 
 type (
-	// StartFetch asks to fetch the chunks that are not staged yet, then post
-	// ChunksComplete. Chunks of the manifests in Reuse with an equal digest
-	// need not be fetched.
+	// StartFetch requests the chunks that are not staged yet, followed by
+	// ChunksComplete. Chunks with an equal digest in one of the manifests in
+	// Reuse need not be fetched.
 	StartFetch struct {
 		Fetch   uint64
 		Version fleet.Version
 		Reuse   []fleet.Digest
 	}
-	// StopFetch asks to fetch no more of Version.
+	// StopFetch stops fetching Version.
 	StopFetch struct{ Version fleet.Version }
-	// RequestTurn asks for TurnGranted once the rollout allows this replica to
+	// RequestTurn requests TurnGranted once the rollout allows this replica to
 	// leave service for Version. A later RequestTurn or any change of phase
 	// replaces it.
 	RequestTurn struct{ Version fleet.Version }
-	// StopAdmitting asks to admit no request from now on, and post Drained when
+	// StopAdmitting stops admitting requests. The caller posts Drained when
 	// none is in progress, or DrainDeadline. Requests in progress are never
-	// cut.
+	// aborted.
 	StopAdmitting struct {
 		Drain    uint64
 		Deadline time.Time
 	}
-	// ResumeAdmitting puts the change off: Version is served on.
+	// ResumeAdmitting postpones the change: Version continues to be served.
 	ResumeAdmitting struct{ Version fleet.Version }
-	// SendOrder asks to send Order and post OrderAccepted or OrderFailed. Just
-	// before sending, Expired is asked: an order that has expired must not be
-	// sent, and the process posts OrderFailed with failure.Timeout.
+	// SendOrder sends Order to the engine; the caller posts OrderAccepted or
+	// OrderFailed. It must check Expired immediately before sending. An expired
+	// order must not be sent; the caller posts OrderFailed with failure.Timeout
+	// instead.
 	SendOrder struct {
 		Attempt  uint64
 		Order    Order
 		NotAfter time.Time
 	}
-	// ReadStatus asks to read the engine's status and post StatusRead. If it
-	// cannot be read, nothing is posted; a Tick asks again.
+	// ReadStatus reads the engine's status; the caller posts StatusRead. If the
+	// read fails nothing is posted, and a later Tick reads again.
 	ReadStatus struct{}
-	// StartServing asks to admit requests, answered from Version.
+	// StartServing starts admitting requests for Version.
 	StartServing struct{ Version fleet.Version }
-	// DropStage says that the chunks of this manifest are not needed any more.
+	// DropStage releases the chunks of this manifest.
 	DropStage struct{ Manifest fleet.Digest }
-	// Refresh asks to read the text in force and the neighbours again after a
-	// pause of the process, then to post Refreshed.
+	// Refresh reads the active configuration and the neighbours again after a
+	// pause of the process; the caller posts Refreshed.
 	Refresh struct{}
-	// Alarm says that the replica cannot go on by itself.
+	// Alarm reports a condition that the replica cannot resolve by itself.
 	Alarm struct{ Reason string }
-	// StandDown says that another process has taken over. No order will follow.
+	// StandDown reports that another process has taken over. No order will
+	// follow.
 	StandDown struct{ Err error }
 )
 
-// Expired reports whether the process was held up so long since the order was
-// decided that it may have been paused. Either clock may show it.
+// Expired reports whether so much time has passed since the order was decided
+// that the process may have been paused. Both the monotonic and the wall clock
+// are checked; either suffices.
 func (a SendOrder) Expired(now time.Time) bool {
 	return now.After(a.NotAfter) || now.Round(0).After(a.NotAfter.Round(0))
 }
--- a/core/serving/fence.go
+++ b/core/serving/fence.go
@@ -2,88 +2,88 @@
 
 import "chivespindle.example/core/failure"
 
-// Superseded means that another process has taken over the engine. The one
-// that sees it stands down for good.
+// Superseded means that another process has taken over the engine. The process
+// that detects it stands down permanently.
 var Superseded = failure.Namespace.NewType("superseded")
 
-// ordersPerTerm is how many numbers one process may use after it has taken
-// over. Numbers stay far below 2^53, so an engine that reads them as floating
-// point loses none.
+// ordersPerTerm is how many fencing numbers one process may use after it has
+// taken over. Numbers stay far below 2^53, so an engine that parses them as
+// floating point loses no precision.
 const ordersPerTerm = 1 << 20
 
-// Fence holds the fencing number that one process puts on its orders. The
-// zero value has none yet.
+// Fence holds the fencing number that a process puts on its orders. The zero
+// value has not chosen one yet.
 //
-// Nothing is stored, so the number comes from the engine: a term above the
-// one it reported last. An engine that refuses lower numbers then refuses the
-// predecessor's late orders from the moment it has seen the first order of
-// the successor; hence the claim, see Claim. Within its term a process raises
-// the number with each order, so that an order of its own that was given up
-// and arrives late is refused as well.
+// Nothing is persisted, so the number is derived from the engine: one term
+// above the number that it reported last. An engine that refuses lower numbers
+// refuses a predecessor's late orders as soon as it has seen the successor's
+// first order, which is why a new process sends a claim first (see Claim).
+// Within its term a process raises the number with each order, so that an order
+// of its own that timed out and arrives late is refused as well.
 //
-// When the engine reports a number above the own one, a successor has taken
-// over. Climbing over it would let two processes chase each other for ever,
-// so the Fence never does.
+// If the engine reports a number above the current one, a successor has taken
+// over. A Fence never raises its number above a successor's, since two
+// processes could otherwise displace each other endlessly.
 type Fence struct {
-	number     uint64
+	current    uint64
 	reported   uint64
 	superseded bool
 }
 
-// TakeOver chooses the term from what the engine reports. Later calls keep
-// the term once chosen.
+// TakeOver chooses the term from the number that the engine reports. Later
+// calls keep the term.
 func (f *Fence) TakeOver(reported uint64) error {
-	if f.number == 0 {
-		f.number = (reported/ordersPerTerm + 1) * ordersPerTerm
+	if f.current == 0 {
+		f.current = (reported/ordersPerTerm + 1) * ordersPerTerm
 	}
 	return f.Observe(reported)
 }
 
 // Observe takes the number of a later status. It fails with Superseded if the
-// engine has seen a higher one, then and ever after. A lower one is harmless:
-// the engine ignores fences or has restarted.
+// engine has seen a higher number, and on every later call. A lower number is
+// harmless: the engine ignores fencing numbers or has restarted.
 func (f *Fence) Observe(reported uint64) error {
 	f.reported = reported
-	if f.number != 0 && reported > f.number {
+	if f.current != 0 && reported > f.current {
 		f.superseded = true
 	}
-	return f.check()
+	return f.checkSuperseded()
 }
 
-// RecordRefusal notes that the engine refused an order for its number, so it has
-// seen a higher one.
+// RecordRefusal records that the engine refused an order because it has seen a
+// higher number.
 func (f *Fence) RecordRefusal() { f.superseded = true }
 
 // Next returns the number for the next order. It fails with Superseded, or
 // with failure.Internal before TakeOver.
 func (f *Fence) Next() (uint64, error) {
-	if err := f.check(); err != nil {
+	if err := f.checkSuperseded(); err != nil {
 		return 0, err
 	}
-	if f.number == 0 {
+	if f.current == 0 {
 		return 0, failure.Internal.New("no fencing number chosen yet")
 	}
-	f.number++
-	return f.number, nil
+	f.current++
+	return f.current, nil
 }
 
-// Claim returns the order that changes nothing but the engine's highest
-// number. Until the engine has seen it, a predecessor's late order passes.
+// Claim returns an order that changes nothing but the engine's highest number.
+// Until the engine has seen it, a predecessor's late order is accepted.
 func (f *Fence) Claim() (Order, error) {
 	number, err := f.Next()
 	return Order{Fence: number}, err
 }
 
-// IsAcknowledged reports whether the engine has shown the own number, which one that
-// ignores fences never does.
-func (f *Fence) IsAcknowledged() bool { return f.number != 0 && f.reported == f.number }
+// IsAcknowledged reports whether the engine reports the current number. An
+// engine that ignores fencing numbers never does.
+func (f *Fence) IsAcknowledged() bool { return f.current != 0 && f.reported == f.current }
 
 // IsSuperseded reports whether another process has taken over.
 func (f *Fence) IsSuperseded() bool { return f.superseded }
 
-func (f *Fence) check() error {
+func (f *Fence) checkSuperseded() error {
 	if !f.superseded {
 		return nil
 	}
-	return Superseded.New("the engine has seen fencing number %d, ours is %d", f.reported, f.number)
+	return Superseded.New("the engine has seen fencing number %d, ours is %d", f.reported, f.current)
 }
--- a/core/serving/gate_test.go
+++ b/core/serving/gate_test.go
@@ -12,8 +12,8 @@
 	"chivespindle.example/core/serving"
 )
 
-// open returns a gate that lets requests through at now.
-func open(now time.Time, edits ...func(*serving.GateState)) serving.GateState {
+// newOpenGate returns a gate that admits requests at now.
+func newOpenGate(now time.Time, edits ...func(*serving.GateState)) serving.GateState {
 	g := serving.GateState{
 		Pinned: v2, LastServed: v1, Intended: v1, Verified: v1.Manifest,
 		Status: serving.EngineStatus{BootID: "b", Loaded: v1}, StatusAt: now, MaxStatusAge: 3 * time.Second,
@@ -28,43 +28,44 @@
 	now := time.Now()
 	type gate = serving.GateState
 
-	// Each row is one thing that does not agree. Letting the request through
-	// would answer a caller from partial, mixed or unintended weights; saying
-	// anything but "not run" would keep a job from being sent elsewhere.
+	// Each entry changes one condition. Admitting the request would return a
+	// response from partial, mixed or unintended weights; any outcome other
+	// than "not run" would prevent a retry on another server.
 	DescribeTable("refuses as not run", func(reason serving.Reason, edit func(*gate)) {
-		_, err := open(now, edit).Admit(now)
+		_, err := newOpenGate(now, edit).Admit(now)
 		Expect(errorx.IsOfType(err, failure.Refused)).To(BeTrue())
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 		Expect(serving.ReasonOf(err)).To(Equal(reason))
 	},
-		Entry("nothing is known", serving.ReasonNoVersion, func(g *gate) { *g = gate{} }),
-		Entry("the engine has another version", serving.ReasonOtherVersion, func(g *gate) { g.Status.Loaded = v2 }),
-		Entry("one name, other bytes", serving.ReasonOtherVersion, func(g *gate) { g.Status.Loaded.Manifest = v2.Manifest }),
+		Entry("nothing is known yet", serving.ReasonNoVersion, func(g *gate) { *g = gate{} }),
+		Entry("the engine has another version loaded", serving.ReasonOtherVersion, func(g *gate) { g.Status.Loaded = v2 }),
+		Entry("same name, different manifest", serving.ReasonOtherVersion, func(g *gate) { g.Status.Loaded.Manifest = v2.Manifest }),
 		Entry("the engine is loading", serving.ReasonChanging, func(g *gate) { g.Status.Loading = true }),
 		Entry("the replica is draining", serving.ReasonChanging, func(g *gate) { g.Changing = true }),
-		Entry("the report is old", serving.ReasonStatusOld, func(g *gate) { g.StatusAt = now.Add(-4 * time.Second) }),
-		Entry("the monotonic clock stood still", serving.ReasonStatusOld, func(g *gate) { g.StatusAt = now.Round(0).Add(-time.Hour) }),
+		Entry("the status is too old", serving.ReasonStatusOld, func(g *gate) { g.StatusAt = now.Add(-4 * time.Second) }),
+		Entry("the monotonic clock was stopped", serving.ReasonStatusOld, func(g *gate) { g.StatusAt = now.Round(0).Add(-time.Hour) }),
 		Entry("the process was paused", serving.ReasonPaused, func(g *gate) { g.Paused = true }),
 		Entry("the instance is leaving", serving.ReasonLeaving, func(g *gate) { g.Leaving = true }),
 		Entry("another process took over", serving.ReasonStoodDown, func(g *gate) { g.StoodDown = true }),
-		Entry("the bytes were not verified", serving.ReasonUnverified, func(g *gate) { g.Verified = v2.Manifest }),
-		Entry("a version that the text does not allow", serving.ReasonUnpinned, func(g *gate) { g.Intended = v3 }),
+		Entry("the chunks were not verified", serving.ReasonUnverified, func(g *gate) { g.Verified = v2.Manifest }),
+		Entry("a version that the configuration does not allow", serving.ReasonUnpinned, func(g *gate) { g.Intended = v3 }),
 		Entry("a plain service that is not up", serving.ReasonNoVersion, func(g *gate) { g.Plain = true }),
 	)
 
-	It("admits for the version before until the pinned one is ready", func() {
-		Expect(open(now).Admit(now)).To(Equal(v1))
-		ready := open(now, func(g *gate) { g.Intended, g.Verified, g.Status.Loaded = v2, v2.Manifest, v2 })
+	It("admits requests for the previous version until the pinned one is ready", func() {
+		Expect(newOpenGate(now).Admit(now)).To(Equal(v1))
+		ready := newOpenGate(now, func(g *gate) { g.Intended, g.Verified, g.Status.Loaded = v2, v2.Manifest, v2 })
 		Expect(ready.Admit(now)).To(Equal(v2))
 		Expect(gate{Plain: true, Open: true}.Admit(now)).To(Equal(fleet.Version{}))
 	})
 
-	// The engine changes over between the admission and the answer. The answer
-	// is whole but of another version, and the request may have run: it must
-	// neither be shown nor be called not run.
-	It("does not pass on an answer of another version", func() {
+	// The engine changes versions between the admission and the response. The
+	// response is complete but comes from another version, and the request may
+	// have run: it must not be forwarded, and the outcome must not be "not
+	// run".
+	It("does not forward a response of another version", func() {
 		Expect(serving.CheckResponse(v1, v1)).To(Succeed())
-		err := open(now).CheckResponse(v2)
+		err := newOpenGate(now).CheckResponse(v2)
 		Expect(errorx.IsOfType(err, failure.Corrupt)).To(BeTrue())
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		Expect(serving.ReasonOf(err)).To(BeEmpty())
@@ -72,10 +73,10 @@
 })
 
 var _ = Describe("Fence", func() {
-	// A predecessor had the number 5 terms high and has orders on the wire.
-	// The successor starts a term above what the engine reports, so every one
-	// of those is lower than its first.
-	It("starts a term above the number reported and rises with each order", func() {
+	// A predecessor in term 5 still has orders in flight. The successor starts
+	// one term above the number that the engine reports, so every one of them
+	// is lower than its first.
+	It("starts one term above the reported number and increases with each order", func() {
 		var f serving.Fence
 		_, err := f.Next()
 		Expect(errorx.IsOfType(err, failure.Internal)).To(BeTrue())
@@ -89,7 +90,7 @@
 		Expect(f.Observe(0)).To(Succeed(), "the engine has restarted")
 	})
 
-	It("never climbs over a successor", func() {
+	It("never exceeds a successor's number", func() {
 		var f serving.Fence
 		Expect(f.TakeOver(0)).To(Succeed())
 		err := f.Observe(2 << 20)
@@ -103,7 +104,7 @@
 })
 
 var _ = Describe("PauseDetector", func() {
-	It("suspects a pause by either clock", func() {
+	It("detects a pause by either clock", func() {
 		now := time.Now()
 		d := serving.NewPauseDetector(2 * time.Second)
 		Expect(d.SuspectsPause(now)).To(BeTrue(), "before the first tick")
@@ -115,7 +116,7 @@
 		Expect(d.Tick(now.Add(time.Minute))).To(BeFalse())
 	})
 
-	It("asks for everything again, and takes no answer to an old question", func() {
+	It("requires every source to be read again and ignores reads requested before the pause", func() {
 		now := time.Now()
 		var f serving.RefreshTracker
 		f.Record(serving.SourceConfig, now)
@@ -129,10 +130,11 @@
 		Expect(serving.SourceMembers.String()).To(Equal("members"))
 	})
 
-	// The control loop decides on an order, the process is stopped, and the
-	// goroutine that sends wakes an hour later. By then another process may
-	// give the orders, and an engine that ignores numbers would obey.
-	It("lets an order expire by either clock", func() {
+	// The control loop decides on an order, the process is paused, and the
+	// sending goroutine resumes an hour later. By then another process may have
+	// taken over, and an engine that ignores fencing numbers would carry out
+	// the order.
+	It("expires an order by either clock", func() {
 		now := time.Now()
 		order := serving.SendOrder{NotAfter: now.Add(2 * time.Second)}
 		Expect(order.Expired(now.Add(time.Second))).To(BeFalse())
--- a/core/serving/orders.go
+++ b/core/serving/orders.go
@@ -21,7 +21,7 @@
 	c.send(now, Order{Fence: number, Version: c.goal})
 }
 
-// claim orders nothing but the fencing number.
+// claim sends an order that carries only the fencing number.
 func (c *Changeover) claim(now time.Time) {
 	order, err := c.fence.Claim()
 	if err != nil {
@@ -39,8 +39,8 @@
 		c.lastOrdered = order.Version
 	}
 	c.phase = PhaseOrdering
-	c.deadline = now.Add(c.opt.OrderTimeout)
-	c.do(SendOrder{Attempt: c.attempt, Order: order, NotAfter: now.Add(c.opt.PauseThreshold)})
+	c.deadline = now.Add(c.opts.OrderTimeout)
+	c.emit(SendOrder{Attempt: c.attempt, Order: order, NotAfter: now.Add(c.opts.PauseThreshold)})
 }
 
 func (c *Changeover) orderDone(now time.Time, attempt uint64) {
@@ -50,60 +50,61 @@
 	c.accepted = true
 	c.acceptedAt = now
 	c.phase = PhaseReading
-	c.deadline = now.Add(c.opt.LoadTimeout)
+	c.deadline = now.Add(c.opts.LoadTimeout)
 	c.readStatus(now)
 }
 
 // orderFailed stands down if the engine has seen a higher number than that of
-// the newest order. An older order, given up and delivered late, is refused
-// because of the newer ones of this process and says nothing.
+// the latest order. A refusal of an older order, which timed out and was
+// delivered late, is caused by this process's own newer orders and is ignored.
 func (c *Changeover) orderFailed(now time.Time, e OrderFailed) {
 	if c.paused || c.phase != PhaseOrdering || e.Attempt != c.attempt {
 		return
 	}
 	if errorx.IsOfType(e.Err, failure.Refused) {
 		c.fence.RecordRefusal()
-		c.standDown(c.fence.check())
+		c.standDown(c.fence.checkSuperseded())
 		return
 	}
-	c.fail(now)
+	c.attemptFailed(now)
 }
 
-// fail ends an attempt whose effect is not known. The engine is claimed again,
-// and what it then reports decides. The stage is not trusted either: fetching
-// again costs nothing for chunks that are still held.
-func (c *Changeover) fail(now time.Time) {
+// attemptFailed ends an attempt whose effect is unknown. The engine is claimed
+// again, and the version that it then reports decides. The staged chunks are no
+// longer trusted either; fetching again costs nothing for chunks that are still
+// present.
+func (c *Changeover) attemptFailed(now time.Time) {
 	if c.ordered.IsZero() {
 		c.claimFailures++
-		c.backOff(now, c.claimFailures)
+		c.scheduleRetry(now, c.claimFailures)
 	} else {
 		delete(c.staged, c.ordered.Manifest)
 		c.failures++
-		c.backOff(now, c.failures)
-		if c.failures == c.opt.MaxFailures {
-			c.do(Alarm{Reason: "the engine failed to load " + c.ordered.String() + " several times"})
+		c.scheduleRetry(now, c.failures)
+		if c.failures == c.opts.MaxFailures {
+			c.emit(Alarm{Reason: "the engine failed to load " + c.ordered.String() + " several times"})
 		}
 	}
 	c.reclaim(now)
 }
 
-// backOff puts off the next attempt after the given number of failed ones.
-func (c *Changeover) backOff(now time.Time, failed int) {
+// scheduleRetry delays the next attempt after the given number of failures.
+func (c *Changeover) scheduleRetry(now time.Time, failures int) {
 	const maxDoublings = 20
-	pause := c.opt.InitialBackoff << min(failed-1, maxDoublings)
-	pause = min(pause, c.opt.MaxBackoff)
-	jitter := time.Duration(c.opt.Rand.Int64N(int64(pause)/2 + 1))
-	c.notBefore = now.Add(pause/2 + jitter)
+	delay := c.opts.InitialBackoff << min(failures-1, maxDoublings)
+	delay = min(delay, c.opts.MaxBackoff)
+	jitter := time.Duration(c.opts.Rand.Int64N(int64(delay)/2 + 1))
+	c.retryAt = now.Add(delay/2 + jitter)
 }
 
 func (c *Changeover) clearFailures() {
 	c.failures = 0
-	c.putOffs = 0
-	c.notBefore = time.Time{}
+	c.drainTimeouts = 0
+	c.retryAt = time.Time{}
 }
 
-// reclaim starts over with reading the engine. Answers to earlier orders are
-// ignored from here on.
+// reclaim starts over by reading the engine's status. Responses to earlier
+// orders are ignored from here on.
 func (c *Changeover) reclaim(now time.Time) {
 	c.stopFetch()
 	c.attempt++
@@ -120,31 +121,32 @@
 		c.standDown(err)
 		return
 	}
-	rebooted := c.boot != "" && c.boot != e.Status.BootID
+	restarted := c.bootID != "" && c.bootID != e.Status.BootID
 	c.status = e.Status
 	c.statusAt = e.RequestedAt
-	if rebooted {
+	if restarted {
 		c.engineRestarted(now)
 	}
-	c.boot = e.Status.BootID
+	c.bootID = e.Status.BootID
 	if c.paused || c.phase == PhaseLeaving {
 		return
 	}
 	switch c.phase {
 	case PhaseClaiming:
-		c.claimRead(now)
+		c.claimWhenIdle(now)
 	case PhaseOrdering:
 	case PhaseReading:
-		c.readBack(now, e)
+		c.verifyLoaded(now, e)
 	default:
-		c.checkLoaded(now)
+		c.detectForeignChange(now)
 	}
 }
 
-// claimRead claims the engine. Orders sent to an engine that is loading would
-// wait for it, so the claim waits instead.
-func (c *Changeover) claimRead(now time.Time) {
-	if c.status.Loading || now.Before(c.notBefore) {
+// claimWhenIdle claims the engine unless it is loading: an order sent to an
+// engine that is loading would have to wait until it has finished, so the claim
+// is delayed.
+func (c *Changeover) claimWhenIdle(now time.Time) {
+	if c.status.Loading || now.Before(c.retryAt) {
 		return
 	}
 	if err := c.fence.TakeOver(c.status.Fence); err != nil {
@@ -154,48 +156,49 @@
 	c.claim(now)
 }
 
-// readBack looks at the first status that was asked for after the engine
+// verifyLoaded checks the first status that was requested after the engine
 // accepted the order.
-func (c *Changeover) readBack(now time.Time, e StatusRead) {
+func (c *Changeover) verifyLoaded(now time.Time, e StatusRead) {
 	if e.RequestedAt.Before(c.acceptedAt) || e.Status.Loading {
 		return
 	}
 	if !c.ordered.IsZero() && e.Status.Loaded != c.ordered {
-		c.fail(now)
+		c.attemptFailed(now)
 		return
 	}
 	c.claimed = true
 	c.claimFailures = 0
-	if c.overtaken() {
+	if c.shouldLoadNewerTarget() {
 		c.goal = c.target
 		c.sendOrder(now)
 		return
 	}
-	c.resume(now)
+	c.advance(now)
 }
 
-// overtaken reports whether a newer target came while the engine loaded the
-// former one, and is staged. The replica is out of service already, so it
-// loads the newer one at once.
-func (c *Changeover) overtaken() bool {
+// shouldLoadNewerTarget reports whether the target changed while the engine was
+// loading the previous one, and the new one is staged. The replica is out of
+// service already, so it loads the newer version at once.
+func (c *Changeover) shouldLoadNewerTarget() bool {
 	return !c.ordered.IsZero() && c.ordered != c.target && c.staged[c.target.Manifest] && !c.target.IsZero()
 }
 
-// checkLoaded notices an engine that has changed without an order: an operator
-// or another process has been at it.
-func (c *Changeover) checkLoaded(now time.Time) {
-	undisturbed := !c.status.Loading && c.status.Loaded == c.before
-	if undisturbed || !c.admitting && c.phase != PhaseDraining {
+// detectForeignChange detects an engine that has changed without an order, for
+// example through an operator or another process.
+func (c *Changeover) detectForeignChange(now time.Time) {
+	unchanged := !c.status.Loading && c.status.Loaded == c.lastServed
+	if unchanged || !c.admitting && c.phase != PhaseDraining {
 		return
 	}
 	c.stopAdmitting(now)
 	c.reclaim(now)
 }
 
-// engineRestarted: what was staged and loaded is gone with the old process.
+// engineRestarted handles a restart of the engine: the staged chunks and the
+// loaded version are lost.
 func (c *Changeover) engineRestarted(now time.Time) {
 	clear(c.staged)
-	clear(c.partial)
+	clear(c.partlyStaged)
 	c.stopAdmitting(now)
 	if c.paused || c.phase == PhaseLeaving {
 		return
@@ -203,9 +206,10 @@
 	c.reclaim(now)
 }
 
-// reorder claims an idle engine again. What is served goes on, since a claim
-// changes no version; an engine under change gets the next order anyway.
-func (c *Changeover) reorder(now time.Time) {
+// engineConfigDrifted claims an idle engine again. Requests continue to be
+// served, since a claim does not change the version. An engine that is being
+// changed receives another order anyway.
+func (c *Changeover) engineConfigDrifted(now time.Time) {
 	if !c.paused && c.phase == PhaseIdle {
 		c.reclaim(now)
 	}
@@ -217,70 +221,70 @@
 	}
 	c.admitting = false
 	c.drain++
-	c.do(StopAdmitting{Drain: c.drain, Deadline: deadline})
+	c.emit(StopAdmitting{Drain: c.drain, Deadline: deadline})
 }
 
-// resume decides what comes next. The engine has been claimed in its present
-// boot and its status read since.
-func (c *Changeover) resume(now time.Time) {
+// advance decides the next step. The engine has been claimed since its last
+// restart and its status has been read since the claim.
+func (c *Changeover) advance(now time.Time) {
 	c.serveLoaded(now)
 	c.chooseGoal()
 	switch {
-	case c.goal.IsZero(), c.admitting && c.before == c.goal:
+	case c.goal.IsZero(), c.admitting && c.lastServed == c.goal:
 		c.stopFetch()
 		c.phase = PhaseIdle
-	case now.Before(c.notBefore):
+	case now.Before(c.retryAt):
 		c.stopFetch()
 		c.phase = PhaseWaiting
 	case c.staged[c.goal.Manifest]:
 		c.stopFetch()
 		c.phase = PhaseStaged
-		c.askTurn()
+		c.requestTurn()
 	default:
 		c.startFetch()
 	}
 }
 
-// intended reports whether a version may be served if it is found loaded.
-func (c *Changeover) intended(v fleet.Version) bool {
+// isIntended reports whether a version may be served if it is found loaded.
+func (c *Changeover) isIntended(v fleet.Version) bool {
 	if v.IsZero() {
 		return false
 	}
-	return v == c.target || v == c.before || v == c.lastOrdered || c.isVouched(v)
+	return v == c.target || v == c.lastServed || v == c.lastOrdered || c.isServedElsewhere(v)
 }
 
-// serveLoaded serves what the engine has loaded if it is intended.
+// serveLoaded starts serving the loaded version if it is intended.
 func (c *Changeover) serveLoaded(now time.Time) {
 	loaded := c.status.Loaded
-	if !c.claimed || !c.intended(loaded) {
+	if !c.claimed || !c.isIntended(loaded) {
 		c.stopAdmitting(now)
 		return
 	}
-	if c.admitting && c.before == loaded {
+	if c.admitting && c.lastServed == loaded {
 		return
 	}
 	switch {
 	case loaded == c.target:
 		c.clearFailures()
-	case c.failures >= c.opt.MaxFailures:
-		c.notBefore = now.Add(c.opt.MaxBackoff)
+	case c.failures >= c.opts.MaxFailures:
+		c.retryAt = now.Add(c.opts.MaxBackoff)
 	}
-	c.before = loaded
+	c.lastServed = loaded
 	c.verified = loaded.Manifest
 	c.admitting = true
-	c.do(StartServing{Version: loaded})
+	c.emit(StartServing{Version: loaded})
 }
 
-// chooseGoal picks the version to load next: the target, or the version
-// served before once the target has failed too often and nothing is served.
+// chooseGoal picks the version to load next: the target, or the last served
+// version if the target has failed too often and nothing is served.
 func (c *Changeover) chooseGoal() {
-	former := c.goal
+	previous := c.goal
 	c.goal = c.target
-	if c.failures >= c.opt.MaxFailures && !c.admitting && !c.before.IsZero() {
-		c.goal = c.before
+	if c.failures >= c.opts.MaxFailures && !c.admitting && !c.lastServed.IsZero() {
+		c.goal = c.lastServed
 	}
-	if c.phase == PhaseFetching && former != c.goal {
-		c.do(StopFetch{Version: former})
+	if c.phase == PhaseFetching && previous != c.goal {
+		c.emit(StopFetch{Version: previous})
 		c.phase = PhaseIdle
 	}
 }
@@ -290,18 +294,18 @@
 		return
 	}
 	c.phase = PhaseFetching
-	c.makeRoom()
+	c.evictStaged()
 	c.fetch++
-	c.do(StartFetch{Fetch: c.fetch, Version: c.goal, Reuse: c.reusable()})
-	c.partial[c.goal.Manifest] = true
+	c.emit(StartFetch{Fetch: c.fetch, Version: c.goal, Reuse: c.reusable()})
+	c.partlyStaged[c.goal.Manifest] = true
 }
 
-// makeRoom drops whole former versions: a stage holds what is served and one
-// more. What was served last is kept until then, so that going back to it
-// needs no fetch.
-func (c *Changeover) makeRoom() {
+// evictStaged drops complete older versions: the stage holds the version being
+// served and one more. The version served before is kept until the next fetch
+// starts, so that a rollback needs no fetch.
+func (c *Changeover) evictStaged() {
 	for manifest := range c.staged {
-		if manifest != c.before.Manifest && manifest != c.goal.Manifest {
+		if manifest != c.lastServed.Manifest && manifest != c.goal.Manifest {
 			c.dropStage(manifest)
 		}
 	}
@@ -309,17 +313,17 @@
 
 func (c *Changeover) dropStage(manifest fleet.Digest) {
 	delete(c.staged, manifest)
-	delete(c.partial, manifest)
-	c.do(DropStage{Manifest: manifest})
+	delete(c.partlyStaged, manifest)
+	c.emit(DropStage{Manifest: manifest})
 }
 
 func (c *Changeover) reusable() []fleet.Digest {
-	useful := map[fleet.Digest]bool{c.before.Manifest: true}
-	maps.Copy(useful, c.staged)
-	maps.Copy(useful, c.partial)
-	delete(useful, c.goal.Manifest)
-	delete(useful, fleet.Digest{})
-	list := slices.Collect(maps.Keys(useful))
+	reusable := map[fleet.Digest]bool{c.lastServed.Manifest: true}
+	maps.Copy(reusable, c.staged)
+	maps.Copy(reusable, c.partlyStaged)
+	delete(reusable, c.goal.Manifest)
+	delete(reusable, fleet.Digest{})
+	list := slices.Collect(maps.Keys(reusable))
 	slices.SortFunc(list, func(a, b fleet.Digest) int { return slices.Compare(a[:], b[:]) })
 	return list
 }
@@ -329,23 +333,24 @@
 		return
 	}
 	c.phase = PhaseIdle
-	c.do(StopFetch{Version: c.goal})
+	c.emit(StopFetch{Version: c.goal})
 }
 
-// pause stops all orders until the world has been read again. What is in
-// flight has an unknown outcome.
-func (c *Changeover) pause(now time.Time) {
+// suspend stops all orders until state has been refreshed. The outcome of
+// anything in flight is unknown.
+func (c *Changeover) suspend(now time.Time) {
 	c.paused = true
 	c.pausedAt = now
 	c.attempt++
 	c.claimed = false
-	c.do(Refresh{})
+	c.emit(Refresh{})
 	c.readStatus(now)
 }
 
-// woke claims the engine anew: a successor may have taken over meanwhile.
-func (c *Changeover) woke(now, asked time.Time) {
-	if !c.paused || asked.Before(c.pausedAt) {
+// refreshed claims the engine again, since a successor may have taken over
+// during the pause.
+func (c *Changeover) refreshed(now, requestedAt time.Time) {
+	if !c.paused || requestedAt.Before(c.pausedAt) {
 		return
 	}
 	c.paused = false
@@ -359,5 +364,5 @@
 	c.stopFetch()
 	c.phase = PhaseStoodDown
 	c.admitting = false
-	c.do(StandDown{Err: err})
+	c.emit(StandDown{Err: err})
 }
--- a/core/serving/serving.go
+++ b/core/serving/serving.go
@@ -1,2 +1,3 @@
-// Package serving decides what one backend server may serve, and when it may change.
+// Package serving decides which version one backend server may serve, and when
+// it may change to another.
 package serving
