--- a/core/balance/assign.go
+++ b/core/balance/assign.go
@@ -8,56 +8,57 @@
 	"chivespindle.example/core/fleet"
 )
 
-// minKeepers is the least number of entries that keep a server: two of its
-// zone, one of its region and one of another.
-const minKeepers = 4
+// minSubscribers is the minimum number of entries that subscribe to a server's
+// reports: two of its zone, one of its region and one of another region.
+const minSubscribers = 4
 
-// Entry is an entry instance as the assignment of servers sees it.
+// Entry is an entry instance as input of Assign.
 type Entry struct {
 	ID fleet.InstanceID
 	fleet.Place
 }
 
-// Assign returns the servers that an entry keeps detail of when entries share
-// them out: about n for each entry, or more if a server would be kept by
-// fewer than four. All of them if there are no more than n. entries are the
-// live ones that are not leaving; self counts whether listed or not.
+// Assign returns the servers that an entry subscribes to when the entries
+// divide the servers among themselves: about n servers per entry, or more if a
+// server would otherwise have fewer than four subscribers. It returns all
+// servers if there are no more than n. entries are the live entries that are
+// not leaving; self counts whether listed or not.
 //
-// Every server is kept by equally many entries, those that rank first for it,
-// by the shares of their places. So none is left out, however small n, and an
-// entry that comes or goes changes only the servers that it keeps. An entry
-// of a zone with few entries may be given more than n; it keeps at most twice
-// as many, since its budget of reports is bounded.
+// Every server has the same number of subscribers, those that rank first for
+// it, divided over the tiers of their places. So no server is left out, however
+// small n is, and an entry that joins or leaves changes only the servers that
+// it subscribes to. An entry in a zone with few entries may get more than n
+// servers, but at most twice as many, since its budget for reports is bounded.
 func Assign(self Entry, entries []Entry, servers []Server, n int) []Server {
 	if len(servers) <= n {
 		return slices.Clone(servers)
 	}
-	r := newRoll(self, entries)
-	keepers := max(minKeepers, (n*r.count+len(servers)-1)/len(servers))
-	var kept []Server
+	index := newEntryIndex(self, entries)
+	subscribers := max(minSubscribers, (n*index.count+len(servers)-1)/len(servers))
+	var subscribed []Server
 	for i := range servers {
-		if r.keeps(&servers[i], keepers) {
-			kept = append(kept, servers[i])
+		if index.isSubscriber(&servers[i], subscribers) {
+			subscribed = append(subscribed, servers[i])
 		}
 	}
-	most := 2 * max(n, keepers*len(servers)/r.count)
-	if len(kept) > most {
-		return Subset(self.ID, self.Place, kept, most)
+	limit := 2 * max(n, subscribers*len(servers)/index.count)
+	if len(subscribed) > limit {
+		return Subset(self.ID, self.Place, subscribed, limit)
 	}
-	return kept
+	return subscribed
 }
 
-// roll is the list of entries, sorted by place.
-type roll struct {
+// entryIndex groups the entries by place.
+type entryIndex struct {
 	self    Entry
 	hash    uint64
 	count   int
-	zones   map[fleet.Place][]uint64 // hashes of the entries there, without self
-	regions map[fleet.Region]int     // numbers of entries, self included
+	zones   map[fleet.Place][]uint64 // hashes of the entries' IDs, without self
+	regions map[fleet.Region]int     // number of entries, including self
 }
 
-func newRoll(self Entry, entries []Entry) *roll {
-	r := &roll{
+func newEntryIndex(self Entry, entries []Entry) *entryIndex {
+	index := &entryIndex{
 		self:    self,
 		hash:    xxhash.Sum64String(string(self.ID)),
 		count:   1,
@@ -68,26 +69,26 @@
 		if e.ID == self.ID {
 			continue
 		}
-		r.count++
-		r.zones[e.Place] = append(r.zones[e.Place], xxhash.Sum64String(string(e.ID)))
-		r.regions[e.Region]++
+		index.count++
+		index.zones[e.Place] = append(index.zones[e.Place], xxhash.Sum64String(string(e.ID)))
+		index.regions[e.Region]++
 	}
-	return r
+	return index
 }
 
-// keeps reports whether self is among the keepers of the server: first of the
-// entries that are as near to the server as it is.
-func (r *roll) keeps(server *Server, keepers int) bool {
-	tier := tierOf(server.Place, r.self.Place)
-	quota := quotasOf(r.sizes(server.Place), keepers)[tier]
+// isSubscriber reports whether self is among the subscribers of the server:
+// among the highest ranked of the entries in the same tier around the server.
+func (x *entryIndex) isSubscriber(server *Server, subscribers int) bool {
+	tier := tierOf(server.Place, x.self.Place)
+	quota := tierQuotas(x.tierSizes(server.Place), subscribers)[tier]
 	key := xxhash.Sum64String(string(server.ID))
-	own := rankOf(key, r.hash)
-	for place, hashes := range r.zones {
+	ownRank := rendezvousRank(key, x.hash)
+	for place, hashes := range x.zones {
 		if tierOf(server.Place, place) != tier {
 			continue
 		}
 		for _, hash := range hashes {
-			if rankOf(key, hash) <= own {
+			if rendezvousRank(key, hash) <= ownRank {
 				continue
 			}
 			quota--
@@ -99,12 +100,12 @@
 	return quota > 0
 }
 
-// sizes are the numbers of entries in each tier around place.
-func (r *roll) sizes(place fleet.Place) [tierCount]int {
-	zone := len(r.zones[place])
-	if r.self.Place == place {
+// tierSizes returns the number of entries in each tier around place.
+func (x *entryIndex) tierSizes(place fleet.Place) [tierCount]int {
+	zone := len(x.zones[place])
+	if x.self.Place == place {
 		zone++
 	}
-	region := r.regions[place.Region]
-	return [tierCount]int{zone, region - zone, r.count - region}
+	region := x.regions[place.Region]
+	return [tierCount]int{zone, region - zone, x.count - region}
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,13 +1,13 @@
-// Package balance decides which backend server a request goes to.
+// Package balance chooses the backend server for each request.
 //
-// The control goroutine publishes an immutable Snapshot made from what the
-// agents report; traffic goroutines call Pick on the latest one. What an
-// entry knows exactly, its own requests in flight and how they ended, lives
-// in a Tracker that all snapshots share.
+// The control goroutine publishes an immutable Snapshot built from the agents'
+// reports; request goroutines call Pick on the latest one. What an entry knows
+// exactly, its own requests in flight and their results, is kept in a Tracker
+// that all snapshots share.
 //
-// Safe for concurrent use: every method of Snapshot and Tracker, and
-// Choice.Release. A Rand that several goroutines share must be safe itself; a
-// *rand.Rand is not.
+// All methods of Snapshot and Tracker and Choice.Release are safe for
+// concurrent use. A Rand that several goroutines share must be safe for
+// concurrent use as well, which a *rand.Rand is not.
 package balance
 
 import (
@@ -18,7 +18,8 @@
 	"chivespindle.example/core/serving"
 )
 
-// Rand is the source of chance. A *rand.Rand of math/rand/v2 fits.
+// Rand is a source of random numbers. A *rand.Rand of math/rand/v2 implements
+// it.
 type Rand interface {
 	// IntN returns a number in [0, n); n must be above 0.
 	IntN(n int) int
@@ -26,71 +27,71 @@
 	Float64() float64
 }
 
-// Server is one backend server as its agent describes it.
+// Server is one backend server as described by its agent.
 type Server struct {
 	ID fleet.InstanceID
 	fleet.Place
 	Addr    netip.AddrPort // UDP address of its agent
 	Service fleet.ServiceName
-	Version fleet.Version // what it answers from; zero for a plain service
+	Version fleet.Version // version that it serves; zero for a plain service
 	Report  Report
-	// Draining is true for a server that takes no new work: it leaves or
-	// changes its version.
+	// Draining is true for a server that takes no new requests because it is
+	// leaving or changing its version.
 	Draining bool
-	// ServingSince is when it began to answer from Version, as its agent
-	// tells; zero: long ago. It takes its share of requests by and by.
+	// ServingSince is when it began to serve Version, as reported by its agent;
+	// zero: long ago. The server's share of requests is ramped up from then on.
 	ServingSince time.Time
-	// ConcurrencyLimit is the highest number of this entry's own requests at the server
-	// at once, as an adaptive limit found it; 0: none.
+	// ConcurrencyLimit is the maximum number of this entry's own requests in
+	// flight at the server, as determined by an adaptive limit; 0: none.
 	ConcurrencyLimit int
 }
 
-// Report is the latest load report of a server. It lags.
+// Report is the latest load report of a server. It lags behind the actual load.
 type Report struct {
 	Load     serving.Load
-	Received time.Time // when this entry got it; zero: never
-	// AgeOnReceipt is how old the load was already when the report came, 0 if the
-	// agent did not say.
+	Received time.Time // when this entry received it; zero: never
+	// AgeOnReceipt is how old the load already was when the report was
+	// received, 0 if the agent did not say.
 	AgeOnReceipt time.Duration
 }
 
-// Request is what Pick needs to know of a request.
+// Request holds the properties of a request that Pick depends on.
 type Request struct {
 	Service fleet.ServiceName
-	// PrefixKey names the prompt prefix that a server may have cached; 0:
-	// none. Requests with one key gather on few servers.
+	// PrefixKey identifies the prompt prefix that a server may have cached; 0:
+	// none. Requests with the same key are concentrated on few servers.
 	PrefixKey uint64
 	// Priority is the RFC 9218 urgency, 0 (highest) to 7.
 	Priority int
-	// Exclude names servers that this request has tried already.
+	// Exclude lists servers that this request has already tried.
 	Exclude []fleet.InstanceID
-	// Require names the only server that may take the request: the home of
-	// the key of a request that is not idempotent. Empty: any. Pick then
-	// passes over load, draining and ejection, since only that server's
-	// agent knows whether this is new work or a repeat to be answered from
-	// its record; the agent refuses what it must.
+	// Require names the only server that may take the request: the home of the
+	// key of a non-idempotent request. Empty: any. Pick then ignores load,
+	// draining and ejection, because only that server's agent knows whether the
+	// request is new work or a retry to be answered from its record. The agent
+	// refuses the request if it has to.
 	Require fleet.InstanceID
 }
 
-// Verdict says what Pick makes of one server for one request.
+// Verdict is Pick's assessment of one server for one request.
 type Verdict string
 
 const (
 	// Eligible: the server may be chosen.
 	Eligible Verdict = "eligible"
-	// Excluded: the request has tried it already, or requires another.
+	// Excluded: the request has already tried it, or requires another.
 	Excluded Verdict = "excluded"
-	// Draining: the server takes no new work.
+	// Draining: the server takes no new requests.
 	Draining Verdict = "draining"
-	// Ejected: its recent answers failed or stalled.
+	// Ejected: its recent responses failed or stalled.
 	Ejected Verdict = "ejected"
-	// Busy: it refused a request a moment ago and asked for a pause.
+	// Busy: it recently refused a request and asked for a delay.
 	Busy Verdict = "busy"
-	// Full: its slots and its short queue are taken, as far as known.
+	// Full: its slots and its short queue are occupied, as far as known.
 	Full Verdict = "full"
 )
 
-// Tier says how near a server is.
+// Tier is the distance of a server from the entry.
 type Tier uint8
 
 const (
@@ -116,50 +117,52 @@
 	}
 }
 
-// Candidate tells an operator how Pick sees one server.
+// Candidate shows an operator how Pick assesses one server.
 type Candidate struct {
 	ID            fleet.InstanceID
 	Tier          Tier
 	Verdict       Verdict
-	InFlight      int     // this entry's own requests there now
-	OtherInFlight float64 // estimate of everyone else's requests there
+	InFlight      int     // this entry's own requests in flight there
+	OtherInFlight float64 // estimate of all other requests there
 	Slots         float64 // requests the server runs at once
-	// Cost is what two servers are compared by, the penalty of a farther tier
-	// not included: expected requests for each slot after this one, raised
-	// for a cold server.
+	// Cost is the value by which two servers are compared, without the penalty
+	// of a farther tier: expected requests per slot including this one, raised
+	// during a slow start.
 	Cost          float64
 	ReportAge     time.Duration // negative: never reported
-	PieceInterval time.Duration // mean time between pieces, as this entry saw it; 0: not known
-	EjectionLeft  time.Duration // time left of an ejection, 0 if none
-	Preferred     bool          // the server that the prefix key leads to
+	PieceInterval time.Duration // mean time between pieces, as observed by this entry; 0: unknown
+	EjectionLeft  time.Duration // remaining time of an ejection, 0 if none
+	Preferred     bool          // the server that the prefix key selects
 }
 
-// ResultKind says how a request ended, as far as it tells of the server.
+// ResultKind says how a request ended, as far as that says something about the
+// server.
 type ResultKind uint8
 
 const (
-	// Abandoned: the caller gave up or the request was refused on the entry;
-	// says nothing of the server. The zero value.
+	// Abandoned: the caller gave up or the entry refused the request; says
+	// nothing about the server. The zero value.
 	Abandoned ResultKind = iota
-	// Succeeded: a whole answer came.
+	// Succeeded: a complete response was received.
 	Succeeded
 	// Failed: the server or its agent failed, or the connection broke.
 	Failed
 	// Stalled: no progress within the time allowed; the link may be dead
 	// without having closed.
 	Stalled
-	// Declined: the agent refused the request as not run, being full or
-	// draining; says that it is alive.
+	// Declined: the agent refused the request without running it because it is
+	// full or draining, which shows that it is alive.
 	Declined
 )
 
-// Result ends a Choice.
+// Result is passed to Choice.Release.
 type Result struct {
 	At   time.Time // when it ended
 	Kind ResultKind
-	// PieceInterval is the mean time between two pieces of the answer, the first one
-	// left out, since it may have waited; 0: too few pieces came to tell.
+	// PieceInterval is the mean time between two pieces of the response,
+	// without the wait for the first one, which may include queueing; 0: too
+	// few pieces to tell.
 	PieceInterval time.Duration
-	// RetryAfter is the pause that a Declined request was given.
+	// RetryAfter is the delay that came with a Declined request.
 	RetryAfter time.Duration
 }
--- a/core/balance/balance_suite_test.go
+++ b/core/balance/balance_suite_test.go
@@ -57,7 +57,8 @@
 	return balance.NewSnapshot(apapa, servers, tracker, balance.Settings{})
 }
 
-// pickN picks n times without releasing and counts the servers.
+// pickN picks n times without releasing and returns how often each server was
+// chosen.
 func pickN(s *balance.Snapshot, rnd balance.Rand, n int, r balance.Request) map[fleet.InstanceID]int {
 	counts := map[fleet.InstanceID]int{}
 	for range n {
@@ -68,8 +69,8 @@
 	return counts
 }
 
-// endAt picks the named server at now and ends the request with kind.
-func endAt(s *balance.Snapshot, now time.Time, id fleet.InstanceID, kind balance.ResultKind) {
+// completeRequest picks the named server at now and ends the request with kind.
+func completeRequest(s *balance.Snapshot, now time.Time, id fleet.InstanceID, kind balance.ResultKind) {
 	choice, err := s.Pick(now, newRand(1), balance.Request{Service: spindle, Require: id})
 	Expect(err).NotTo(HaveOccurred())
 	choice.Release(balance.Result{At: now, Kind: kind})
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -15,7 +15,7 @@
 			b.Run(fmt.Sprintf("servers=%d/prefix=%t", n, keyed), func(b *testing.B) {
 				s := balance.NewSnapshot(placeOf(0), servers, newTracker(), balance.Settings{})
 				rnd := newRand(1)
-				r := anyRequest
+				r := defaultRequest
 				b.ReportAllocs()
 				for b.Loop() {
 					if keyed {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkPickRefused is the cost of a request that no server can take.
+// BenchmarkPickRefused measures a request that no server can take.
 func BenchmarkPickRefused(b *testing.B) {
 	for _, n := range []int{20, 200, 3500} {
 		servers := targetFleet()[:n]
@@ -53,7 +53,7 @@
 			rnd := newRand(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := s.Pick(start, rnd, anyRequest); err == nil {
+				if _, err := s.Pick(start, rnd, defaultRequest); err == nil {
 					b.Fatal("a full server was picked")
 				}
 			}
@@ -62,7 +62,7 @@
 }
 
 func BenchmarkAssign(b *testing.B) {
-	servers, entries := targetFleet(), targetRoll(targetEntries)
+	servers, entries := targetFleet(), targetFleetEntries(targetEntries)
 	for b.Loop() {
 		balance.Assign(entries[0], entries, servers, 24)
 	}
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -14,38 +14,39 @@
 	"chivespindle.example/core/serving"
 )
 
-// traffic is a model of entries that send to servers of a few slots each, all
-// by the same late reports. Its clock jumps from event to event.
-type traffic struct {
-	entries, servers int
-	load             float64       // share of all slots
-	took             time.Duration // mean of how long a request runs
-	slow             int           // this many servers take twice as long
-	leastReported    bool          // the policy to compare with
-
-	rnd    *rand.Rand
-	now    time.Time
-	events events
-	infos  []balance.Server // as last reported
-	nodes  []node
-	picks  []*balance.Snapshot
-	tracks []*balance.Tracker
-	waited time.Duration
-	count  int
-	sent   map[fleet.InstanceID]int
+// simulation models entries that send requests to servers with a few slots
+// each, all based on the same delayed reports. It is a discrete-event
+// simulation: the clock advances from event to event.
+type simulation struct {
+	entries, servers  int
+	load              float64       // share of all slots
+	meanDuration      time.Duration // mean duration of a request
+	slowServers       int           // number of servers that take twice as long
+	pickLeastReported bool          // use the policy to compare with
+
+	rnd       *rand.Rand
+	now       time.Time
+	events    events
+	reported  []balance.Server // as last reported
+	actual    []simServer
+	snapshots []*balance.Snapshot
+	trackers  []*balance.Tracker
+	totalWait time.Duration
+	count     int
+	sent      map[fleet.InstanceID]int
 }
 
-// node is a server as it is.
-type node struct {
-	running int
-	queue   []job
-	pace    float64
+// simServer is the actual state of a server.
+type simServer struct {
+	running  int
+	queue    []job
+	slowdown float64
 }
 
 type job struct {
-	arrived time.Time
-	took    time.Duration
-	release func(time.Time)
+	arrived  time.Time
+	duration time.Duration
+	release  func(time.Time)
 }
 
 type event struct {
@@ -66,39 +67,39 @@
 	return x
 }
 
-func (t *traffic) at(after time.Duration, do func()) {
+func (t *simulation) schedule(after time.Duration, do func()) {
 	heap.Push(&t.events, event{t.now.Add(after), do})
 }
 
-func (t *traffic) every(period time.Duration, do func()) {
-	t.at(time.Duration(t.rnd.Float64()*float64(period)), func() {
+func (t *simulation) repeat(period time.Duration, do func()) {
+	t.schedule(time.Duration(t.rnd.Float64()*float64(period)), func() {
 		do()
-		t.every(period, do)
+		t.repeat(period, do)
 	})
 }
 
 // run returns the mean time that requests waited for a slot.
-func (t *traffic) run(length time.Duration) time.Duration {
+func (t *simulation) run(length time.Duration) time.Duration {
 	const reportPeriod, reportLag = 2 * time.Second, time.Second
 	t.rnd, t.now, t.sent = newRand(5), start, map[fleet.InstanceID]int{}
-	t.infos = serversAt(apapa, t.servers, 0)
-	t.nodes = make([]node, t.servers)
-	for i := range t.nodes {
-		t.nodes[i].pace = 1
-		if i < t.slow {
-			t.nodes[i].pace = 2
+	t.reported = serversAt(apapa, t.servers, 0)
+	t.actual = make([]simServer, t.servers)
+	for i := range t.actual {
+		t.actual[i].slowdown = 1
+		if i < t.slowServers {
+			t.actual[i].slowdown = 2
 		}
-		t.every(reportPeriod, func() {
-			load := serving.Load{Running: t.nodes[i].running, Waiting: len(t.nodes[i].queue), Slots: slots}
-			t.at(reportLag, func() {
-				t.infos[i].Report = balance.Report{Load: load, Received: t.now, AgeOnReceipt: reportLag}
+		t.repeat(reportPeriod, func() {
+			load := serving.Load{Running: t.actual[i].running, Waiting: len(t.actual[i].queue), Slots: slots}
+			t.schedule(reportLag, func() {
+				t.reported[i].Report = balance.Report{Load: load, Received: t.now, AgeOnReceipt: reportLag}
 			})
 		})
 	}
 	for entry := range t.entries {
-		t.tracks = append(t.tracks, balance.NewTracker(start, t.rnd))
-		t.picks = append(t.picks, snapshotOf(t.tracks[entry], t.infos))
-		t.every(time.Second/2, func() { t.picks[entry] = snapshotOf(t.tracks[entry], t.infos) })
+		t.trackers = append(t.trackers, balance.NewTracker(start, t.rnd))
+		t.snapshots = append(t.snapshots, snapshotOf(t.trackers[entry], t.reported))
+		t.repeat(time.Second/2, func() { t.snapshots[entry] = snapshotOf(t.trackers[entry], t.reported) })
 	}
 	t.arrive()
 	for end := start.Add(length); t.events[0].at.Before(end); {
@@ -106,63 +107,64 @@
 		t.now = next.at
 		next.do()
 	}
-	return t.waited / time.Duration(t.count)
+	return t.totalWait / time.Duration(t.count)
 }
 
-func (t *traffic) arrive() {
-	rate := t.load * float64(t.servers*slots) / t.took.Seconds()
-	t.at(time.Duration(t.rnd.ExpFloat64()/rate*float64(time.Second)), func() {
-		t.send(job{arrived: t.now, took: time.Duration(t.rnd.ExpFloat64() * float64(t.took))})
+func (t *simulation) arrive() {
+	rate := t.load * float64(t.servers*slots) / t.meanDuration.Seconds()
+	t.schedule(time.Duration(t.rnd.ExpFloat64()/rate*float64(time.Second)), func() {
+		t.send(job{arrived: t.now, duration: time.Duration(t.rnd.ExpFloat64() * float64(t.meanDuration))})
 		t.arrive()
 	})
 }
 
-func (t *traffic) send(j job) {
+func (t *simulation) send(j job) {
 	entry := t.rnd.IntN(t.entries)
 	var chosen fleet.InstanceID
-	if t.leastReported {
-		chosen = t.least()
+	if t.pickLeastReported {
+		chosen = t.leastReportedServer()
 	} else {
-		choice, err := t.picks[entry].Pick(t.now, t.rnd, anyRequest)
+		choice, err := t.snapshots[entry].Pick(t.now, t.rnd, defaultRequest)
 		Expect(err).NotTo(HaveOccurred())
 		chosen = choice.ID
 		j.release = func(at time.Time) { choice.Release(balance.Result{At: at, Kind: balance.Succeeded}) }
 	}
 	t.sent[chosen]++
-	for i := range t.infos {
-		if t.infos[i].ID == chosen {
-			t.queue(i, j)
+	for i := range t.reported {
+		if t.reported[i].ID == chosen {
+			t.enqueue(i, j)
 		}
 	}
 }
 
-// least is the server with the least reported load, any of several.
-func (t *traffic) least() fleet.InstanceID {
-	loadOf := func(i int) int { return t.infos[i].Report.Load.Running + t.infos[i].Report.Load.Waiting }
+// leastReportedServer returns a server with the least reported load, a random
+// one of several.
+func (t *simulation) leastReportedServer() fleet.InstanceID {
+	loadOf := func(i int) int { return t.reported[i].Report.Load.Running + t.reported[i].Report.Load.Waiting }
 	best := t.rnd.IntN(t.servers)
 	for i, from := 0, best; i < t.servers; i++ {
 		if other := (from + i) % t.servers; loadOf(other) < loadOf(best) {
 			best = other
 		}
 	}
-	return t.infos[best].ID
+	return t.reported[best].ID
 }
 
-func (t *traffic) queue(i int, j job) {
-	n := &t.nodes[i]
+func (t *simulation) enqueue(i int, j job) {
+	n := &t.actual[i]
 	if n.running == slots {
 		n.queue = append(n.queue, j)
 		return
 	}
 	n.running++
-	t.begin(i, j)
+	t.startJob(i, j)
 }
 
-func (t *traffic) begin(i int, j job) {
-	n := &t.nodes[i]
-	t.waited += t.now.Sub(j.arrived)
+func (t *simulation) startJob(i int, j job) {
+	n := &t.actual[i]
+	t.totalWait += t.now.Sub(j.arrived)
 	t.count++
-	t.at(time.Duration(float64(j.took)*n.pace), func() {
+	t.schedule(time.Duration(float64(j.duration)*n.slowdown), func() {
 		if j.release != nil {
 			j.release(t.now)
 		}
@@ -171,31 +173,31 @@
 			next := n.queue[0]
 			n.queue = n.queue[1:]
 			n.running++
-			t.begin(i, next)
+			t.startJob(i, next)
 		}
 	})
 }
 
 var _ = Describe("stale reports", func() {
-	// Callers wait behind a queue while most servers have room. A server
-	// became idle; every entry holds the same reports, 1 to 3 s old. An entry
-	// that takes the least reported one sends everything there, and so do all
-	// others, until the next report sends them all elsewhere.
-	DescribeTable("do not make entries herd",
-		func(model traffic) {
-			herd := model
-			herd.leastReported = true
-			ours, theirs := model.run(time.Minute), herd.run(time.Minute)
+	// One server becomes idle while every entry has the same reports, 1 to 3 s
+	// old. Entries that pick the least loaded server all send everything there
+	// until the next report sends them all to another one. Callers then wait in
+	// a queue while most servers have free slots.
+	DescribeTable("do not make entries send all requests to the same server",
+		func(model simulation) {
+			comparison := model
+			comparison.pickLeastReported = true
+			ours, theirs := model.run(time.Minute), comparison.run(time.Minute)
 			AddReportEntry("mean wait", fmt.Sprintf("%v, least reported %v", ours, theirs))
 			Expect(ours).To(BeNumerically("<", theirs/10))
 		},
-		Entry("long requests", traffic{entries: 8, servers: 16, load: 0.8, took: 5 * time.Second}),
-		Entry("short requests", traffic{entries: 8, servers: 16, load: 0.8, took: time.Second / 2}),
-		Entry("many entries", traffic{entries: 40, servers: 50, load: 0.85, took: 5 * time.Second}),
+		Entry("long requests", simulation{entries: 8, servers: 16, load: 0.8, meanDuration: 5 * time.Second}),
+		Entry("short requests", simulation{entries: 8, servers: 16, load: 0.8, meanDuration: time.Second / 2}),
+		Entry("many entries", simulation{entries: 40, servers: 50, load: 0.85, meanDuration: 5 * time.Second}),
 	)
 
-	// The same in a single moment: no request ends, no report comes.
-	It("do not send every entry to the server that became idle", func() {
+	// The same at a single instant: no request ends and no report arrives.
+	It("do not send all entries' requests to the server that became idle", func() {
 		const entries, each, count = 50, 4, 20
 		servers := serversAt(apapa, count, 12)
 		servers[0].Report.Load.Running = 0
@@ -205,7 +207,7 @@
 			s := snapshotOf(newTracker(), servers)
 			rnd := newRand(uint64(entry))
 			for range each {
-				choice, err := s.Pick(now, rnd, anyRequest)
+				choice, err := s.Pick(now, rnd, defaultRequest)
 				Expect(err).NotTo(HaveOccurred())
 				spread[choice.ID]++
 			}
@@ -216,10 +218,10 @@
 		Expect(spread).To(HaveEach(BeNumerically("<=", 3*mean)))
 	})
 
-	// Some servers run at half their pace. Their callers would wait twice as
-	// long, and for a slot on top, were they sent as much as the others.
+	// Some servers run at half speed. If they received as many requests as the
+	// others, their callers would wait twice as long, plus the time for a slot.
 	It("do not hide slow servers", func() {
-		model := traffic{entries: 8, servers: 16, load: 0.7, took: 5 * time.Second, slow: 2}
+		model := simulation{entries: 8, servers: 16, load: 0.7, meanDuration: 5 * time.Second, slowServers: 2}
 		wait := model.run(time.Minute)
 		slow := float64(model.sent["apapa-1-s0"]+model.sent["apapa-1-s1"]) / 2
 		share := slow * 16 / float64(model.count)
--- a/core/balance/outlier.go
+++ b/core/balance/outlier.go
@@ -8,87 +8,89 @@
 )
 
 const (
-	// minResults is how many results a failure rate needs before it counts.
+	// minResults is how many results a failure rate needs before it is used.
 	minResults = 8
-	// failWeight, paceWeight, ownPaceWeight and durationWeight are the weights of the
-	// newest sample in the moving averages.
-	failWeight     = 0.1
-	paceWeight     = 0.05
-	ownPaceWeight  = 0.2
-	durationWeight = 0.05
-	// slowFactor is by how much a server's pace may exceed that of the service
-	// before the answer counts as a failure of the server.
+	// failureWeight, serviceIntervalWeight, serverIntervalWeight and
+	// durationWeight are the weights of the newest sample in the moving
+	// averages.
+	failureWeight         = 0.1
+	serviceIntervalWeight = 0.05
+	serverIntervalWeight  = 0.2
+	durationWeight        = 0.05
+	// slowFactor is by how much a server's piece interval may exceed that of
+	// its service before the response counts as a failure of the server.
 	slowFactor = 3
-	// stallStrikes is what a stall counts in failures: it cost the caller a
-	// whole timeout and a dead link does not mend by itself.
-	stallStrikes = 2
-	// defaultBusy is the pause after a refusal that named none.
-	defaultBusy = 250 * time.Millisecond
+	// stallFailures is how many failures a stall counts as: it cost the caller
+	// a whole timeout, and a dead link does not recover by itself.
+	stallFailures = 2
+	// defaultBusyTime is the delay after a refusal that specified none.
+	defaultBusyTime = 250 * time.Millisecond
 )
 
-// ticket is the open end of one Choice.
-type ticket struct {
+// openRequest is the unfinished request of a Choice.
+type openRequest struct {
 	tracker  *Tracker
-	group    *group
-	state    *state
+	service  *serviceState
+	server   *serverState
 	settings *Settings
-	picked   instant
+	pickedAt instant
 }
 
-// finish takes the request off the counts and learns from its end.
-func (tk *ticket) finish(result Result) {
-	tk.group.inFlight.Add(-1)
-	tk.state.inFlight.Add(-1)
-	now := tk.tracker.since(result.At)
+// release removes the request from the counts and records its result.
+func (r *openRequest) release(result Result) {
+	r.service.inFlight.Add(-1)
+	r.server.inFlight.Add(-1)
+	now := r.tracker.instantOf(result.At)
 	switch result.Kind {
 	case Succeeded:
-		tk.succeeded(now, result.PieceInterval)
-		average(&tk.group.duration, time.Duration(now-tk.picked), durationWeight)
+		r.recordSuccess(now, result.PieceInterval)
+		updateMean(&r.service.duration, time.Duration(now-r.pickedAt), durationWeight)
 	case Failed:
-		tk.fail(now, 1)
+		r.recordFailure(now, 1)
 	case Stalled:
-		tk.fail(now, stallStrikes)
+		r.recordFailure(now, stallFailures)
 	case Declined:
-		pause := result.RetryAfter
-		if pause <= 0 {
-			pause = defaultBusy
+		delay := result.RetryAfter
+		if delay <= 0 {
+			delay = defaultBusyTime
 		}
-		tk.state.busyUntil.Store(now + int64(pause))
+		r.server.busyUntil.Store(now + int64(delay))
 	case Abandoned:
 	}
 }
 
-// succeeded learns from a whole answer.
+// recordSuccess records a complete response.
 //
-// A server that is several times as slow as the others of its service makes
-// each of its callers wait, and holding fewer requests does not speed it up.
-// Least-of-two gives it less work but never none, so its answers remain the
-// slowest in a hundred. Several slow answers in a row therefore eject it as
-// failures do. The pace of the service follows clipped samples: one slow server
-// hardly moves it, and when all servers slow down it follows them, so that
-// nobody is ejected for what all do.
-func (tk *ticket) succeeded(now instant, pace time.Duration) {
-	if pace <= 0 {
-		tk.state.succeed(now, tk.settings)
+// A server that is several times slower than the others of its service makes
+// each of its callers wait, and sending it fewer requests does not speed it up.
+// The choice of the cheaper of two gives it less work but never none, so its
+// responses remain the slowest one percent. Several slow responses in a row
+// therefore eject it just as failures do. The mean interval of the service is
+// computed from clipped samples: one slow server hardly changes it, and if all
+// servers slow down it follows them, so that none is ejected for what they all
+// do.
+func (r *openRequest) recordSuccess(now instant, interval time.Duration) {
+	if interval <= 0 {
+		r.server.recordSuccess(now, r.settings)
 		return
 	}
-	average(&tk.state.pace, pace, ownPaceWeight)
-	usual := time.Duration(math.Float64frombits(tk.group.pace.Load()) * float64(time.Second))
-	slow := usual > 0 && pace > slowFactor*usual
-	if usual > 0 {
-		pace = min(pace, slowFactor*usual)
+	updateMean(&r.server.pieceInterval, interval, serverIntervalWeight)
+	mean := time.Duration(math.Float64frombits(r.service.pieceInterval.Load()) * float64(time.Second))
+	slow := mean > 0 && interval > slowFactor*mean
+	if mean > 0 {
+		interval = min(interval, slowFactor*mean)
 	}
-	average(&tk.group.pace, pace, paceWeight)
+	updateMean(&r.service.pieceInterval, interval, serviceIntervalWeight)
 	if slow {
-		tk.fail(now, 1)
+		r.recordFailure(now, 1)
 		return
 	}
-	tk.state.succeed(now, tk.settings)
+	r.server.recordSuccess(now, r.settings)
 }
 
-// average moves a mean, kept as the bits of a float64 in seconds, towards a
-// sample. A sample lost to another goroutine's does no harm to a mean.
-func average(mean *atomic.Uint64, sample time.Duration, weight float64) {
+// updateMean moves a mean, stored as the bits of a float64 in seconds, towards
+// a sample. Losing a sample to a concurrent update does no harm to a mean.
+func updateMean(mean *atomic.Uint64, sample time.Duration, weight float64) {
 	value := math.Float64frombits(mean.Load())
 	if value == 0 {
 		value = sample.Seconds()
@@ -97,79 +99,82 @@
 	mean.Store(math.Float64bits(value))
 }
 
-func (st *state) succeed(now instant, settings *Settings) {
+func (st *serverState) recordSuccess(now instant, settings *Settings) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.strikes = 0
+	st.consecutiveFailures = 0
 	st.results++
-	st.failRate -= failWeight * st.failRate
-	if st.ejections > 0 && now >= st.warmFrom.Load()+int64(settings.SlowStartTime) {
+	st.failureRate -= failureWeight * st.failureRate
+	if st.ejections > 0 && now >= st.slowStartFrom.Load()+int64(settings.SlowStartTime) {
 		st.ejections = 0
 	}
 }
 
-// fail counts a failure and ejects the server if it was one too many.
+// recordFailure records failures and ejects the server if there were too many.
 //
-// A server that fails fast looks idle, so least-of-two alone would send it
-// ever more requests and callers would see most of them fail. Ejection takes
-// it out for a time that doubles with each relapse, jittered so that the
-// entries do not all come back to it at once. At most half of a service's
-// servers are out: if more seem to fail, the fault is likelier on this side.
-func (tk *ticket) fail(now instant, strikes int) {
-	jitter := tk.tracker.jitter()
-	g := tk.group
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	st := tk.state
+// A server that fails fast looks idle, so the choice of the cheaper of two
+// alone would send it ever more requests and most callers would see errors. An
+// ejection takes it out of service for a time that doubles with each relapse,
+// with jitter so that the entries do not all return to it at once. At most half
+// of a service's servers are ejected: if more seem to fail, the fault is more
+// likely on this side.
+func (r *openRequest) recordFailure(now instant, failures int) {
+	jitter := r.tracker.jitter()
+	service := r.service
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	st := r.server
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.strikes += strikes
+	st.consecutiveFailures += failures
 	st.results++
-	st.failRate += failWeight * (1 - st.failRate)
-	if !st.failing(tk.settings) || now < st.ejectedUntil.Load() {
+	st.failureRate += failureWeight * (1 - st.failureRate)
+	if !st.shouldEject(r.settings) || now < st.ejectedUntil.Load() {
 		return
 	}
-	if !g.mayEject(now) {
+	if !service.mayEject(now) {
 		return
 	}
-	length := backoff(tk.settings.BaseEjection, tk.settings.MaxEjection, st.ejections, jitter)
-	end := now + int64(length)
+	duration := backoff(r.settings.BaseEjection, r.settings.MaxEjection, st.ejections, jitter)
+	end := now + int64(duration)
 	st.ejectedUntil.Store(end)
-	st.warmFrom.Store(end)
+	st.slowStartFrom.Store(end)
 	st.ejections++
-	st.strikes = 0
+	st.consecutiveFailures = 0
 	st.results = 0
-	st.failRate = 0
+	st.failureRate = 0
 }
 
-// failing reports whether the failures suffice for an ejection. One failure
-// does after a return, until the server has lasted through its slow start.
-func (st *state) failing(settings *Settings) bool {
+// shouldEject reports whether the failures suffice for an ejection. After a
+// return from an ejection a single failure suffices, until the server has
+// completed its slow start.
+func (st *serverState) shouldEject(settings *Settings) bool {
 	if st.ejections > 0 {
-		return st.strikes > 0
+		return st.consecutiveFailures > 0
 	}
-	if st.strikes >= settings.EjectAfterFailures {
+	if st.consecutiveFailures >= settings.EjectAfterFailures {
 		return true
 	}
-	return st.results >= minResults && st.failRate >= settings.EjectFailureRate
+	return st.results >= minResults && st.failureRate >= settings.EjectFailureRate
 }
 
-// mayEject reports whether one more of the group may be ejected.
-func (g *group) mayEject(now instant) bool {
-	out := 1
+// mayEject reports whether one more server of the service may be ejected.
+func (g *serviceState) mayEject(now instant) bool {
+	ejected := 1
 	for _, st := range g.members {
 		if now < st.ejectedUntil.Load() {
-			out++
+			ejected++
 		}
 	}
-	return 2*out <= len(g.members)
+	return 2*ejected <= len(g.members)
 }
 
 // trimEjections ends the ejections that would leave more than half of a
-// shrunken group out, those that end first first. It counts ejections that
-// may be over already, which errs towards ending one too many.
-func (g *group) trimEjections() {
-	var out []*state
+// service's servers out after it has shrunk, starting with those that end
+// first. It also counts ejections that may be over already, so it may end one
+// too many.
+func (g *serviceState) trimEjections() {
+	var out []*serverState
 	for _, st := range g.members {
 		if st.ejectedUntil.Load() != unset {
 			out = append(out, st)
@@ -179,7 +184,7 @@
 	if excess <= 0 {
 		return
 	}
-	slices.SortFunc(out, func(a, b *state) int {
+	slices.SortFunc(out, func(a, b *serverState) int {
 		return int(min(1, max(-1, a.ejectedUntil.Load()-b.ejectedUntil.Load())))
 	})
 	for _, st := range out[:excess] {
@@ -187,10 +192,10 @@
 	}
 }
 
-// backoff returns base doubled for each earlier ejection, at most limit, times
-// jitter.
+// backoff returns base doubled for each earlier ejection, capped at limit,
+// times jitter.
 func backoff(base, limit time.Duration, earlier int, jitter float64) time.Duration {
-	length := float64(base) * math.Pow(2, float64(earlier))
-	length = min(length, float64(limit))
-	return time.Duration(length * jitter)
+	duration := float64(base) * math.Pow(2, float64(earlier))
+	duration = min(duration, float64(limit))
+	return time.Duration(duration * jitter)
 }
--- a/core/balance/outlier_test.go
+++ b/core/balance/outlier_test.go
@@ -12,15 +12,16 @@
 )
 
 var _ = Describe("outlier avoidance", func() {
-	// Most callers see errors: a server that fails at once always has the
-	// fewest requests in flight, so least-of-two prefers it.
+	// A server that fails immediately always has the fewest requests in flight,
+	// so the choice of the cheaper of two prefers it and most callers see
+	// errors.
 	It("ejects a server that fails fast", func() {
 		servers := serversAt(apapa, 4, 0)
 		s := snapshotOf(newTracker(), servers)
 		rnd := newRand(5)
 		failed := 0
 		for range 40 {
-			choice, err := s.Pick(start, rnd, anyRequest)
+			choice, err := s.Pick(start, rnd, defaultRequest)
 			Expect(err).NotTo(HaveOccurred())
 			if choice.ID == servers[0].ID {
 				failed++
@@ -35,42 +36,42 @@
 			servers := serversAt(apapa, 4, 0)
 			s := snapshotOf(newTracker(), servers)
 			for _, kind := range results {
-				endAt(s, start, servers[0].ID, kind)
+				completeRequest(s, start, servers[0].ID, kind)
 			}
-			Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(want))
+			Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(want))
 		},
 		Entry("two failures: no", []balance.ResultKind{balance.Failed, balance.Failed}, balance.Eligible),
 		Entry("three failures", []balance.ResultKind{balance.Failed, balance.Failed, balance.Failed}, balance.Ejected),
 		Entry("two stalls", []balance.ResultKind{balance.Stalled, balance.Stalled}, balance.Ejected),
-		Entry("failures with an answer between: no",
+		Entry("failures with a success in between: no",
 			[]balance.ResultKind{balance.Failed, balance.Failed, balance.Succeeded, balance.Failed, balance.Failed}, balance.Eligible),
 		Entry("callers that gave up: no",
 			[]balance.ResultKind{balance.Abandoned, balance.Abandoned, balance.Abandoned, balance.Abandoned}, balance.Eligible),
-		Entry("a refusal: a pause only", []balance.ResultKind{balance.Declined}, balance.Busy),
+		Entry("a refusal: only a delay", []balance.ResultKind{balance.Declined}, balance.Busy),
 	)
 
-	// Every other answer of a half-broken server fails: never three in a row,
-	// yet half of its callers see errors for as long as it lives.
-	It("ejects a server that fails every other time", func() {
+	// A partly broken server fails often, but never three times in a row, so
+	// many of its callers would see errors for as long as it runs.
+	It("ejects a server that fails two times out of three", func() {
 		servers := serversAt(apapa, 4, 0)
 		s := snapshotOf(newTracker(), servers)
 		for range 200 {
-			endAt(s, start, servers[0].ID, balance.Failed)
-			endAt(s, start, servers[0].ID, balance.Failed)
-			endAt(s, start, servers[0].ID, balance.Succeeded)
+			completeRequest(s, start, servers[0].ID, balance.Failed)
+			completeRequest(s, start, servers[0].ID, balance.Failed)
+			completeRequest(s, start, servers[0].ID, balance.Succeeded)
 		}
-		Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(balance.Ejected))
+		Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(balance.Ejected))
 	})
 
-	It("ejects for longer after each relapse and forgives a server that lasts", func() {
+	It("ejects for longer after each relapse and resets after a server's slow start", func() {
 		servers := serversAt(apapa, 4, 0)
 		s := snapshotOf(newTracker(), servers)
 		now := start
 		ejection := func(failures int) time.Duration {
 			for range failures {
-				endAt(s, now, servers[0].ID, balance.Failed)
+				completeRequest(s, now, servers[0].ID, balance.Failed)
 			}
-			for _, c := range s.Explain(now, anyRequest) {
+			for _, c := range s.Explain(now, defaultRequest) {
 				if c.ID == servers[0].ID {
 					return c.EjectionLeft
 				}
@@ -87,22 +88,22 @@
 			now = now.Add(length)
 		}
 		now = now.Add(time.Minute)
-		endAt(s, now, servers[0].ID, balance.Succeeded)
+		completeRequest(s, now, servers[0].ID, balance.Succeeded)
 		Expect(ejection(2)).To(BeZero())
 		Expect(ejection(1)).To(BeNumerically("~", 2*time.Second, 500*time.Millisecond))
 	})
 
-	// All servers of a zone fail and the rest are full: a caller is better
-	// off refused at once than sent where requests fail.
-	It("leaves ejected servers out while others are only full", func() {
+	// All servers that are not full fail: refusing a caller at once is better
+	// than sending the request to a server that fails.
+	It("does not pick ejected servers while others are only full", func() {
 		servers := serversAt(apapa, 4, 0)
 		servers[1].Report.Load.Waiting = 40
 		servers[2].Draining = true
 		servers[3].Draining = true
 		s := snapshotOf(newTracker(), servers)
-		endAt(s, start, servers[0].ID, balance.Stalled)
-		endAt(s, start, servers[0].ID, balance.Stalled)
-		_, err := s.Pick(start, newRand(5), anyRequest)
+		completeRequest(s, start, servers[0].ID, balance.Stalled)
+		completeRequest(s, start, servers[0].ID, balance.Stalled)
+		_, err := s.Pick(start, newRand(5), defaultRequest)
 		Expect(err).To(HaveOccurred())
 	})
 
@@ -110,16 +111,16 @@
 		servers := serversAt(apapa, 2, 0)
 		servers[1].Draining = true
 		s := snapshotOf(newTracker(), servers)
-		endAt(s, start, servers[0].ID, balance.Stalled)
-		endAt(s, start, servers[0].ID, balance.Stalled)
-		Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(balance.Ejected))
-		Expect(pickN(s, newRand(5), 1, anyRequest)).To(HaveKey(servers[0].ID))
+		completeRequest(s, start, servers[0].ID, balance.Stalled)
+		completeRequest(s, start, servers[0].ID, balance.Stalled)
+		Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(balance.Ejected))
+		Expect(pickN(s, newRand(5), 1, defaultRequest)).To(HaveKey(servers[0].ID))
 	})
 })
 
-// Callers would be refused by a fleet that works: the entry's own link fails,
-// so that every server seems to fail, and servers come and go meanwhile. At
-// no time may more than half of the listed ones be ejected.
+// The entry's own link fails, so that every server seems to fail, while servers
+// join and leave. Callers would be refused although the fleet works. At no time
+// may more than half of the listed servers be ejected.
 func TestNeverMoreThanHalfEjected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -14,7 +14,7 @@
 	"chivespindle.example/core/fleet"
 )
 
-// The failures of Pick. Both carry the outcome failure.NotRun and a pause.
+// Errors of Pick. Both carry the outcome failure.NotRun and a retry delay.
 var (
 	// NoServer: no live server of the service is known.
 	NoServer = failure.Unavailable.NewSubtype("no_server").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
@@ -23,156 +23,161 @@
 )
 
 const (
-	// sampleTries is how many servers are drawn at random before the whole
-	// tier is looked through for two eligible ones.
-	sampleTries = 6
-	// coldShare is what a server at the begin of its slow start counts.
-	coldShare = 0.1
-	// lowestPriority is the least urgent of RFC 9218.
+	// maxSamples is how many servers are sampled at random before the whole
+	// tier is searched for two eligible ones.
+	maxSamples = 6
+	// minWarmup is the warm-up share of a server at the start of its slow
+	// start.
+	minWarmup = 0.1
+	// lowestPriority is the least urgent priority of RFC 9218.
 	lowestPriority = 7
 )
 
-// Choice is a picked server. Its request counts as in flight until Release.
+// Choice is a picked server. Its request counts as in flight until Release is
+// called.
 type Choice struct {
 	Server
-	ticket   ticket
+	open     openRequest
 	released *atomic.Bool
 }
 
-// Release ends the choice; calls after the first have no effect.
+// Release ends the request; calls after the first have no effect.
 func (c Choice) Release(result Result) {
 	if c.released == nil || c.released.Swap(true) {
 		return
 	}
-	c.ticket.finish(result)
+	c.open.release(result)
 }
 
 // Pick chooses a server and counts the request as in flight there. It fails
-// with NoServer or AllFull, both not run.
+// with NoServer or AllFull; in both cases the request did not run.
 //
-// Limits are read and then counted without a lock, so that goroutines which
-// pick at the same instant may pass one by as many as they are.
+// Limits are read and then counted without a lock, so concurrent calls may
+// exceed a limit by as many requests as there are calls.
 func (s *Snapshot) Pick(now time.Time, rnd Rand, r Request) (Choice, error) {
 	p := s.pools[r.Service]
 	if p == nil {
 		return Choice{}, s.refuse(NoServer, rnd, r.Service)
 	}
-	k := newPicking(s, p, now, &r)
-	m := k.choose(rnd)
+	sel := newSelection(s, p, now, &r)
+	m := sel.pick(rnd)
 	if m == nil {
-		return Choice{}, s.refuse(k.why(), rnd, r.Service)
+		return Choice{}, s.refuse(sel.failureType(), rnd, r.Service)
 	}
-	p.group.inFlight.Add(1)
+	p.service.inFlight.Add(1)
 	m.state.inFlight.Add(1)
 	return Choice{
 		Server:   m.Server,
-		ticket:   ticket{tracker: s.tracker, group: p.group, state: m.state, settings: &s.settings, picked: k.at},
+		open:     openRequest{tracker: s.tracker, service: p.service, server: m.state, settings: &s.settings, pickedAt: sel.at},
 		released: new(atomic.Bool),
 	}, nil
 }
 
-// refuse returns a not-run failure with a pause between one and three times
-// the setting, so that those refused together do not return together.
+// refuse returns a not-run error with a retry delay between one and three times
+// MinRetryAfter, so that callers refused at the same time do not retry at the
+// same time.
 func (s *Snapshot) refuse(kind *errorx.Type, rnd Rand, service fleet.ServiceName) error {
 	base := float64(s.settings.MinRetryAfter)
-	pause := time.Duration(base * (1 + 2*rnd.Float64()))
+	delay := time.Duration(base * (1 + 2*rnd.Float64()))
 	err := kind.New("service %q", string(service))
-	return failure.WithRetryAfter(failure.WithOutcome(err, failure.NotRun), pause)
+	return failure.WithRetryAfter(failure.WithOutcome(err, failure.NotRun), delay)
 }
 
-// picking is one run of Pick.
-type picking struct {
-	snapshot *Snapshot
-	settings *Settings
-	pool     *pool
-	now      time.Time
-	at       instant
-	request  *Request
-	life     time.Duration // time constant with which reports fade
-	room     float64       // requests for each slot that this priority may fill
+// selection holds the state of one call of Pick.
+type selection struct {
+	snapshot    *Snapshot
+	settings    *Settings
+	pool        *pool
+	now         time.Time
+	at          instant
+	request     *Request
+	reportDecay time.Duration // time constant for the decay of reports
+	fillLimit   float64       // requests per slot that this priority may fill
 }
 
-func newPicking(s *Snapshot, p *pool, now time.Time, r *Request) picking {
+func newSelection(s *Snapshot, p *pool, now time.Time, r *Request) selection {
 	priority := float64(min(max(r.Priority, 0), lowestPriority))
-	return picking{
-		snapshot: s,
-		settings: &s.settings,
-		pool:     p,
-		now:      now,
-		at:       s.tracker.since(now),
-		request:  r,
-		life:     p.reportLife(&s.settings),
-		room:     (1 + s.settings.QueueShare) * (1 - s.settings.ReserveShare*priority/lowestPriority),
+	return selection{
+		snapshot:    s,
+		settings:    &s.settings,
+		pool:        p,
+		now:         now,
+		at:          s.tracker.instantOf(now),
+		request:     r,
+		reportDecay: p.reportDecay(&s.settings),
+		fillLimit:   (1 + s.settings.QueueShare) * (1 - s.settings.ReserveShare*priority/lowestPriority),
 	}
 }
 
-func (k *picking) choose(rnd Rand) *member {
-	if k.request.Require != "" {
-		return k.required()
+func (sel *selection) pick(rnd Rand) *member {
+	if sel.request.Require != "" {
+		return sel.pickRequired()
 	}
-	if k.request.PrefixKey != 0 {
-		if m := k.byPrefix(); m != nil {
+	if sel.request.PrefixKey != 0 {
+		if m := sel.pickByPrefix(); m != nil {
 			return m
 		}
 	}
-	if m := k.nearest(rnd); m != nil {
+	if m := sel.pickNearest(rnd); m != nil {
 		return m
 	}
-	return k.lastResort(rnd)
+	return sel.pickEjected(rnd)
 }
 
-func (k *picking) required() *member {
-	for i := range k.pool.members {
-		if k.pool.members[i].ID == k.request.Require {
-			return &k.pool.members[i]
+func (sel *selection) pickRequired() *member {
+	for i := range sel.pool.members {
+		if sel.pool.members[i].ID == sel.request.Require {
+			return &sel.pool.members[i]
 		}
 	}
 	return nil
 }
 
-// nearest takes the better of two from the entry's own zone, and looks
-// farther only if that one is loaded.
-func (k *picking) nearest(rnd Rand) *member {
-	penalties := [tierCount]float64{0, k.settings.RegionPenalty, k.settings.FleetPenalty}
+// pickNearest takes the cheaper of two servers from the entry's own zone, and
+// tries farther tiers only if that one is loaded.
+func (sel *selection) pickNearest(rnd Rand) *member {
+	penalties := [tierCount]float64{0, sel.settings.RegionPenalty, sel.settings.FleetPenalty}
 	var best *member
 	bestCost := math.Inf(1)
-	for tier, members := range k.pool.tiers {
-		m, cost := k.leastOfTwo(members, rnd)
+	for tier, members := range sel.pool.tiers {
+		m, cost := sel.cheaperOfTwo(members, rnd)
 		if m != nil && cost+penalties[tier] < bestCost {
 			best, bestCost = m, cost+penalties[tier]
 		}
-		if bestCost < k.settings.SpillThreshold {
+		if bestCost < sel.settings.SpillThreshold {
 			break
 		}
 	}
 	return best
 }
 
-// leastOfTwo draws two eligible members and returns the cheaper one.
+// cheaperOfTwo samples two eligible members and returns the cheaper one (power of
+// two choices).
 //
-// Reports are seconds old and every entry sees the same ones. Were the least
-// loaded taken, all entries would send everything to the server that became
-// idle last, until the next report; callers there would wait while others
-// idle. Of two drawn at random no server gets more than 2/n of the requests.
-func (k *picking) leastOfTwo(members []*member, rnd Rand) (*member, float64) {
-	first, second := k.drawTwo(members, rnd)
+// Reports are seconds old and all entries receive the same ones. If the least
+// loaded server were taken, all entries would send everything to the server
+// that became idle last until the next report; callers would wait there while
+// other servers are idle. With two random samples, no server gets more than 2/n
+// of the requests.
+func (sel *selection) cheaperOfTwo(members []*member, rnd Rand) (*member, float64) {
+	first, second := sel.sampleTwo(members, rnd)
 	if first == nil {
 		return nil, math.Inf(1)
 	}
-	cost := k.cost(first)
+	cost := sel.cost(first)
 	if second == nil {
 		return first, cost
 	}
-	if other := k.cost(second); other < cost {
+	if other := sel.cost(second); other < cost {
 		return second, other
 	}
 	return first, cost
 }
 
-func (k *picking) drawTwo(members []*member, rnd Rand) (first, second *member) {
-	for range min(sampleTries, len(members)) {
+func (sel *selection) sampleTwo(members []*member, rnd Rand) (first, second *member) {
+	for range min(maxSamples, len(members)) {
 		m := members[rnd.IntN(len(members))]
-		if m == first || k.verdict(m) != Eligible {
+		if m == first || sel.verdict(m) != Eligible {
 			continue
 		}
 		if first != nil {
@@ -180,14 +185,15 @@
 		}
 		first = m
 	}
-	return k.drawFromAll(members, rnd)
+	return sel.sampleTwoOfAll(members, rnd)
 }
 
-// drawFromAll draws two of the eligible members, each pair alike likely.
-func (k *picking) drawFromAll(members []*member, rnd Rand) (first, second *member) {
+// sampleTwoOfAll samples two of the eligible members, each pair with equal
+// probability.
+func (sel *selection) sampleTwoOfAll(members []*member, rnd Rand) (first, second *member) {
 	seen := 0
 	for _, m := range members {
-		if k.verdict(m) != Eligible {
+		if sel.verdict(m) != Eligible {
 			continue
 		}
 		seen++
@@ -205,32 +211,33 @@
 	return first, second
 }
 
-// byPrefix returns the member that ranks first for the prefix key among those
-// near whose load is within the bound; nil if there is none.
+// pickByPrefix returns the highest ranked member for the prefix key whose load
+// is within the bound, from the nearest tier that has one; nil if there is
+// none.
 //
-// Without the bound a popular prefix would pile up on one server while others
-// idle; past it, its requests go on to the next in rank, so that a popular
-// prefix is cached by as many servers as its load needs.
-func (k *picking) byPrefix() *member {
-	total := float64(k.pool.group.inFlight.Load()) + k.pool.others + 1
-	bound := max(k.settings.AffinityFloor, k.settings.AffinityFactor*total/k.pool.slots)
-	for _, members := range k.pool.tiers {
-		if m := k.firstRanked(members, bound); m != nil {
+// Without the bound, a popular prefix would overload one server while others
+// are idle. Above it, requests go to the next server in rank, so that a popular
+// prefix is cached by as many servers as its load requires.
+func (sel *selection) pickByPrefix() *member {
+	total := float64(sel.pool.service.inFlight.Load()) + sel.pool.others + 1
+	bound := max(sel.settings.AffinityFloor, sel.settings.AffinityFactor*total/sel.pool.slots)
+	for _, members := range sel.pool.tiers {
+		if m := sel.highestRanked(members, bound); m != nil {
 			return m
 		}
 	}
 	return nil
 }
 
-func (k *picking) firstRanked(members []*member, bound float64) *member {
+func (sel *selection) highestRanked(members []*member, bound float64) *member {
 	var best *member
 	var bestRank uint64
 	for _, m := range members {
-		rank := rankOf(k.request.PrefixKey, m.hash)
+		rank := rendezvousRank(sel.request.PrefixKey, m.hash)
 		if best != nil && rank <= bestRank {
 			continue
 		}
-		if k.verdict(m) != Eligible || k.weighted(m) > math.Ceil(bound*m.slots) {
+		if sel.verdict(m) != Eligible || sel.weightedLoad(m) > math.Ceil(bound*m.slots) {
 			continue
 		}
 		best, bestRank = m, rank
@@ -238,23 +245,23 @@
 	return best
 }
 
-// rankOf is the rendezvous weight of a server for a key.
-func rankOf(key, server uint64) uint64 {
+// rendezvousRank returns the rendezvous-hash rank of a server for a key.
+func rendezvousRank(key, server uint64) uint64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], key)
 	binary.LittleEndian.PutUint64(buffer[8:], server)
 	return xxhash.Sum64(buffer[:])
 }
 
-// lastResort returns an ejected member when no other live one is left: a
-// doubtful server is better than certain failure. Full servers do count as
-// left, so that a broken server does not get the overflow.
-func (k *picking) lastResort(rnd Rand) *member {
+// pickEjected returns an ejected member if no other live one is left: a
+// possibly failing server is better than a certain refusal. Full servers count
+// as left, so that a failing server does not receive the overflow.
+func (sel *selection) pickEjected(rnd Rand) *member {
 	var chosen *member
 	ejected := 0
-	for i := range k.pool.members {
-		m := &k.pool.members[i]
-		switch k.verdict(m) {
+	for i := range sel.pool.members {
+		m := &sel.pool.members[i]
+		switch sel.verdict(m) {
 		case Full, Busy:
 			return nil
 		case Ejected:
@@ -267,10 +274,10 @@
 	return chosen
 }
 
-// why returns the failure for a request that no server can take.
-func (k *picking) why() *errorx.Type {
-	for i := range k.pool.members {
-		switch k.verdict(&k.pool.members[i]) {
+// failureType returns the error type for a request that no server can take.
+func (sel *selection) failureType() *errorx.Type {
+	for i := range sel.pool.members {
+		switch sel.verdict(&sel.pool.members[i]) {
 		case Full, Busy:
 			return AllFull
 		}
@@ -278,8 +285,8 @@
 	return NoServer
 }
 
-func (k *picking) verdict(m *member) Verdict {
-	r := k.request
+func (sel *selection) verdict(m *member) Verdict {
+	r := sel.request
 	switch {
 	case r.Require != "" && r.Require != m.ID:
 		return Excluded
@@ -287,66 +294,67 @@
 		return Excluded
 	case m.Draining:
 		return Draining
-	case k.at < m.state.ejectedUntil.Load():
+	case sel.at < m.state.ejectedUntil.Load():
 		return Ejected
-	case k.at < m.state.busyUntil.Load():
+	case sel.at < m.state.busyUntil.Load():
 		return Busy
-	case k.full(m):
+	case sel.isFull(m):
 		return Full
 	default:
 		return Eligible
 	}
 }
 
-// full reports whether the server has no room for this priority. Others'
-// requests fade to nothing here, so that a server whose reports stopped is
-// not taken for full for ever.
-func (k *picking) full(m *member) bool {
+// isFull reports whether the server has no capacity left for this priority. The
+// estimate of other requests decays to zero, so that a server whose reports
+// have stopped is not considered full indefinitely.
+func (sel *selection) isFull(m *member) bool {
 	own := float64(m.state.inFlight.Load())
 	if m.ConcurrencyLimit > 0 && own >= float64(m.ConcurrencyLimit) {
 		return true
 	}
-	others := m.others * m.freshness(k.now, k.life)
-	return own+others+1 > math.Ceil(m.slots*k.room)
+	others := m.others * m.freshness(sel.now, sel.reportDecay)
+	return own+others+1 > math.Ceil(m.slots*sel.fillLimit)
 }
 
-// othersNow estimates the requests that are not this entry's: the mean of the
-// server's tier, moved by a part towards the server's own report, which
-// shrinks to nothing as the report ages.
+// estimateOthers estimates the requests of others at the server: the mean of
+// the server's tier, moved part of the way towards the server's own report.
+// That part decays to zero as the report ages.
 //
-// A report tells what a server did some seconds ago, and all entries react to
-// it at once. Believed in full, it makes them swing together from server to
-// server; the mean of many reports does not swing.
-func (k *picking) othersNow(m *member) float64 {
-	mean := k.pool.tierOthers[m.tier] * m.slots
-	trust := k.settings.ReportWeight * m.freshness(k.now, k.life)
-	return mean + trust*(m.others-mean)
+// A report describes the load some seconds ago, and all entries react to it at
+// once. If they relied on it fully, they would oscillate together from server
+// to server; the mean of many reports does not oscillate.
+func (sel *selection) estimateOthers(m *member) float64 {
+	mean := sel.pool.tierOthers[m.tier] * m.slots
+	weight := sel.settings.ReportWeight * m.freshness(sel.now, sel.reportDecay)
+	return mean + weight*(m.others-mean)
 }
 
-// loadAfter is the number of requests at the server were this one added.
-func (k *picking) loadAfter(m *member) float64 {
-	return float64(m.state.inFlight.Load()) + k.othersNow(m) + 1
+// loadAfter returns the number of requests at the server including this one.
+func (sel *selection) loadAfter(m *member) float64 {
+	return float64(m.state.inFlight.Load()) + sel.estimateOthers(m) + 1
 }
 
-// weighted is loadAfter, raised for a cold server. A slow server needs no
-// raise of its own: it keeps its requests for longer.
-func (k *picking) weighted(m *member) float64 {
-	return k.loadAfter(m) / k.warmth(m)
+// weightedLoad returns loadAfter, raised for a server in its slow start. A slow
+// server needs no extra weight: its requests stay in flight for longer.
+func (sel *selection) weightedLoad(m *member) float64 {
+	return sel.loadAfter(m) / sel.warmupShare(m)
 }
 
-func (k *picking) cost(m *member) float64 { return k.weighted(m) / m.slots }
+func (sel *selection) cost(m *member) float64 { return sel.weightedLoad(m) / m.slots }
 
-// warmth is the share that a server in its slow start counts, from coldShare
-// to 1. A server that just loaded has empty caches; a full share at once
-// would make its first callers wait and could fail it again.
-func (k *picking) warmth(m *member) float64 {
-	if m.state.warmFrom.Load() == unset {
-		m.state.warmFrom.CompareAndSwap(unset, k.at)
+// warmupShare returns the share of its full weight at which a server in its
+// slow start counts, from minWarmup to 1. A server that has just loaded has
+// empty caches; a full share of requests at once would delay its first callers
+// and could make it fail again.
+func (sel *selection) warmupShare(m *member) float64 {
+	if m.state.slowStartFrom.Load() == unset {
+		m.state.slowStartFrom.CompareAndSwap(unset, sel.at)
 	}
-	from := max(m.since, m.state.warmFrom.Load())
-	if from == longAgo {
+	from := max(m.slowStartFrom, m.state.slowStartFrom.Load())
+	if from == noSlowStart {
 		return 1
 	}
-	passed := float64(k.at-from) / float64(k.settings.SlowStartTime)
-	return min(1, max(coldShare, passed))
+	passed := float64(sel.at-from) / float64(sel.settings.SlowStartTime)
+	return min(1, max(minWarmup, passed))
 }
--- a/core/balance/pick_test.go
+++ b/core/balance/pick_test.go
@@ -13,46 +13,47 @@
 	"chivespindle.example/core/fleet"
 )
 
-var anyRequest = balance.Request{Service: spindle}
+var defaultRequest = balance.Request{Service: spindle}
 
 var _ = Describe("Pick", func() {
-	// The caller would wait at a busy server next to an idle one: this entry
-	// just sent its requests to one of two, and no report shows it yet.
-	It("counts its own requests before any report does", func() {
+	// This entry has just sent its requests to one of two servers, and no
+	// report shows that yet. Without its own counts the next caller would wait
+	// at the busy server.
+	It("counts its own requests before a report shows them", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 2, 0))
-		counts := pickN(s, newRand(3), 20, anyRequest)
+		counts := pickN(s, newRand(3), 20, defaultRequest)
 		Expect(counts).To(HaveLen(2))
 		Expect(counts).To(HaveEach(BeNumerically("~", 10, 1)))
 	})
 
-	// The caller would cross zones for nothing, or wait in a full zone while
-	// the next one idles.
-	DescribeTable("takes near servers until they are loaded",
+	// A caller's request should not cross zones needlessly, nor wait in a full
+	// zone while the next one is idle.
+	DescribeTable("prefers near servers until they are loaded",
 		func(nearRunning, farRunning int, far fleet.Place, want string) {
 			servers := append(serversAt(apapa, 3, nearRunning), serversAt(far, 3, farRunning)...)
 			s := snapshotOf(newTracker(), servers)
-			choice, err := s.Pick(start, newRand(5), anyRequest)
+			choice, err := s.Pick(start, newRand(5), defaultRequest)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(choice.Zone)).To(Equal(want))
 		},
 		Entry("idle zone", 0, 0, apapa2, "apapa-1"),
-		Entry("half loaded zone, idle neighbour", 8, 0, apapa2, "apapa-1"),
-		Entry("loaded zone, idle neighbour", 13, 0, apapa2, "apapa-2"),
-		Entry("loaded zone, idle region", 13, 0, kano, "sharada-1"),
-		Entry("all alike loaded", 14, 14, kano, "apapa-1"),
-		Entry("full zone, loaded region", 20, 15, kano, "sharada-1"),
+		Entry("half loaded zone, other zone idle", 8, 0, apapa2, "apapa-1"),
+		Entry("loaded zone, other zone idle", 13, 0, apapa2, "apapa-2"),
+		Entry("loaded zone, other region idle", 13, 0, kano, "sharada-1"),
+		Entry("all equally loaded", 14, 14, kano, "apapa-1"),
+		Entry("full zone, other region loaded", 20, 15, kano, "sharada-1"),
 	)
 
-	// The caller is told at once that nothing ran and when to come back,
-	// rather than waiting for a server that cannot take the request.
-	DescribeTable("refuses what no server can take as not run",
+	// The caller is told at once that nothing ran and when to retry, instead of
+	// waiting for a server that cannot take the request.
+	DescribeTable("refuses a request that no server can take, with outcome not run",
 		func(change func(*balance.Server), want *errorx.Type) {
 			servers := serversAt(apapa, 3, 0)
 			for i := range servers {
 				change(&servers[i])
 			}
 			s := snapshotOf(newTracker(), servers)
-			_, err := s.Pick(start, newRand(5), anyRequest)
+			_, err := s.Pick(start, newRand(5), defaultRequest)
 			Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 			Expect(failure.RetryAfter(err)).To(And(BeNumerically(">=", time.Second), BeNumerically("<", 3*time.Second)))
@@ -62,47 +63,47 @@
 		Entry("another service", func(s *balance.Server) { s.Service = "luettelo" }, balance.NoServer),
 	)
 
-	// Every caller refused at once would be back at once, and be refused
-	// again: the pauses must differ.
-	It("spreads the pauses of refused requests", func() {
+	// If all refused callers retried after the same delay, they would be
+	// refused again.
+	It("spreads the retry delays of refused requests", func() {
 		s := snapshotOf(newTracker(), nil)
 		rnd := newRand(5)
 		pauses := map[time.Duration]bool{}
 		for range 100 {
-			_, err := s.Pick(start, rnd, anyRequest)
+			_, err := s.Pick(start, rnd, defaultRequest)
 			pauses[failure.RetryAfter(err).Truncate(100*time.Millisecond)] = true
 		}
 		Expect(len(pauses)).To(BeNumerically(">", 15))
 	})
 
-	// Callers would be refused for ever: every report says full, then the
-	// reports stop, while the servers finish their work.
-	It("does not believe an old report that a server is full", func() {
+	// Every report says that the server is full, then the reports stop while
+	// the servers finish their work. Callers must not be refused indefinitely.
+	It("does not rely on an old report that a server is full", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 3, 20))
-		_, err := s.Pick(start, newRand(5), anyRequest)
+		_, err := s.Pick(start, newRand(5), defaultRequest)
 		Expect(errorx.IsOfType(err, balance.AllFull)).To(BeTrue())
-		_, err = s.Pick(start.Add(5*time.Second), newRand(5), anyRequest)
+		_, err = s.Pick(start.Add(5*time.Second), newRand(5), defaultRequest)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// A server whose reports stopped was idle when they did. Callers would be
-	// sent to it by preference for as long as it stays silent.
-	It("takes a server without news for an average one", func() {
+	// A server was idle when its reports stopped. Callers must not be sent to
+	// it preferentially while it stays silent.
+	It("assumes the mean load for a server without recent reports", func() {
 		servers := serversAt(apapa, 2, 8)
 		servers[0].Report.Load.Running = 0
 		servers[0].Report.Received = start.Add(-time.Minute)
 		costs := map[fleet.InstanceID]float64{}
-		for _, c := range snapshotOf(newTracker(), servers).Explain(start, anyRequest) {
+		for _, c := range snapshotOf(newTracker(), servers).Explain(start, defaultRequest) {
 			costs[c.ID] = c.OtherInFlight
 		}
 		Expect(costs[servers[0].ID]).To(BeNumerically("~", 4, 0.1))
 	})
 
-	// The least important requests give way first: what is left of a nearly
-	// full fleet is for those whose caller cannot wait.
-	It("keeps the last room for urgent requests", func() {
+	// When the fleet is nearly full, requests of low priority are refused
+	// first, so that the remaining capacity is left for urgent requests.
+	It("reserves the last capacity for urgent requests", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 2, 18))
-		low, high := anyRequest, anyRequest
+		low, high := defaultRequest, defaultRequest
 		low.Priority = 7
 		_, err := s.Pick(start, newRand(5), low)
 		Expect(errorx.IsOfType(err, balance.AllFull)).To(BeTrue())
@@ -110,10 +111,10 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// A retry would go back to the server that just failed it.
-	It("passes over servers that the request has tried", func() {
+	// A retry must not go back to the server that just failed.
+	It("skips servers that the request has already tried", func() {
 		servers := serversAt(apapa, 3, 0)
-		r := anyRequest
+		r := defaultRequest
 		r.Exclude = []fleet.InstanceID{servers[0].ID, servers[2].ID}
 		Expect(pickN(snapshotOf(newTracker(), servers), newRand(5), 10, r)).To(HaveLen(1))
 		r.Exclude = append(r.Exclude, servers[1].ID)
@@ -121,13 +122,14 @@
 		Expect(errorx.IsOfType(err, balance.NoServer)).To(BeTrue())
 	})
 
-	// A parts order asked again must reach the server that holds its record,
-	// also while that server drains; anywhere else it could run twice.
-	It("sends a request with a home there or nowhere", func() {
+	// A retry of an order for parts must reach the server that holds its
+	// record, even while that server drains; on any other server it could run
+	// twice.
+	It("sends a request with a home only to its home", func() {
 		servers := serversAt(apapa, 4, 0)
 		servers[2].Draining = true
 		s := snapshotOf(newTracker(), servers)
-		r := anyRequest
+		r := defaultRequest
 		r.Require = servers[2].ID
 		Expect(pickN(s, newRand(5), 5, r)).To(Equal(map[fleet.InstanceID]int{servers[2].ID: 5}))
 		r.Require = "gone"
@@ -135,35 +137,35 @@
 		Expect(errorx.IsOfType(err, balance.NoServer)).To(BeTrue())
 	})
 
-	// Callers meet a server with empty caches and wait longer there than
-	// elsewhere; a server that just loaded must get its share by and by.
-	DescribeTable("starts a new server slowly",
+	// A server that has just loaded has empty caches, so callers wait longer
+	// there than elsewhere. Its share of requests must grow gradually.
+	DescribeTable("ramps up a new server slowly",
 		func(servingFor time.Duration, low, high int) {
 			servers := serversAt(apapa, 10, 0)
 			servers[0].ServingSince = start.Add(-servingFor)
 			s := snapshotOf(newTracker(), servers)
-			counts := pickN(s, newRand(5), 100, anyRequest)
+			counts := pickN(s, newRand(5), 100, defaultRequest)
 			Expect(counts[servers[0].ID]).To(And(BeNumerically(">=", low), BeNumerically("<=", high)))
 		},
 		Entry("just loaded", time.Duration(0), 0, 3),
-		Entry("half way", 7*time.Second, 3, 9),
+		Entry("halfway", 7*time.Second, 3, 9),
 		Entry("warm", time.Minute, 8, 12),
 	)
 
-	It("starts a server slowly after a change of version", func() {
+	It("ramps up a server slowly after a version change", func() {
 		tracker := newTracker()
 		servers := serversAt(apapa, 10, 0)
 		servers[0].Version = fleet.Version{Name: "1"}
 		snapshotOf(tracker, servers)
 		servers[0].Version = fleet.Version{Name: "2"}
-		counts := pickN(snapshotOf(tracker, servers), newRand(5), 100, anyRequest)
+		counts := pickN(snapshotOf(tracker, servers), newRand(5), 100, defaultRequest)
 		Expect(counts[servers[0].ID]).To(BeNumerically("<=", 3))
 	})
 
-	It("keeps the adaptive limit of a server", func() {
+	It("respects the concurrency limit of a server", func() {
 		servers := serversAt(apapa, 2, 0)
 		servers[0].ConcurrencyLimit = 3
-		counts := pickN(snapshotOf(newTracker(), servers), newRand(5), 15, anyRequest)
+		counts := pickN(snapshotOf(newTracker(), servers), newRand(5), 15, defaultRequest)
 		Expect(counts).To(Equal(map[fleet.InstanceID]int{servers[0].ID: 3, servers[1].ID: 12}))
 	})
 })
@@ -171,7 +173,7 @@
 var _ = Describe("prefix affinity", func() {
 	key := func(k uint64) balance.Request { return balance.Request{Service: spindle, PrefixKey: k} }
 
-	It("gathers one prefix on one server while that has room", func() {
+	It("concentrates one prefix on one server while it has capacity", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 10, 0))
 		Expect(pickN(s, newRand(5), 4, key(42))).To(HaveLen(1))
 	})
@@ -189,14 +191,15 @@
 		Expect(counts).To(HaveEach(BeNumerically("~", 200, 60)))
 	})
 
-	// Callers of one popular prefix would queue at its server while nine idle.
+	// Callers of one popular prefix would queue at one server while nine are
+	// idle.
 	It("bounds the load of a popular prefix", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 10, 0))
 		counts := pickN(s, newRand(5), 100, key(42))
 		Expect(counts).To(HaveEach(BeNumerically("<=", 14)))
 	})
 
-	It("moves only the prefixes of a server that goes", func() {
+	It("moves only the prefixes of a server that leaves", func() {
 		servers := serversAt(apapa, 10, 0)
 		before, after := snapshotOf(newTracker(), servers), snapshotOf(newTracker(), servers[1:])
 		for k := range uint64(500) {
@@ -212,7 +215,7 @@
 		}
 	})
 
-	It("shows the operator where a prefix leads", func() {
+	It("shows the operator which server a prefix selects", func() {
 		s := snapshotOf(newTracker(), serversAt(apapa, 10, 0))
 		choice, err := s.Pick(start, newRand(5), key(42))
 		Expect(err).NotTo(HaveOccurred())
@@ -223,20 +226,20 @@
 })
 
 var _ = Describe("Tracker", func() {
-	// A double release, or one lost at a change of snapshot, would make a
-	// server look idle or busy for ever.
-	It("counts requests exactly over snapshots and goroutines", func() {
+	// A double release, or one lost when the snapshot changes, would make a
+	// server look idle or busy permanently.
+	It("counts requests exactly across snapshots and goroutines", func() {
 		tracker := newTracker()
 		servers := serversAt(apapa, 5, 0)
 		var snapshots sync.Map
 		snapshots.Store("now", snapshotOf(tracker, servers))
-		var traffic sync.WaitGroup
+		var workers sync.WaitGroup
 		for worker := range 8 {
-			traffic.Go(func() {
+			workers.Go(func() {
 				rnd := newRand(uint64(worker))
 				for range 300 {
 					s, _ := snapshots.Load("now")
-					choice, err := s.(*balance.Snapshot).Pick(start, rnd, anyRequest)
+					choice, err := s.(*balance.Snapshot).Pick(start, rnd, defaultRequest)
 					if err != nil {
 						continue
 					}
@@ -248,17 +251,17 @@
 		for range 100 {
 			snapshots.Store("now", snapshotOf(tracker, servers))
 		}
-		traffic.Wait()
+		workers.Wait()
 		for _, server := range servers {
 			Expect(tracker.InFlight(spindle, server.ID)).To(BeZero())
 		}
 	})
 
-	It("forgets a server that is gone once its requests have ended", func() {
+	It("drops an unlisted server once its requests have ended", func() {
 		tracker := newTracker()
 		servers := serversAt(apapa, 2, 0)
 		s := snapshotOf(tracker, servers)
-		r := anyRequest
+		r := defaultRequest
 		r.Require = servers[0].ID
 		choice, err := s.Pick(start, newRand(5), r)
 		Expect(err).NotTo(HaveOccurred())
--- a/core/balance/settings.go
+++ b/core/balance/settings.go
@@ -6,53 +6,55 @@
 	"chivespindle.example/core/defaults"
 )
 
-// Settings tune the policy. Zero fields take the default.
+// Settings configures the policy. Zero fields take their defaults.
 type Settings struct {
 	// DefaultSlots is assumed for a server that does not report its slots; 16.
 	DefaultSlots int
 	// QueueShare is how many requests may wait at a server beyond its slots,
 	// as a share of them; 0.25.
 	QueueShare float64
-	// ReserveShare is the share of a server's room that is kept from requests
-	// of the lowest priority, and proportionally less from those between; 0.1.
+	// ReserveShare is the share of a server's capacity that is reserved from
+	// requests of the lowest priority, and proportionally less from those
+	// between; 0.1.
 	ReserveShare float64
-	// ReportWeight is how far a new report moves the estimate for a server
+	// ReportWeight is how far a new report moves the estimate for a server away
 	// from the mean of its tier; 0.3.
 	ReportWeight float64
-	// ReportDecay is the time constant with which a report fades until this
-	// entry has seen how long requests take, then it is that time; 3 s.
+	// ReportDecay is the time constant for the decay of reports until this
+	// entry has measured how long requests take, which then replaces it; 3 s.
 	ReportDecay time.Duration
-	// SpillThreshold is the cost above which farther servers are looked at; 0.7.
+	// SpillThreshold is the cost above which farther servers are considered;
+	// 0.7.
 	SpillThreshold float64
 	// RegionPenalty and FleetPenalty are added to the cost of a server in
 	// another zone and in another region; 0.1 and 0.3.
 	RegionPenalty float64
 	FleetPenalty  float64
-	// AffinityFactor bounds the load of a server chosen by prefix key, in
-	// means of the service; 1.25.
+	// AffinityFactor bounds the load of a server chosen by prefix key, as a
+	// multiple of the service's mean load; 1.25.
 	AffinityFactor float64
-	// AffinityFloor is the load for each slot up to which the bound is not
-	// applied, since a cached prefix saves more than so little load costs;
-	// 0.25.
+	// AffinityFloor is the load per slot below which the bound is not applied,
+	// since a cached prefix saves more than so little load costs; 0.25.
 	AffinityFloor float64
 	// EjectAfterFailures is the number of failures in a row that eject a server; a
 	// stall counts as two; 3.
 	EjectAfterFailures int
-	// EjectFailureRate is the moving average of failures that ejects as well; 0.5.
+	// EjectFailureRate is the moving average of failures that also ejects a
+	// server; 0.5.
 	EjectFailureRate float64
-	// BaseEjection and MaxEjection bound the first and the longest ejection; 2 s
-	// and 60 s.
+	// BaseEjection and MaxEjection are the durations of the first and of the
+	// longest ejection; 2 s and 60 s.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
-	// SlowStartTime is how long a new or returning server takes to count full;
-	// 15 s.
+	// SlowStartTime is how long a new or returning server takes to reach its
+	// full share of requests; 15 s.
 	SlowStartTime time.Duration
 	// MinRetryAfter is the shortest Retry-After of a refusal; the longest is
 	// three times as long; 1 s.
 	MinRetryAfter time.Duration
 }
 
-// DefaultSettings returns the defaults that the fields name.
+// DefaultSettings returns the defaults listed at the fields.
 func DefaultSettings() Settings {
 	return Settings{
 		DefaultSlots:       16,
--- a/core/balance/slow_test.go
+++ b/core/balance/slow_test.go
@@ -10,13 +10,14 @@
 	"chivespindle.example/core/fleet"
 )
 
-const usualPace = 5 * time.Millisecond
+const normalInterval = 5 * time.Millisecond
 
-// answerAt ends one request at the named server with a whole answer of pace.
-func answerAt(s *balance.Snapshot, id fleet.InstanceID, pace time.Duration) {
+// completeWithInterval ends one request at the named server with a complete
+// response of the given piece interval.
+func completeWithInterval(s *balance.Snapshot, id fleet.InstanceID, interval time.Duration) {
 	choice, err := s.Pick(start, newRand(1), balance.Request{Service: spindle, Require: id})
 	Expect(err).NotTo(HaveOccurred())
-	choice.Release(balance.Result{At: start, Kind: balance.Succeeded, PieceInterval: pace})
+	choice.Release(balance.Result{At: start, Kind: balance.Succeeded, PieceInterval: interval})
 }
 
 var _ = Describe("a slow server", func() {
@@ -28,52 +29,52 @@
 		s = snapshotOf(newTracker(), servers)
 		for range 20 {
 			for _, server := range servers {
-				answerAt(s, server.ID, usualPace)
+				completeWithInterval(s, server.ID, normalInterval)
 			}
 		}
 	})
 
-	// One in a hundred callers waits five times as long as the rest: the slow
-	// server holds fewer requests, but never none, and each of them is slow.
-	// With the ejection taken out the verdict here stays eligible, and
-	// bench=requests fault=slow shows p99 at the slow server's time.
-	It("is ejected after some slow answers in a row", func() {
+	// One percent of the callers wait five times as long as the rest: the slow
+	// server has fewer requests, but never none, and each of them is slow.
+	// Without the ejection the verdict here stays eligible, and bench=requests
+	// fault=slow shows the slow server's time as p99.
+	It("is ejected after several slow responses in a row", func() {
 		for range 3 {
-			answerAt(s, servers[0].ID, 5*usualPace)
+			completeWithInterval(s, servers[0].ID, 5*normalInterval)
 		}
-		Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(balance.Ejected))
+		Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(balance.Ejected))
 	})
 
-	It("stays while its slow answers are single", func() {
+	It("is not ejected while its slow responses are isolated", func() {
 		for range 20 {
-			answerAt(s, servers[0].ID, 5*usualPace)
-			answerAt(s, servers[0].ID, usualPace)
-			answerAt(s, servers[0].ID, usualPace)
+			completeWithInterval(s, servers[0].ID, 5*normalInterval)
+			completeWithInterval(s, servers[0].ID, normalInterval)
+			completeWithInterval(s, servers[0].ID, normalInterval)
 		}
-		Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(balance.Eligible))
+		Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(balance.Eligible))
 	})
 
-	It("stays when its answers are too short to tell", func() {
+	It("is not ejected when its responses are too short to measure", func() {
 		for range 20 {
-			answerAt(s, servers[0].ID, 0)
+			completeWithInterval(s, servers[0].ID, 0)
 		}
-		Expect(verdicts(s, start, anyRequest)[servers[0].ID]).To(Equal(balance.Eligible))
+		Expect(verdicts(s, start, defaultRequest)[servers[0].ID]).To(Equal(balance.Eligible))
 	})
 
-	// A new version is five times as slow everywhere. Were each server measured
-	// against what was usual before, half of them would be ejected again and
-	// again, and the rest would drown.
-	It("is nobody when all become slow alike", func() {
+	// A new version is five times as slow on every server. If each server were
+	// compared with the earlier interval, half of them would be ejected
+	// repeatedly and the rest would be overloaded.
+	It("is not ejected when all servers become equally slow", func() {
 		for range 200 {
 			for _, server := range servers {
-				answerAt(s, server.ID, 5*usualPace)
+				completeWithInterval(s, server.ID, 5*normalInterval)
 			}
 		}
 		later := start.Add(5 * time.Minute)
-		for id, verdict := range verdicts(s, later, anyRequest) {
+		for id, verdict := range verdicts(s, later, defaultRequest) {
 			Expect(verdict).To(Equal(balance.Eligible), string(id))
 		}
-		answerAt(s, servers[0].ID, 5*usualPace)
-		Expect(verdicts(s, later, anyRequest)[servers[0].ID]).To(Equal(balance.Eligible))
+		completeWithInterval(s, servers[0].ID, 5*normalInterval)
+		Expect(verdicts(s, later, defaultRequest)[servers[0].ID]).To(Equal(balance.Eligible))
 	})
 })
--- a/core/balance/snapshot.go
+++ b/core/balance/snapshot.go
@@ -9,8 +9,8 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Snapshot is one immutable view of the servers. The control goroutine makes
-// a new one when reports or the list change; traffic goroutines read it.
+// Snapshot is an immutable view of the servers. The control goroutine builds a
+// new one when reports or the list change; request goroutines read it.
 type Snapshot struct {
 	settings Settings
 	tracker  *Tracker
@@ -19,48 +19,48 @@
 
 // pool holds the servers of one service.
 type pool struct {
-	group      *group
+	service    *serviceState
 	members    []member
 	tiers      [tierCount][]*member
-	slots      float64            // sum
-	others     float64            // sum
-	tierOthers [tierCount]float64 // mean for each slot
+	slots      float64            // sum over the members
+	others     float64            // sum over the members
+	tierOthers [tierCount]float64 // mean per slot
 }
 
-// member is one server with what the snapshot fixes about it.
+// member is one server with the values that the snapshot computed for it.
 type member struct {
 	Server
-	state  *state
-	tier   Tier
-	hash   uint64
-	slots  float64
-	others float64 // requests that are not this entry's, by the last report
-	since  instant // ServingSince
+	state         *serverState
+	tier          Tier
+	hash          uint64
+	slots         float64
+	others        float64 // requests of others, according to the last report
+	slowStartFrom instant // ServingSince
 }
 
-// NewSnapshot returns the view of an entry at self on servers. The tracker
-// forgets servers that are not listed any more. Only one goroutine may make
-// snapshots of one tracker.
+// NewSnapshot returns the view that an entry at self has of servers. The
+// tracker drops servers that are no longer listed. Only one goroutine may
+// create snapshots with the same tracker.
 func NewSnapshot(self fleet.Place, servers []Server, tracker *Tracker, settings Settings) *Snapshot {
 	s := &Snapshot{
 		settings: settings.withDefaults(),
 		tracker:  tracker,
 		pools:    map[fleet.ServiceName]*pool{},
 	}
-	states := tracker.observe(servers)
+	states := tracker.update(servers)
 	for i := range servers {
 		s.add(self, &servers[i], states[i])
 	}
 	for _, p := range s.pools {
-		p.finish()
+		p.computeTotals()
 	}
 	return s
 }
 
-func (s *Snapshot) add(self fleet.Place, server *Server, st *state) {
+func (s *Snapshot) add(self fleet.Place, server *Server, st *serverState) {
 	p := s.pools[server.Service]
 	if p == nil {
-		p = &pool{group: s.tracker.group(server.Service)}
+		p = &pool{service: s.tracker.serviceOf(server.Service)}
 		s.pools[server.Service] = p
 	}
 	load := server.Report.Load
@@ -68,26 +68,26 @@
 	if slots <= 0 {
 		slots = s.settings.DefaultSlots
 	}
-	others := load.Running + load.Waiting - int(st.ownThen)
-	since := longAgo
+	others := load.Running + load.Waiting - int(st.ownAtReport)
+	since := noSlowStart
 	if !server.ServingSince.IsZero() {
-		since = s.tracker.since(server.ServingSince)
+		since = s.tracker.instantOf(server.ServingSince)
 	}
 	p.members = append(p.members, member{
-		Server: *server,
-		state:  st,
-		tier:   tierOf(self, server.Place),
-		hash:   xxhash.Sum64String(string(server.ID)),
-		slots:  float64(slots),
-		others: float64(max(0, others)),
-		since:  since,
+		Server:        *server,
+		state:         st,
+		tier:          tierOf(self, server.Place),
+		hash:          xxhash.Sum64String(string(server.ID)),
+		slots:         float64(slots),
+		others:        float64(max(0, others)),
+		slowStartFrom: since,
 	})
 }
 
-func (t *Tracker) group(service fleet.ServiceName) *group {
+func (t *Tracker) serviceOf(service fleet.ServiceName) *serviceState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.groups[service]
+	return t.services[service]
 }
 
 func tierOf(self, other fleet.Place) Tier {
@@ -101,8 +101,8 @@
 	}
 }
 
-// finish fills in what depends on all members.
-func (p *pool) finish() {
+// computeTotals computes the values that depend on all members.
+func (p *pool) computeTotals() {
 	var tierSlots [tierCount]float64
 	for i := range p.members {
 		m := &p.members[i]
@@ -119,9 +119,9 @@
 	}
 }
 
-// freshness is how much the server's last report still says of it, from 1 for
-// a new one to 0; life is its time constant.
-func (m *member) freshness(now time.Time, life time.Duration) float64 {
+// freshness returns the weight of the server's last report, from 1 for a new
+// one down to 0; decay is the time constant of the decay.
+func (m *member) freshness(now time.Time, decay time.Duration) float64 {
 	if m.Report.Received.IsZero() {
 		return 0
 	}
@@ -129,22 +129,22 @@
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(age) / float64(life))
+	return math.Exp(-float64(age) / float64(decay))
 }
 
-// The bounds of the time constant with which reports fade.
+// Bounds of the time constant for the decay of reports.
 const (
-	minReportLife = 200 * time.Millisecond
-	maxReportLife = time.Minute
+	minReportDecay = 200 * time.Millisecond
+	maxReportDecay = time.Minute
 )
 
-// reportLife is the time constant with which reports fade: what a server was
-// doing says nothing once those requests have ended.
-func (p *pool) reportLife(settings *Settings) time.Duration {
-	seconds := math.Float64frombits(p.group.duration.Load())
+// reportDecay returns the time constant for the decay of reports: a server's
+// load at some time says nothing once the requests of that time have ended.
+func (p *pool) reportDecay(settings *Settings) time.Duration {
+	seconds := math.Float64frombits(p.service.duration.Load())
 	if seconds == 0 {
 		return settings.ReportDecay
 	}
-	life := time.Duration(seconds * float64(time.Second))
-	return min(max(life, minReportLife), maxReportLife)
+	decay := time.Duration(seconds * float64(time.Second))
+	return min(max(decay, minReportDecay), maxReportDecay)
 }
--- a/core/balance/subset.go
+++ b/core/balance/subset.go
@@ -10,22 +10,22 @@
 	"chivespindle.example/core/fleet"
 )
 
-// The shares of a subset that come from the entry's own zone and from the
-// other zones of its region; the rest comes from the other regions, so that
-// an entry that loses its zone or region still knows servers.
+// The shares of a subset that are taken from the entry's own zone and from the
+// other zones of its region. The rest comes from the other regions, so that an
+// entry that loses its zone or region still knows servers.
 const (
 	zoneShare   = 0.5
 	regionShare = 0.25
 )
 
-// Subset returns the n servers that an entry keeps detail of, in the order of
-// servers; all of them if there are no more than n. It depends on nothing but
-// its arguments, and a server that comes or goes changes it by at most that
-// one: a changed list does not make every entry connect anew.
+// Subset returns the n servers that an entry subscribes to, in the order of
+// servers; all of them if there are no more than n. It depends only on its
+// arguments, and a server that joins or leaves changes the subset by at most
+// one server: a changed list does not make every entry reconnect.
 //
-// It does not look at the other entries, so how many of them keep a server is
-// left to chance: with less than about fifteen on average some servers are
-// kept by none and idle. Assign has no such bound.
+// It ignores the other entries, so the number of subscribers of a server is
+// random: below an average of about fifteen, some servers have no subscriber
+// and stay idle. Assign has no such limit.
 func Subset(entryID fleet.InstanceID, self fleet.Place, servers []Server, n int) []Server {
 	if n <= 0 {
 		return nil
@@ -39,7 +39,7 @@
 		sizes[tier] = len(members)
 	}
 	var chosen []int
-	for tier, quota := range quotasOf(sizes, n) {
+	for tier, quota := range tierQuotas(sizes, n) {
 		for _, c := range tiers[tier][:quota] {
 			chosen = append(chosen, c.index)
 		}
@@ -52,44 +52,44 @@
 	return subset
 }
 
-type ranked struct {
+type rankedServer struct {
 	index int
 	rank  uint64
 }
 
-// rankTiers returns the indexes of servers for each tier, highest rank first.
-func rankTiers(entryID fleet.InstanceID, self fleet.Place, servers []Server) [tierCount][]ranked {
+// rankTiers returns the indexes of servers by tier, highest rank first.
+func rankTiers(entryID fleet.InstanceID, self fleet.Place, servers []Server) [tierCount][]rankedServer {
 	entry := xxhash.Sum64String(string(entryID))
-	var tiers [tierCount][]ranked
+	var tiers [tierCount][]rankedServer
 	for i := range servers {
 		tier := tierOf(self, servers[i].Place)
-		rank := rankOf(entry, xxhash.Sum64String(string(servers[i].ID)))
-		tiers[tier] = append(tiers[tier], ranked{index: i, rank: rank})
+		rank := rendezvousRank(entry, xxhash.Sum64String(string(servers[i].ID)))
+		tiers[tier] = append(tiers[tier], rankedServer{index: i, rank: rank})
 	}
 	for _, members := range tiers {
-		slices.SortFunc(members, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
+		slices.SortFunc(members, func(a, b rankedServer) int { return cmp.Compare(b.rank, a.rank) })
 	}
 	return tiers
 }
 
-// quotasOf splits n over tiers of the given sizes by their shares, rounded in
-// favour of the nearer ones; what a small tier cannot fill goes to the nearest
-// that can.
-func quotasOf(sizes [tierCount]int, n int) [tierCount]int {
+// tierQuotas splits n over tiers of the given sizes by their shares, rounded in
+// favour of the nearer ones. What a small tier cannot fill goes to the nearest
+// tier that can.
+func tierQuotas(sizes [tierCount]int, n int) [tierCount]int {
 	zone := int(math.Ceil(zoneShare * float64(n)))
 	region := min(n-zone, int(math.Ceil(regionShare*float64(n))))
 	quotas := [tierCount]int{zone, region, n - zone - region}
-	left := 0
+	remaining := 0
 	for tier := range quotas {
-		if short := quotas[tier] - sizes[tier]; short > 0 {
-			quotas[tier] -= short
-			left += short
+		if missing := quotas[tier] - sizes[tier]; missing > 0 {
+			quotas[tier] -= missing
+			remaining += missing
 		}
 	}
 	for tier := range quotas {
-		more := min(left, sizes[tier]-quotas[tier])
-		quotas[tier] += more
-		left -= more
+		extra := min(remaining, sizes[tier]-quotas[tier])
+		quotas[tier] += extra
+		remaining -= extra
 	}
 	return quotas
 }
--- a/core/balance/subset_test.go
+++ b/core/balance/subset_test.go
@@ -11,7 +11,8 @@
 	"chivespindle.example/core/fleet"
 )
 
-// The target: 410 entries before 3,500 servers in 3 regions of 3 zones.
+// The target size: 410 entries in front of 3,500 servers in 3 regions with 3
+// zones each.
 const (
 	targetEntries = 410
 	targetServers = 3500
@@ -76,8 +77,8 @@
 		Expect(regions).To(HaveLen(3))
 	})
 
-	// A restart of one server would make hundreds of entries connect anew.
-	It("changes by one server when one goes", func() {
+	// A restart of one server must not make hundreds of entries reconnect.
+	It("changes by one server when one leaves", func() {
 		servers := targetFleet()
 		before := idsOf(balance.Subset("entry-1", placeOf(1), servers, subsetSize))
 		for i := range 50 {
@@ -87,20 +88,20 @@
 		}
 	})
 
-	DescribeTable("fills up from what there is",
+	DescribeTable("takes servers from other tiers if one has too few",
 		func(near, region, far, n, want int) {
 			servers := slices.Concat(serversAt(apapa, near, 0), serversAt(apapa2, region, 0), serversAt(kano, far, 0))
 			Expect(balance.Subset("entry-1", apapa, servers, n)).To(HaveLen(want))
 		},
-		Entry("fewer than asked", 2, 2, 2, 10, 6),
+		Entry("fewer than requested", 2, 2, 2, 10, 6),
 		Entry("none near", 0, 0, 20, 10, 10),
 		Entry("all near", 20, 0, 0, 10, 10),
 		Entry("few near", 1, 1, 20, 10, 10),
-		Entry("none asked", 5, 5, 5, 0, 0),
+		Entry("none requested", 5, 5, 5, 0, 0),
 	)
 })
 
-func targetRoll(n int) []balance.Entry {
+func targetFleetEntries(n int) []balance.Entry {
 	entries := make([]balance.Entry, n)
 	for i := range entries {
 		entries[i] = balance.Entry{ID: entryID(i), Place: placeOf(i)}
@@ -109,41 +110,41 @@
 }
 
 var _ = Describe("Assign", func() {
-	// A few hundred servers idle while the others are overloaded: with the
-	// small subsets that a node's budget of reports allows, chance leaves
-	// them out of all.
-	DescribeTable("gives every server of the target fleet to as many entries",
-		func(n, keepers int) {
-			servers, entries := targetFleet(), targetRoll(targetEntries)
-			keepersOf := map[fleet.InstanceID]int{}
+	// With the small subsets that a node's budget for reports allows, random
+	// selection would leave a few hundred servers without any subscriber: they
+	// would be idle while the others are overloaded.
+	DescribeTable("gives every server of the target fleet the same number of entries",
+		func(n, subscribers int) {
+			servers, entries := targetFleet(), targetFleetEntries(targetEntries)
+			subscribersOf := map[fleet.InstanceID]int{}
 			var sizes []int
 			for _, e := range entries {
-				kept := balance.Assign(e, entries, servers, n)
-				sizes = append(sizes, len(kept))
-				for _, server := range kept {
-					keepersOf[server.ID]++
+				subscribed := balance.Assign(e, entries, servers, n)
+				sizes = append(sizes, len(subscribed))
+				for _, server := range subscribed {
+					subscribersOf[server.ID]++
 				}
 			}
 			slices.Sort(sizes)
-			mean := float64(keepers*targetServers) / targetEntries
+			mean := float64(subscribers*targetServers) / targetEntries
 			AddReportEntry("servers of an entry", fmt.Sprintf("min %d mean %.1f max %d", sizes[0], mean, sizes[len(sizes)-1]))
-			Expect(keepersOf).To(HaveLen(targetServers))
-			Expect(keepersOf).To(HaveEach(keepers))
+			Expect(subscribersOf).To(HaveLen(targetServers))
+			Expect(subscribersOf).To(HaveEach(subscribers))
 			Expect(float64(sizes[0])).To(BeNumerically(">", mean/3))
 			Expect(float64(sizes[len(sizes)-1])).To(BeNumerically("<", 2*mean))
 		},
-		Entry("by few", 24, 4),
-		Entry("by many", 128, 15),
+		Entry("few entries", 24, 4),
+		Entry("many entries", 128, 15),
 	)
 
-	It("changes only the servers of an entry that goes", func() {
-		servers, entries := targetFleet(), targetRoll(targetEntries)
-		gone := idsOf(balance.Assign(entries[7], entries, servers, 24))
+	It("changes only the servers of an entry that leaves", func() {
+		servers, entries := targetFleet(), targetFleetEntries(targetEntries)
+		removed := idsOf(balance.Assign(entries[7], entries, servers, 24))
 		for _, e := range entries[100:120] {
 			before := idsOf(balance.Assign(e, entries, servers, 24))
 			after := idsOf(balance.Assign(e, slices.Concat(entries[:7], entries[8:]), servers, 24))
 			for _, id := range after {
-				Expect(slices.Contains(before, id) || slices.Contains(gone, id)).To(BeTrue())
+				Expect(slices.Contains(before, id) || slices.Contains(removed, id)).To(BeTrue())
 			}
 			Expect(len(after)).To(BeNumerically(">=", len(before)))
 		}
@@ -151,12 +152,12 @@
 
 	It("leaves no server out when zones have few entries or none", func() {
 		servers := targetFleet()[:300]
-		entries := targetRoll(13)[7:]
+		entries := targetFleetEntries(13)[7:]
 		seen := map[fleet.InstanceID]bool{}
 		for _, e := range entries {
-			kept := balance.Assign(e, entries, servers, 24)
-			Expect(len(kept)).To(BeNumerically("<=", 2*4*300/6))
-			for _, server := range kept {
+			subscribed := balance.Assign(e, entries, servers, 24)
+			Expect(len(subscribed)).To(BeNumerically("<=", 2*4*300/6))
+			for _, server := range subscribed {
 				seen[server.ID] = true
 			}
 		}
@@ -165,8 +166,8 @@
 
 	It("gives all servers of a small fleet to every entry", func() {
 		servers := targetFleet()[:16]
-		Expect(balance.Assign(targetRoll(1)[0], targetRoll(8), servers, 24)).To(Equal(servers))
-		Expect(balance.Assign(targetRoll(1)[0], nil, targetFleet()[:100], 24)).To(HaveLen(100))
+		Expect(balance.Assign(targetFleetEntries(1)[0], targetFleetEntries(8), servers, 24)).To(Equal(servers))
+		Expect(balance.Assign(targetFleetEntries(1)[0], nil, targetFleet()[:100], 24)).To(HaveLen(100))
 	})
 })
 
--- a/core/balance/tracker.go
+++ b/core/balance/tracker.go
@@ -9,45 +9,47 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Tracker keeps what this entry saw itself of each server: its requests in
-// flight, exactly, and how the recent ones ended. It outlives snapshots.
+// Tracker holds what this entry has observed itself of each server: its exact
+// number of requests in flight, and their recent results. It outlives
+// snapshots.
 type Tracker struct {
-	epoch time.Time // instants below are counted from it, so that the monotonic clock decides
+	epoch time.Time // instants are relative to it, so that the monotonic clock is used
 
-	mu     sync.Mutex
-	rnd    Rand // jitter of ejections; guarded by mu
-	groups map[fleet.ServiceName]*group
+	mu       sync.Mutex
+	rnd      Rand // jitter of ejections; guarded by mu
+	services map[fleet.ServiceName]*serviceState
 }
 
-// NewTracker returns an empty tracker. start is any instant not later than
-// the first one passed to Pick; rnd is used under a lock of the tracker.
+// NewTracker returns an empty tracker. start must not be later than the first
+// time passed to Pick; rnd is used under a lock of the tracker.
 func NewTracker(start time.Time, rnd Rand) *Tracker {
-	return &Tracker{epoch: start, rnd: rnd, groups: map[fleet.ServiceName]*group{}}
+	return &Tracker{epoch: start, rnd: rnd, services: map[fleet.ServiceName]*serviceState{}}
 }
 
-// InFlight returns the number of this entry's own requests at a server.
+// InFlight returns the number of this entry's own requests in flight at a
+// server.
 func (t *Tracker) InFlight(service fleet.ServiceName, id fleet.InstanceID) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g := t.groups[service]
+	g := t.services[service]
 	if g == nil || g.states[id] == nil {
 		return 0
 	}
 	return int(g.states[id].inFlight.Load())
 }
 
-// Len returns the number of servers that the tracker remembers.
+// Len returns the number of servers that the tracker holds.
 func (t *Tracker) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, g := range t.groups {
+	for _, g := range t.services {
 		n += len(g.states)
 	}
 	return n
 }
 
-func (t *Tracker) since(now time.Time) int64 { return int64(now.Sub(t.epoch)) }
+func (t *Tracker) instantOf(now time.Time) int64 { return int64(now.Sub(t.epoch)) }
 
 // jitter returns a number in [0.75, 1.25).
 func (t *Tracker) jitter() float64 {
@@ -56,112 +58,112 @@
 	return 0.75 + t.rnd.Float64()/2
 }
 
-// group holds the servers of one service.
-type group struct {
-	inFlight atomic.Int64  // sum over the members
-	pace     atomic.Uint64 // bits of a float64: mean seconds between pieces; 0: not known
-	duration atomic.Uint64 // bits of a float64: mean seconds of a request; 0: not known
-	states   map[fleet.InstanceID]*state
+// serviceState holds the state of the servers of one service.
+type serviceState struct {
+	inFlight      atomic.Int64  // sum over the members
+	pieceInterval atomic.Uint64 // bits of a float64: mean seconds between pieces; 0: unknown
+	duration      atomic.Uint64 // bits of a float64: mean seconds per request; 0: unknown
+	states        map[fleet.InstanceID]*serverState
 
 	mu      sync.Mutex
-	members []*state // of the latest snapshot; guarded by mu
+	members []*serverState // of the latest snapshot; guarded by mu
 }
 
 // instant is nanoseconds since the tracker's epoch.
 type instant = int64
 
-// unset marks an instant that has not been seen yet.
+// unset marks an instant that has not been determined yet.
 const unset instant = math.MinInt64
 
-// longAgo marks a server that is not in a slow start.
-const longAgo instant = math.MinInt64 + 1
+// noSlowStart marks a server that is not in a slow start.
+const noSlowStart instant = math.MinInt64 + 1
 
-// state is what the tracker knows of one server.
-type state struct {
-	inFlight     atomic.Int64
-	ejectedUntil atomic.Int64
-	busyUntil    atomic.Int64
-	pace         atomic.Uint64 // bits of a float64: mean seconds between pieces; 0: not known
-	warmFrom     atomic.Int64  // slow start after a return; unset until first looked at
+// serverState is what the tracker knows about one server.
+type serverState struct {
+	inFlight      atomic.Int64
+	ejectedUntil  atomic.Int64
+	busyUntil     atomic.Int64
+	pieceInterval atomic.Uint64 // bits of a float64: mean seconds between pieces; 0: unknown
+	slowStartFrom atomic.Int64  // start of the slow start after a return; unset until first read
 
-	mu        sync.Mutex // guards the fields up to the blank line
-	strikes   int        // failures in a row
-	results   int        // results in failRate
-	failRate  float64
-	ejections int
+	mu                  sync.Mutex // guards the fields up to the blank line
+	consecutiveFailures int
+	results             int // number of results in failureRate
+	failureRate         float64
+	ejections           int
 
-	// The fields below belong to the caller of NewSnapshot and are guarded by
+	// The fields below are only used by NewSnapshot and are guarded by
 	// Tracker.mu.
-	version    fleet.Version
-	draining   bool
-	reportedAt time.Time
-	ownThen    int64 // own requests in flight when the report came
+	version     fleet.Version
+	draining    bool
+	reportedAt  time.Time
+	ownAtReport int64 // own requests in flight when the report was received
 }
 
-func newState() *state {
-	st := &state{}
+func newServerState() *serverState {
+	st := &serverState{}
 	st.ejectedUntil.Store(unset)
 	st.busyUntil.Store(unset)
-	st.warmFrom.Store(longAgo)
+	st.slowStartFrom.Store(noSlowStart)
 	return st
 }
 
-// observe brings the tracker in line with a new list of servers and returns
-// the state of each, in order. Servers that are not in the list are forgotten
-// once their last request has ended.
-func (t *Tracker) observe(servers []Server) []*state {
+// update applies a new list of servers and returns the state of each, in order.
+// Servers that are not in the list are removed once their last request has
+// ended.
+func (t *Tracker) update(servers []Server) []*serverState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	states := make([]*state, len(servers))
-	current := map[fleet.ServiceName][]*state{}
-	listed := make(map[*state]bool, len(servers))
+	states := make([]*serverState, len(servers))
+	current := map[fleet.ServiceName][]*serverState{}
+	listed := make(map[*serverState]bool, len(servers))
 	for i := range servers {
 		st := t.stateOf(&servers[i])
-		st.note(&servers[i])
+		st.update(&servers[i])
 		states[i] = st
 		current[servers[i].Service] = append(current[servers[i].Service], st)
 		listed[st] = true
 	}
-	for name, g := range t.groups {
-		g.forget(listed)
+	for name, g := range t.services {
+		g.removeUnlisted(listed)
 		g.setMembers(current[name])
 		if len(g.states) == 0 {
-			delete(t.groups, name)
+			delete(t.services, name)
 		}
 	}
 	return states
 }
 
-func (t *Tracker) stateOf(server *Server) *state {
-	g := t.groups[server.Service]
+func (t *Tracker) stateOf(server *Server) *serverState {
+	g := t.services[server.Service]
 	if g == nil {
-		g = &group{states: map[fleet.InstanceID]*state{}}
-		t.groups[server.Service] = g
+		g = &serviceState{states: map[fleet.InstanceID]*serverState{}}
+		t.services[server.Service] = g
 	}
 	st := g.states[server.ID]
 	if st == nil {
-		st = newState()
+		st = newServerState()
 		g.states[server.ID] = st
 	}
 	return st
 }
 
-// note records what changed about a server since the last snapshot.
-func (st *state) note(server *Server) {
+// update records what has changed about a server since the last snapshot.
+func (st *serverState) update(server *Server) {
 	returned := st.draining && !server.Draining
 	reloaded := !st.version.IsZero() && st.version != server.Version
 	if returned || reloaded {
-		st.warmFrom.Store(unset)
+		st.slowStartFrom.Store(unset)
 	}
 	st.draining = server.Draining
 	st.version = server.Version
 	if !server.Report.Received.Equal(st.reportedAt) {
 		st.reportedAt = server.Report.Received
-		st.ownThen = st.inFlight.Load()
+		st.ownAtReport = st.inFlight.Load()
 	}
 }
 
-func (g *group) forget(listed map[*state]bool) {
+func (g *serviceState) removeUnlisted(listed map[*serverState]bool) {
 	for id, st := range g.states {
 		if !listed[st] && st.inFlight.Load() == 0 {
 			delete(g.states, id)
@@ -169,7 +171,7 @@
 	}
 }
 
-func (g *group) setMembers(members []*state) {
+func (g *serviceState) setMembers(members []*serverState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members = members
