--- a/core/status/status.go
+++ b/core/status/status.go
@@ -1,6 +1,7 @@
-// Package status is what operators see of a process: an entry, an agent, and
-// how an entry would choose a server. Processes write it as JSON, and the
-// client reads it. A client reads newer processes, so a field is never renamed.
+// Package status defines the status of a process as operators see it: of an
+// entry, of an agent, and of how an entry would choose a server. Processes
+// encode it as JSON and the command line client decodes it. A client may read
+// the status of newer processes, so a field is never renamed.
 package status
 
 import (
@@ -12,9 +13,9 @@
 	"chivespindle.example/core/spread"
 )
 
-// ProcessStatus is what a process says of itself: *Entry or *Agent.
+// ProcessStatus is the status of a process: *Entry or *Agent.
 type ProcessStatus interface {
-	// ProcessID is the id of the process.
+	// ProcessID returns the ID of the process.
 	ProcessID() fleet.InstanceID
 }
 
@@ -29,7 +30,7 @@
 	ID       fleet.InstanceID  `json:"id"`
 	Role     fleet.Role        `json:"role"`
 	Place    fleet.Place       `json:"place"`
-	Revision revision.Revision `json:"revision"` // in force here; 0: none yet
+	Revision revision.Revision `json:"revision"` // active here; 0: none yet
 	Leaving  bool              `json:"leaving"`
 	InFlight int64             `json:"in_flight"`
 	Config   Config            `json:"config"`
@@ -37,34 +38,35 @@
 	Fleet    []Member          `json:"fleet"` // the entry itself included
 }
 
-// Config tells of the text.
+// Config describes the active configuration.
 type Config struct {
 	Name   string       `json:"name"`
 	Digest fleet.Digest `json:"digest"`
-	// PlatformRevision is the platform's last answer to this process, which
-	// may be stale and may be a text that was refused.
+	// PlatformRevision is the revision that the platform last returned to this
+	// process. It may be stale, and it may belong to a configuration that was
+	// refused.
 	PlatformRevision revision.Revision `json:"platform_revision"`
-	// Refused holds the faults of each text above the one in force, one
-	// "file:line: reason" a line.
+	// Refused holds the errors of each configuration newer than the active one,
+	// one "file:line: reason" per line.
 	Refused []string `json:"refused,omitempty"`
-	// Conflicts counts other texts under the revision in force.
+	// Conflicts counts different configurations with the active revision.
 	Conflicts int `json:"conflicts"`
 }
 
-// Service sums up a service. Replicas that are silent do not count as
-// leaving, and neither as serving.
+// Service summarizes a service. Silent replicas count neither as leaving nor as
+// serving.
 type Service struct {
 	Service  fleet.ServiceName `json:"service"`
 	Target   fleet.Version     `json:"target"` // zero for a plain service
 	Replicas int               `json:"replicas"`
-	Serving  int               `json:"serving"` // the target, or open for a plain service
+	Serving  int               `json:"serving"` // replicas that serve the target, or are open for a plain service
 	Leaving  int               `json:"leaving"`
 	Silent   int               `json:"silent"`
 }
 
-// Member is one process of the fleet as an entry sees it. What it does is
-// fresh within a second; its Revision is so in the entry's own zone only, and
-// older elsewhere.
+// Member is one process of the fleet as seen by an entry. Its state is at most
+// a second old; its Revision is that recent only within the entry's own zone,
+// and older elsewhere.
 type Member struct {
 	ID       fleet.InstanceID  `json:"id"`
 	Role     fleet.Role        `json:"role"`
@@ -84,13 +86,13 @@
 	Service     fleet.ServiceName  `json:"service"`
 	Place       fleet.Place        `json:"place"`
 	State       gossip.State       `json:"state"`
-	Phase       string             `json:"phase,omitempty"` // of the change to the target
+	Phase       string             `json:"phase,omitempty"` // of the change to the target version
 	Serving     fleet.Version      `json:"serving"`
 	Target      fleet.Version      `json:"target"`
 	Leaving     bool               `json:"leaving"`
 	Admitting   bool               `json:"admitting"`
 	Refusing    string             `json:"refusing,omitempty"` // why requests are refused
-	Waiting     string             `json:"waiting,omitempty"`  // what a change waits for
+	Waiting     string             `json:"waiting,omitempty"`  // what a version change waits for
 	Revision    revision.Revision  `json:"revision"`
 	InFlight    int64              `json:"in_flight"`
 	Load        serving.Load       `json:"load"`
@@ -100,14 +102,14 @@
 	SilentPeers []fleet.InstanceID `json:"silent_peers"`
 }
 
-// FetchedBytes counts the bytes of chunks by where they came from.
+// FetchedBytes counts the bytes of fetched chunks by source.
 type FetchedBytes struct {
 	OriginBytes int64 `json:"origin_bytes"`
 	StoreBytes  int64 `json:"store_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 }
 
-// ChunkFetch is the work on one version's chunks.
+// ChunkFetch is the progress of fetching one version's chunks.
 type ChunkFetch struct {
 	Version fleet.Version   `json:"version"`
 	Known   bool            `json:"manifest_known"`
@@ -116,15 +118,15 @@
 	Plan    spread.Progress `json:"plan"`
 }
 
-// Explanation tells how an entry would choose a backend server for a request
-// now.
+// Explanation describes how an entry would choose a backend server for a
+// request at this moment.
 type Explanation struct {
 	Entry    fleet.InstanceID  `json:"entry"`
 	Revision revision.Revision `json:"revision"`
 	Service  fleet.ServiceName `json:"service"`
 	Prefix   string            `json:"prefix,omitempty"`
 	Priority int               `json:"priority"`
-	// Candidates are the servers that the entry chooses from, nearest tier
+	// Candidates are the servers that the entry can choose from, nearest tier
 	// first.
 	Candidates []Candidate `json:"candidates"`
 	// Unknown are the replicas that the entry cannot choose.
@@ -143,11 +145,12 @@
 	Cost          float64          `json:"cost"`
 	// ReportAgeMS is negative if the server never reported.
 	ReportAgeMS int64 `json:"report_age_ms"`
-	EjectedMS   int64 `json:"ejected_ms"` // time left of an ejection
+	EjectedMS   int64 `json:"ejected_ms"` // remaining time of an ejection
 	Preferred   bool  `json:"preferred"`
 }
 
-// UnknownServer is a replica that the entry does not choose from, and why.
+// UnknownServer is a replica that the entry does not choose from, with the
+// reason.
 type UnknownServer struct {
 	ID     fleet.InstanceID `json:"id"`
 	Place  fleet.Place      `json:"place"`
