--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -166,7 +166,7 @@
 	a.applyConfig(now, state)
 	if a.swarm != nil {
 		a.swarm.SetMembers(now, a.members(state.Fleet))
-		a.step(now, serving.Vouched{Versions: rollout.ServedVersions(a.replicas(), a.opts.Self.ID)})
+		a.step(now, serving.ServedElsewhere{Versions: rollout.ServedVersions(a.replicas(), a.opts.Self.ID)})
 	}
 	a.checkRollout(now)
 	a.publish(now)
--- a/daemon/agent/changeover.go
+++ b/daemon/agent/changeover.go
@@ -48,7 +48,7 @@
 		a.swarm.Fetch(now, action.Version, a.spreadSettings(), action.Reuse)
 	case serving.StopFetch:
 		a.swarm.Stop(action.Version.Manifest)
-	case serving.AskTurn:
+	case serving.RequestTurn:
 		a.pendingVersion = action.Version
 		a.nextRolloutCheck = now
 	case serving.StopAdmitting:
@@ -64,7 +64,7 @@
 		a.readStatus(now)
 	case serving.DropStage:
 		a.swarm.Drop(action.Manifest)
-	case serving.ReadAgain:
+	case serving.Refresh:
 		go a.rereadAfterPause(now)
 	case serving.Alarm:
 		a.opts.Metrics.Counter("alarms").Inc(1)
@@ -97,7 +97,7 @@
 		a.post(serving.OrderFailed{Attempt: order.Attempt, Err: err})
 		return
 	}
-	a.post(serving.OrderDone{Attempt: order.Attempt})
+	a.post(serving.OrderAccepted{Attempt: order.Attempt})
 }
 
 // readStatus reads the engine's status unless a read is in progress.
@@ -121,13 +121,13 @@
 		a.opts.Logger.Debug("engine_status_not_read", zap.Error(err))
 		return
 	}
-	if a.engineBoot != "" && a.engineBoot != status.Boot {
-		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.Boot))
+	if a.engineBoot != "" && a.engineBoot != status.BootID {
+		a.opts.Logger.Warn("engine_restarted", zap.String("boot", status.BootID))
 		a.swarm.Reset()
 	}
-	a.engineBoot = status.Boot
+	a.engineBoot = status.BootID
 	a.load = status.Load
-	a.step(now, serving.StatusRead{Status: status, Asked: requestedAt})
+	a.step(now, serving.StatusRead{Status: status, RequestedAt: requestedAt})
 	a.orderExtras(now, status)
 	a.checkFencing()
 	a.publish(now)
@@ -141,7 +141,7 @@
 	a.opts.Logger.Warn("woke")
 	for a.ctx.Err() == nil {
 		if a.node.ConfirmContact(a.ctx, since) {
-			a.post(serving.Woke{Asked: since})
+			a.post(serving.Refreshed{RequestedAt: since})
 			return
 		}
 		select {
@@ -258,7 +258,7 @@
 func (a *Agent) checkFencing() {
 	fence := a.changeover.Fence()
 	ignored := a.service.EngineFencing == fleettext.FencingChecked &&
-		a.changeover.Phase() == serving.PhaseIdle && !fence.Checked()
+		a.changeover.Phase() == serving.PhaseIdle && !fence.IsAcknowledged()
 	if ignored && !a.fencingIgnored {
 		a.opts.Metrics.Counter("alarms").Inc(1)
 		a.opts.Logger.Error("alarm", zap.String("reason", "the text says that this engine checks fencing numbers, and it does not"))
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -107,8 +107,8 @@
 		r := newPlainRig()
 		done, lost, fresh := r.issueKey(1), r.issueKey(2), r.issueKey(3)
 		Expect(r.entry.Do(r.nonIdempotentRequest("done-1", done), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
-		r.backend.SetHandler(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Answer, error) {
-			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
+		r.backend.SetHandler(func(context.Context, serving.Call, func(serving.Piece) error) (serving.Response, error) {
+			return serving.Response{}, failure.WithOutcome(failure.Unavailable.New("connection reset"), failure.Unknown)
 		})
 		Expect(r.entry.Do(r.nonIdempotentRequest("lost-1", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		r.backend.SetHandler(daemontest.Echo)
@@ -161,11 +161,11 @@
 	// Guards against a response that ends as complete without one of its pieces.
 	It("does not end as complete if a piece was not sent", func() {
 		r := newPlainRig()
-		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			for _, size := range []int{1, peer.DefaultMaxMessage, 1} {
 				_ = emit(serving.Piece{Status: 200, Data: make([]byte, size)})
 			}
-			return serving.Answer{ID: call.ID, Status: 200}, nil
+			return serving.Response{ID: call.ID, Status: 200}, nil
 		})
 		key := r.issueKey(1)
 		Expect(r.entry.Do(r.nonIdempotentRequest("first", key), requestBody)).To(SatisfyAll(
@@ -183,9 +183,9 @@
 	It("has no response recorded that names another request", func() {
 		r := newPlainRig()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
-		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			other := swapped[call.ID]
-			return serving.Answer{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
+			return serving.Response{ID: other, Status: 200}, emit(serving.Piece{Status: 200, Data: []byte("goods of " + other)})
 		})
 		keys := map[string]string{"mine": r.issueKey(1), "yours": r.issueKey(2)}
 		for id, key := range keys {
--- a/daemon/agent/status.go
+++ b/daemon/agent/status.go
@@ -42,8 +42,8 @@
 	}
 	if a.changeover != nil {
 		s.Phase = a.changeover.Phase().String()
-		s.Gathers = a.swarm.Progress()
-		s.Drawn = a.swarm.FetchedBytes()
+		s.Fetches = a.swarm.Progress()
+		s.Fetched = a.swarm.FetchedBytes()
 	}
 	for _, p := range a.node.View().Peers {
 		s.KnownPeers++
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -246,12 +246,12 @@
 	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: response.ID, Status: response.Status, Version: response.Version}
 }
 
-func checkResponse(req wire.Request, version fleet.Version, response serving.Answer) error {
+func checkResponse(req wire.Request, version fleet.Version, response serving.Response) error {
 	if response.ID != req.ID {
 		err := failure.Corrupt.New("the answer names request %q", response.ID)
 		return failure.WithOutcome(err, failure.Unknown)
 	}
-	return serving.CheckAnswer(version, response.Version)
+	return serving.CheckResponse(version, response.Version)
 }
 
 // responseStream sends a response to the entry. It sends nothing after a part that
@@ -308,7 +308,7 @@
 // CheckVersion rejects a response whose first line names a version other than the
 // one to be served, before any of it is forwarded to the caller.
 func (a *Agent) CheckVersion(responseVersion fleet.Version) error {
-	return a.gate.Load().CheckAnswer(responseVersion)
+	return a.gate.Load().CheckResponse(responseVersion)
 }
 
 func statusOr200(status int) int {
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -20,8 +20,8 @@
 // respondFrom returns the behaviour of a backend server that reports a version for
 // each response.
 func respondFrom(version fleet.Version) daemontest.CallHandler {
-	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
-		return serving.Answer{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
+	return func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
+		return serving.Response{ID: call.ID, Version: version}, emit(serving.Piece{Data: call.Body})
 	}
 }
 
@@ -56,8 +56,8 @@
 	It("forwards the server's status", func() {
 		r := newPlainRig()
 		const notFound = 404
-		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
-			return serving.Answer{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
+		r.backend.SetHandler(func(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
+			return serving.Response{ID: call.ID, Status: notFound}, emit(serving.Piece{Status: notFound, Data: []byte("no such job")})
 		})
 		answer := r.entry.Do(wire.Request{ID: "job", Service: plainService}, "")
 		Expect(answer.Begin).To(HaveValue(HaveField("Status", notFound)))
@@ -85,9 +85,9 @@
 	// response.
 	It("reports no failed response as complete, whatever the outcome of the failure", func() {
 		r := newPlainRig()
-		r.backend.SetHandler(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(_ context.Context, _ serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			Expect(emit(serving.Piece{Data: []byte("half of")})).To(Succeed())
-			return serving.Answer{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
+			return serving.Response{}, failure.WithOutcome(failure.Unavailable.New("cut"), failure.Ran)
 		})
 		answer := r.entry.Do(wire.Request{ID: "half", Service: plainService}, "two cones")
 		Expect(answer.End).To(HaveValue(SatisfyAny(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true))))
@@ -114,12 +114,12 @@
 		r := newPlainRig()
 		gaveUp := make(chan struct{})
 		sent := make(chan error, 1)
-		r.backend.SetHandler(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+		r.backend.SetHandler(func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 			<-ctx.Done()
 			close(gaveUp)
 			err := emit(serving.Piece{Data: []byte("late goods")})
 			sent <- err
-			return serving.Answer{ID: call.ID}, err
+			return serving.Response{ID: call.ID}, err
 		})
 		s := r.entry.Send(wire.Request{ID: "cancelled", Service: plainService}, "two cones")
 		Eventually(r.backend.Calls).Should(HaveLen(1))
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -39,7 +39,7 @@
 )
 
 // Dispatch implements calls.Dispatcher.
-func (e *Entry) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (e *Entry) Dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	started := time.Now()
 	end, err := e.dispatch(ctx, r, sink)
 	err = correctOutcome(r, err)
@@ -54,23 +54,23 @@
 	return end, err
 }
 
-func (e *Entry) dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+func (e *Entry) dispatch(ctx context.Context, r calls.Request, sink calls.Sink) (calls.Completion, error) {
 	inFlight := e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	if inFlight > int64(e.opts.MaxInFlight) {
-		return calls.End{}, notRunError(calls.Overloaded.New("%d requests run on this entry", inFlight-1), busyRetryAfter)
+		return calls.Completion{}, notRunError(calls.Overloaded.New("%d requests run on this entry", inFlight-1), busyRetryAfter)
 	}
 	snap := e.snapshot.Load()
 	if snap.config == nil {
-		return calls.End{}, notRunError(calls.NotReady.New("no text is in force yet"), notReadyRetryAfter)
+		return calls.Completion{}, notRunError(calls.NotReady.New("no text is in force yet"), notReadyRetryAfter)
 	}
 	service, ok := snap.config.Fleet.Service(r.Service)
 	if !ok {
-		return calls.End{}, failure.WithOutcome(calls.UnknownService.New("no service %q", r.Service), failure.NotRun)
+		return calls.Completion{}, failure.WithOutcome(calls.UnknownService.New("no service %q", r.Service), failure.NotRun)
 	}
 	release, err := e.acquireLimits(r)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	defer release()
 	r.Priority = priorityOf(r, snap.config.Fleet)
@@ -84,7 +84,7 @@
 // does not rule out that the home ran an earlier one with the same key. Only a
 // caller that declares its first request with the key may be told "not run".
 func correctOutcome(r calls.Request, err error) error {
-	if !r.NonIdempotent || r.FirstAsk || failure.OutcomeOf(err) != failure.NotRun || isDecidedByHome(err) {
+	if !r.NonIdempotent || r.FirstAttempt || failure.OutcomeOf(err) != failure.NotRun || isDecidedByHome(err) {
 		return err
 	}
 	if typed := errorx.Cast(err); typed != nil {
@@ -118,12 +118,12 @@
 }
 
 // runAttempts tries servers one after another while a retry is safe.
-func (e *Entry) runAttempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.End, error) {
+func (e *Entry) runAttempts(ctx context.Context, r calls.Request, service fleettext.Service, sink calls.Sink) (calls.Completion, error) {
 	e.retryBudget.Deposit(time.Now())
 	policy := retry.New(retry.Options{Budget: e.retryBudget, Rand: chance.Shared{}, MaxAttempts: service.MaxAttempts})
 	home, err := e.homeOf(r)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	var tried []fleet.InstanceID
 	var mayHaveRun bool // an earlier attempt may have run
@@ -138,7 +138,7 @@
 			err = failure.WithOutcome(calls.Interrupted.Wrap(err, "an earlier try may have run"), failure.Unknown)
 		}
 		if ctx.Err() != nil || a.server == "" || isDecidedByHome(err) {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 		mayHaveRun = mayHaveRun || failure.OutcomeOf(err) != failure.NotRun
 		tried = append(tried, a.server)
@@ -150,13 +150,13 @@
 			Deadline:   r.Deadline,
 		})
 		if !decision.Retry {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 		e.opts.Metrics.Counter("retries").Inc(1)
 		e.opts.Logger.Info("request_retried", zap.String("request_id", r.ID),
 			zap.String("server", string(a.server)), zap.Int("attempt", number), zap.Error(err))
 		if !sleep(ctx, decision.Pause) {
-			return calls.End{}, err
+			return calls.Completion{}, err
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	lastPieceAt time.Time        // when the latest piece was received
 }
 
-func (a *attempt) run(ctx context.Context, tried []fleet.InstanceID) (calls.End, error) {
+func (a *attempt) run(ctx context.Context, tried []fleet.InstanceID) (calls.Completion, error) {
 	e := a.entry
 	ctx, span := e.opts.Tracer.Start(ctx, "entry.attempt")
 	defer span.End()
@@ -201,7 +201,7 @@
 		Require:   a.home,
 	})
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	a.server = choice.Server.ID
 	end, err := a.exchange(ctx, choice.Server, snap.clocks[a.server])
@@ -212,7 +212,7 @@
 // result returns the outcome of the attempt for the balancer, as far as it
 // indicates the state of the server.
 func (a *attempt) result(ctx context.Context, err error) balance.Result {
-	result := balance.Result{At: time.Now(), Pace: a.pace(), RetryAfter: failure.RetryAfter(err)}
+	result := balance.Result{At: time.Now(), PieceInterval: a.pace(), RetryAfter: failure.RetryAfter(err)}
 	switch {
 	case err == nil:
 		result.Kind = balance.Succeeded
@@ -248,19 +248,19 @@
 }
 
 // exchange sends the request to an agent and forwards the response to the caller.
-func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.End, error) {
+func (a *attempt) exchange(ctx context.Context, server balance.Server, clock *admission.RemoteClock) (calls.Completion, error) {
 	s, err := a.entry.opts.Endpoint.Open(ctx, server.Addr, server.ID, peer.KindRequest)
 	if err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	defer s.Abort()
 	s.SetStall(responseStallTimeout)
 	if err := a.sendRequest(ctx, s, clock); err != nil {
-		return calls.End{}, err
+		return calls.Completion{}, err
 	}
 	end, err := a.receiveResponse(s, server)
 	if err != nil && ctx.Err() != nil {
-		return calls.End{}, a.contextError(ctx, err)
+		return calls.Completion{}, a.contextError(ctx, err)
 	}
 	return end, err
 }
@@ -318,31 +318,31 @@
 }
 
 // receiveResponse forwards the response to the caller until its end.
-func (a *attempt) receiveResponse(s *peer.Stream, server balance.Server) (calls.End, error) {
+func (a *attempt) receiveResponse(s *peer.Stream, server balance.Server) (calls.Completion, error) {
 	for {
 		var part wire.AnswerPart
 		if err := s.Recv(&part); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = calls.Interrupted.New("the agent ended the answer early")
 			}
-			return calls.End{}, interruptedError(err, "receive the answer")
+			return calls.Completion{}, interruptedError(err, "receive the answer")
 		}
 		switch {
 		case !part.IsOneStep():
-			return calls.End{}, corruptError("a part of the answer is more than one step")
+			return calls.Completion{}, corruptError("a part of the answer is more than one step")
 		case part.Begin != nil:
 			if err := a.handleBegin(*part.Begin); err != nil {
-				return calls.End{}, err
+				return calls.Completion{}, err
 			}
 		case part.End != nil:
 			return a.handleEnd(*part.End, server)
 		case !a.delivered:
-			return calls.End{}, corruptError("the answer has a piece before its beginning")
+			return calls.Completion{}, corruptError("the answer has a piece before its beginning")
 		default:
 			a.pieceCount++
 			a.lastPieceAt = time.Now()
 			if err := a.sink.Piece(part.Piece); err != nil {
-				return calls.End{}, failure.WithOutcome(errorx.Cast(err), failure.Unknown)
+				return calls.Completion{}, failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 			}
 		}
 	}
@@ -359,7 +359,7 @@
 	a.version = b.Version
 	a.delivered = true
 	a.beganAt = time.Now()
-	if err := a.sink.Begin(calls.Begin{Status: b.Status, Version: b.Version}); err != nil {
+	if err := a.sink.Begin(calls.ResponseHeader{Status: b.Status, Version: b.Version}); err != nil {
 		return failure.WithOutcome(errorx.Cast(err), failure.Unknown)
 	}
 	return nil
@@ -369,20 +369,20 @@
 // began. The response is aborted if the end names another request, since its pieces
 // may belong to another caller, or another version, since its pieces may come from
 // both.
-func (a *attempt) handleEnd(end wire.AnswerEnd, server balance.Server) (calls.End, error) {
+func (a *attempt) handleEnd(end wire.AnswerEnd, server balance.Server) (calls.Completion, error) {
 	if end.ID != a.request.ID {
-		return calls.End{}, corruptError("the answer names request %q", end.ID)
+		return calls.Completion{}, corruptError("the answer names request %q", end.ID)
 	}
 	if end.Outcome != wire.OutcomeRan || end.Duplicate {
-		return calls.End{}, endError(end, server.ID)
+		return calls.Completion{}, endError(end, server.ID)
 	}
 	if !a.delivered {
-		return calls.End{}, corruptError("the answer ends without a beginning")
+		return calls.Completion{}, corruptError("the answer ends without a beginning")
 	}
 	if end.Version != a.version {
-		return calls.End{}, corruptError("the answer began with version %s and ends with %s", a.version, end.Version)
+		return calls.Completion{}, corruptError("the answer began with version %s and ends with %s", a.version, end.Version)
 	}
-	return calls.End{Version: end.Version, Server: server.ID}, nil
+	return calls.Completion{Version: end.Version, Server: server.ID}, nil
 }
 
 // endError converts the end of an unsuccessful response to an error.
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -154,7 +154,7 @@
 			prepare(r)
 			for _, first := range []bool{false, true} {
 				req := r.nonIdempotentRequest(r.agents[0], requestBody)
-				req.FirstAsk = first
+				req.FirstAttempt = first
 				edit(&req)
 				want := failure.Unknown
 				if first {
@@ -186,7 +186,7 @@
 		r := newRigWithoutConfig(1)
 		req := r.nonIdempotentRequest(r.agents[0], requestBody)
 		Expect(r.send(req).Err).To(SatisfyAll(beOfType(calls.NotReady), haveOutcome(failure.Unknown), haveRetryAfter()))
-		req.FirstAsk = true
+		req.FirstAttempt = true
 		Expect(r.send(req).Err).To(haveOutcome(failure.NotRun))
 	})
 
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -163,7 +163,7 @@
 
 // callResult is what a caller received.
 type callResult struct {
-	End    calls.End
+	End    calls.Completion
 	Err    error
 	Begins int
 	Body   string
@@ -176,7 +176,7 @@
 	pieces strings.Builder
 }
 
-func (s *sink) Begin(calls.Begin) error {
+func (s *sink) Begin(calls.ResponseHeader) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.begins++
--- a/daemon/internal/daemontest/backend.go
+++ b/daemon/internal/daemontest/backend.go
@@ -11,7 +11,7 @@
 )
 
 // CallHandler handles one call to a backend server.
-type CallHandler func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error)
+type CallHandler func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error)
 
 // Backend is a fake backend server. It echoes the body of each call until
 // SetHandler replaces its handler, and also reports the status of a plain
@@ -32,22 +32,22 @@
 }
 
 // Echo responds with the body of the call.
-func Echo(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func Echo(_ context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	if err := emit(serving.Piece{Status: http.StatusOK, Data: call.Body}); err != nil {
-		return serving.Answer{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "send response to the caller"), failure.Unknown)
+		return serving.Response{}, failure.WithOutcome(failure.Unavailable.Wrap(err, "send response to the caller"), failure.Unknown)
 	}
-	return serving.Answer{ID: call.ID, Status: http.StatusOK}, nil
+	return serving.Response{ID: call.ID, Status: http.StatusOK}, nil
 }
 
 // HandleAfter calls next once release is closed, and fails with an unknown
 // outcome if the call is cancelled before.
 func HandleAfter(release <-chan struct{}, next CallHandler) CallHandler {
-	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+	return func(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 		select {
 		case <-release:
 			return next(ctx, call, emit)
 		case <-ctx.Done():
-			return serving.Answer{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "call cancelled before release"), failure.Unknown)
+			return serving.Response{}, failure.WithOutcome(failure.Timeout.Wrap(ctx.Err(), "call cancelled before release"), failure.Unknown)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 }
 
 // Do implements serving.Backend.
-func (b *Backend) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
+func (b *Backend) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Response, error) {
 	b.mu.Lock()
 	b.calls = append(b.calls, call)
 	handler := b.handler
@@ -112,7 +112,7 @@
 
 // NewEngine returns an engine that has just started.
 func NewEngine() *Engine {
-	return &Engine{status: serving.EngineStatus{Boot: "boot-1", Load: serving.Load{Slots: 64}}}
+	return &Engine{status: serving.EngineStatus{BootID: "boot-1", Load: serving.Load{Slots: 64}}}
 }
 
 // UpdateStatus changes the status that the engine reports.
--- a/daemon/swarm/download.go
+++ b/daemon/swarm/download.go
@@ -123,8 +123,8 @@
 	}
 }
 
-func (d *download) progress() status.Gather {
-	p := status.Gather{Version: d.version, Known: d.plan != nil, Paused: d.paused, Links: len(d.links)}
+func (d *download) progress() status.ChunkFetch {
+	p := status.ChunkFetch{Version: d.version, Known: d.plan != nil, Paused: d.paused, Links: len(d.links)}
 	if d.plan != nil {
 		p.Plan = d.plan.Progress()
 	}
--- a/daemon/swarm/helpers_test.go
+++ b/daemon/swarm/helpers_test.go
@@ -118,7 +118,7 @@
 	Expect(a.stage.Holds(m)).To(BeTrue(), "the staged bytes")
 }
 
-func (a *testAgent) fetchedBytes() (fetched status.Drawn) {
+func (a *testAgent) fetchedBytes() (fetched status.FetchedBytes) {
 	GinkgoHelper()
 	a.OnLoop(func(time.Time) { fetched = a.swarm.FetchedBytes() })
 	return fetched
--- a/daemon/swarm/swarm.go
+++ b/daemon/swarm/swarm.go
@@ -74,7 +74,7 @@
 	ctx       context.Context
 	downloads map[fleet.Digest]*download
 	members   []spread.Member
-	fetched   status.Drawn
+	fetched   status.FetchedBytes
 }
 
 // New returns a swarm without downloads. Transfers end with ctx.
@@ -175,8 +175,8 @@
 }
 
 // Progress returns the progress of all downloads, ordered by version name.
-func (s *Swarm) Progress() []status.Gather {
-	var all []status.Gather
+func (s *Swarm) Progress() []status.ChunkFetch {
+	var all []status.ChunkFetch
 	for _, d := range s.downloads {
 		all = append(all, d.progress())
 	}
@@ -186,7 +186,7 @@
 
 // FetchedBytes returns the number of bytes fetched so far from each kind of
 // source. It must be called on the control loop.
-func (s *Swarm) FetchedBytes() status.Drawn { return s.fetched }
+func (s *Swarm) FetchedBytes() status.FetchedBytes { return s.fetched }
 
 // post queues an event on the control loop; events of transfers that end after
 // the loop are dropped.
