--- a/daemon/loader/catalog.go
+++ b/daemon/loader/catalog.go
@@ -13,62 +13,65 @@
 )
 
 const (
-	// aloneAfter is how long an agent hears of no entry until it reads the
-	// catalog by itself, aloneAtStart the same after its start: an entry that starts
-	// at the same moment has told it by then what it needs.
-	aloneAfter   = 2 * time.Second
-	aloneAtStart = 1500 * time.Millisecond
-	// untoldFor is how long entries may be heard that do not tell where the weights
-	// come from: those that were cut off before the server was there.
-	untoldFor = 4 * time.Second
-	// readAgain is the mean pause between two such readings. Agents outnumber
-	// entries by far, and the platform counts each call.
-	readAgain = 2 * time.Second
-	// firstReadAgain is the pause after a reading at the start that failed.
-	firstReadAgain = 250 * time.Millisecond
-	// readTimeout bounds one reading; the platform's adapter ends one sooner that
-	// brings nothing.
-	readTimeout = 6 * time.Second
+	// noEntryTimeout is how long an agent receives nothing from any entry until it
+	// reads the catalog itself. noEntryTimeoutAtStart is the same after the agent's
+	// start, and is long enough for an entry that starts at the same moment to send
+	// what the agent needs.
+	noEntryTimeout        = 2 * time.Second
+	noEntryTimeoutAtStart = 1500 * time.Millisecond
+	// noSupplyTimeout is how long after its start an agent waits for an entry to report
+	// where the weights come from. Entries that lost the platform before the server was
+	// registered do not know it.
+	noSupplyTimeout = 4 * time.Second
+	// catalogReadInterval is the mean pause between two such reads. There are far more
+	// agents than entries, and the platform counts each call.
+	catalogReadInterval = 2 * time.Second
+	// catalogRetryInterval is the mean pause between reads while the source of the
+	// weights is unknown.
+	catalogRetryInterval = 250 * time.Millisecond
+	// catalogReadTimeout bounds one read. The platform adapter ends a read without
+	// progress earlier.
+	catalogReadTimeout = 6 * time.Second
 )
 
-// readCatalog reads the platform's catalog while no entry is there, or none that
+// readCatalog reads the platform's catalog while no entry is reachable, or none that
 // knows where the weights come from.
 //
-// Read by each agent at its start, and again every quarter of a second until its
-// server was registered, a large catalog crossed a region's link once for each of
-// them and try.
+// When each agent read the catalog at its start, and again every quarter of a second
+// until its server was registered, a large catalog crossed the region's link once per
+// agent and attempt.
 func (l *Loader) readCatalog(now time.Time) {
-	if l.reading || now.Before(l.nextRead) || !l.needsCatalog(now) {
+	if l.readingCatalog || now.Before(l.nextCatalogRead) || !l.needsCatalog(now) {
 		return
 	}
-	l.reading = true
-	ctx, cancel := context.WithTimeout(l.ctx, readTimeout)
-	l.stopReading = cancel
+	l.readingCatalog = true
+	ctx, cancel := context.WithTimeout(l.ctx, catalogReadTimeout)
+	l.cancelCatalogRead = cancel
 	go func() {
 		defer cancel()
 		s, err := l.opts.Source.List(ctx)
-		l.post(func(now time.Time) { l.catalogRead(now, s, err) })
+		l.post(func(now time.Time) { l.handleCatalog(now, s, err) })
 	}()
 }
 
 func (l *Loader) needsCatalog(now time.Time) bool {
 	switch {
-	case l.lastHeard.IsZero() && l.supply == nil:
-		return now.Sub(l.started) > aloneAtStart
-	case now.Sub(l.lastHeard) > aloneAfter:
+	case l.lastHeartbeat.IsZero() && l.supply == nil:
+		return now.Sub(l.started) > noEntryTimeoutAtStart
+	case now.Sub(l.lastHeartbeat) > noEntryTimeout:
 		return true
 	default:
-		return l.supply == nil && now.Sub(l.started) > untoldFor
+		return l.supply == nil && now.Sub(l.started) > noSupplyTimeout
 	}
 }
 
-func (l *Loader) catalogRead(now time.Time, s catalog.Snapshot, err error) {
-	l.reading = false
-	pause := readAgain
+func (l *Loader) handleCatalog(now time.Time, s catalog.Snapshot, err error) {
+	l.readingCatalog = false
+	pause := catalogReadInterval
 	if l.supply == nil {
-		pause = firstReadAgain
+		pause = catalogRetryInterval
 	}
-	l.nextRead = now.Add(pause/2 + rand.N(pause))
+	l.nextCatalogRead = now.Add(pause/2 + rand.N(pause))
 	if err != nil {
 		l.opts.Logger.Warn("catalog_not_read", zap.Error(err))
 		return
@@ -81,9 +84,9 @@
 	l.supply = &plan.Supply
 	l.setMembers(now, plan.Members)
 	if w, named := s.WantedVersion(plan.Supply.Model); named && l.plan.Wanted() < w.Version {
-		// Since when it is wanted is not known here; an entry tells, and until
-		// then it is taken for long ago.
-		l.want(now, loading.NamedVersion{Version: w.Version, Since: now.Add(-l.opts.VersionTime), Assumed: true})
+		// The time since when the version is wanted is not known here. Until an entry
+		// reports it, the version's time is assumed to be over.
+		l.addWanted(now, loading.NamedVersion{Version: w.Version, Since: now.Add(-l.opts.VersionTime), Assumed: true})
 	}
 	l.advance(now)
 }
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -1,8 +1,7 @@
-// Package loader is the agent beside a model engine on a platform where
-// engines are called straight by the entries. It brings the weights: it
-// gathers the chunks of the wanted version from its peers and the origin,
-// stages them, orders the engine to load them, and tells the entries what the
-// engine answers from.
+// Package loader implements the agent beside a model engine on a platform where entries
+// call engines directly. The agent fetches the chunks of the wanted version from its
+// peers and the origin, stages them, orders the engine to load them, and reports the
+// engine's state to the entries.
 package loader
 
 import (
@@ -31,34 +30,36 @@
 )
 
 const (
-	// reportEvery is the pause between two readings of the engine's report, and
-	// reportSoon the one while a load is being waited for: entries send nothing
-	// to an engine until they hear that it is ready.
-	reportEvery = 300 * time.Millisecond
-	reportSoon  = 60 * time.Millisecond
-	// downAfter is the number of reports in a row that fail before the engine
-	// counts as down.
-	downAfter = 2
-	// stallTime ends a transfer that brings nothing.
-	stallTime = 1200 * time.Millisecond
-	// listenTime is how long a gather waits for its neighbours' first word
-	// before it draws from the origin.
-	listenTime = 250 * time.Millisecond
-	// takeover is how long the second in rank waits for a chunk that its first
-	// has not brought: about half of the time in which the origin sends a copy.
-	takeover = 700 * time.Millisecond
-	// weightsShare is the part of the link that chunks may use, sendBytes what is
+	// reportInterval is the pause between two reads of the engine's report.
+	// reloadReportInterval is the pause while a load is pending: entries send nothing
+	// to an engine until the agent reports it ready.
+	reportInterval       = 300 * time.Millisecond
+	reloadReportInterval = 60 * time.Millisecond
+	// maxReportFailures is the number of consecutive failed reads of the report after
+	// which the engine counts as unreachable.
+	maxReportFailures = 2
+	// stallTimeout ends a transfer that makes no progress.
+	stallTimeout = 1200 * time.Millisecond
+	// peerReportWait is how long a fetch waits for the first report of its peers before
+	// it fetches from the origin.
+	peerReportWait = 250 * time.Millisecond
+	// takeoverDelay is how long the peer with the second rank waits for a chunk that
+	// the peer with the first rank has not fetched: about half of the time in which the
+	// origin sends a copy.
+	takeoverDelay = 700 * time.Millisecond
+	// weightsShare is the fraction of the link that chunks may use. sendStepBytes is
 	// sent of them in one step: some milliseconds of a link of 10 Mbit/s.
-	weightsShare = 0.92
-	sendBytes    = 8 << 10
-	// originPause is the longest pause before the origin is asked again: a
-	// version has seconds.
-	originPause = 700 * time.Millisecond
-	// originCopies bounds what the fleet draws of one version.
+	weightsShare  = 0.92
+	sendStepBytes = 8 << 10
+	// maxOriginPause is the longest pause before a retry at the origin: a new version
+	// must be in use within seconds.
+	maxOriginPause = 700 * time.Millisecond
+	// originCopies bounds how many copies of a version the fleet fetches from the
+	// origin.
 	originCopies = 2.5
 )
 
-// Options of a Loader. All fields are needed.
+// Options configures a Loader. All fields are required.
 type Options struct {
 	Self        fleet.InstanceID
 	Addr        netip.Addr
@@ -70,22 +71,23 @@
 	Endpoint    *peer.Endpoint
 	Engine      Engine
 	Origin      Origin
-	// Source is read at the start, and again while no entry is there.
+	// Source is read at the start if no entry reports, and again while no entry is
+	// reachable.
 	Source catalog.Source
-	// Regions tells the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[fleet.Zone]fleet.Region
-	// VersionTime is how long after its naming a new version must have replaced
-	// the one before.
+	// VersionTime is the time after the naming of a new version within which it must
+	// have replaced the previous one.
 	VersionTime time.Duration
-	// LinkBytes is what the instance's link carries in a second.
+	// LinkBytes is the capacity of the instance's link.
 	LinkBytes int64
-	// Off is what is switched off.
+	// Off is the set of mechanisms that are switched off.
 	Off     policy.Disabled
 	Logger  *zap.Logger
 	Metrics tally.Scope
 }
 
-// Loader is the agent's state. It belongs to the control loop.
+// Loader is the state of the agent. Only the control loop uses it.
 type Loader struct {
 	opts    Options
 	ctx     context.Context
@@ -97,46 +99,46 @@
 	supply  *wire.Supply
 	members []wire.Member
 
-	engine     loading.Engine
-	outdated   outdated
-	known      bool // a report was read
-	failures   int
-	reporting  bool
-	nextReport time.Time
-	told       wire.Replica
-	started    time.Time
+	engine          loading.Engine
+	outdated        outdated
+	hasEngineReport bool // the engine's report was read since the start or the last pause
+	reportFailures  int
+	readingReport   bool
+	nextReport      time.Time
+	lastReport      wire.Replica
+	started         time.Time
 
-	reading     bool               // the catalog
-	stopReading context.CancelFunc // of the reading that runs
-	nextRead    time.Time          // of the catalog
-	lastHeard   time.Time          // from an entry
-	resolving   bool
-	resolveAt   time.Time
-	// manifest is the newest that this agent has read itself, manifestTold to
-	// whom it was told.
-	manifest     *wire.Manifest
-	manifestTold map[fleet.InstanceID]bool
-	lastManifest wire.Manifest // the newest that was heard
-	gathers      []gathering   // oldest first
-	ordering     bool
+	readingCatalog    bool               // a read of the catalog is running
+	cancelCatalogRead context.CancelFunc // cancels the running read
+	nextCatalogRead   time.Time          // when the catalog may be read again
+	lastHeartbeat     time.Time          // when an entry last reported
+	readingManifest   bool
+	nextManifestRead  time.Time
+	// ownManifest is the newest manifest that this agent has read itself,
+	// manifestSentTo the entries that it was sent to.
+	ownManifest      *wire.Manifest
+	manifestSentTo   map[fleet.InstanceID]bool
+	receivedManifest wire.Manifest  // newest manifest received from an entry
+	fetches          []versionFetch // oldest first
+	ordering         bool
 }
 
-// gathering is a version whose chunks are gathered or staged.
-type gathering struct {
-	version uint64
-	named   fleet.Version
-	from    time.Time
-	started bool // its chunks are fetched
+// versionFetch is a version whose chunks are being fetched or are staged.
+type versionFetch struct {
+	version      uint64
+	fleetVersion fleet.Version
+	since        time.Time
+	started      bool // the fetch of its chunks has started
 }
 
-// New returns a loader that does nothing before its loop runs.
+// New returns a loader. It does nothing until the control loop runs.
 func New(ctx context.Context, now time.Time, opts Options) *Loader {
 	l := &Loader{
-		opts:    opts,
-		ctx:     ctx,
-		plan:    loading.NewPlan(opts.Self, opts.VersionTime, opts.Off),
-		told:    wire.Replica{Addr: opts.Addr, Incarnation: opts.Incarnation, Seq: 1},
-		started: now,
+		opts:       opts,
+		ctx:        ctx,
+		plan:       loading.NewPlan(opts.Self, opts.VersionTime, opts.Off),
+		lastReport: wire.Replica{Addr: opts.Addr, Incarnation: opts.Incarnation, Seq: 1},
+		started:    now,
 	}
 	l.stage = newStage(opts.Engine, opts.Origin, opts.Logger)
 	l.swarm = swarm.New(ctx, swarm.Options{
@@ -145,15 +147,15 @@
 		Endpoint:   opts.Endpoint,
 		Stage:      l.stage,
 		Origin:     l.stage,
-		Up:         newUpLimit(opts.LinkBytes),
+		Up:         newUploadLimiter(opts.LinkBytes),
 		Down:       rate.NewLimiter(rate.Inf, swarm.PieceBytes),
-		SendBytes:  sendBytes,
-		Stall:      stallTime,
+		SendBytes:  sendStepBytes,
+		Stall:      stallTimeout,
 		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Logger:     opts.Logger,
 		Metrics:    opts.Metrics,
 		Known:      l.stage.manifest,
-		OnComplete: l.gathered,
+		OnComplete: l.handleStaged,
 	})
 	l.mesh = mesh.New(ctx, now, mesh.Options{
 		Self:     opts.Self,
@@ -165,23 +167,23 @@
 		Endpoint: opts.Endpoint,
 		Logger:   opts.Logger,
 		Metrics:  opts.Metrics,
-		Compose:  l.compose,
+		Compose:  l.composeHeartbeat,
 		HasNews:  func(fleet.InstanceID) bool { return false },
-		Heard:    l.heard,
+		Heard:    l.handleHeartbeat,
 		Lost:     func(time.Time, fleet.InstanceID) {},
 	})
 	return l
 }
 
-// newUpLimit is the share of the link that weights may use.
+// newUploadLimiter returns a limiter for the fraction of the link that weights may use.
 //
-// The engine's streams leave over the same link. With all of it filled by
-// chunks, events waited in the link's queue for longer than callers notice.
-func newUpLimit(linkBytes int64) *rate.Limiter {
+// The engine's streams leave over the same link. When chunks filled all of it, events
+// waited in the link's queue long enough for callers to notice.
+func newUploadLimiter(linkBytes int64) *rate.Limiter {
 	if linkBytes <= 0 {
-		return rate.NewLimiter(rate.Inf, sendBytes)
+		return rate.NewLimiter(rate.Inf, sendStepBytes)
 	}
-	return rate.NewLimiter(rate.Limit(weightsShare*float64(linkBytes)), sendBytes)
+	return rate.NewLimiter(rate.Limit(weightsShare*float64(linkBytes)), sendStepBytes)
 }
 
 func (l *Loader) member(addr netip.Addr, place fleet.Place) spread.Member {
@@ -200,100 +202,101 @@
 
 // Tick is called by the control loop.
 func (l *Loader) Tick(now time.Time) {
-	if gap := l.clock.Elapsed(); gap > pausedAfter {
-		l.woke(now, gap)
+	if gap := l.clock.Elapsed(); gap > pauseThreshold {
+		l.handlePause(now, gap)
 	}
 	l.mesh.Tick(now)
 	l.swarm.Tick(now)
-	l.report(now)
+	l.readReport(now)
 	l.readCatalog(now)
 	l.advance(now)
 }
 
-// pausedAfter is the time between two ticks from which on the process counts
-// as paused.
-const pausedAfter = time.Second
+// pauseThreshold is the time between two ticks above which the process counts as
+// paused.
+const pauseThreshold = time.Second
 
-// woke reads again what may have changed while the process did not run.
-func (l *Loader) woke(now time.Time, gap time.Duration) {
+// handlePause makes the loader read again what may have changed while the process was
+// paused.
+func (l *Loader) handlePause(now time.Time, gap time.Duration) {
 	l.opts.Logger.Warn("woke", zap.Duration("after", gap))
-	l.known = false
+	l.hasEngineReport = false
 	l.nextReport = now
-	l.lastHeard = time.Time{}
-	l.nextRead = now
+	l.lastHeartbeat = time.Time{}
+	l.nextCatalogRead = now
 	l.mesh.Woke(now)
 }
 
-// SetSeeds takes the machines that the settings name now.
+// SetSeeds adds the seed addresses of the current settings.
 func (l *Loader) SetSeeds(ctx context.Context, seeds []netip.Addr) error {
 	return l.opts.Loop.Do(ctx, func(now time.Time) { l.mesh.SetSeeds(now, seeds) })
 }
 
-// compose returns what an entry is told.
-func (l *Loader) compose(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
+// composeHeartbeat returns the heartbeat for an entry.
+func (l *Loader) composeHeartbeat(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
 	b := wire.Beat{
 		ID: l.opts.Self, Role: fleet.RoleAgent, Incarnation: l.opts.Incarnation, Place: l.opts.Place,
 	}
-	if l.known || l.failures >= downAfter {
-		b.Replicas = []wire.Replica{l.told.Aged(now.Sub(l.started))}
+	if l.hasEngineReport || l.reportFailures >= maxReportFailures {
+		b.Replicas = []wire.Replica{l.lastReport.Aged(now.Sub(l.started))}
 	}
-	if l.manifest != nil && (form == mesh.First || !l.manifestTold[to.ID]) {
-		b.Manifest = l.manifest
-		l.manifestTold[to.ID] = true
+	if l.ownManifest != nil && (form == mesh.First || !l.manifestSentTo[to.ID]) {
+		b.Manifest = l.ownManifest
+		l.manifestSentTo[to.ID] = true
 	}
 	return b
 }
 
-// heard takes what an entry tells.
-func (l *Loader) heard(now time.Time, _ mesh.Peer, b wire.Beat) {
-	l.lastHeard = now
-	if b.Supply != nil {
-		l.supply = b.Supply
-		if l.reading {
-			l.stopReading() // what it would bring is known, and the link is shared
+// handleHeartbeat processes the heartbeat of an entry.
+func (l *Loader) handleHeartbeat(now time.Time, _ mesh.Peer, beat wire.Beat) {
+	l.lastHeartbeat = now
+	if beat.Supply != nil {
+		l.supply = beat.Supply
+		if l.readingCatalog {
+			l.cancelCatalogRead() // the entry sent what the read would return, and the link is shared
 		}
 	}
-	if b.Members != nil {
-		l.setMembers(now, b.Members)
+	if beat.Members != nil {
+		l.setMembers(now, beat.Members)
 	}
 	if l.supply == nil {
 		return
 	}
-	for _, w := range b.Wanted {
+	for _, w := range beat.Wanted {
 		if w.Model == l.supply.Model {
-			l.want(now, w.Named(now))
+			l.addWanted(now, w.Named(now))
 		}
 	}
-	if b.Manifest != nil {
-		l.heardManifest(now, *b.Manifest)
+	if beat.Manifest != nil {
+		l.handleManifest(now, *beat.Manifest)
 	}
 }
 
-func (l *Loader) want(now time.Time, named loading.NamedVersion) {
-	if !l.plan.AddWanted(named) {
+func (l *Loader) addWanted(now time.Time, wanted loading.NamedVersion) {
+	if !l.plan.AddWanted(wanted) {
 		return
 	}
-	l.opts.Logger.Info("version_wanted", zap.Uint64("version", named.Version),
-		zap.Duration("age", now.Sub(named.Since)), zap.Bool("assumed", named.Assumed), zap.Uint64("loaded", l.engine.Loaded))
-	l.resolveAt = now.Add(l.plan.ManifestReadDelay(0))
-	l.heardManifest(now, l.lastManifest)
+	l.opts.Logger.Info("version_wanted", zap.Uint64("version", wanted.Version),
+		zap.Duration("age", now.Sub(wanted.Since)), zap.Bool("assumed", wanted.Assumed), zap.Uint64("loaded", l.engine.Loaded))
+	l.nextManifestRead = now.Add(l.plan.ManifestReadDelay(0))
+	l.handleManifest(now, l.receivedManifest)
 	l.advance(now)
 }
 
 func (l *Loader) setMembers(now time.Time, members []wire.Member) {
 	l.members = members
 	list := make([]spread.Member, 0, len(members))
-	var near []spread.Member
+	var sameRegion []spread.Member
 	for _, m := range members {
 		member := l.member(m.Addr, fleet.Place{Zone: m.Zone, Region: m.Region})
 		list = append(list, member)
 		if m.Region == l.opts.Place.Region {
-			near = append(near, member)
+			sameRegion = append(sameRegion, member)
 		}
 	}
 	l.swarm.SetMembers(now, list)
 	l.plan.SetMembers(idsOf(list))
-	l.plan.SetRegion(idsOf(near))
+	l.plan.SetRegion(idsOf(sameRegion))
 	l.setLeaving(!slices.ContainsFunc(members, func(m wire.Member) bool { return m.Addr == l.opts.Addr }))
 }
 
@@ -305,8 +308,8 @@
 	return ids
 }
 
-// setLeaving follows the server's registration: agents of servers that leave
-// are no members.
+// setLeaving sets whether the agent's server is leaving: agents of leaving servers are
+// not members.
 func (l *Loader) setLeaving(leaving bool) {
 	if leaving == l.plan.IsLeaving() {
 		return
@@ -314,11 +317,11 @@
 	l.plan.SetLeaving(leaving)
 	l.opts.Logger.Info("server_leaving", zap.Bool("leaving", leaving))
 	if !leaving {
-		l.gathers = nil // what was stopped is gathered again
+		l.fetches = nil // fetches that were stopped are started again
 		return
 	}
-	for _, g := range l.gathers {
-		l.swarm.Stop(g.named.Manifest)
+	for _, g := range l.fetches {
+		l.swarm.Stop(g.fleetVersion.Manifest)
 	}
 }
 
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -12,120 +12,123 @@
 )
 
 const (
-	// resolveAgain is the pause before a manifest is asked for again.
-	resolveAgain = 300 * time.Millisecond
+	// manifestRetryDelay is the minimum delay before a failed read of a manifest is
+	// retried.
+	manifestRetryDelay = 300 * time.Millisecond
 )
 
-// resolve reads the manifest of the wanted version at the origin when it is
-// this agent's turn, and begins to gather it. Engines that hold the version
-// gather it too: from their own stage, to give it to others.
-func (l *Loader) resolve(now time.Time) {
-	if l.resolving || now.Before(l.resolveAt) {
+// readManifest reads the manifest of the wanted version from the origin when it is this
+// agent's turn, and starts to fetch the version. Agents whose engine already has the
+// version fetch it too, from the engine's own stage, to provide it to peers.
+func (l *Loader) readManifest(now time.Time) {
+	if l.readingManifest || now.Before(l.nextManifestRead) {
 		return
 	}
-	l.resolving = true
+	l.readingManifest = true
 	supply := *l.supply
 	wanted := l.plan.Wanted()
 	go func() {
-		version, named, raw, err := l.stage.resolve(l.ctx, supply, wanted)
-		l.post(func(now time.Time) { l.resolved(now, version, named, raw, err) })
+		version, named, raw, err := l.stage.readManifest(l.ctx, supply, wanted)
+		l.post(func(now time.Time) { l.handleManifestRead(now, version, named, raw, err) })
 	}()
 }
 
-func (l *Loader) resolved(now time.Time, version uint64, named fleet.Version, raw []byte, err error) {
-	l.resolving = false
+func (l *Loader) handleManifestRead(now time.Time, version uint64, named fleet.Version, raw []byte, err error) {
+	l.readingManifest = false
 	if err != nil {
-		l.resolveAt = now.Add(l.plan.ManifestReadDelay(resolveAgain))
+		l.nextManifestRead = now.Add(l.plan.ManifestReadDelay(manifestRetryDelay))
 		l.opts.Logger.Warn("manifest_failed", zap.Uint64("wanted", l.plan.Wanted()), zap.Error(err))
 		return
 	}
-	l.manifest = &wire.Manifest{Model: l.supply.Model, Version: version, Raw: raw}
-	l.manifestTold = make(map[fleet.InstanceID]bool)
+	l.ownManifest = &wire.Manifest{Model: l.supply.Model, Version: version, Raw: raw}
+	l.manifestSentTo = make(map[fleet.InstanceID]bool)
 	l.mesh.Flush(now)
-	l.found(now, version, named)
+	l.fetchIfWanted(now, version, named)
 }
 
-// heardManifest takes a manifest that another agent has read.
-func (l *Loader) heardManifest(now time.Time, heard wire.Manifest) {
-	l.lastManifest = heard // it may come before the word that its version is wanted
+// handleManifest processes a manifest that another agent has read.
+func (l *Loader) handleManifest(now time.Time, received wire.Manifest) {
+	l.receivedManifest = received // it may arrive before the report that its version is wanted
 	wanted := l.plan.Wanted()
-	if l.supply == nil || heard.Model != l.supply.Model || wanted != 0 && heard.Version != wanted || l.isGathered(heard.Version) {
+	if l.supply == nil || received.Model != l.supply.Model || wanted != 0 && received.Version != wanted || l.isFetched(received.Version) {
 		return
 	}
-	named, err := l.stage.adopt(*l.supply, heard)
+	named, err := l.stage.addManifest(*l.supply, received)
 	if err != nil {
-		l.opts.Logger.Warn("manifest_refused", zap.Uint64("version", heard.Version), zap.Error(err))
+		l.opts.Logger.Warn("manifest_refused", zap.Uint64("version", received.Version), zap.Error(err))
 		return
 	}
-	l.found(now, heard.Version, named)
+	l.fetchIfWanted(now, received.Version, named)
 }
 
-// found follows a manifest that was read or heard.
-func (l *Loader) found(now time.Time, version uint64, named fleet.Version) {
+// fetchIfWanted starts to fetch a version whose manifest was read or received, unless
+// another version is wanted.
+func (l *Loader) fetchIfWanted(now time.Time, version uint64, named fleet.Version) {
 	if l.plan.Wanted() == 0 {
 		l.plan.AddWanted(loading.NamedVersion{Version: version, Since: now})
 	}
-	if version != l.plan.Wanted() || l.isGathered(version) {
-		return // another version was named meanwhile
+	if version != l.plan.Wanted() || l.isFetched(version) {
+		return // another version was named in the meantime
 	}
-	l.gather(now, version, named)
+	l.addFetch(now, version, named)
 }
 
-// gather takes a version among those that are gathered. One before it of which
-// little has left the origin is given up; else it is finished.
-func (l *Loader) gather(now time.Time, version uint64, named fleet.Version) {
-	for _, older := range l.gathers {
-		if l.plan.ShouldAbandon(l.swarm.Unseen(older.named.Manifest)) {
-			l.swarm.Stop(older.named.Manifest)
+// addFetch adds a version to those that are fetched. Earlier versions of which the
+// origin has sent little are abandoned; the others are completed.
+func (l *Loader) addFetch(now time.Time, version uint64, named fleet.Version) {
+	for _, older := range l.fetches {
+		if l.plan.ShouldAbandon(l.swarm.Unseen(older.fleetVersion.Manifest)) {
+			l.swarm.Stop(older.fleetVersion.Manifest)
 		}
 	}
-	l.gathers = append(l.gathers, gathering{version: version, named: named, from: now})
-	for len(l.gathers) > keptVersions {
-		l.swarm.Drop(l.gathers[0].named.Manifest)
-		l.gathers = l.gathers[1:]
+	l.fetches = append(l.fetches, versionFetch{version: version, fleetVersion: named, since: now})
+	for len(l.fetches) > keptVersions {
+		l.swarm.Drop(l.fetches[0].fleetVersion.Manifest)
+		l.fetches = l.fetches[1:]
 	}
-	l.startWaiting(now)
+	l.startNewestFetch(now)
 }
 
-// startWaiting begins to fetch the newest version once all of the one before it
-// has left the origin, or it brings nothing more.
+// startNewestFetch starts to fetch the newest version once the origin has sent all of
+// the previous one, or the previous one makes no progress.
 //
-// A version may be named soon after another, and the origin fail when most of the
-// first has left it. Gathered at once when it is back, both come late, and the
-// first is of no use any more. The rest of the first alone takes a fraction of a
-// second, and its engines serve until the second is there. What this agent holds
-// itself does not tell how much that is: it may be little while others hold all.
-func (l *Loader) startWaiting(now time.Time) {
-	last := len(l.gathers) - 1
-	if last < 0 || l.gathers[last].started {
+// A version may be named soon after another, and the origin may fail when it has sent
+// most of the first. If both are fetched when the origin is back, both are late, and
+// the first is of no use any more. The remainder of the first alone takes a fraction of
+// a second, and its engines serve until the second is there. The chunks that this agent
+// holds do not show how much remains: it may hold few while the fleet holds all.
+func (l *Loader) startNewestFetch(now time.Time) {
+	last := len(l.fetches) - 1
+	if last < 0 || l.fetches[last].started {
 		return
 	}
-	if last > 0 && l.isLeavingOrigin(now, l.gathers[last-1], l.gathers[last].from) {
+	if last > 0 && l.mustFinishFirst(now, l.fetches[last-1], l.fetches[last].since) {
 		return
 	}
-	l.leaveOlder(last)
-	g := &l.gathers[last]
+	l.stopOlder(last)
+	g := &l.fetches[last]
 	g.started = true
-	g.from = now
-	l.swarm.Gather(now, g.named, spread.Settings{
+	g.since = now
+	l.swarm.Gather(now, g.fleetVersion, spread.Settings{
 		Policy: spread.PolicyTime, OriginCopies: originCopies, OriginRate: l.supply.BytesPerSecond,
-		ReportWait: listenTime, TakeoverDelay: takeover, SourcePauseMax: originPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
+		ReportWait: peerReportWait, TakeoverDelay: takeoverDelay, SourcePauseMax: maxOriginPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
 	}, nil)
 }
 
-// leaveOlder ends the fetches of versions before one that have not left the
-// origin whole: both would come late. What is in the fleet goes on.
-func (l *Loader) leaveOlder(newest int) {
-	for _, older := range l.gathers[:newest] {
-		if l.swarm.Unseen(older.named.Manifest) > 0 {
-			l.swarm.Stop(older.named.Manifest)
+// stopOlder stops the fetches of earlier versions that the origin has not sent
+// completely: together with the newest, both would be late. Versions of which the fleet
+// holds all chunks continue.
+func (l *Loader) stopOlder(newest int) {
+	for _, older := range l.fetches[:newest] {
+		if l.swarm.Unseen(older.fleetVersion.Manifest) > 0 {
+			l.swarm.Stop(older.fleetVersion.Manifest)
 		}
 	}
 }
 
-// isLeavingOrigin reports whether a version is on its way from the origin, which
-// was last seen to answer at a moment.
-func (l *Loader) isLeavingOrigin(now time.Time, g gathering, answered time.Time) bool {
-	unseen := l.swarm.Unseen(g.named.Manifest)
-	return l.plan.ShouldFinishFirst(now, g.version, unseen) && l.stage.isArriving(now, g, answered)
+// mustFinishFirst reports whether a version is still arriving from the origin and is to
+// be completed before a newer one. The origin last responded at lastResponse.
+func (l *Loader) mustFinishFirst(now time.Time, g versionFetch, lastResponse time.Time) bool {
+	unseen := l.swarm.Unseen(g.fleetVersion.Manifest)
+	return l.plan.ShouldFinishFirst(now, g.version, unseen) && l.stage.isArriving(now, g, lastResponse)
 }
--- a/daemon/loader/order.go
+++ b/daemon/loader/order.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// repairTimeout bounds one reading of the whole stage, but for a chunk that is on
-	// its way; orderTimeout the wait for the answer to an order. What became of one
-	// without an answer is then asked for; no promise hangs on either.
+	// repairTimeout bounds one check of the whole stage, except for a chunk that is
+	// being written. orderTimeout bounds the wait for the response to an order. The
+	// outcome of an order without a response is queried afterwards; no guarantee
+	// depends on either timeout.
 	repairTimeout = 1500 * time.Millisecond
 	orderTimeout  = 1500 * time.Millisecond
-	// settlePause is the pause before an engine that has not settled an order is
-	// asked again.
-	settlePause = 150 * time.Millisecond
+	// settleRetryDelay is the pause before an engine is queried again about an order
+	// whose outcome is unknown.
+	settleRetryDelay = 150 * time.Millisecond
 )
 
-// order is an order to load a version, with what the engine reported before it.
+// order is an order to load a version, with the engine's report from before it.
 type order struct {
 	model   string
 	version *stagedVersion
 	before  loading.Engine
 }
 
-// load has the engine load a version. The whole stage is read back and mended
-// right before the order: chunks may have turned bad since they were staged, or
-// be of another version, and an engine loads what lies there.
+// load orders the engine to load a version. Right before the order the whole stage is
+// read back and repaired: chunks may have become corrupt since they were staged, or may
+// belong to another version, and the engine loads whatever is staged.
 func (s *stage) load(ctx context.Context, supply wire.Supply, version uint64) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	v, err := s.numbered(version)
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	v, err := s.versionByNumber(version)
 	if err != nil {
 		return err
 	}
@@ -48,11 +49,11 @@
 		return err
 	}
 	o := order{model: supply.Model, version: v, before: before}
-	err = s.give(ctx, o)
+	err = s.sendOrder(ctx, o)
 	if err == nil || errorx.IsOfType(err, Declined) {
 		return err
 	}
-	return s.settle(ctx, o, err)
+	return s.awaitOutcome(ctx, o, err)
 }
 
 func (s *stage) report(ctx context.Context) (loading.Engine, error) {
@@ -61,57 +62,58 @@
 	return s.engine.Report(ctx)
 }
 
-func (s *stage) give(ctx context.Context, o order) error {
+func (s *stage) sendOrder(ctx context.Context, o order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return s.engine.Load(ctx, o.model, o.version.number, o.before.Orders)
 }
 
-// settle returns once an order that got no answer cannot be taken any more, or
-// has been: by the engine's report, or since a repeat of it was taken. The engine
-// may come to the order at any time until then, so the caller lets nothing else
-// into the stage.
+// awaitOutcome returns once an order without a response can no longer be accepted, or
+// was accepted: as the engine's report shows, or because a retry of it was accepted.
+// Until then the engine may accept the order at any time, so the caller must not let
+// anything else into the stage.
 //
-// It ends when the engine takes the order, when its process is replaced, or with
-// ctx, that is with this process.
-func (s *stage) settle(ctx context.Context, o order, cause error) error {
-	began := time.Now()
+// It ends when the engine accepts the order, when the engine's process is replaced, or
+// with ctx, that is with this process.
+func (s *stage) awaitOutcome(ctx context.Context, o order, cause error) error {
+	start := time.Now()
 	for {
 		s.logger.Warn("order_not_settled", zap.Uint64("version", o.version.number), zap.Error(cause))
-		isSettled, err := s.settleOnce(ctx, o)
+		isSettled, err := s.checkOutcome(ctx, o)
 		if isSettled {
 			s.logger.Info("order_settled", zap.Uint64("version", o.version.number),
-				zap.Duration("after", time.Since(began)), zap.Error(err))
+				zap.Duration("after", time.Since(start)), zap.Error(err))
 			return err
 		}
 		cause = err
 		select {
 		case <-ctx.Done():
-			return failure.Unavailable.Wrap(cause, "order for version %d not settled", o.version.number)
-		case <-time.After(settlePause):
+			return failure.Unavailable.Wrap(cause, "outcome of the order for version %d unknown", o.version.number)
+		case <-time.After(settleRetryDelay):
 		}
 	}
 }
 
-// settleOnce reports whether an order is settled, and how it failed; else why it
-// is not settled.
-func (s *stage) settleOnce(ctx context.Context, o order) (bool, error) {
-	now, err := s.report(ctx)
+// checkOutcome reports whether the outcome of an order is known, and the error of the
+// order. If it is not known, the error says why.
+func (s *stage) checkOutcome(ctx context.Context, o order) (bool, error) {
+	current, err := s.report(ctx)
 	if err != nil {
 		return false, err
 	}
-	switch loading.OutcomeOf(o.version.number, o.before, now) {
+	switch loading.OutcomeOf(o.version.number, o.before, current) {
 	case loading.Accepted:
 		return true, nil
 	case loading.Lost:
-		return true, failure.Unavailable.New("the engine's process was replaced before it took the order")
+		return true, failure.Unavailable.New("the engine's process was replaced before it accepted the order")
 	}
 	if err := s.repair(ctx, o.version); err != nil {
 		return false, err
 	}
-	err = s.give(ctx, o)
-	// Declined for its number, the order was taken before, which the next report
-	// shows. Declined for the engine's state, an earlier one may still be taken.
+	err = s.sendOrder(ctx, o)
+	// If the retry is declined because of its number, the first order was accepted, and
+	// the next report shows it. If it is declined because of the engine's state, an
+	// earlier one may still be accepted.
 	isDeclined := errorx.IsOfType(err, Declined) && !o.before.Orders.Reported
 	return err == nil || isDeclined, err
 }
--- a/daemon/loader/order_test.go
+++ b/daemon/loader/order_test.go
@@ -12,157 +12,158 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// An engine came to an order that it had not answered once other chunks had been
-// let into its stage, and loaded a mixture.
-var _ = Describe("An order that got no answer", func() {
+// Guards against an engine that loads chunks of two versions: it accepted an order
+// whose response was lost after other chunks had been let into its stage.
+var _ = Describe("An order without a response", func() {
 	supply := wire.Supply{Model: "m"}
 	var (
-		ctx    context.Context
-		cancel context.CancelFunc
-		e      *engine
-		s      *stage
-		given  int // orders
-		read   int // reports
+		ctx         context.Context
+		cancel      context.CancelFunc
+		e           *engine
+		s           *stage
+		ordersSent  int
+		reportsRead int
 	)
 
 	BeforeEach(func() {
 		ctx, cancel = context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}, unanswered: 1}
+		e = &engine{staged: make(map[int][]byte), state: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}, dropResponses: 1}
 		s = newStage(e, &origin{}, zap.NewNop())
-		given, read = 0, 0
-		e.onLoad = func() { given++ }
-		e.onReport = func() { read++ }
-		_, named, _, err := s.resolve(ctx, supply, 2)
+		ordersSent, reportsRead = 0, 0
+		e.onLoad = func() { ordersSent++ }
+		e.onReport = func() { reportsRead++ }
+		_, named, _, err := s.readManifest(ctx, supply, 2)
 		Expect(err).NotTo(HaveOccurred())
-		for number := range chunks {
+		for number := range chunkCount {
 			Expect(s.Put(ctx, named.Manifest, number, chunk(2, number))).To(Succeed())
 		}
 	})
 
-	isKept := func() bool {
-		if s.writing.TryLock() {
-			s.writing.Unlock()
+	isStageLocked := func() bool {
+		if s.writeMu.TryLock() {
+			s.writeMu.Unlock()
 			return false
 		}
 		return true
 	}
 
-	// after has f done at the engine while the order is open, before the report or
-	// the order of that number is read.
-	after := func(count *int, n int, f func()) func() {
+	// onNth returns a hook that calls f at the n-th report or order, while the outcome
+	// of the order is unknown and before that report or order is processed.
+	onNth := func(count *int, n int, f func()) func() {
 		return func() {
 			*count++
 			if *count == n {
-				Expect(isKept()).To(BeTrue(), "the stage is kept")
+				Expect(isStageLocked()).To(BeTrue(), "the stage is locked")
 				f()
 			}
 		}
 	}
 
-	expectWhole := func() {
+	expectLoaded := func() {
 		GinkgoHelper()
-		Expect(e.loaded).To(HaveLen(chunks))
-		for number := range chunks {
+		Expect(e.loaded).To(HaveLen(chunkCount))
+		for number := range chunkCount {
 			Expect(e.loaded[number]).To(Equal(chunk(2, number)))
 		}
 		Expect(e.orders).To(Equal(uint64(1)))
-		Expect(isKept()).To(BeFalse(), "the stage is let go")
+		Expect(isStageLocked()).To(BeFalse(), "the stage is unlocked")
 	}
 
-	It("is settled by a report that tells of one order more", func() {
-		e.onReport = after(&read, 2, e.takeWaiting)
+	It("is accepted according to a report with one more order", func() {
+		e.onReport = onNth(&reportsRead, 2, e.acceptPendingOrders)
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		expectWhole()
-		Expect(given).To(Equal(1))
+		expectLoaded()
+		Expect(ordersSent).To(Equal(1))
 	})
 
-	It("is settled if it is taken just before its repeat", func() {
-		e.onLoad = after(&given, 2, e.takeWaiting)
+	It("is accepted if the engine accepts it just before its retry", func() {
+		e.onLoad = onNth(&ordersSent, 2, e.acceptPendingOrders)
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		expectWhole()
+		expectLoaded()
 	})
 
-	It("is settled by a repeat, and not taken after it", func() {
+	It("is replaced by an accepted retry, and not accepted after it", func() {
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		e.takeWaiting()
-		expectWhole()
+		e.acceptPendingOrders()
+		expectLoaded()
 	})
 
-	// A repeat was declined for the engine's state. The order before it may be taken
-	// once that has changed.
-	It("is not settled by a repeat that is declined for another reason than its number", func() {
-		e.onLoad = after(&given, 2, func() { e.refuses = true })
-		e.onReport = after(&read, 3, e.takeWaiting)
+	// A retry is declined because of the engine's state. The order before it may be
+	// accepted once that state has changed.
+	It("remains unknown if a retry is declined for another reason than its number", func() {
+		e.onLoad = onNth(&ordersSent, 2, func() { e.declines = true })
+		e.onReport = onNth(&reportsRead, 3, e.acceptPendingOrders)
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		expectWhole()
+		expectLoaded()
 	})
 
-	It("is repeated for a stage that is whole", func() {
-		e.onReport = after(&read, 2, func() { e.staged[1][0] ^= 1 })
+	It("is retried with a repaired stage", func() {
+		e.onReport = onNth(&reportsRead, 2, func() { e.staged[1][0] ^= 1 })
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		expectWhole()
+		expectLoaded()
 	})
 
-	// An engine may never answer again. What it had not come to is gone with its
-	// process; without an end the agent would stage nothing for the next one.
-	DescribeTable("is gone with the engine's process",
+	// An engine may never respond again. Orders that it has not processed are lost with
+	// its process; if the wait did not end, the agent would stage nothing for the next
+	// process.
+	DescribeTable("is lost with the engine's process",
 		func(replace func()) {
 			e.orders = 3
-			e.onReport = after(&read, 2, replace)
+			e.onReport = onNth(&reportsRead, 2, replace)
 			err := s.load(ctx, supply, 2)
 			Expect(err).To(MatchError(ContainSubstring("replaced")))
-			Expect(errorx.IsOfType(err, Declined)).To(BeFalse(), "the new process has declined nothing")
-			Expect(given).To(Equal(1))
-			Expect(isKept()).To(BeFalse(), "the stage is let go")
+			Expect(errorx.IsOfType(err, Declined)).To(BeFalse(), "the new process has not declined the order")
+			Expect(ordersSent).To(Equal(1))
+			Expect(isStageLocked()).To(BeFalse(), "the stage is unlocked")
 		},
-		Entry("which tells when it began", func() { e.reports.Born = 2 }),
-		Entry("which counts its orders anew", func() { e.orders = 0 }),
+		Entry("which reports its start time", func() { e.state.Born = 2 }),
+		Entry("which restarts its count of orders", func() { e.orders = 0 }),
 	)
 
-	It("ends with the agent if the engine never answers", func() {
-		e.unanswered = 100
-		e.onReport = after(&read, 3, cancel)
+	It("ends with the agent if the engine never responds", func() {
+		e.dropResponses = 100
+		e.onReport = onNth(&reportsRead, 3, cancel)
 		Expect(s.load(ctx, supply, 2)).NotTo(Succeed())
-		Expect(isKept()).To(BeFalse(), "the stage is let go")
+		Expect(isStageLocked()).To(BeFalse(), "the stage is unlocked")
 	})
 
-	Describe("from an engine that does not tell how many it has accepted", func() {
-		BeforeEach(func() { e.reports.Orders.Reported = false })
+	Describe("from an engine that does not report how many orders it has accepted", func() {
+		BeforeEach(func() { e.state.Orders.Reported = false })
 
-		It("is settled by a report of the version", func() {
-			e.onReport = after(&read, 2, e.takeWaiting)
+		It("is accepted according to a report of the version", func() {
+			e.onReport = onNth(&reportsRead, 2, e.acceptPendingOrders)
 			Expect(s.load(ctx, supply, 2)).To(Succeed())
-			expectWhole()
-			Expect(given).To(Equal(1))
+			expectLoaded()
+			Expect(ordersSent).To(Equal(1))
 		})
 
-		It("is settled by a report that it is busy", func() {
-			e.onReport = after(&read, 2, func() { e.reports.Busy = true })
+		It("is accepted according to a report that the engine is busy", func() {
+			e.onReport = onNth(&reportsRead, 2, func() { e.state.Busy = true })
 			Expect(s.load(ctx, supply, 2)).To(Succeed())
-			Expect(given).To(Equal(1))
+			Expect(ordersSent).To(Equal(1))
 		})
 
-		It("is settled by a repeat", func() {
+		It("is replaced by an accepted retry", func() {
 			Expect(s.load(ctx, supply, 2)).To(Succeed())
-			expectWhole()
+			expectLoaded()
 		})
 
-		It("is settled by a repeat that is declined", func() {
-			e.onLoad = after(&given, 2, func() { e.refuses = true })
+		It("is settled by a declined retry", func() {
+			e.onLoad = onNth(&ordersSent, 2, func() { e.declines = true })
 			Expect(errorx.IsOfType(s.load(ctx, supply, 2), Declined)).To(BeTrue())
-			Expect(given).To(Equal(2))
+			Expect(ordersSent).To(Equal(2))
 		})
 	})
 
-	// An order that was declined has not begun. Repeated here, it would keep the
-	// stage from the next version.
-	It("is no order that was declined", func() {
-		e.unanswered = 0
-		e.onLoad = func() { given++; e.orders++ } // of somebody else
+	// A declined order has not started. If it were retried here, it would keep the
+	// stage locked for the next version.
+	It("is not retried if it was declined", func() {
+		e.dropResponses = 0
+		e.onLoad = func() { ordersSent++; e.orders++ } // the order of another process
 		Expect(errorx.IsOfType(s.load(ctx, supply, 2), Declined)).To(BeTrue())
-		Expect(given).To(Equal(1))
+		Expect(ordersSent).To(Equal(1))
 		Expect(e.loaded).To(BeNil())
-		Expect(isKept()).To(BeFalse(), "the stage is let go")
+		Expect(isStageLocked()).To(BeFalse(), "the stage is unlocked")
 	})
 })
--- a/daemon/loader/outdated.go
+++ b/daemon/loader/outdated.go
@@ -8,32 +8,32 @@
 	"chivespindle.example/core/loading"
 )
 
-// outdated is what was told of an engine whose version is out of time.
+// outdated is what was logged of an engine whose version has expired.
 type outdated struct {
-	loaded uint64    // 0 if nothing is to be told of it
-	end    time.Time // of the time of its version
-	works  bool      // calls waited or ran there when last heard of
+	loaded    uint64    // 0 if nothing is logged for the engine's version
+	expiredAt time.Time // when its version expired
+	isWorking bool      // calls were queued or running at the last report
 }
 
-// noteOutdated tells once of a version that is out of time what the engine has
-// in hand, and once when that has ended. An engine that loads ends it first.
-func (l *Loader) noteOutdated(now time.Time, e loading.Engine) {
-	o := &l.outdated
+// logOutdated logs once for an expired version what the engine still has queued and
+// running, and once when that has ended. An engine ends these calls before it loads.
+func (l *Loader) logOutdated(now time.Time, e loading.Engine) {
+	last := &l.outdated
 	isWorking := e.Queued > 0 || e.Running > 0
-	if o.works && (e.Loaded != o.loaded || !isWorking) {
-		o.works = false
-		l.opts.Logger.Info("outdated_work_ended", zap.Uint64("loaded", o.loaded), zap.Uint64("holds", e.Loaded),
-			zap.Duration("after", now.Sub(o.end)))
+	if last.isWorking && (e.Loaded != last.loaded || !isWorking) {
+		last.isWorking = false
+		l.opts.Logger.Info("outdated_work_ended", zap.Uint64("loaded", last.loaded), zap.Uint64("holds", e.Loaded),
+			zap.Duration("after", now.Sub(last.expiredAt)))
 	}
-	end, isOver := l.plan.ExpiredSince(now, e)
-	if !isOver {
+	expiredAt, isExpired := l.plan.ExpiredSince(now, e)
+	if !isExpired {
 		l.outdated = outdated{}
 		return
 	}
-	if e.Loaded == o.loaded {
+	if e.Loaded == last.loaded {
 		return
 	}
-	l.outdated = outdated{loaded: e.Loaded, end: end, works: isWorking}
-	l.opts.Logger.Warn("version_time_over", zap.Uint64("loaded", e.Loaded), zap.Duration("after", now.Sub(end)),
+	l.outdated = outdated{loaded: e.Loaded, expiredAt: expiredAt, isWorking: isWorking}
+	l.opts.Logger.Warn("version_time_over", zap.Uint64("loaded", e.Loaded), zap.Duration("after", now.Sub(expiredAt)),
 		zap.Int("queued", e.Queued), zap.Int("running", e.Running))
 }
--- a/daemon/loader/ports.go
+++ b/daemon/loader/ports.go
@@ -9,32 +9,31 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// Declined is the failure of an order that the engine did not take; nothing has
-// begun.
+// Declined is the error of an order that the engine refused. The load has not started.
 var Declined = failure.Namespace.NewType("order_declined", failure.Temporary)
 
 // Engine is the model engine on the same instance.
 type Engine interface {
 	Report(ctx context.Context) (loading.Engine, error)
-	// Held lists the chunks that lie staged for a model.
+	// Held lists the numbers of the chunks that are staged for a model.
 	Held(ctx context.Context, model string) ([]int, error)
-	// Put stages a chunk, in place of one of the same number.
+	// Put stages a chunk and replaces a staged chunk with the same number.
 	Put(ctx context.Context, model string, number int, data []byte) error
-	// Get returns a staged chunk; it may have turned bad there.
+	// Get returns a staged chunk, which may have become corrupt in the stage.
 	Get(ctx context.Context, model string, number int) ([]byte, error)
-	// Load orders the engine to load what is staged, once what it runs has
-	// ended, unless it has accepted another order since after was told. It fails
-	// with Declined if the engine does not do it. After any other failure the
-	// engine may still take the order at any time.
+	// Load orders the engine to load the staged version, once its running calls have
+	// ended, unless it has accepted another order since after was reported. It fails
+	// with Declined if the engine refuses. After any other error the engine may still
+	// accept the order at any time.
 	Load(ctx context.Context, model string, version uint64, after loading.Orders) error
 }
 
-// Origin hands out whole copies of a model's weights.
+// Origin serves complete copies of a model's weights.
 type Origin interface {
-	// Manifest returns the manifest of a version, for 0 that of the newest one,
-	// and the version that it is of.
+	// Manifest returns the manifest of a version, or of the newest version if version
+	// is 0, and the number of that version.
 	Manifest(ctx context.Context, supply wire.Supply, version uint64) (weights.Manifest, uint64, error)
-	// Chunk returns the bytes of one chunk. With a failure it may return those
-	// that came before.
+	// Chunk returns the bytes of one chunk. With an error it may return the bytes
+	// received before it.
 	Chunk(ctx context.Context, supply wire.Supply, version uint64, number int) ([]byte, error)
 }
--- a/daemon/loader/stage.go
+++ b/daemon/loader/stage.go
@@ -15,22 +15,23 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// keptVersions is how many versions' chunks are held in memory: the wanted one,
-// the one before, which may be loaded first, and the one that the engine holds,
-// which new neighbours ask for.
+// keptVersions is the number of versions whose chunks are held in memory: the wanted
+// one, the previous one, which may be loaded first, and the one that the engine has
+// loaded, which new peers request.
 const keptVersions = 3
 
 const (
-	// slowWrite is how long the engine may take to answer a chunk until that is told.
-	slowWrite = 1500 * time.Millisecond
-	// writeTimeout ends the wait for it: the connection may have gone silent for
-	// good, and nothing else is staged meanwhile.
+	// slowWriteThreshold is how long the engine may take to respond to a chunk before a
+	// warning is logged.
+	slowWriteThreshold = 1500 * time.Millisecond
+	// writeTimeout ends the wait for the response: the connection may have gone silent
+	// permanently, and nothing else is staged in the meantime.
 	writeTimeout = 4 * time.Second
 )
 
-// stage keeps the chunks of a version in memory, where peers get them, and in
-// the engine's stage, where the engine loads them. It implements weights.Stage
-// and, with the platform's origin, weights.Source.
+// stage keeps the chunks of a version in memory, from where peers get them, and in the
+// engine's stage, from where the engine loads them. It implements weights.Stage and,
+// with the platform's origin, weights.Source.
 type stage struct {
 	engine Engine
 	origin Origin
@@ -39,32 +40,33 @@
 	mu       sync.Mutex
 	versions []*stagedVersion // oldest first
 
-	// writing keeps the chunks of one version out of the engine's stage while
-	// another version is checked there and ordered, until it is known what became
-	// of the order: the engine has one place for each chunk number, and would load
-	// a mixture of both.
-	writing sync.Mutex
+	// writeMu keeps the chunks of one version out of the engine's stage while another
+	// version is verified and ordered there, until the outcome of the order is known:
+	// the engine has one location for each chunk number and would load chunks of both
+	// versions.
+	writeMu sync.Mutex
 }
 
-// stagedVersion is one version with the chunks that were checked.
+// stagedVersion is one version with its verified chunks.
 type stagedVersion struct {
-	number   uint64
-	supply   wire.Supply
-	digest   fleet.Digest
-	manifest weights.Manifest
-	raw      []byte
-	chunks   map[int][]byte
-	last     time.Time // when a chunk was kept last
+	number      uint64
+	supply      wire.Supply
+	digest      fleet.Digest
+	manifest    weights.Manifest
+	raw         []byte
+	chunks      map[int][]byte
+	lastChunkAt time.Time // when a chunk was last stored
 }
 
 func newStage(engine Engine, origin Origin, logger *zap.Logger) *stage {
 	return &stage{engine: engine, origin: origin, logger: logger}
 }
 
-// resolve reads the manifest of a version, 0 for the newest, and returns the
-// name that the chunks go by. It is read twice: nothing pins its bytes, and
-// one that was spoilt on its way would make every good chunk look bad.
-func (s *stage) resolve(ctx context.Context, supply wire.Supply, wanted uint64) (uint64, fleet.Version, []byte, error) {
+// readManifest reads the manifest of a version from the origin, 0 for the newest, and
+// returns the version that identifies its chunks. It reads the manifest twice: no
+// digest is known in advance, and with a manifest that was corrupted in transit every
+// valid chunk would fail verification.
+func (s *stage) readManifest(ctx context.Context, supply wire.Supply, wanted uint64) (uint64, fleet.Version, []byte, error) {
 	manifest, number, err := s.origin.Manifest(ctx, supply, wanted)
 	if err != nil {
 		return 0, fleet.Version{}, nil, err
@@ -73,16 +75,16 @@
 	if err != nil {
 		return 0, fleet.Version{}, nil, err
 	}
-	again, _, err := s.origin.Manifest(ctx, supply, number)
+	second, _, err := s.origin.Manifest(ctx, supply, number)
 	if err != nil {
 		return 0, fleet.Version{}, nil, err
 	}
-	_, second, err := again.Encode()
+	_, secondDigest, err := second.Encode()
 	if err != nil {
 		return 0, fleet.Version{}, nil, err
 	}
-	if second != digest {
-		return 0, fleet.Version{}, nil, failure.Corrupt.New("two readings of the manifest of version %d differ", number)
+	if secondDigest != digest {
+		return 0, fleet.Version{}, nil, failure.Corrupt.New("two reads of the manifest of version %d differ", number)
 	}
 	s.add(&stagedVersion{
 		number: number, supply: supply, digest: digest, manifest: manifest, raw: raw, chunks: make(map[int][]byte),
@@ -90,18 +92,18 @@
 	return number, versionOf(supply, number, digest), raw, nil
 }
 
-// adopt takes a manifest that another agent has read and returns the name that
-// its chunks go by.
-func (s *stage) adopt(supply wire.Supply, heard wire.Manifest) (fleet.Version, error) {
-	digest := fleet.DigestOf(heard.Raw)
-	manifest, err := weights.Decode(heard.Raw, digest)
+// addManifest adds a manifest that another agent has read and returns the version that
+// identifies its chunks.
+func (s *stage) addManifest(supply wire.Supply, received wire.Manifest) (fleet.Version, error) {
+	digest := fleet.DigestOf(received.Raw)
+	manifest, err := weights.Decode(received.Raw, digest)
 	if err != nil {
 		return fleet.Version{}, err
 	}
 	s.add(&stagedVersion{
-		number: heard.Version, supply: supply, digest: digest, manifest: manifest, raw: heard.Raw, chunks: make(map[int][]byte),
+		number: received.Version, supply: supply, digest: digest, manifest: manifest, raw: received.Raw, chunks: make(map[int][]byte),
 	})
-	return versionOf(supply, heard.Version, digest), nil
+	return versionOf(supply, received.Version, digest), nil
 }
 
 func versionOf(supply wire.Supply, number uint64, digest fleet.Digest) fleet.Version {
@@ -122,7 +124,7 @@
 	}
 }
 
-func (s *stage) version(digest fleet.Digest) (*stagedVersion, error) {
+func (s *stage) versionByDigest(digest fleet.Digest) (*stagedVersion, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.versions {
@@ -133,13 +135,13 @@
 	return nil, failure.NotFound.New("manifest %s is not staged here", digest)
 }
 
-// stalledAfter is how long no chunk may come until a gather counts as stalled.
-const stalledAfter = 900 * time.Millisecond
+// fetchStallTimeout is the time without a chunk after which a fetch counts as stalled.
+const fetchStallTimeout = 900 * time.Millisecond
 
-// restTime is how long the chunks that are missing take over the instance's
-// link at least; loading.Far while none come.
-func (s *stage) restTime(now time.Time, g gathering, linkBytes int64) time.Duration {
-	v, err := s.numbered(g.version)
+// remainingTime is the least time that the missing chunks take over the instance's
+// link; loading.NotExpected while none arrive.
+func (s *stage) remainingTime(now time.Time, g versionFetch, linkBytes int64) time.Duration {
+	v, err := s.versionByNumber(g.version)
 	if err != nil || linkBytes <= 0 {
 		return loading.NotExpected
 	}
@@ -151,31 +153,31 @@
 			missing += int64(c.Bytes)
 		}
 	}
-	if missing > 0 && g.started && now.Sub(g.from) > stalledAfter && now.Sub(v.last) > stalledAfter {
+	if missing > 0 && g.started && now.Sub(g.since) > fetchStallTimeout && now.Sub(v.lastChunkAt) > fetchStallTimeout {
 		return loading.NotExpected
 	}
 	return time.Duration(float64(missing) / (weightsShare * float64(linkBytes)) * float64(time.Second))
 }
 
-// isArriving reports whether a version is not whole and its chunks come, seen from a
-// moment on at which the origin answered.
-func (s *stage) isArriving(now time.Time, g gathering, answered time.Time) bool {
-	v, err := s.numbered(g.version)
+// isArriving reports whether a version is incomplete and its chunks are arriving.
+// lastResponse is when the origin last responded.
+func (s *stage) isArriving(now time.Time, g versionFetch, lastResponse time.Time) bool {
+	v, err := s.versionByNumber(g.version)
 	if err != nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isWhole := len(v.chunks) == len(v.manifest.Chunks)
-	if isWhole {
+	isComplete := len(v.chunks) == len(v.manifest.Chunks)
+	if isComplete {
 		return false
 	}
-	return now.Sub(answered) <= stalledAfter || now.Sub(v.last) <= stalledAfter
+	return now.Sub(lastResponse) <= fetchStallTimeout || now.Sub(v.lastChunkAt) <= fetchStallTimeout
 }
 
-// missing returns the share of a version's chunks that are not here.
-func (s *stage) missing(number uint64) float64 {
-	v, err := s.numbered(number)
+// missingShare returns the fraction of a version's chunks that are not held here.
+func (s *stage) missingShare(number uint64) float64 {
+	v, err := s.versionByNumber(number)
 	if err != nil {
 		return 1
 	}
@@ -184,10 +186,10 @@
 	return 1 - float64(len(v.chunks))/float64(len(v.manifest.Chunks))
 }
 
-// Held implements weights.Stage. What the engine's stage holds may be of
-// another version or have turned bad, so each chunk is read and checked.
+// Held implements weights.Stage. The engine's stage may hold chunks of another version
+// or corrupt ones, so each chunk is read and verified.
 func (s *stage) Held(ctx context.Context, manifest fleet.Digest) ([]int, error) {
-	v, err := s.version(manifest)
+	v, err := s.versionByDigest(manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -205,41 +207,41 @@
 			return held, err
 		}
 		if v.manifest.Chunks[number].Verify(data) != nil {
-			continue // of the version before, or spoilt; it is fetched
+			continue // of the previous version, or corrupt; it is fetched
 		}
-		s.keep(v, number, data)
+		s.setChunk(v, number, data)
 		held = append(held, number)
 	}
 	return held, nil
 }
 
-func (s *stage) keep(v *stagedVersion, number int, data []byte) {
+func (s *stage) setChunk(v *stagedVersion, number int, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.chunks[number] = data
-	v.last = time.Now()
+	v.lastChunkAt = time.Now()
 }
 
 // Put implements weights.Stage.
 func (s *stage) Put(ctx context.Context, manifest fleet.Digest, index int, data []byte) error {
-	v, err := s.version(manifest)
+	v, err := s.versionByDigest(manifest)
 	if err != nil {
 		return err
 	}
-	s.keep(v, index, data)
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.setChunk(v, index, data)
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	return s.write(ctx, v, index, data)
 }
 
-// write stages a chunk and waits until the engine has answered, also when ctx ends
-// meanwhile: it may come to what is given up on its way once the stage has been
-// checked for another version.
+// write stages a chunk and waits until the engine has responded, even if ctx ends in
+// the meantime: an abandoned write may still reach the engine after the stage was
+// verified for another version.
 func (s *stage) write(ctx context.Context, v *stagedVersion, index int, data []byte) error {
 	if err := ctx.Err(); err != nil {
 		return failure.Unavailable.Wrap(err, "chunk %d not staged", index)
 	}
-	slow := time.AfterFunc(slowWrite, func() {
+	slow := time.AfterFunc(slowWriteThreshold, func() {
 		s.logger.Warn("chunk_unanswered", zap.Int("chunk", index), zap.Uint64("version", v.number))
 	})
 	defer slow.Stop()
@@ -250,7 +252,7 @@
 
 // Get implements weights.Stage.
 func (s *stage) Get(_ context.Context, manifest fleet.Digest, index int) ([]byte, error) {
-	v, err := s.version(manifest)
+	v, err := s.versionByDigest(manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -271,9 +273,9 @@
 // Drop implements weights.Stage.
 func (s *stage) Drop(context.Context, fleet.Digest) error { return nil }
 
-// manifest returns the encoded manifest that was read before, nil if none was.
+// manifest returns the encoded manifest that was read before, or nil.
 func (s *stage) manifest(digest fleet.Digest) []byte {
-	v, err := s.version(digest)
+	v, err := s.versionByDigest(digest)
 	if err != nil {
 		return nil
 	}
@@ -282,7 +284,7 @@
 
 // Manifest implements weights.Source.
 func (s *stage) Manifest(_ context.Context, manifest fleet.Digest) ([]byte, error) {
-	v, err := s.version(manifest)
+	v, err := s.versionByDigest(manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -291,15 +293,15 @@
 
 // Chunk implements weights.Source.
 func (s *stage) Chunk(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
-	v, err := s.version(manifest)
+	v, err := s.versionByDigest(manifest)
 	if err != nil {
 		return nil, err
 	}
 	return s.origin.Chunk(ctx, v.supply, v.number, chunk.Index)
 }
 
-// repair reads every chunk of a version back from the engine's stage and
-// stages those anew that are missing or have turned bad.
+// repair reads every chunk of a version back from the engine's stage and stages the
+// missing and corrupt ones again.
 func (s *stage) repair(ctx context.Context, v *stagedVersion) error {
 	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
@@ -320,7 +322,7 @@
 	return nil
 }
 
-func (s *stage) numbered(number uint64) (*stagedVersion, error) {
+func (s *stage) versionByNumber(number uint64) (*stagedVersion, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.versions {
--- a/daemon/loader/stage_test.go
+++ b/daemon/loader/stage_test.go
@@ -17,33 +17,33 @@
 	"chivespindle.example/daemon/wire"
 )
 
-const chunks = 4
+const chunkCount = 4
 
 func chunk(version uint64, number int) []byte {
 	return fmt.Appendf(nil, "version %d chunk %d", version, number)
 }
 
-// engine is a model engine's stage and what it loaded.
+// engine is a fake model engine: its stage and the chunks that it loaded.
 type engine struct {
-	mu      sync.Mutex
-	staged  map[int][]byte
-	loaded  [][]byte
-	onLoad  func()
-	refuses bool
-
-	reports    loading.Engine // what it tells, but for what is below
-	holds      uint64         // the version of the last order that was taken
-	orders     uint64         // that were taken
-	unanswered int            // so many orders get no answer in time
-	waiting    []waitingOrder // those, until they are taken
-	onReport   func()
-
-	onPut   func()
-	onWait  func(ctx context.Context) // for the answer to a chunk
-	onWrite []func()                  // chunks that were given up on their way, until they are written
+	mu       sync.Mutex
+	staged   map[int][]byte
+	loaded   [][]byte
+	onLoad   func()
+	declines bool
+
+	state         loading.Engine // reported state, except for version and orders below
+	version       uint64         // version of the last accepted order
+	orders        uint64         // number of accepted orders
+	dropResponses int            // number of orders whose response is lost
+	pendingOrders []pendingOrder // orders without a response that are not yet accepted
+	onReport      func()
+
+	onPut         func()
+	onPutWait     func(ctx context.Context) // waits for the response to a chunk
+	pendingWrites []func()                  // chunks whose write was abandoned, until they are written
 }
 
-type waitingOrder struct {
+type pendingOrder struct {
 	version uint64
 	after   loading.Orders
 }
@@ -54,8 +54,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	report := e.reports
-	report.Loaded = e.holds
+	report := e.state
+	report.Loaded = e.version
 	if report.Orders.Reported {
 		report.Orders.Count = e.orders
 	}
@@ -76,8 +76,8 @@
 	if e.onPut != nil {
 		e.onPut()
 	}
-	if e.onWait != nil {
-		e.onWait(ctx)
+	if e.onPutWait != nil {
+		e.onPutWait(ctx)
 	}
 	write := func() {
 		e.mu.Lock()
@@ -85,19 +85,19 @@
 		e.staged[number] = append([]byte(nil), data...)
 	}
 	if err := ctx.Err(); err != nil {
-		e.onWrite = append(e.onWrite, write)
-		return failure.Unavailable.Wrap(err, "no answer")
+		e.pendingWrites = append(e.pendingWrites, write)
+		return failure.Unavailable.Wrap(err, "no response")
 	}
 	write()
 	return nil
 }
 
-// writeWaiting has the engine come to the chunks that were given up on their way.
-func (e *engine) writeWaiting() {
-	for _, write := range e.onWrite {
+// applyPendingWrites makes the engine write the chunks whose write was abandoned.
+func (e *engine) applyPendingWrites() {
+	for _, write := range e.pendingWrites {
 		write()
 	}
-	e.onWrite = nil
+	e.pendingWrites = nil
 }
 
 func (e *engine) Get(_ context.Context, _ string, number int) ([]byte, error) {
@@ -114,63 +114,63 @@
 	if e.onLoad != nil {
 		e.onLoad()
 	}
-	if e.refuses {
+	if e.declines {
 		return Declined.New("busy")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.unanswered > 0 {
-		e.unanswered--
-		e.waiting = append(e.waiting, waitingOrder{version, after})
-		return failure.Unavailable.New("no answer in time")
+	if e.dropResponses > 0 {
+		e.dropResponses--
+		e.pendingOrders = append(e.pendingOrders, pendingOrder{version, after})
+		return failure.Unavailable.New("no response in time")
 	}
-	return e.take(version, after)
+	return e.accept(version, after)
 }
 
-func (e *engine) take(version uint64, after loading.Orders) error {
+func (e *engine) accept(version uint64, after loading.Orders) error {
 	if after.Reported && after.Count != e.orders {
-		return Declined.New("%d orders, not %d", e.orders, after.Count)
+		return Declined.New("accepted %d orders, want %d", e.orders, after.Count)
 	}
 	e.orders++
-	e.holds = version
+	e.version = version
 	e.loaded = nil
-	for number := range chunks {
+	for number := range chunkCount {
 		e.loaded = append(e.loaded, e.staged[number])
 	}
 	return nil
 }
 
-// takeWaiting has the engine come to the orders that it has not answered.
-func (e *engine) takeWaiting() {
+// acceptPendingOrders makes the engine process the orders that it has not responded to.
+func (e *engine) acceptPendingOrders() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, o := range e.waiting {
-		_ = e.take(o.version, o.after) // nobody hears the answer
+	for _, o := range e.pendingOrders {
+		_ = e.accept(o.version, o.after) // no one receives the response
 	}
-	e.waiting = nil
+	e.pendingOrders = nil
 }
 
-// origin publishes manifests; every so many of them are spoilt.
+// origin serves manifests; every corruptEvery-th one is corrupt.
 type origin struct {
-	spoilEvery int
-	asked      int
+	corruptEvery int
+	requests     int
 }
 
 func (o *origin) Manifest(_ context.Context, s wire.Supply, version uint64) (weights.Manifest, uint64, error) {
-	o.asked++
+	o.requests++
 	m := weights.Manifest{Model: s.Model}
-	for number := range chunks {
+	for number := range chunkCount {
 		data := chunk(version, number)
 		m.Chunks = append(m.Chunks, weights.Chunk{Index: number, Bytes: len(data), Digest: fleet.DigestOf(data)})
 	}
-	if o.spoilEvery > 0 && o.asked%o.spoilEvery == 0 {
+	if o.corruptEvery > 0 && o.requests%o.corruptEvery == 0 {
 		m.Chunks[0].Digest[0] ^= 1
 	}
 	return m, version, nil
 }
 
 func (o *origin) Chunk(context.Context, wire.Supply, uint64, int) ([]byte, error) {
-	return nil, failure.Unavailable.New("not asked here")
+	return nil, failure.Unavailable.New("not used in this test")
 }
 
 var _ = Describe("The stage", func() {
@@ -180,62 +180,63 @@
 	var s *stage
 
 	BeforeEach(func() {
-		e = &engine{staged: make(map[int][]byte), reports: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}}
+		e = &engine{staged: make(map[int][]byte), state: loading.Engine{Born: 1, Orders: loading.Orders{Reported: true}}}
 		s = newStage(e, &origin{}, zap.NewNop())
 	})
 
 	resolve := func(version uint64) fleet.Version {
-		_, named, _, err := s.resolve(ctx, supply, version)
+		_, named, _, err := s.readManifest(ctx, supply, version)
 		Expect(err).NotTo(HaveOccurred())
 		return named
 	}
 
-	gather := func(version uint64, named fleet.Version) {
-		for number := range chunks {
+	stageAll := func(version uint64, named fleet.Version) {
+		for number := range chunkCount {
 			Expect(s.Put(ctx, named.Manifest, number, chunk(version, number))).To(Succeed())
 		}
 	}
 
-	want := func(version uint64) [][]byte {
+	wantChunks := func(version uint64) [][]byte {
 		var all [][]byte
-		for number := range chunks {
+		for number := range chunkCount {
 			all = append(all, chunk(version, number))
 		}
 		return all
 	}
 
-	// Nothing pins the bytes of a manifest. One that is spoilt on its way would
-	// make every good chunk look bad.
-	It("takes no manifest that two readings do not agree on", func() {
-		s = newStage(e, &origin{spoilEvery: 2}, zap.NewNop())
-		_, _, _, err := s.resolve(ctx, supply, 2)
+	// No digest of a manifest is known in advance. With one that was corrupted in
+	// transit every valid chunk would fail verification.
+	It("rejects a manifest if two reads of it differ", func() {
+		s = newStage(e, &origin{corruptEvery: 2}, zap.NewNop())
+		_, _, _, err := s.readManifest(ctx, supply, 2)
 		Expect(err).To(MatchError(ContainSubstring("differ")))
 	})
 
-	It("finds at the start what the engine's stage holds of the version, and nothing else", func() {
+	It("finds only the valid chunks of the version in the engine's stage at the start", func() {
 		named := resolve(2)
-		e.staged[0], e.staged[1], e.staged[2] = chunk(2, 0), chunk(1, 1), []byte("rotten")
+		e.staged[0], e.staged[1], e.staged[2] = chunk(2, 0), chunk(1, 1), []byte("corrupt")
 		Expect(s.Held(ctx, named.Manifest)).To(Equal([]int{0}))
 		Expect(s.Get(ctx, named.Manifest, 0)).To(Equal(chunk(2, 0)))
 		_, err := s.Get(ctx, named.Manifest, 1)
 		Expect(err).To(HaveOccurred())
 	})
 
-	// A staged chunk turns bad, and another vanishes. An engine loads what lies
-	// there, so the agent mends it from its own copies right before the order.
-	It("mends what has turned bad before it has the engine load", func() {
-		gather(2, resolve(2))
+	// A staged chunk becomes corrupt and another disappears. The engine loads whatever
+	// is staged, so the agent repairs the stage from its own copies right before the
+	// order.
+	It("repairs corrupt chunks before it orders the engine to load", func() {
+		stageAll(2, resolve(2))
 		e.staged[1][0] ^= 1
 		delete(e.staged, 3)
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		Expect(e.loaded).To(Equal(want(2)))
+		Expect(e.loaded).To(Equal(wantChunks(2)))
 	})
 
-	// Version 3 arrives while version 2 is checked and ordered. The engine has one
-	// place for each chunk number and would load a mixture.
+	// Guards against a load of mixed versions: chunks of version 3 arrive while version
+	// 2 is verified and ordered, and the engine has one location for each chunk number.
 	It("keeps other versions out of the stage while one is checked and ordered", func() {
 		second, third := resolve(2), resolve(3)
-		gather(2, second)
+		stageAll(2, second)
 		put := make(chan error, 1)
 		began := make(chan struct{})
 		e.onLoad = func() {
@@ -247,139 +248,141 @@
 			Consistently(put, 30*time.Millisecond).ShouldNot(Receive())
 		}
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		Expect(e.loaded).To(Equal(want(2)))
+		Expect(e.loaded).To(Equal(wantChunks(2)))
 		Eventually(put).Should(Receive(BeNil()))
 	})
 
-	// The order for version 2 got no answer in time, and the engine came to it after a
-	// chunk of version 3 had been let in: it loaded a mixture.
-	It("keeps other versions out of the stage until it is known what became of an order", func() {
+	// Guards against a load of mixed versions: the response to the order for version 2
+	// was lost, and the engine accepted the order after a chunk of version 3 had been
+	// let in.
+	It("keeps other versions out of the stage until the outcome of an order is known", func() {
 		second, third := resolve(2), resolve(3)
-		gather(2, second)
+		stageAll(2, second)
 		put := make(chan error, 1)
-		e.unanswered = 1
+		e.dropResponses = 1
 		e.onLoad = func() {
 			e.onLoad = nil
 			go func() { put <- s.Put(ctx, third.Manifest, 1, chunk(3, 1)) }()
 		}
 		err := s.load(ctx, supply, 2)
 		Eventually(put).Should(Receive(BeNil()))
-		e.takeWaiting()
-		Expect(e.loaded).To(Equal(want(2)))
+		e.acceptPendingOrders()
+		Expect(e.loaded).To(Equal(wantChunks(2)))
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// The engine came to an order for version 2, which had got no answer, after the one
-	// for version 3: it loaded the bytes of version 3 as version 2.
-	It("has no order taken late that was given before another", func() {
+	// Guards against version 3 loaded as version 2: the engine accepted an order for
+	// version 2, whose response was lost, after the order for version 3.
+	It("lets no earlier order be accepted after a later one", func() {
 		second, third := resolve(2), resolve(3)
-		gather(2, second)
-		e.unanswered = 1
+		stageAll(2, second)
+		e.dropResponses = 1
 		before := s.load(ctx, supply, 2)
-		gather(3, third)
+		stageAll(3, third)
 		Expect(s.load(ctx, supply, 3)).To(Succeed())
-		e.takeWaiting()
-		Expect(e.holds).To(Equal(uint64(3)))
-		Expect(e.loaded).To(Equal(want(3)))
+		e.acceptPendingOrders()
+		Expect(e.version).To(Equal(uint64(3)))
+		Expect(e.loaded).To(Equal(wantChunks(3)))
 		Expect(before).NotTo(HaveOccurred())
 	})
 
-	// The gather of version 2 ended while a chunk was on its way. The engine wrote it
-	// after the stage was checked for version 3, and loaded a mixture.
-	It("has no chunk written late whose gather has ended", func() {
+	// Guards against a load of mixed versions: the fetch of version 2 ended while a
+	// chunk was being written, and the engine wrote it after the stage was verified for
+	// version 3.
+	It("lets no chunk be written late after its fetch has ended", func() {
 		second, third := resolve(2), resolve(3)
-		gather(3, third)
-		gathering, end := context.WithCancel(ctx)
+		stageAll(3, third)
+		fetchCtx, end := context.WithCancel(ctx)
 		defer end()
 		e.onPut = end
-		_ = s.Put(gathering, second.Manifest, 1, chunk(2, 1)) // its gather has ended
+		_ = s.Put(fetchCtx, second.Manifest, 1, chunk(2, 1)) // its fetch has ended
 		e.onPut = nil
-		e.onLoad = e.writeWaiting
+		e.onLoad = e.applyPendingWrites
 		Expect(s.load(ctx, supply, 3)).To(Succeed())
-		Expect(e.loaded).To(Equal(want(3)))
+		Expect(e.loaded).To(Equal(wantChunks(3)))
 	})
 
-	// Guards against an agent that stages nothing more since a connection to its
-	// engine went silent for good.
-	It("does not wait for ever for an engine that does not answer a chunk", func() {
+	// Guards against an agent that stages nothing any more because a connection to its
+	// engine went silent permanently.
+	It("sets a deadline for the engine's response to a chunk", func() {
 		second := resolve(2)
-		e.onWait = func(ctx context.Context) {
+		e.onPutWait = func(ctx context.Context) {
 			_, ends := ctx.Deadline()
 			Expect(ends).To(BeTrue())
 		}
 		Expect(s.Put(ctx, second.Manifest, 1, chunk(2, 1))).To(Succeed())
 	})
 
-	// A chunk that was missing was staged again, and the time for that ended. The engine
-	// wrote it after the stage was checked for the next version.
-	It("has no chunk written late that was staged again", func() {
+	// Guards against a late write of a repaired chunk: the time for the repair ended,
+	// and the engine wrote the chunk after the stage was verified for the next version.
+	It("lets no repaired chunk be written late", func() {
 		second, third := resolve(2), resolve(3)
-		gather(2, second)
+		stageAll(2, second)
 		delete(e.staged, 1)
-		mending, end := context.WithCancel(ctx)
+		repairCtx, end := context.WithCancel(ctx)
 		defer end()
 		e.onPut = end
-		_ = s.load(mending, supply, 2) // its time has ended
+		_ = s.load(repairCtx, supply, 2) // its time has ended
 		e.onPut = nil
-		gather(3, third)
-		e.onLoad = e.writeWaiting
+		stageAll(3, third)
+		e.onLoad = e.applyPendingWrites
 		Expect(s.load(ctx, supply, 3)).To(Succeed())
-		Expect(e.loaded).To(Equal(want(3)))
+		Expect(e.loaded).To(Equal(wantChunks(3)))
 	})
 
-	It("loads an older version whole though a newer one was staged over it", func() {
+	It("loads an older version completely although a newer one was staged over it", func() {
 		second, third := resolve(2), resolve(3)
-		gather(2, second)
-		gather(3, third)
+		stageAll(2, second)
+		stageAll(3, third)
 		Expect(s.load(ctx, supply, 2)).To(Succeed())
-		Expect(e.loaded).To(Equal(want(2)))
+		Expect(e.loaded).To(Equal(wantChunks(2)))
 	})
 
-	It("does not order a version that is not whole", func() {
+	It("does not order an incomplete version", func() {
 		named := resolve(2)
 		Expect(s.Put(ctx, named.Manifest, 0, chunk(2, 0))).To(Succeed())
 		Expect(s.load(ctx, supply, 2)).NotTo(Succeed())
 		Expect(e.loaded).To(BeNil())
 	})
 
-	It("keeps few versions in memory", func() {
+	It("keeps a limited number of versions in memory", func() {
 		first := resolve(1)
 		for version := range uint64(keptVersions) {
 			resolve(version + 2)
 		}
-		_, err := s.version(first.Manifest)
+		_, err := s.versionByDigest(first.Manifest)
 		Expect(err).To(HaveOccurred())
 		Expect(s.versions).To(HaveLen(keptVersions))
 	})
 
-	It("tells how long the rest takes, and that nothing comes", func() {
+	It("estimates the remaining time, and detects that no chunks arrive", func() {
 		named := resolve(2)
-		g := gathering{started: true, version: 2, named: named, from: time.Now()}
+		g := versionFetch{started: true, version: 2, fleetVersion: named, since: time.Now()}
 		const linkBytes = 1000
-		Expect(s.restTime(time.Now(), g, linkBytes)).To(BeNumerically(">", 0))
-		Expect(s.restTime(time.Now().Add(time.Minute), g, linkBytes)).To(Equal(loading.NotExpected))
-		gather(2, named)
-		Expect(s.restTime(time.Now().Add(time.Minute), g, linkBytes)).To(BeZero())
-		Expect(s.missing(2)).To(BeZero())
-		Expect(s.missing(9)).To(Equal(1.0))
+		Expect(s.remainingTime(time.Now(), g, linkBytes)).To(BeNumerically(">", 0))
+		Expect(s.remainingTime(time.Now().Add(time.Minute), g, linkBytes)).To(Equal(loading.NotExpected))
+		stageAll(2, named)
+		Expect(s.remainingTime(time.Now().Add(time.Minute), g, linkBytes)).To(BeZero())
+		Expect(s.missingShare(2)).To(BeZero())
+		Expect(s.missingShare(9)).To(Equal(1.0))
 	})
 
-	// A version was named while the one before it was on its way, and the origin
-	// failed. Whether that one is worth waiting for is core/loading's; that it comes
-	// no more, as after the failure, is seen here.
-	It("tells whether a version still comes", func() {
+	// A version is named while the previous one is arriving, and the origin fails.
+	// core/loading decides whether the previous one is worth waiting for; the stage
+	// detects that it no longer arrives.
+	It("reports whether a version is still arriving", func() {
 		named := resolve(2)
-		g := gathering{started: true, version: 2, named: named, from: time.Now()}
+		g := versionFetch{started: true, version: 2, fleetVersion: named, since: time.Now()}
 		now := time.Now()
-		Expect(s.isArriving(now, g, now)).To(BeTrue(), "the origin answers")
-		for number := range chunks - 1 {
+		Expect(s.isArriving(now, g, now)).To(BeTrue(), "the origin responds")
+		for number := range chunkCount - 1 {
 			Expect(s.Put(ctx, named.Manifest, number, chunk(2, number))).To(Succeed())
 		}
 		Expect(s.isArriving(time.Now(), g, now)).To(BeTrue())
 		late := now.Add(time.Minute)
-		Expect(s.isArriving(late, g, late)).To(BeTrue(), "the origin has just answered again")
-		Expect(s.isArriving(late, g, now)).To(BeFalse(), "nothing has come for long")
-		gather(2, named)
-		Expect(s.isArriving(time.Now(), g, now)).To(BeFalse(), "it is whole")
+		Expect(s.isArriving(late, g, late)).To(BeTrue(), "the origin has just responded again")
+		Expect(s.isArriving(late, g, now)).To(BeFalse(), "nothing has arrived for a long time")
+		stageAll(2, named)
+		Expect(s.isArriving(time.Now(), g, now)).To(BeFalse(), "it is complete")
 	})
 })
