--- a/cmd/chivespindled/platform_agent.go
+++ b/cmd/chivespindled/platform_agent.go
@@ -15,7 +15,7 @@
 		Loop: b.loop, Endpoint: b.endpoint,
 		Engine: platform.NewEngine(s.Server), Origin: platform.NewOrigin(),
 		Source: platform.NewStore(s.Store, b.logger), Regions: s.Regions,
-		VersionTime: s.VersionTime, LinkBytes: s.LinkBytes, Off: b.off,
+		VersionTime: s.VersionTime, LinkBytesPerSecond: s.LinkBytes, Disabled: b.off,
 		Logger: b.logger, Metrics: b.metrics,
 	})
 	b.handler.Handler = l
--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -33,7 +33,7 @@
 }
 
 // runOnce serves a request that must run at most once.
-func (a *Agent) runOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
+func (a *Agent) runOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.ResponseEnd {
 	key, err := once.ParseKey(req.Workspace, req.IdempotencyKey)
 	if err != nil {
 		return decided(notRun(req, err))
@@ -61,7 +61,7 @@
 // closeKey answers a request that this agent cannot take now. Whether the
 // caller may be told "not run" depends on what is known of the key. An answer
 // on record needs no backend server, so it is given.
-func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, facts once.RequestInfo, refused error) wire.AnswerEnd {
+func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, facts once.RequestInfo, refused error) wire.ResponseEnd {
 	verdict := a.register.Close(time.Now(), key, digest, facts)
 	end := a.repeat(s, req, verdict)
 	if verdict.Outcome == failure.NotRun {
@@ -73,7 +73,7 @@
 
 // passOnce passes the work on. It goes on to its end though the entry or the
 // caller goes away, so that asking again finds the answer.
-func (a *Agent) passOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.AnswerEnd {
+func (a *Agent) passOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.ResponseEnd {
 	out := newAnswerStream(s, version)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.remaining(req))
 	defer cancel()
@@ -84,7 +84,7 @@
 	}
 	defer func() { leave(out.first) }()
 	if !a.register.MarkForwarded(key) {
-		return decided(wire.AnswerEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
+		return decided(wire.ResponseEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
 	}
 	var kept []byte
 	end := a.passTo(ctx, req, body, version, func(p serving.Piece) error {
@@ -102,13 +102,13 @@
 	return decided(out.finish(req, end))
 }
 
-func decided(end wire.AnswerEnd) wire.AnswerEnd {
-	end.Decided = true
+func decided(end wire.ResponseEnd) wire.ResponseEnd {
+	end.DecidedByHome = true
 	return end
 }
 
 // repeat answers an ask with a key on record.
-func (a *Agent) repeat(s *peer.Stream, req wire.Request, v once.Verdict) wire.AnswerEnd {
+func (a *Agent) repeat(s *peer.Stream, req wire.Request, v once.Verdict) wire.ResponseEnd {
 	if v.Action != once.Done || !v.Result.HasBody {
 		return refusal(req, v)
 	}
@@ -116,13 +116,13 @@
 	if len(v.Result.Body) > 0 {
 		_ = out.piece(serving.Piece{Status: v.Result.Status, Data: v.Result.Body}) // finish tells of a failure
 	}
-	end := wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: req.ID, Status: v.Result.Status, Version: v.Result.Version}
+	end := wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: req.ID, Status: v.Result.Status, Version: v.Result.Version}
 	return decided(out.finish(req, end))
 }
 
 // refusal turns a verdict without an answer into the end of one.
-func refusal(req wire.Request, v once.Verdict) wire.AnswerEnd {
-	end := decided(wire.AnswerEnd{ID: req.ID, Duplicate: true})
+func refusal(req wire.Request, v once.Verdict) wire.ResponseEnd {
+	end := decided(wire.ResponseEnd{ID: req.ID, Duplicate: true})
 	switch v.Action {
 	case once.Running:
 		end.Reason = "a request with this key runs now"
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -36,7 +36,7 @@
 
 		running := r.entry.Ask(r.order("second", key), work).End
 		Expect(running).To(HaveValue(SatisfyAll(
-			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("Decided", true),
+			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("DecidedByHome", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0)))))
 
 		close(release)
@@ -58,7 +58,7 @@
 		r.backend.Answer(daemontest.Held(release, daemontest.Echo))
 		key := r.key(1)
 		other := daemontest.NewEntry("entry-2", r.Self)
-		ends := make(chan wire.AnswerEnd, 2)
+		ends := make(chan wire.ResponseEnd, 2)
 		for id, entry := range map[string]*daemontest.Entry{"by-1": r.entry, "by-2": other} {
 			s := entry.Send(r.order(id, key), work)
 			go func() {
@@ -67,7 +67,7 @@
 				}
 			}()
 		}
-		var told, ran wire.AnswerEnd
+		var told, ran wire.ResponseEnd
 		Eventually(ends).Should(Receive(&told))
 		Expect(told).To(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0))))
@@ -85,7 +85,7 @@
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
 			r := newPlain()
 			end := r.entry.Ask(r.order("late", keyOf(r).Text), work).End
-			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Decided", true),
+			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("DecidedByHome", true),
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
 		},
@@ -117,7 +117,7 @@
 		Eventually(r.admits).Should(BeFalse())
 
 		Expect(r.entry.Ask(r.order("fresh-1", fresh), work).End).To(HaveValue(SatisfyAll(
-			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Decided", true))))
+			HaveField("Outcome", wire.OutcomeNotRun), HaveField("DecidedByHome", true))))
 		Expect(r.entry.Ask(r.order("lost-2", lost), work).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		again := r.entry.Ask(r.order("done-2", done), work)
 		Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -103,7 +103,7 @@
 	started := time.Now()
 	end := a.run(ctx, s, req, body)
 	a.logRequest(from, req, end, started)
-	if err := s.Send(wire.AnswerPart{End: &end}); err != nil {
+	if err := s.Send(wire.ResponsePart{End: &end}); err != nil {
 		return
 	}
 	_ = s.CloseSend()
@@ -126,14 +126,14 @@
 	return body, nil
 }
 
-func (a *Agent) logRequest(from keys.Identity, req wire.Request, end wire.AnswerEnd, started time.Time) {
+func (a *Agent) logRequest(from keys.Identity, req wire.Request, end wire.ResponseEnd, started time.Time) {
 	a.opts.Metrics.Tagged(map[string]string{"outcome": outcomeOf(end).String()}).Counter("requests").Inc(1)
 	a.opts.Logger.Info("request", zap.String("request_id", req.ID), zap.String("entry", string(from.ID)),
 		zap.Stringer("outcome", outcomeOf(end)), zap.String("reason", end.Reason),
 		zap.Stringer("version", end.Version), zap.Duration("took", time.Since(started)))
 }
 
-func outcomeOf(end wire.AnswerEnd) failure.Outcome {
+func outcomeOf(end wire.ResponseEnd) failure.Outcome {
 	switch end.Outcome {
 	case wire.OutcomeRan:
 		return failure.Ran
@@ -146,7 +146,7 @@
 
 // run serves one request and returns how it ended. The answer's pieces go to
 // the entry as they come.
-func (a *Agent) run(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
+func (a *Agent) run(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.ResponseEnd {
 	if req.NonIdempotent {
 		return a.runOnce(ctx, s, req, body)
 	}
@@ -209,13 +209,13 @@
 	return -late
 }
 
-func notRun(req wire.Request, err error) wire.AnswerEnd {
-	return wire.AnswerEnd{
+func notRun(req wire.Request, err error) wire.ResponseEnd {
+	return wire.ResponseEnd{
 		Outcome:      wire.OutcomeNotRun,
 		ID:           req.ID,
 		Reason:       err.Error(),
 		RetryAfterMS: failure.RetryAfter(err).Milliseconds(),
-		Full:         errorx.IsOfType(err, calls.Overloaded),
+		QueueFull:    errorx.IsOfType(err, calls.Overloaded),
 	}
 }
 
@@ -223,7 +223,7 @@
 // to emit. The answer must name the request, and the version that it was
 // admitted for; otherwise it is cut, and the entry does not see the end that
 // makes it whole, nor does the record keep it.
-func (a *Agent) passTo(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.AnswerEnd {
+func (a *Agent) passTo(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.ResponseEnd {
 	call := serving.Call{
 		ID:             req.ID,
 		IdempotencyKey: req.IdempotencyKey,
@@ -242,7 +242,7 @@
 	if err != nil {
 		return failed(req, err)
 	}
-	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: answer.ID, Status: answer.Status, Version: answer.Version}
+	return wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: answer.ID, Status: answer.Status, Version: answer.Version}
 }
 
 func checkAnswer(req wire.Request, version fleet.Version, answer serving.Answer) error {
@@ -275,17 +275,17 @@
 	}
 	o.begun = true
 	o.first = time.Since(o.began)
-	return o.send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: statusOr200(status), Version: o.version}})
+	return o.send(wire.ResponsePart{Header: &wire.ResponseHeader{Status: statusOr200(status), Version: o.version}})
 }
 
 func (o *answerStream) piece(p serving.Piece) error {
 	if err := o.begin(p.Status); err != nil {
 		return err
 	}
-	return o.send(wire.AnswerPart{Piece: p.Data})
+	return o.send(wire.ResponsePart{Piece: p.Data})
 }
 
-func (o *answerStream) send(part wire.AnswerPart) error {
+func (o *answerStream) send(part wire.ResponsePart) error {
 	if o.failed == nil {
 		o.failed = o.stream.Send(part)
 	}
@@ -294,7 +294,7 @@
 
 // finish returns the end of the answer for the entry: that of a whole one only if all
 // of it was sent.
-func (o *answerStream) finish(req wire.Request, end wire.AnswerEnd) wire.AnswerEnd {
+func (o *answerStream) finish(req wire.Request, end wire.ResponseEnd) wire.ResponseEnd {
 	if end.Outcome != wire.OutcomeRan {
 		return end
 	}
@@ -319,7 +319,7 @@
 }
 
 // failed ends a request whose answer failed. Only a whole answer ends as run.
-func failed(req wire.Request, err error) wire.AnswerEnd {
+func failed(req wire.Request, err error) wire.ResponseEnd {
 	end := notRun(req, err)
 	if failure.OutcomeOf(err) != failure.NotRun {
 		end.Outcome = wire.OutcomeUnknown
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -45,7 +45,7 @@
 		}
 		end := r.entry.Ask(req, "two cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
-			HaveField("Reason", ContainSubstring("deadline")), HaveField("Decided", once))))
+			HaveField("Reason", ContainSubstring("deadline")), HaveField("DecidedByHome", once))))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	},
 		Entry("of an idempotent request", false),
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -317,7 +317,7 @@
 // receive hands the answer on until its end.
 func (a *attempt) receive(s *peer.Stream, server balance.Server) (calls.End, error) {
 	for {
-		var part wire.AnswerPart
+		var part wire.ResponsePart
 		if err := s.Recv(&part); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = calls.Interrupted.New("the agent ended the answer early")
@@ -325,10 +325,10 @@
 			return calls.End{}, interrupted(err, "receive the answer")
 		}
 		switch {
-		case !part.IsOneStep():
+		case !part.IsSingle():
 			return calls.End{}, corrupt("a part of the answer is more than one step")
-		case part.Begin != nil:
-			if err := a.begin(*part.Begin); err != nil {
+		case part.Header != nil:
+			if err := a.begin(*part.Header); err != nil {
 				return calls.End{}, err
 			}
 		case part.End != nil:
@@ -349,7 +349,7 @@
 	return failure.WithOutcome(failure.Corrupt.New(format, args...), failure.Unknown)
 }
 
-func (a *attempt) begin(b wire.AnswerBegin) error {
+func (a *attempt) begin(b wire.ResponseHeader) error {
 	if a.delivered {
 		return corrupt("the answer begins twice")
 	}
@@ -366,7 +366,7 @@
 // began. An answer that names another request is cut, since its pieces may be
 // another caller's, and one that names another version, since its pieces may
 // be of both.
-func (a *attempt) finish(end wire.AnswerEnd, server balance.Server) (calls.End, error) {
+func (a *attempt) finish(end wire.ResponseEnd, server balance.Server) (calls.End, error) {
 	if end.ID != a.request.ID {
 		return calls.End{}, corrupt("the answer names request %q", end.ID)
 	}
@@ -383,12 +383,12 @@
 }
 
 // endFailure turns the end of an answer that is none into an error.
-func endFailure(end wire.AnswerEnd, server fleet.InstanceID) error {
+func endFailure(end wire.ResponseEnd, server fleet.InstanceID) error {
 	kind, outcome := calls.Interrupted, failure.Unknown
 	switch {
 	case end.Duplicate:
 		kind = calls.Duplicate
-	case end.Full:
+	case end.QueueFull:
 		kind = calls.Overloaded
 	case end.Outcome == wire.OutcomeNotRun:
 		kind = failure.Refused
@@ -400,6 +400,6 @@
 		outcome = failure.NotRun
 	}
 	err := failure.WithOutcome(kind.New("%s: %s", server, end.Reason), outcome)
-	err = err.WithProperty(decidedProperty, end.Decided)
+	err = err.WithProperty(decidedProperty, end.DecidedByHome)
 	return failure.WithRetryAfter(err, time.Duration(end.RetryAfterMS)*time.Millisecond)
 }
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -137,7 +137,7 @@
 		r := newRig(2)
 		r.agents[0].Do(func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeNotRun, Decided: true, RetryAfterMS: 700})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeNotRun, DecidedByHome: true, RetryAfterMS: 700})
 		})
 		got := r.send(r.order(r.agents[0], work))
 		Expect(got.Err).To(SatisfyAll(haveOutcome(failure.NotRun),
@@ -209,7 +209,7 @@
 		r := newRig(2)
 		r.agents[0].Do(func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Decided: true, Duplicate: true, RetryAfterMS: 900})
+			x.End(wire.ResponseEnd{DecidedByHome: true, Duplicate: true, RetryAfterMS: 900})
 		})
 		got := r.send(r.order(r.agents[0], work))
 		Expect(got.Err).To(SatisfyAll(beOfType(calls.Duplicate), haveOutcome(failure.Unknown), askForPause()))
@@ -218,12 +218,12 @@
 })
 
 // endAs answers with a piece and an end that edit has changed.
-func endAs(edit func(*wire.AnswerEnd)) func(*daemontest.Exchange) {
+func endAs(edit func(*wire.ResponseEnd)) func(*daemontest.Exchange) {
 	return func(x *daemontest.Exchange) {
 		x.Read()
 		x.Begin(fleet.Version{Name: "r1"})
 		x.Piece(work)
-		end := wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID, Version: fleet.Version{Name: "r1"}}
+		end := wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID, Version: fleet.Version{Name: "r1"}}
 		edit(&end)
 		x.End(end)
 	}
@@ -236,39 +236,39 @@
 	// nothing is sent again behind the part that it has.
 	// Seen with the tests of id and version taken out of finish, one at a time:
 	// the answer counted as whole. Before the mend the version was not looked at.
-	DescribeTable("is cut", func(edit func(*wire.AnswerEnd)) {
+	DescribeTable("is cut", func(edit func(*wire.ResponseEnd)) {
 		r := newRig(2)
 		r.script(endAs(edit), (*daemontest.Exchange).Echo)
 		Expect(r.send(r.request(work))).To(SatisfyAll(
 			HaveField("Err", SatisfyAll(beOfType(failure.Corrupt), haveOutcome(failure.Unknown))), HaveField("Begins", 1)))
 		Expect(r.opened()).To(Equal(1))
 	},
-		Entry("that ends another request", func(end *wire.AnswerEnd) { end.ID = "request-0" }),
-		Entry("that ends with another version", func(end *wire.AnswerEnd) { end.Version.Name = "r2" }),
-		Entry("that ends with no version", func(end *wire.AnswerEnd) { end.Version = fleet.Version{} }),
+		Entry("that ends another request", func(end *wire.ResponseEnd) { end.ID = "request-0" }),
+		Entry("that ends with another version", func(end *wire.ResponseEnd) { end.Version.Name = "r2" }),
+		Entry("that ends with no version", func(end *wire.ResponseEnd) { end.Version = fleet.Version{} }),
 	)
 
 	// Guards against a piece that is dropped beside the beginning or the end of its answer.
-	DescribeTable("is cut at a part that is not one step", func(parts ...wire.AnswerPart) {
+	DescribeTable("is cut at a part that is not one step", func(parts ...wire.ResponsePart) {
 		r := newRig(2)
 		r.script(func(x *daemontest.Exchange) {
 			x.Read()
 			for _, part := range parts {
 				_ = x.Stream.Send(part)
 			}
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}, (*daemontest.Exchange).Echo)
 		result := r.send(r.request(work))
 		Expect(result).To(SatisfyAny(
 			HaveField("Err", SatisfyAll(beOfType(failure.Corrupt), haveOutcome(failure.Unknown))),
 			SatisfyAll(HaveField("Err", Succeed()), HaveField("Body", work), HaveField("Begins", 1))))
 	},
-		Entry("a beginning with a piece", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}, Piece: []byte("two")}),
-		Entry("an end with a piece", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}},
-			wire.AnswerPart{End: &wire.AnswerEnd{ID: "request-1", Outcome: wire.OutcomeRan}, Piece: []byte("two")}),
-		Entry("a beginning with an end", wire.AnswerPart{
-			Begin: &wire.AnswerBegin{Status: 200}, End: &wire.AnswerEnd{ID: "request-1", Outcome: wire.OutcomeRan}}),
-		Entry("a second beginning", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}, wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}),
+		Entry("a beginning with a piece", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}, Piece: []byte("two")}),
+		Entry("an end with a piece", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}},
+			wire.ResponsePart{End: &wire.ResponseEnd{ID: "request-1", Outcome: wire.OutcomeRan}, Piece: []byte("two")}),
+		Entry("a beginning with an end", wire.ResponsePart{
+			Header: &wire.ResponseHeader{Status: 200}, End: &wire.ResponseEnd{ID: "request-1", Outcome: wire.OutcomeRan}}),
+		Entry("a second beginning", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}}, wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}}),
 	)
 
 	// A server swaps the answers of two requests that run at once. Both are cut.
@@ -283,7 +283,7 @@
 			x.Begin(fleet.Version{})
 			other := map[string]string{"request-1": "request-2", "request-2": "request-1"}[x.Request.ID]
 			x.Piece("answer to " + other)
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: other})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: other})
 		})
 		results := make(chan got, 2)
 		for range 2 {
@@ -322,7 +322,7 @@
 		}),
 		Entry("an end alone", func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}),
 	)
 })
@@ -340,7 +340,7 @@
 			holding <- x
 			<-x.Ctx.Done()
 			x.Piece("late goods")
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}, (*daemontest.Exchange).Echo)
 		ctx, cancel := context.WithCancel(context.Background())
 		results := make(chan got, 1)
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -193,7 +193,7 @@
 	}
 	defer s.Abort()
 	s.SetStall(demandFresh)
-	if err := s.Send(wire.ReportAsk{}); err != nil {
+	if err := s.Send(wire.ReportRequest{}); err != nil {
 		return err
 	}
 	for {
--- a/daemon/entry/steps_test.go
+++ b/daemon/entry/steps_test.go
@@ -21,12 +21,12 @@
 	return func(x *daemontest.Exchange) {
 		x.Read()
 		for _, step := range strings.Split(script, "") {
-			part := wire.AnswerPart{End: &wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID}}
+			part := wire.ResponsePart{End: &wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID}}
 			switch step {
 			case begin:
-				part = wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}
+				part = wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}}
 			case piece:
-				part = wire.AnswerPart{Piece: []byte(piece)}
+				part = wire.ResponsePart{Piece: []byte(piece)}
 			case notRun:
 				part.End.Outcome = wire.OutcomeNotRun
 			case wrongEnd:
--- a/daemon/entry/subscription.go
+++ b/daemon/entry/subscription.go
@@ -124,7 +124,7 @@
 	}
 	defer stream.Abort()
 	stream.SetStall(reportStall)
-	if err := stream.Send(wire.ReportAsk{}); err != nil {
+	if err := stream.Send(wire.ReportRequest{}); err != nil {
 		return err
 	}
 	for {
--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -24,11 +24,11 @@
 	})
 
 	tell := func(now time.Time, r wire.Replica) {
-		g.heard(now, nearEntry, wire.Beat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
+		g.heard(now, nearEntry, wire.Heartbeat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
 	}
 
 	It("goes before the registration, which lags", func() {
-		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Changing: true})
+		tell(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Reloading: true})
 		listed(g, backend, start)
 		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(2)))
 		Expect(backend.listed[0].Reloading).To(BeTrue())
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -113,7 +113,7 @@
 	if r.origin == fromStore {
 		// The others of the region wait for this one's word; at the next beat it
 		// would reach them up to half a second later.
-		g.mesh.FlushNear(now)
+		g.mesh.FlushGroup(now)
 	}
 }
 
--- a/daemon/gateway/contact.go
+++ b/daemon/gateway/contact.go
@@ -66,7 +66,7 @@
 
 // told returns the state for entries that do not read the platform.
 func (c *contact) told(now time.Time) wire.PlatformState {
-	t := wire.PlatformState{HeardAgoMS: now.Sub(c.heard).Milliseconds(), Failing: c.failing}
+	t := wire.PlatformState{LastResponseAgoMS: now.Sub(c.heard).Milliseconds(), Failing: c.failing}
 	if c.silent > 0 {
 		t.RegainedAgoMS, t.SilentMS = now.Sub(c.regained).Milliseconds(), c.silent.Milliseconds()
 	}
@@ -76,7 +76,7 @@
 // follow takes over the state of an entry that reads the platform, of several
 // that of the one that was answered last.
 func (c *contact) follow(now time.Time, t wire.PlatformState) {
-	heard := now.Add(-time.Duration(t.HeardAgoMS) * time.Millisecond)
+	heard := now.Add(-time.Duration(t.LastResponseAgoMS) * time.Millisecond)
 	if heard.Before(c.heard) {
 		return
 	}
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -51,7 +51,7 @@
 	It("keeps them also when another entry was answered a moment earlier", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.heard(at(5500*time.Millisecond), nearEntry, other)
 		g.sourceAnswered(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
@@ -73,7 +73,7 @@
 	It("finds no lapses after it was cut off alone", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.heard(at(2*time.Second), nearEntry, other)
 		g.sourceAnswered(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
@@ -97,8 +97,8 @@
 	It("is doubted after a pause until the configuration has been read again", func() {
 		g.publish(start)
 		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
-		g.heardReader(at(5*time.Second), wire.Beat{
-			Platform: &wire.PlatformState{}, Servers: &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo},
+		g.heardReader(at(5*time.Second), wire.Heartbeat{
+			Platform: &wire.PlatformState{}, Servers: &wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo},
 		})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(9)))
 		g.publish(at(5 * time.Second))
@@ -206,7 +206,7 @@
 		g := following()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("turned away"))
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, Assumed: true}}
 		g.heard(at(6*time.Second), nearEntry, other)
 		g.sourceAnswered(at(6500 * time.Millisecond))
@@ -260,7 +260,7 @@
 		g := following()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("turned away"))
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.heard(at(2*time.Second), nearEntry, other)
 		g.sourceAnswered(at(6 * time.Second))
 		g.adopt(at(6*time.Second), wanted(2), "platform")
@@ -354,9 +354,9 @@
 		Expect(first.Supply.Model).To(Equal("m"))
 		Expect(first.Supply.Layers).To(Equal(4))
 		Expect(first.Members).To(HaveLen(2))
-		Expect(g.compose(start, anAgent, mesh.Whole).Members).To(BeEmpty())
+		Expect(g.compose(start, anAgent, mesh.Complete).Members).To(BeEmpty())
 		g.apply(start, []catalog.Change{{Revision: 9, Removed: "i-2"}}, 9)
-		Expect(g.compose(start, anAgent, mesh.Whole).Members).To(HaveLen(1))
+		Expect(g.compose(start, anAgent, mesh.Complete).Members).To(HaveLen(1))
 	})
 
 	It("tell another entry only the loads that have changed", func() {
@@ -381,7 +381,7 @@
 	// ten seconds before engines that were half empty.
 	Context("of an entry that had an engine full", func() {
 		var g *Gateway
-		full := wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
+		full := wire.Heartbeat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
 		}}
 		isPlaced := func() bool {
@@ -403,7 +403,7 @@
 		})
 
 		It("void that when they tell of all loads anew", func() {
-			g.heard(start, nearEntry, wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, AllLoads: true})
+			g.heard(start, nearEntry, wire.Heartbeat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, LoadsComplete: true})
 			Expect(isPlaced()).To(BeTrue())
 		})
 	})
@@ -414,12 +414,12 @@
 		g.publish(start)
 		_, refusal := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(refusal.Reason).To(BeEmpty())
-		Expect(g.compose(start, nearEntry, mesh.First).AllLoads).To(BeTrue())
-		Expect(g.compose(start, nearEntry, mesh.Brief).AllLoads).To(BeFalse())
+		Expect(g.compose(start, nearEntry, mesh.First).LoadsComplete).To(BeTrue())
+		Expect(g.compose(start, nearEntry, mesh.Brief).LoadsComplete).To(BeFalse())
 		far := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}
-		Expect(g.compose(start, far, mesh.Whole).Loads).To(BeEmpty())
+		Expect(g.compose(start, far, mesh.Complete).Loads).To(BeEmpty())
 		again := g.compose(start, nearEntry, mesh.Brief)
-		Expect(again.AllLoads).To(BeTrue())
+		Expect(again.LoadsComplete).To(BeTrue())
 		Expect(again.Loads).To(HaveLen(1))
 	})
 })
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -111,7 +111,7 @@
 	requestingCatalog  bool
 	nextCatalogRequest time.Time
 	// startCatalogRequest requests the catalog of a peer. The result is passed to askEnded.
-	startCatalogRequest func(addr netip.Addr, ask wire.CatalogAsk)
+	startCatalogRequest func(addr netip.Addr, ask wire.CatalogRequest)
 	// newestPeerRevision is the newest configuration that a peer reported.
 	newestPeerRevision catalog.Revision
 	// behindSince is since when a peer has had a newer catalog, zero if none has.
@@ -229,24 +229,24 @@
 	}
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
 	g.limitReports = newReportSender[serverlimit.Report](g.limits)
-	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogAsk) { go g.askPeer(addr, ask) }
+	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogRequest) { go g.askPeer(addr, ask) }
 	g.scheduler.SetSelf(opts.Self, opts.Place)
 	g.mesh = mesh.New(ctx, now, mesh.Options{
-		Self:       opts.Self,
-		Role:       fleet.RoleEntry,
-		Place:      opts.Place,
-		PeerPort:   opts.PeerPort,
-		Seeds:      opts.Seeds,
-		Loop:       opts.Loop,
-		Endpoint:   opts.Endpoint,
-		Logger:     opts.Logger,
-		Metrics:    opts.Metrics,
-		Compose:    g.compose,
-		GroupLoads: g.scheduler.RegionLoads,
-		HasNews:    g.hasNews,
-		Heard:      g.heard,
-		Lost:       g.dropPeer,
-		FarLess:    !opts.Disabled.FarLess,
+		Self:                 opts.Self,
+		Role:                 fleet.RoleEntry,
+		Place:                opts.Place,
+		PeerPort:             opts.PeerPort,
+		Seeds:                opts.Seeds,
+		Loop:                 opts.Loop,
+		Endpoint:             opts.Endpoint,
+		Logger:               opts.Logger,
+		Metrics:              opts.Metrics,
+		Compose:              g.compose,
+		GroupLoads:           g.scheduler.RegionLoads,
+		HasChanges:           g.hasNews,
+		OnHeartbeat:          g.heard,
+		OnLost:               g.dropPeer,
+		ThrottleOtherRegions: !opts.Disabled.FarLess,
 	})
 	return g
 }
@@ -284,7 +284,7 @@
 	case g.flushDue:
 		g.mesh.Flush(now)
 	case g.groupFlushDue:
-		g.mesh.FlushNear(now)
+		g.mesh.FlushGroup(now)
 	}
 	g.flushDue, g.groupFlushDue = false, false
 }
@@ -304,7 +304,7 @@
 	g.replicas = make(map[netip.Addr]replica)
 	g.readyAt = make(map[netip.Addr]time.Time)
 	g.changed = true
-	g.mesh.Woke(now)
+	g.mesh.ResetAfterPause(now)
 	g.reading.end() // it may be waiting on a dead connection
 }
 
--- a/daemon/gateway/handover_test.go
+++ b/daemon/gateway/handover_test.go
@@ -167,8 +167,8 @@
 	report := func(id fleet.InstanceID, seq uint64, changing bool) {
 		addr := map[fleet.InstanceID]netip.Addr{oneID: netip.MustParseAddr("10.0.1.1"), twoID: netip.MustParseAddr("10.0.1.2")}[id]
 		now := time.Now()
-		g.heard(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{
-			{Addr: addr, Incarnation: 1, Seq: seq, Loaded: 1, Changing: changing}}})
+		g.heard(now, nearEntry, wire.Heartbeat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{
+			{Addr: addr, Incarnation: 1, Seq: seq, Loaded: 1, Reloading: changing}}})
 		g.publish(now)
 	}
 
--- a/daemon/gateway/lapses_test.go
+++ b/daemon/gateway/lapses_test.go
@@ -26,9 +26,9 @@
 	})
 
 	// removal returns another entry's report that the second server was removed.
-	removal := func() wire.Beat {
+	removal := func() wire.Heartbeat {
 		b := beat("10.0.0.2")
-		b.Servers = &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo}
+		b.Servers = &wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo}
 		return b
 	}
 
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -123,7 +123,7 @@
 		other, _ := newGateway()
 		other.heard(time.Now(), nearEntry, to)
 		Expect(other.limits.All(time.Now())).To(HaveKeyWithValue(fleet.InstanceID("i-1"), advertised))
-		Expect(g.compose(time.Now(), nearEntry, mesh.Whole).Limits).To(BeEmpty())
+		Expect(g.compose(time.Now(), nearEntry, mesh.Complete).Limits).To(BeEmpty())
 	})
 })
 
--- a/daemon/gateway/links.go
+++ b/daemon/gateway/links.go
@@ -16,16 +16,16 @@
 type links interface {
 	Serve(ctx context.Context, from keys.Identity, s *peer.Stream)
 	Tick(now time.Time)
-	Woke(now time.Time)
+	ResetAfterPause(now time.Time)
 	SetSeeds(now time.Time, seeds []netip.Addr)
 	Group() string
 	PeerAddr(addr netip.Addr) netip.AddrPort
 	Flush(now time.Time)
-	FlushNear(now time.Time)
+	FlushGroup(now time.Time)
 	Entries(now time.Time) []mesh.Entry
-	Hears(now time.Time) bool
-	LiveIn(now time.Time, region fleet.Region) []netip.Addr
-	Ahead(now time.Time, isAhead func(wire.Beat) bool) (addr netip.Addr, near, ok bool)
+	HasLiveEntry(now time.Time) bool
+	LiveEntries(now time.Time, region fleet.Region) []netip.Addr
+	FindEntry(now time.Time, isAhead func(wire.Heartbeat) bool) (addr netip.Addr, near, ok bool)
 }
 
 var _ links = (*mesh.Mesh)(nil)
--- a/daemon/gateway/manifests.go
+++ b/daemon/gateway/manifests.go
@@ -53,7 +53,7 @@
 // manifest goes round in the group.
 func (m *manifests) forEntry(to mesh.Peer) *wire.Manifest {
 	for name, known := range m.newest {
-		if known.near && to.Near {
+		if known.near && to.SameGroup {
 			continue
 		}
 		if told := m.tell(to.ID, name); told != nil {
--- a/daemon/gateway/model_links_test.go
+++ b/daemon/gateway/model_links_test.go
@@ -37,7 +37,7 @@
 type modelLink struct {
 	to   *modelEntry
 	up   bool
-	last wire.Beat // the last whole one
+	last wire.Heartbeat // the last whole one
 	// heard and asOf are of the link, heardOf of the entry.
 	heard, heardOf  time.Time
 	asOf            catalog.Revision
@@ -81,7 +81,7 @@
 
 func (l *modelLinks) peer(k *modelLink) mesh.Peer {
 	id := k.to.g.opts.Self
-	return mesh.Peer{ID: id, Role: fleet.RoleEntry, Near: l.plan.SameGroup[id] && !k.to.isHidden(l.e.m.now), Region: k.region, AsOf: k.asOf}
+	return mesh.Peer{ID: id, Role: fleet.RoleEntry, SameGroup: l.plan.SameGroup[id] && !k.to.isHidden(l.e.m.now), Region: k.region, AsOf: k.asOf}
 }
 
 func (l *modelLinks) send(now time.Time, k *modelLink, form mesh.Form) {
@@ -112,7 +112,7 @@
 	})
 }
 
-func (l *modelLinks) heard(now time.Time, k *modelLink, b wire.Beat) {
+func (l *modelLinks) heard(now time.Time, k *modelLink, b wire.Heartbeat) {
 	k.heard = now
 	if !b.Brief {
 		k.asOf, k.region, k.last, k.heardOf = b.AsOf, b.Place.Region, b, now
@@ -135,7 +135,7 @@
 		switch {
 		case !k.up:
 		case now.Sub(k.beaten) >= modelBeatEvery:
-			l.send(now, k, mesh.Whole)
+			l.send(now, k, mesh.Complete)
 		case near && now.Sub(k.briefed) >= modelBriefEvery:
 			l.send(now, k, mesh.Brief)
 		}
@@ -158,14 +158,14 @@
 
 func (l *modelLinks) Flush(now time.Time) {
 	for _, k := range l.sorted {
-		l.send(now, k, mesh.Whole)
+		l.send(now, k, mesh.Complete)
 	}
 }
 
-func (l *modelLinks) FlushNear(now time.Time) {
+func (l *modelLinks) FlushGroup(now time.Time) {
 	for _, k := range l.sorted {
 		if l.plan.SameGroup[k.to.g.opts.Self] {
-			l.send(now, k, mesh.Whole)
+			l.send(now, k, mesh.Complete)
 		}
 	}
 }
@@ -174,18 +174,18 @@
 	var all []mesh.Entry
 	for _, k := range l.sorted {
 		if b := k.last; b.ID != "" {
-			all = append(all, mesh.Entry{ID: b.ID, Place: b.Place, Ready: b.Ready, Leaving: b.Leaving, Reaches: b.Reaches,
-				TurnedAway: b.TurnedAway, Silent: now.Sub(k.heardOf) > modelSilentAfter, Near: l.plan.SameGroup[b.ID]})
+			all = append(all, mesh.Entry{ID: b.ID, Place: b.Place, Ready: b.Ready, Leaving: b.Leaving, ReachesPlatform: b.ReachesPlatform,
+				PlatformUnresponsive: b.PlatformUnresponsive, Silent: now.Sub(k.heardOf) > modelSilentAfter, SameGroup: l.plan.SameGroup[b.ID]})
 		}
 	}
 	return all
 }
 
-func (l *modelLinks) Hears(now time.Time) bool {
+func (l *modelLinks) HasLiveEntry(now time.Time) bool {
 	return slices.ContainsFunc(l.sorted, func(k *modelLink) bool { return k.last.ID != "" && now.Sub(k.heardOf) <= modelSilentAfter })
 }
 
-func (l *modelLinks) Ahead(now time.Time, isAhead func(wire.Beat) bool) (addr netip.Addr, near, ok bool) {
+func (l *modelLinks) FindEntry(now time.Time, isAhead func(wire.Heartbeat) bool) (addr netip.Addr, near, ok bool) {
 	var all []*modelLink
 	for _, k := range l.sorted {
 		if k.last.ID != "" && now.Sub(k.heardOf) <= modelSilentAfter && isAhead(k.last) {
@@ -205,8 +205,8 @@
 }
 
 func (l *modelLinks) Group() string                                      { return l.plan.Group }
-func (l *modelLinks) LiveIn(time.Time, fleet.Region) []netip.Addr        { return nil }
+func (l *modelLinks) LiveEntries(time.Time, fleet.Region) []netip.Addr   { return nil }
 func (l *modelLinks) PeerAddr(addr netip.Addr) netip.AddrPort            { return netip.AddrPortFrom(addr, 1) }
 func (l *modelLinks) Serve(context.Context, keys.Identity, *peer.Stream) {}
 func (l *modelLinks) SetSeeds(time.Time, []netip.Addr)                   {}
-func (l *modelLinks) Woke(time.Time)                                     {}
+func (l *modelLinks) ResetAfterPause(time.Time)                          {}
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -148,7 +148,7 @@
 	return e.alive && now.Sub(from) >= modelContact
 }
 
-func (e *modelEntry) countBeat(b wire.Beat) {
+func (e *modelEntry) countBeat(b wire.Heartbeat) {
 	if b.Servers != nil {
 		e.bytes += sizeOf(b.Servers)
 	}
@@ -222,11 +222,11 @@
 }
 
 // ask asks a peer for its catalog.
-func (e *modelEntry) ask(addr netip.Addr, ask wire.CatalogAsk) {
+func (e *modelEntry) ask(addr netip.Addr, ask wire.CatalogRequest) {
 	began := e.m.now
 	fail := func(now time.Time) {
 		if e.alive {
-			e.g.askEnded(now, addr, began, wire.CatalogAnswer{}, 0, failure.Timeout.New("no progress"))
+			e.g.askEnded(now, addr, began, wire.CatalogResponse{}, 0, failure.Timeout.New("no progress"))
 		}
 	}
 	if e.isHidden(began) {
--- a/daemon/gateway/peercatalog.go
+++ b/daemon/gateway/peercatalog.go
@@ -45,7 +45,7 @@
 	if g.requestingCatalog || now.Before(g.nextCatalogRequest) {
 		return
 	}
-	addr, near, ok := g.mesh.Ahead(now, func(b wire.Beat) bool {
+	addr, near, ok := g.mesh.FindEntry(now, func(b wire.Heartbeat) bool {
 		return b.ConfigRevision > g.snapshot.ConfigRevision || b.AsOf > g.snapshot.AsOf && g.lacksServers(now)
 	})
 	if !ok {
@@ -60,7 +60,7 @@
 	}
 	g.requestingCatalog = true
 	g.nextCatalogRequest = now.Add(askEvery)
-	ask := wire.CatalogAsk{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
+	ask := wire.CatalogRequest{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
 	g.startCatalogRequest(addr, ask)
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-func (g *Gateway) askPeer(addr netip.Addr, ask wire.CatalogAsk) {
+func (g *Gateway) askPeer(addr netip.Addr, ask wire.CatalogRequest) {
 	ctx, cancel := context.WithTimeout(g.ctx, askWhole)
 	defer cancel()
 	began := time.Now()
@@ -98,7 +98,7 @@
 }
 
 // askEnded takes what a peer answered, with size bytes of a configuration.
-func (g *Gateway) askEnded(now time.Time, addr netip.Addr, began time.Time, got wire.CatalogAnswer, size int, err error) {
+func (g *Gateway) askEnded(now time.Time, addr netip.Addr, began time.Time, got wire.CatalogResponse, size int, err error) {
 	told := []zap.Field{zap.String("peer", addr.String()), zap.Duration("took", now.Sub(began)), zap.Int("bytes", size)}
 	g.requestingCatalog = false
 	if err != nil {
@@ -113,8 +113,8 @@
 
 // fetchCatalog returns what a peer has that is newer, with its configuration, and how
 // many bytes of that came.
-func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, ask wire.CatalogAsk) (wire.CatalogAnswer, int, error) {
-	var answer wire.CatalogAnswer
+func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, ask wire.CatalogRequest) (wire.CatalogResponse, int, error) {
+	var answer wire.CatalogResponse
 	s, err := g.opts.Endpoint.Open(ctx, g.mesh.PeerAddr(addr), "", peer.KindConfig)
 	if err != nil {
 		return answer, 0, err
@@ -162,10 +162,10 @@
 	return all, nil
 }
 
-// serveCatalog answers a peer's CatalogAsk.
+// serveCatalog answers a peer's CatalogRequest.
 func (g *Gateway) serveCatalog(ctx context.Context, s *peer.Stream) {
 	s.SetStall(askStall)
-	var ask wire.CatalogAsk
+	var ask wire.CatalogRequest
 	if err := s.Recv(&ask); err != nil {
 		s.Abort()
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-func (g *Gateway) giveCatalog(ctx context.Context, s *peer.Stream, ask wire.CatalogAsk) error {
+func (g *Gateway) giveCatalog(ctx context.Context, s *peer.Stream, ask wire.CatalogRequest) error {
 	var held catalog.Snapshot
 	var age time.Duration
 	if err := g.opts.Loop.Do(ctx, func(now time.Time) { held, age = g.snapshot, now.Sub(g.changesReadAt) }); err != nil {
@@ -207,15 +207,15 @@
 // newerThan returns what a catalog holds that an asker lacks. The configuration
 // is apart: it is sent only to those that lack it, since it is by far the
 // largest part, and not within the message.
-func newerThan(held catalog.Snapshot, ask wire.CatalogAsk) (wire.CatalogAnswer, *routing.Config) {
+func newerThan(held catalog.Snapshot, ask wire.CatalogRequest) (wire.CatalogResponse, *routing.Config) {
 	config := held.Config
 	if held.ConfigRevision <= ask.ConfigRevision {
 		config = nil
 	}
 	if held.AsOf <= ask.AsOf && config == nil {
-		return wire.CatalogAnswer{}, nil
+		return wire.CatalogResponse{}, nil
 	}
-	answer := wire.CatalogAnswer{}
+	answer := wire.CatalogResponse{}
 	if config != nil {
 		answer.ConfigRevision = held.ConfigRevision
 	}
--- a/daemon/gateway/peercatalog_test.go
+++ b/daemon/gateway/peercatalog_test.go
@@ -15,7 +15,7 @@
 	held.ConfigRevision, held.OperatorAsOf = 18, 20
 
 	It("is the configuration only, if it knows the servers", func() {
-		answer, config := newerThan(held, wire.CatalogAsk{AsOf: 20, ConfigRevision: 12})
+		answer, config := newerThan(held, wire.CatalogRequest{AsOf: 20, ConfigRevision: 12})
 		Expect(config).To(Equal(held.Config))
 		Expect(answer.ConfigRevision).To(Equal(catalog.Revision(18)))
 		Expect(answer.Snapshot.Servers).To(BeEmpty())
@@ -24,14 +24,14 @@
 	})
 
 	It("is the servers only, if it has the configuration", func() {
-		answer, config := newerThan(held, wire.CatalogAsk{AsOf: 12, ConfigRevision: 18})
+		answer, config := newerThan(held, wire.CatalogRequest{AsOf: 12, ConfigRevision: 18})
 		Expect(config).To(BeNil())
 		Expect(answer.Snapshot.Servers).To(HaveLen(1))
 		Expect(answer.Snapshot.ConfigRevision).To(BeZero())
 	})
 
 	It("is nothing, if it has both", func() {
-		answer, config := newerThan(held, wire.CatalogAsk{AsOf: 20, ConfigRevision: 18})
+		answer, config := newerThan(held, wire.CatalogRequest{AsOf: 20, ConfigRevision: 18})
 		Expect(config).To(BeNil())
 		Expect(answer.Snapshot).To(BeNil())
 	})
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -37,13 +37,13 @@
 }
 
 // compose returns what another process is told.
-func (g *Gateway) compose(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
-	b := wire.Beat{ID: g.opts.Self, Role: fleet.RoleEntry, Incarnation: g.opts.Incarnation, Brief: form == mesh.Brief}
-	if to.Near {
+func (g *Gateway) compose(now time.Time, to mesh.Peer, form mesh.Form) wire.Heartbeat {
+	b := wire.Heartbeat{ID: g.opts.Self, Role: fleet.RoleEntry, Incarnation: g.opts.Incarnation, Brief: form == mesh.Brief}
+	if to.SameGroup {
 		if form == mesh.First {
 			delete(g.sentLoads, to.ID)
 		}
-		b.AllLoads = g.sentLoads[to.ID] == 0
+		b.LoadsComplete = g.sentLoads[to.ID] == 0
 		b.Loads, g.sentLoads[to.ID] = g.scheduler.LoadsSince(g.sentLoads[to.ID])
 	} else {
 		delete(g.sentLoads, to.ID)
@@ -59,21 +59,21 @@
 	b.Leaving = g.leaving
 	b.AsOf = g.snapshot.AsOf
 	b.OperatorAsOf = g.snapshot.OperatorAsOf
-	b.Reaches = g.contact.reaches(now)
-	b.TurnedAway = g.isTurnedAway(now)
+	b.ReachesPlatform = g.contact.reaches(now)
+	b.PlatformUnresponsive = g.isTurnedAway(now)
 	b.Wanted = g.wantedNow(now)
 	if form == mesh.First {
 		g.manifests.lost(to.ID)
 	}
 	if to.Role == fleet.RoleAgent {
-		b.Entries = g.mesh.LiveIn(now, to.Region)
+		b.Entries = g.mesh.LiveEntries(now, to.Region)
 		g.composeForAgent(&b, to.ID, form == mesh.First)
 		return b
 	}
 	b.Manifest = g.manifests.forEntry(to)
 	b.Crashes = g.crashReportsFor(now, to, form)
 	b.Limits = g.limitReportsFor(now, to, form)
-	if to.Near {
+	if to.SameGroup {
 		b.Replicas = g.directReplicas(now)
 	}
 	return b
@@ -84,7 +84,7 @@
 	var all []wire.Replica
 	for _, r := range g.replicas {
 		if r.direct && now.Sub(r.reportedAt) < replicaLife {
-			all = append(all, r.Aged(now.Sub(r.reportedAt)))
+			all = append(all, r.WithAge(now.Sub(r.reportedAt)))
 		}
 	}
 	return all
@@ -108,12 +108,12 @@
 
 // composeForAgent adds where the agent's weights come from and who else wants
 // them. The list of members is sent when it has changed.
-func (g *Gateway) composeForAgent(b *wire.Beat, to fleet.InstanceID, first bool) {
+func (g *Gateway) composeForAgent(b *wire.Heartbeat, to fleet.InstanceID, first bool) {
 	addr, err := netip.ParseAddr(string(to))
 	if err != nil {
 		return // no process of ours has such an id
 	}
-	plan, ok := supply.For(g.snapshot, g.opts.Regions, addr)
+	plan, ok := supply.NewPlan(g.snapshot, g.opts.Regions, addr)
 	if !ok {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // heard takes what another process tells.
-func (g *Gateway) heard(now time.Time, from mesh.Peer, b wire.Beat) {
+func (g *Gateway) heard(now time.Time, from mesh.Peer, b wire.Heartbeat) {
 	if b.Role == fleet.RoleEntry {
 		g.heardLoads(now, from, b)
 		g.heardReader(now, b)
@@ -134,7 +134,7 @@
 		if b.Brief {
 			return
 		}
-		if b.Reaches {
+		if b.ReachesPlatform {
 			g.contact.othersReach(now)
 		}
 		g.heardGroups(now, b.Digests)
@@ -145,7 +145,7 @@
 		g.receiveLimits(now, from, b.Limits)
 	}
 	if b.Manifest != nil {
-		g.heardManifest(*b.Manifest, from.Near)
+		g.heardManifest(*b.Manifest, from.SameGroup)
 	}
 	for _, r := range b.Replicas {
 		g.heardReplica(now, r, b.Role == fleet.RoleAgent)
@@ -157,11 +157,11 @@
 // Entries that start together are all near each other until they know of more
 // than a small fleet. One that is in another group afterwards tells its loads no
 // more: those that it told last would stay, and engines with room pass for full.
-func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Beat) {
-	if !from.Near || b.AllLoads {
+func (g *Gateway) heardLoads(now time.Time, from mesh.Peer, b wire.Heartbeat) {
+	if !from.SameGroup || b.LoadsComplete {
 		g.scheduler.RemoveEntry(b.ID)
 	}
-	if from.Near {
+	if from.SameGroup {
 		g.scheduler.UpdateEntryLoads(now, b.ID, b.Loads)
 	}
 }
@@ -179,7 +179,7 @@
 // If that holds no configuration that is missing here, it is known here too. The
 // first word of one that is missing is logged: from it to config_in_force is
 // what fetching it takes.
-func (g *Gateway) heardRevision(b wire.Beat) {
+func (g *Gateway) heardRevision(b wire.Heartbeat) {
 	if b.ConfigRevision <= g.snapshot.ConfigRevision {
 		g.snapshot.OperatorAsOf = max(g.snapshot.OperatorAsOf, b.OperatorAsOf)
 	}
@@ -196,7 +196,7 @@
 // A peer that has just started takes what it finds for old. If it is the first
 // to tell, this process knows better: its own catalog did not have the version.
 func (g *Gateway) heardWanted(now time.Time, w wire.WantedVersion) {
-	named := w.Named(now)
+	named := w.NamedVersion(now)
 	if g.tableRevision != 0 {
 		named = g.names[w.Model].Reconcile(named, g.heardNow(now, w.Version))
 	}
@@ -221,20 +221,20 @@
 
 func (g *Gateway) heardReplica(now time.Time, r wire.Replica, direct bool) {
 	known, ok := g.replicas[r.Addr]
-	if ok && !r.Newer(known.Replica, now.Sub(known.reportedAt)) && !r.SameWord(known.Replica) {
+	if ok && !r.IsNewer(known.Replica, now.Sub(known.reportedAt)) && !r.IsSameReport(known.Replica) {
 		return
 	}
-	g.replicas[r.Addr] = replica{Replica: r, reportedAt: now, direct: direct || known.direct && r.SameWord(known.Replica)}
+	g.replicas[r.Addr] = replica{Replica: r, reportedAt: now, direct: direct || known.direct && r.IsSameReport(known.Replica)}
 	if r.ReadyInMS > 0 {
 		g.readyAt[r.Addr] = now.Add(time.Duration(r.ReadyInMS) * time.Millisecond)
 	} else {
 		delete(g.readyAt, r.Addr)
 	}
-	if !ok || !r.SameEngine(known.Replica) {
+	if !ok || !r.HasSameEngineState(known.Replica) {
 		g.changed = true
 		g.groupFlushDue = g.groupFlushDue || direct
 		g.opts.Logger.Info("replica", zap.String("addr", r.Addr.String()), zap.Uint64("loaded", r.Loaded),
-			zap.Bool("changing", r.Changing), zap.Bool("down", r.Down), zap.Int("pace_percent", r.Pace), zap.Bool("direct", direct))
+			zap.Bool("changing", r.Reloading), zap.Bool("down", r.Unreachable), zap.Int("pace_percent", r.SlowdownPercent), zap.Bool("direct", direct))
 	}
 }
 
@@ -262,7 +262,7 @@
 	g.publishServers(now, 1+len(entries))
 	g.publishLimits(now, entries)
 	g.opts.Metrics.Gauge("calls_in_flight").Update(float64(g.inFlight.Load()))
-	if slices.ContainsFunc(entries, func(e mesh.Entry) bool { return e.Reaches && !e.Silent }) {
+	if slices.ContainsFunc(entries, func(e mesh.Entry) bool { return e.ReachesPlatform && !e.Silent }) {
 		g.contact.othersReach(now)
 	}
 	rank := g.rank(now, entries)
@@ -278,7 +278,7 @@
 		isNew:           g.isNew(now),
 		stale:           g.stale,
 		nextEngineReady: g.soonest(now),
-		isCurrent:       g.contact.recent(now) || g.mesh.Hears(now),
+		isCurrent:       g.contact.recent(now) || g.mesh.HasLiveEntry(now),
 	}
 	g.followAnew(g.view.Swap(v), v)
 	slack := g.slack()
@@ -392,9 +392,9 @@
 	default:
 		out.Born = max(r.Born, s.Born)
 		out.LoadedVersion = placement.ModelVersion(r.Loaded)
-		out.Reloading = r.Changing
-		out.Unreachable = r.Down
-		out.Slowdown = float64(r.Pace) / 100
+		out.Reloading = r.Reloading
+		out.Unreachable = r.Unreachable
+		out.Slowdown = float64(r.SlowdownPercent) / 100
 	}
 	return out
 }
--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -56,8 +56,8 @@
 func rankIn(entries []mesh.Entry, self fleet.InstanceID, region fleet.Region, isTurnedAway bool) int {
 	rank := 0
 	for _, e := range entries {
-		counts := e.Near && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
-		before := !e.TurnedAway && isTurnedAway || e.TurnedAway == isTurnedAway && e.ID < self
+		counts := e.SameGroup && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
+		before := !e.PlatformUnresponsive && isTurnedAway || e.PlatformUnresponsive == isTurnedAway && e.ID < self
 		if counts && before {
 			rank++
 		}
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -42,7 +42,7 @@
 		Expect(lineOf("servers_adopted")).To(And(HaveKeyWithValue("source", "store"), HaveKeyWithValue("revision", int64(5)),
 			HaveKeyWithValue("reading_age", 300*time.Millisecond)))
 		b := beat("10.0.0.2")
-		b.Servers = &wire.ServerNews{After: 5, AsOf: 8, Changes: []catalog.Change{{Revision: 8, Server: &leaving}}, AgeMS: 20}
+		b.Servers = &wire.ServerChanges{After: 5, AsOf: 8, Changes: []catalog.Change{{Revision: 8, Server: &leaving}}, AgeMS: 20}
 		g.heard(at(time.Second), nearEntry, b)
 		Expect(lineOf("servers_adopted")).To(And(HaveKeyWithValue("source", "reader"), HaveKeyWithValue("from", "10.0.0.2"),
 			HaveKeyWithValue("before", int64(5)), HaveKeyWithValue("reading_age", 20*time.Millisecond)))
@@ -51,12 +51,12 @@
 
 	It("has a line if it is dropped, or answered by a whole list", func() {
 		b := beat("10.0.0.2")
-		b.Servers = &wire.ServerNews{After: 7, AsOf: 8}
+		b.Servers = &wire.ServerChanges{After: 7, AsOf: 8}
 		g.heard(at(time.Second), nearEntry, b)
 		Expect(lineOf("servers_dropped")).To(And(HaveKeyWithValue("reason", "gap"), HaveKeyWithValue("held", int64(5))))
 		g.adoptList(at(time.Second), snapshot(4, one), reading{origin: fromPeer, from: "10.0.0.3", readAt: start})
 		Expect(lineOf("servers_dropped")).To(HaveKeyWithValue("reason", "older"))
-		g.newsFor(at(time.Second), mesh.Peer{ID: "10.0.0.4", Role: fleet.RoleEntry, Near: true, AsOf: 3})
+		g.newsFor(at(time.Second), mesh.Peer{ID: "10.0.0.4", Role: fleet.RoleEntry, SameGroup: true, AsOf: 3})
 		Expect(lineOf("whole_list_due")).To(HaveKeyWithValue("after", int64(3)))
 	})
 
--- a/daemon/gateway/reports.go
+++ b/daemon/gateway/reports.go
@@ -38,7 +38,7 @@
 func (s reportSender[R]) lost(id fleet.InstanceID) { delete(s.sent, id) }
 
 func sourceOf(p mesh.Peer) feed.Source {
-	if p.Near {
+	if p.SameGroup {
 		return feed.SameGroup
 	}
 	return feed.OtherGroup
--- a/daemon/gateway/reports_test.go
+++ b/daemon/gateway/reports_test.go
@@ -23,10 +23,10 @@
 		Expect(b.Limits).To(HaveLen(want))
 	}
 	expectReports(mesh.First, 1)
-	expectReports(mesh.Whole, 0)
+	expectReports(mesh.Complete, 0)
 	reconnect(g)
 	expectReports(form, 1)
 },
-	Entry("whose end was noticed", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Whole),
+	Entry("whose end was noticed", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Complete),
 	Entry("whose end was not", func(*Gateway) {}, mesh.First),
 )
--- a/daemon/gateway/rig_test.go
+++ b/daemon/gateway/rig_test.go
@@ -90,10 +90,10 @@
 	return ids
 }
 
-func beat(id fleet.InstanceID) wire.Beat { return wire.Beat{ID: id, Role: fleet.RoleEntry} }
+func beat(id fleet.InstanceID) wire.Heartbeat { return wire.Heartbeat{ID: id, Role: fleet.RoleEntry} }
 
 var (
-	nearEntry = mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true}
+	nearEntry = mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, SameGroup: true}
 	anAgent   = mesh.Peer{ID: "10.0.1.1", Role: fleet.RoleAgent}
 )
 
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -75,7 +75,7 @@
 	report := func(addr netip.Addr, r wire.Replica) {
 		r.Addr, r.Incarnation = addr, 1
 		now := time.Now()
-		g.heard(now, nearEntry, wire.Beat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
+		g.heard(now, nearEntry, wire.Heartbeat{ID: fleet.InstanceID(addr.String()), Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
 		g.publish(now)
 	}
 
@@ -94,7 +94,7 @@
 		s.Config.Routes[0].Timeout = timeout
 		g.adopt(time.Now(), s, "platform")
 		report(holds, wire.Replica{Seq: 1, Loaded: 1})
-		report(empty, wire.Replica{Seq: 1, Changing: true})
+		report(empty, wire.Replica{Seq: 1, Reloading: true})
 	})
 
 	// occupy fills the engine that has weights loaded.
@@ -127,7 +127,7 @@
 	// second later and is answered late; held for the next engine, it is on time.
 	It("waits for an expected engine while it can still be on time", func() {
 		occupy()
-		report(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 300})
+		report(empty, wire.Replica{Seq: 2, Reloading: true, ReadyInMS: 300})
 		serve()
 		Eventually(heldCalls).Should(Equal(1))
 		report(empty, wire.Replica{Seq: 3, Loaded: 1})
@@ -138,7 +138,7 @@
 	// first. Callers that waited for one of them would be refused late.
 	It("is refused immediately if the next engine is ready too late", func() {
 		occupy()
-		report(empty, wire.Replica{Seq: 2, Changing: true, ReadyInMS: 2500})
+		report(empty, wire.Replica{Seq: 2, Reloading: true, ReadyInMS: 2500})
 		serve()
 		Eventually(caller).Should(Receive(HaveField("Reason", "full")))
 		Expect(heldCalls()).To(BeZero())
--- a/daemon/gateway/serverfeed.go
+++ b/daemon/gateway/serverfeed.go
@@ -53,9 +53,9 @@
 
 // tellRegion adds what the other entries of the region must hear of the platform
 // from this one, if it reads it.
-func (g *Gateway) tellRegion(now time.Time, b *wire.Beat, to mesh.Peer, form mesh.Form) {
+func (g *Gateway) tellRegion(now time.Time, b *wire.Heartbeat, to mesh.Peer, form mesh.Form) {
 	v := g.view.Load()
-	if v == nil || !v.readsPlatform || !to.Near || to.Region != g.opts.Place.Region {
+	if v == nil || !v.readsPlatform || !to.SameGroup || to.Region != g.opts.Place.Region {
 		return
 	}
 	if form == mesh.First {
@@ -72,14 +72,14 @@
 // newsFor returns what happened to servers since an entry was last told, nil for
 // nothing. If that is not known any more, the news leads from its own end to its end, so
 // that only an entry which knows all of it can take it. Any other asks for the whole list.
-func (g *Gateway) newsFor(now time.Time, to mesh.Peer) *wire.ServerNews {
+func (g *Gateway) newsFor(now time.Time, to mesh.Peer) *wire.ServerChanges {
 	after := max(g.sentServers[to.ID], to.AsOf)
 	if after == 0 || after >= g.feed.asOf {
 		return nil
 	}
 	changes, ok := g.feed.since(after)
 	g.sentServers[to.ID] = g.feed.asOf
-	news := &wire.ServerNews{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.changesReadAt).Milliseconds()}
+	news := &wire.ServerChanges{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.changesReadAt).Milliseconds()}
 	if !ok {
 		news.After = news.AsOf
 		g.readings.wholeListDue(to.ID, after, news.After)
@@ -88,7 +88,7 @@
 }
 
 // heardReader takes what an entry tells that reads the platform for the region.
-func (g *Gateway) heardReader(now time.Time, b wire.Beat) {
+func (g *Gateway) heardReader(now time.Time, b wire.Heartbeat) {
 	if b.Platform != nil {
 		g.readerSeenAt = now
 		if v := g.view.Load(); v != nil && !v.readsPlatform {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (g *Gateway) heardChanges(now time.Time, from fleet.InstanceID, n wire.ServerNews) {
+func (g *Gateway) heardChanges(now time.Time, from fleet.InstanceID, n wire.ServerChanges) {
 	r := reading{origin: fromReader, from: string(from), readAt: readBefore(now, n.AgeMS)}
 	if n.After > g.snapshot.AsOf {
 		g.gapUntil = max(g.gapUntil, n.AsOf)
@@ -118,7 +118,7 @@
 
 // compareReader compares what is known here with what a reader knows. Whoever knows as
 // much is up to date as of the reader's last reading.
-func (g *Gateway) compareReader(now time.Time, b wire.Beat) {
+func (g *Gateway) compareReader(now time.Time, b wire.Heartbeat) {
 	if b.AsOf <= g.snapshot.AsOf {
 		g.changesReadAt = later(g.changesReadAt, readBefore(now, b.Platform.ReadAgoMS))
 	}
--- a/daemon/gateway/starting.go
+++ b/daemon/gateway/starting.go
@@ -82,7 +82,7 @@
 // whether or not they accept requests yet, and the number of the others.
 func startingRank(entries []mesh.Entry, self fleet.InstanceID, region fleet.Region) (rank, others int) {
 	for _, e := range entries {
-		if !e.Near || e.Place.Region != region || e.Leaving || e.Silent || e.TurnedAway {
+		if !e.SameGroup || e.Place.Region != region || e.Leaving || e.Silent || e.PlatformUnresponsive {
 			continue
 		}
 		others++
--- a/daemon/gateway/watch_test.go
+++ b/daemon/gateway/watch_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("The entries that read the platform for their region", func() {
 	entry := func(id fleet.InstanceID, region fleet.Region) mesh.Entry {
-		return mesh.Entry{ID: id, Place: fleet.Place{Region: region}, Ready: true, Near: true}
+		return mesh.Entry{ID: id, Place: fleet.Place{Region: region}, Ready: true, SameGroup: true}
 	}
 	others := []mesh.Entry{entry("a", "lagos"), entry("b", "kano"), entry("c", "lagos"), entry("e", "lagos"), entry("f", "lagos")}
 
@@ -40,7 +40,7 @@
 	// nothing to the others.
 	It("are so in each group of a region", func() {
 		some := append([]mesh.Entry(nil), others...)
-		some[0].Near, some[2].Near = false, false
+		some[0].SameGroup, some[2].SameGroup = false, false
 		Expect(rankIn(some, "d", "lagos", false)).To(Equal(0))
 	})
 
@@ -48,10 +48,10 @@
 	// read for them; while it answers none, the order is that of the ids.
 	It("are those first that the platform answers", func() {
 		some := append([]mesh.Entry(nil), others...)
-		some[0].TurnedAway, some[2].TurnedAway = true, true
+		some[0].PlatformUnresponsive, some[2].PlatformUnresponsive = true, true
 		Expect(rankIn(some, "d", "lagos", false)).To(Equal(0))
 		Expect(rankIn(some, "d", "lagos", true)).To(Equal(4))
-		some[3].TurnedAway, some[4].TurnedAway = true, true
+		some[3].PlatformUnresponsive, some[4].PlatformUnresponsive = true, true
 		Expect(rankIn(some, "d", "lagos", true)).To(Equal(2))
 	})
 
@@ -84,7 +84,7 @@
 
 	It("leaves the listing to others that start in its region, for a while", func() {
 		entry := func(id fleet.InstanceID) mesh.Entry {
-			return mesh.Entry{ID: id, Place: g.opts.Place, Near: true}
+			return mesh.Entry{ID: id, Place: g.opts.Place, SameGroup: true}
 		}
 		rankAmong := func(region fleet.Region, others ...mesh.Entry) int {
 			rank, _ := startingRank(others, "10.0.0.1", region)
@@ -93,7 +93,7 @@
 		first, second := entry("10.0.0.0"), entry("10.0.0.00")
 		Expect(rankAmong("lagos", first, second, entry("10.0.0.2"))).To(Equal(2))
 		Expect(rankAmong("kano", first, second)).To(BeZero(), "they read for another region")
-		first.TurnedAway = true
+		first.PlatformUnresponsive = true
 		Expect(rankAmong("lagos", first, second)).To(Equal(1), "the platform does not answer one of them")
 		Expect(g.reads(started.Add(lowerRankDelay), 5)).To(BeTrue())
 	})
@@ -131,7 +131,7 @@
 	var backend *rejectingBackend
 
 	// told is what one that reads it tells.
-	told := func(when time.Time, c wire.PlatformState, news wire.ServerNews) {
+	told := func(when time.Time, c wire.PlatformState, news wire.ServerChanges) {
 		b := beat("10.0.0.2")
 		b.Platform, b.Servers = &c, &news
 		g.heard(when, nearEntry, b)
@@ -146,16 +146,16 @@
 	})
 
 	It("follows the servers by what it is told", func() {
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		told(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
+		told(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	// What it was told before was lost with a link. It asks for the whole list
 	// then: with a part left out, it would go on using a server that has gone.
 	It("takes no changes that leave a part out", func() {
-		told(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9, Changes: removeTwo})
+		told(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 8, AsOf: 9, Changes: removeTwo})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(5)))
 	})
 
@@ -164,7 +164,7 @@
 	// changes of their reader do not follow on what they know.
 	It("lacks servers once it is told of changes that do not follow on what it knows", func() {
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeFalse())
-		told(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9})
+		told(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerChanges{After: 8, AsOf: 9})
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeTrue())
 		g.adopt(at(200*time.Millisecond), snapshot(9, one), "peer")
 		Expect(g.lacksServers(at(200 * time.Millisecond))).To(BeFalse())
@@ -177,7 +177,7 @@
 		reader.adopt(start, snapshot(7, one, two), "platform")
 		reader.apply(start, removeTwo, 9)
 		b := beat("10.0.0.2")
-		b.Servers = reader.newsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, Near: true, AsOf: 5})
+		b.Servers = reader.newsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, SameGroup: true, AsOf: 5})
 		g.adopt(start, snapshot(8, one, two), "peer")
 		g.heard(start, nearEntry, b)
 		Expect(g.snapshot.AsOf == 8 && g.lacksServers(start) || !hasServer(g.snapshot.Servers, "i-2")).To(BeTrue())
@@ -188,8 +188,8 @@
 	It("counts a pause of the process in the age of its reading", func() {
 		g.resumeAfterPause(at(time.Second), 3*time.Second)
 		reads()
-		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Platform.ReadAgoMS).To(Equal(int64(4000)))
+		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, SameGroup: true, Region: "lagos", AsOf: 5}
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Platform.ReadAgoMS).To(Equal(int64(4000)))
 	})
 
 	// Guards against servers that are used by an old reading where no reader is left, and
@@ -208,7 +208,7 @@
 		b.AsOf = 5
 		g.heard(old, nearEntry, b)
 		Expect(g.reads(old, regionReaders)).To(BeFalse(), "it knows as much as its reader")
-		b.AsOf, b.Platform = 7, &wire.PlatformState{HeardAgoMS: readingMaxAge.Milliseconds(), ReadAgoMS: readingMaxAge.Milliseconds()}
+		b.AsOf, b.Platform = 7, &wire.PlatformState{LastResponseAgoMS: readingMaxAge.Milliseconds(), ReadAgoMS: readingMaxAge.Milliseconds()}
 		g.heard(old.Add(readingMaxAge), nearEntry, b)
 		Expect(g.reads(old.Add(readingMaxAge), regionReaders)).To(BeFalse(), "the platform answers nobody")
 	})
@@ -217,7 +217,7 @@
 	// their servers live. Left out, all servers would be gone at its return.
 	It("keeps servers that lapsed while the platform was away", func() {
 		back := wire.PlatformState{RegainedAgoMS: 20, SilentMS: 6000}
-		told(at(7*time.Second), back, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		told(at(7*time.Second), back, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(7*time.Second))).To(HaveLen(2))
 		g.endLapses(at(7*time.Second + lapseTime))
 		Expect(listed(g, backend, at(7*time.Second+lapseTime))).To(HaveLen(1))
@@ -226,23 +226,23 @@
 	// Guards against requests to a server that left, at all entries of a region of
 	// whose reader one call failed.
 	It("drops a server that leaves while a single call of its reader fails", func() {
-		failing := wire.PlatformState{HeardAgoMS: 300, Failing: true}
-		told(at(time.Second), failing, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		failing := wire.PlatformState{LastResponseAgoMS: 300, Failing: true}
+		told(at(time.Second), failing, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	It("is told of what happened after what it knows, once", func() {
 		reads()
 		g.apply(at(time.Second), removeTwo, 9)
-		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
+		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, SameGroup: true, Region: "lagos", AsOf: 5}
 		b := g.compose(at(time.Second), peer, mesh.Brief)
-		Expect(b.Servers).To(Equal(&wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo}))
+		Expect(b.Servers).To(Equal(&wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo}))
 		Expect(b.Platform).NotTo(BeNil())
 		Expect(g.compose(at(time.Second), peer, mesh.Brief).Servers).To(BeNil())
 		peer.ID, peer.Region = "10.0.0.3", "kano"
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(BeNil(), "its own region has readers")
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Servers).To(BeNil(), "its own region has readers")
 		peer.ID, peer.Region, peer.AsOf = "10.0.0.4", "lagos", 4
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(Equal(&wire.ServerNews{After: 9, AsOf: 9}), "it asks for the whole list")
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Servers).To(Equal(&wire.ServerChanges{After: 9, AsOf: 9}), "it asks for the whole list")
 	})
 })
 
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -158,18 +158,18 @@
 
 // Begin opens the answer.
 func (x *Exchange) Begin(version fleet.Version) {
-	_ = x.Stream.Send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: http.StatusOK, Version: version}})
+	_ = x.Stream.Send(wire.ResponsePart{Header: &wire.ResponseHeader{Status: http.StatusOK, Version: version}})
 }
 
 // Piece sends a part of the answer.
-func (x *Exchange) Piece(data string) { _ = x.Stream.Send(wire.AnswerPart{Piece: []byte(data)}) }
+func (x *Exchange) Piece(data string) { _ = x.Stream.Send(wire.ResponsePart{Piece: []byte(data)}) }
 
 // End ends the answer. An end without an id gets the request's.
-func (x *Exchange) End(end wire.AnswerEnd) {
+func (x *Exchange) End(end wire.ResponseEnd) {
 	if end.ID == "" {
 		end.ID = x.Request.ID
 	}
-	_ = x.Stream.Send(wire.AnswerPart{End: &end})
+	_ = x.Stream.Send(wire.ResponsePart{End: &end})
 	_ = x.Stream.CloseSend()
 }
 
@@ -178,7 +178,7 @@
 	x.Read()
 	x.Begin(fleet.Version{})
 	x.Piece(string(x.Body))
-	x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan, Status: http.StatusOK})
+	x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan, Status: http.StatusOK})
 }
 
 // Entry is an entry as an agent meets it on the wire.
@@ -209,7 +209,7 @@
 	ginkgo.GinkgoHelper()
 	s := e.Open(peer.KindReport)
 	defer s.Abort()
-	gomega.Expect(s.Send(wire.ReportAsk{})).To(gomega.Succeed())
+	gomega.Expect(s.Send(wire.ReportRequest{})).To(gomega.Succeed())
 	var report wire.Report
 	gomega.Expect(s.Recv(&report)).To(gomega.Succeed())
 	return report
@@ -233,9 +233,9 @@
 
 // Answer is all that came of an agent's answer.
 type Answer struct {
-	Begin *wire.AnswerBegin
+	Begin *wire.ResponseHeader
 	Body  string
-	End   *wire.AnswerEnd // nil: the stream ended without one
+	End   *wire.ResponseEnd // nil: the stream ended without one
 }
 
 // Ask sends a request and reads its answer.
@@ -249,13 +249,13 @@
 	defer s.Abort()
 	var answer Answer
 	for {
-		var part wire.AnswerPart
+		var part wire.ResponsePart
 		if err := s.Recv(&part); err != nil {
 			return answer
 		}
 		switch {
-		case part.Begin != nil:
-			answer.Begin = part.Begin
+		case part.Header != nil:
+			answer.Begin = part.Header
 		case part.End != nil:
 			answer.End = part.End
 			return answer
--- a/daemon/loader/catalog.go
+++ b/daemon/loader/catalog.go
@@ -76,7 +76,7 @@
 		l.opts.Logger.Warn("catalog_not_read", zap.Error(err))
 		return
 	}
-	plan, ok := supply.For(s, l.opts.Regions, l.opts.Addr)
+	plan, ok := supply.NewPlan(s, l.opts.Regions, l.opts.Addr)
 	if !ok {
 		return // the engine is not registered yet
 	}
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -79,12 +79,12 @@
 	// VersionTime is the time after the naming of a new version within which it must
 	// have replaced the previous one.
 	VersionTime time.Duration
-	// LinkBytes is the capacity of the instance's link.
-	LinkBytes int64
-	// Off is the set of mechanisms that are switched off.
-	Off     policy.Disabled
-	Logger  *zap.Logger
-	Metrics tally.Scope
+	// LinkBytesPerSecond is the capacity of the instance's link.
+	LinkBytesPerSecond int64
+	// Disabled is the set of mechanisms that are switched off.
+	Disabled policy.Disabled
+	Logger   *zap.Logger
+	Metrics  tally.Scope
 }
 
 // Loader is the state of the agent. Only the control loop uses it.
@@ -136,7 +136,7 @@
 	l := &Loader{
 		opts:       opts,
 		ctx:        ctx,
-		plan:       loading.NewPlan(opts.Self, opts.VersionTime, opts.Off),
+		plan:       loading.NewPlan(opts.Self, opts.VersionTime, opts.Disabled),
 		lastReport: wire.Replica{Addr: opts.Addr, Incarnation: opts.Incarnation, Seq: 1},
 		started:    now,
 	}
@@ -147,7 +147,7 @@
 		Endpoint:   opts.Endpoint,
 		Stage:      l.stage,
 		Origin:     l.stage,
-		Up:         newUploadLimiter(opts.LinkBytes),
+		Up:         newUploadLimiter(opts.LinkBytesPerSecond),
 		Down:       rate.NewLimiter(rate.Inf, swarm.PieceBytes),
 		SendBytes:  sendStepBytes,
 		Stall:      stallTimeout,
@@ -158,19 +158,19 @@
 		OnComplete: l.handleStaged,
 	})
 	l.mesh = mesh.New(ctx, now, mesh.Options{
-		Self:     opts.Self,
-		Role:     fleet.RoleAgent,
-		Place:    opts.Place,
-		PeerPort: opts.PeerPort,
-		Seeds:    opts.Seeds,
-		Loop:     opts.Loop,
-		Endpoint: opts.Endpoint,
-		Logger:   opts.Logger,
-		Metrics:  opts.Metrics,
-		Compose:  l.composeHeartbeat,
-		HasNews:  func(fleet.InstanceID) bool { return false },
-		Heard:    l.handleHeartbeat,
-		Lost:     func(time.Time, fleet.InstanceID) {},
+		Self:        opts.Self,
+		Role:        fleet.RoleAgent,
+		Place:       opts.Place,
+		PeerPort:    opts.PeerPort,
+		Seeds:       opts.Seeds,
+		Loop:        opts.Loop,
+		Endpoint:    opts.Endpoint,
+		Logger:      opts.Logger,
+		Metrics:     opts.Metrics,
+		Compose:     l.composeHeartbeat,
+		HasChanges:  func(fleet.InstanceID) bool { return false },
+		OnHeartbeat: l.handleHeartbeat,
+		OnLost:      func(time.Time, fleet.InstanceID) {},
 	})
 	return l
 }
@@ -224,7 +224,7 @@
 	l.nextReport = now
 	l.lastHeartbeat = time.Time{}
 	l.nextCatalogRead = now
-	l.mesh.Woke(now)
+	l.mesh.ResetAfterPause(now)
 }
 
 // SetSeeds adds the seed addresses of the current settings.
@@ -233,12 +233,12 @@
 }
 
 // composeHeartbeat returns the heartbeat for an entry.
-func (l *Loader) composeHeartbeat(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
-	b := wire.Beat{
+func (l *Loader) composeHeartbeat(now time.Time, to mesh.Peer, form mesh.Form) wire.Heartbeat {
+	b := wire.Heartbeat{
 		ID: l.opts.Self, Role: fleet.RoleAgent, Incarnation: l.opts.Incarnation, Place: l.opts.Place,
 	}
 	if l.hasEngineReport || l.reportFailures >= maxReportFailures {
-		b.Replicas = []wire.Replica{l.lastReport.Aged(now.Sub(l.started))}
+		b.Replicas = []wire.Replica{l.lastReport.WithAge(now.Sub(l.started))}
 	}
 	if l.ownManifest != nil && (form == mesh.First || !l.manifestSentTo[to.ID]) {
 		b.Manifest = l.ownManifest
@@ -248,7 +248,7 @@
 }
 
 // handleHeartbeat processes the heartbeat of an entry.
-func (l *Loader) handleHeartbeat(now time.Time, _ mesh.Peer, beat wire.Beat) {
+func (l *Loader) handleHeartbeat(now time.Time, _ mesh.Peer, beat wire.Heartbeat) {
 	l.lastHeartbeat = now
 	if beat.Supply != nil {
 		l.supply = beat.Supply
@@ -264,7 +264,7 @@
 	}
 	for _, w := range beat.Wanted {
 		if w.Model == l.supply.Model {
-			l.addWanted(now, w.Named(now))
+			l.addWanted(now, w.NamedVersion(now))
 		}
 	}
 	if beat.Manifest != nil {
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -111,7 +111,7 @@
 	g.since = now
 	l.swarm.Gather(now, g.fleetVersion, spread.Settings{
 		Policy: spread.PolicyTime, OriginCopies: originCopies, OriginRate: l.supply.BytesPerSecond,
-		ReportWait: peerReportWait, TakeoverDelay: takeoverDelay, SourcePauseMax: maxOriginPause, NoStore: true, NearFirst: !l.opts.Off.NearFetch,
+		ReportWait: peerReportWait, TakeoverDelay: takeoverDelay, SourcePauseMax: maxOriginPause, NoStore: true, NearFirst: !l.opts.Disabled.NearFetch,
 	}, nil)
 }
 
--- a/daemon/loader/steps.go
+++ b/daemon/loader/steps.go
@@ -69,9 +69,9 @@
 	state := l.lastReport
 	state.Loaded = l.engine.Loaded
 	state.Born = l.engine.Born
-	state.Changing = l.plan.IsReloading(l.engine)
-	state.Down = l.reportFailures >= maxReportFailures
-	state.Pace = roundedSlowdown(l.engine.Slowdown)
+	state.Reloading = l.plan.IsReloading(l.engine)
+	state.Unreachable = l.reportFailures >= maxReportFailures
+	state.SlowdownPercent = roundedSlowdown(l.engine.Slowdown)
 	state.ReadyInMS = l.timeUntilReady(now).Milliseconds()
 	same := state
 	same.ReadyInMS = l.lastReport.ReadyInMS
@@ -119,7 +119,7 @@
 func (l *Loader) timeUntilStaged(now time.Time) time.Duration {
 	for _, g := range l.fetches {
 		if g.version == l.plan.Wanted() {
-			return l.stage.remainingTime(now, g, l.opts.LinkBytes)
+			return l.stage.remainingTime(now, g, l.opts.LinkBytesPerSecond)
 		}
 	}
 	return loading.NotExpected
--- a/daemon/mesh/contacts.go
+++ b/daemon/mesh/contacts.go
@@ -17,9 +17,9 @@
 	dialing bool
 	failed  int
 	retryAt time.Time
-	named   time.Time // when it was last heard of
-	last    wire.Beat // zero until heard over a link
-	heard   time.Time // over a link
+	named   time.Time      // when it was last heard of
+	last    wire.Heartbeat // zero until heard over a link
+	heard   time.Time      // over a link
 	// told is what a digest tells of it, toldAt as of when.
 	told   wire.EntryState
 	toldAt time.Time
@@ -68,7 +68,7 @@
 
 // learn takes the entries that a message lists as near the agent. An entry lists the
 // others of the agent's region, and is near itself if it is of that region.
-func (m *Mesh) learn(now time.Time, from *contact, b wire.Beat) {
+func (m *Mesh) learn(now time.Time, from *contact, b wire.Heartbeat) {
 	isNear := b.Place.Region == m.opts.Place.Region && !b.Leaving
 	if len(b.Entries) > 0 {
 		for _, c := range m.contacts {
@@ -91,16 +91,16 @@
 		}
 		all = append(all, Entry{
 			ID: IDOf(c.addr), Place: s.Place, CallerAddr: s.CallerAddr,
-			Ready: s.Ready, Leaving: s.Leaving, Reaches: s.Reaches, TurnedAway: s.TurnedAway,
-			Silent: s.silent, Near: m.plan.SameGroup[IDOf(c.addr)],
+			Ready: s.Ready, Leaving: s.Leaving, ReachesPlatform: s.ReachesPlatform, PlatformUnresponsive: s.PlatformUnresponsive,
+			Silent: s.silent, SameGroup: m.plan.SameGroup[IDOf(c.addr)],
 		})
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// Hears reports whether any entry is heard over a link now.
-func (m *Mesh) Hears(now time.Time) bool {
+// HasLiveEntry reports whether any entry is heard over a link now.
+func (m *Mesh) HasLiveEntry(now time.Time) bool {
 	for _, c := range m.contacts {
 		if c.last.ID != "" && now.Sub(c.heard) <= silentAfter {
 			return true
@@ -109,9 +109,9 @@
 	return false
 }
 
-// LiveIn returns the addresses of the entries of a region that are there and do
+// LiveEntries returns the addresses of the entries of a region that are there and do
 // not leave.
-func (m *Mesh) LiveIn(now time.Time, region fleet.Region) []netip.Addr {
+func (m *Mesh) LiveEntries(now time.Time, region fleet.Region) []netip.Addr {
 	var live []netip.Addr
 	for addr, c := range m.contacts {
 		s, known := m.standing(now, c)
@@ -123,9 +123,9 @@
 	return live
 }
 
-// Ahead returns a live entry whose last whole beat isAhead accepts, one of the
+// FindEntry returns a live entry whose last whole beat isAhead accepts, one of the
 // own region if there is any, and whether it is; ok is false if there is none.
-func (m *Mesh) Ahead(now time.Time, isAhead func(wire.Beat) bool) (addr netip.Addr, near, ok bool) {
+func (m *Mesh) FindEntry(now time.Time, isAhead func(wire.Heartbeat) bool) (addr netip.Addr, near, ok bool) {
 	for a, c := range m.contacts {
 		if c.last.ID == "" || now.Sub(c.heard) > silentAfter || !isAhead(c.last) {
 			continue
--- a/daemon/mesh/digests.go
+++ b/daemon/mesh/digests.go
@@ -48,10 +48,10 @@
 
 // untold returns a digest without its entries if they were told over the link.
 func (l *link) untold(d wire.Digest) wire.Digest {
-	if l.toldVersions[d.By] == d.Version {
+	if l.toldVersions[d.Reporter] == d.Version {
 		d.Entries = nil
 	}
-	l.toldVersions[d.By] = d.Version
+	l.toldVersions[d.Reporter] = d.Version
 	return d
 }
 
@@ -65,7 +65,7 @@
 	}
 	slices.SortFunc(entries, func(a, b wire.EntryState) int { return a.Addr.Compare(b.Addr) })
 	return wire.Digest{
-		By: m.addr, Group: m.plan.Group, Version: m.versionOf(entries), Entries: entries,
+		Reporter: m.addr, Group: m.plan.Group, Version: m.versionOf(entries), Entries: entries,
 		Loads: m.opts.GroupLoads(now),
 	}
 }
@@ -82,13 +82,13 @@
 // heardDigests takes the digests of a beat.
 func (m *Mesh) heardDigests(now time.Time, l *link, digests []wire.Digest) {
 	for _, d := range digests {
-		before := l.digests[d.By]
+		before := l.digests[d.Reporter]
 		if d.Entries == nil && before.Version == d.Version {
 			d.Entries = before.Entries
 		}
 		at := now.Add(-time.Duration(d.AgeMS) * time.Millisecond)
-		l.digests[d.By] = heardDigest{d, at}
-		if d.By == l.addr && d.Version != before.Version && !m.isNear(l) {
+		l.digests[d.Reporter] = heardDigest{d, at}
+		if d.Reporter == l.addr && d.Version != before.Version && !m.isNear(l) {
 			m.newsNear = true
 		}
 		for _, e := range d.Entries {
@@ -113,7 +113,7 @@
 
 // noteChange has the links planned anew with an entry that is new, and the
 // entries of other groups hear at once of one that came, leaves or is ready.
-func (m *Mesh) noteChange(before wire.Beat, b wire.Beat, addr netip.Addr) {
+func (m *Mesh) noteChange(before wire.Heartbeat, b wire.Heartbeat, addr netip.Addr) {
 	if before.ID == "" {
 		m.planAt = time.Time{} // at the next tick
 	}
--- a/daemon/mesh/beats.go
+++ b/daemon/mesh/heartbeats.go
@@ -8,7 +8,7 @@
 
 // peer returns whom a link leads to.
 func (m *Mesh) peer(l *link) Peer {
-	return Peer{ID: l.id, Role: l.role, Near: m.isNear(l), Region: l.place.Region, AsOf: l.asOf}
+	return Peer{ID: l.id, Role: l.role, SameGroup: m.isNear(l), Region: l.place.Region, AsOf: l.asOf}
 }
 
 // isNear reports whether a link leads to an entry of the own group.
@@ -20,9 +20,9 @@
 func (m *Mesh) beat(now time.Time, l *link) {
 	switch {
 	case now.Sub(l.beaten) >= m.wholePause(l):
-		m.send(now, l, Whole)
+		m.send(now, l, Complete)
 	case !m.isNear(l):
-	case now.Sub(l.briefed) >= liveEvery, now.Sub(l.briefed) >= m.briefPause(l) && m.opts.HasNews(l.id):
+	case now.Sub(l.briefed) >= liveEvery, now.Sub(l.briefed) >= m.briefPause(l) && m.opts.HasChanges(l.id):
 		m.send(now, l, Brief)
 	}
 }
@@ -39,7 +39,7 @@
 // not.
 func (m *Mesh) briefPause(l *link) time.Duration {
 	pause := min(briefMax, max(briefMin, time.Duration(len(m.plan.SameGroup))*briefEvery))
-	if m.opts.FarLess && l.place.Region != m.opts.Place.Region {
+	if m.opts.ThrottleOtherRegions && l.place.Region != m.opts.Place.Region {
 		pause = min(briefMax, farTimes*pause)
 	}
 	return pause
@@ -49,15 +49,15 @@
 // must hear of.
 func (m *Mesh) Flush(now time.Time) {
 	for _, l := range m.links {
-		m.send(now, l, Whole)
+		m.send(now, l, Complete)
 	}
 }
 
-// FlushNear is Flush for the entries of the own group.
-func (m *Mesh) FlushNear(now time.Time) {
+// FlushGroup is Flush for the entries of the own group.
+func (m *Mesh) FlushGroup(now time.Time) {
 	for _, l := range m.links {
 		if m.isNear(l) {
-			m.send(now, l, Whole)
+			m.send(now, l, Complete)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	for _, l := range m.links {
 		near := m.isNear(l)
 		if l.role == fleet.RoleEntry && (near && m.newsNear || !near && m.newsFar) {
-			m.send(now, l, Whole)
+			m.send(now, l, Complete)
 		}
 	}
 	m.newsFar, m.newsNear = false, false
--- a/daemon/mesh/link.go
+++ b/daemon/mesh/link.go
@@ -19,7 +19,7 @@
 	role   fleet.Role
 	dialer fleet.InstanceID
 	stream *peer.Stream
-	out    chan wire.Beat
+	out    chan wire.Heartbeat
 	once   sync.Once
 	closed chan struct{}
 	heard  time.Time
@@ -41,7 +41,7 @@
 	return &link{
 		id: id, role: role, dialer: dialer, stream: s, addr: addrOf(id),
 		digests: make(map[netip.Addr]heardDigest), toldVersions: make(map[netip.Addr]uint64),
-		out: make(chan wire.Beat, sendQueue), closed: make(chan struct{}),
+		out: make(chan wire.Heartbeat, sendQueue), closed: make(chan struct{}),
 	}
 }
 
@@ -98,7 +98,7 @@
 	m.newsFar = m.newsFar || l.role == fleet.RoleEntry
 	m.opts.Logger.Info("link_down", zap.String("peer", string(l.id)), zap.String("role", string(l.role)),
 		zap.String("reason", reason), zap.Duration("heard_ago", now.Sub(l.heard)))
-	m.opts.Lost(now, l.id)
+	m.opts.OnLost(now, l.id)
 }
 
 // dropDead gives up links that bring nothing, so that they are dialled anew.
@@ -124,7 +124,7 @@
 
 func (m *Mesh) read(l *link) {
 	for {
-		var b wire.Beat
+		var b wire.Heartbeat
 		if err := l.stream.Recv(&b); err != nil {
 			m.post(func(now time.Time) { m.down(now, l, "closed") })
 			return
@@ -148,7 +148,7 @@
 	}
 }
 
-func (m *Mesh) heard(now time.Time, l *link, b wire.Beat) {
+func (m *Mesh) heard(now time.Time, l *link, b wire.Heartbeat) {
 	if m.links[l.id] != l || b.ID != l.id {
 		return
 	}
@@ -159,11 +159,11 @@
 	if !b.Brief && !m.heardWhole(now, l, b) {
 		return
 	}
-	m.opts.Heard(now, m.peer(l), b)
+	m.opts.OnHeartbeat(now, m.peer(l), b)
 }
 
 // heardWhole takes a whole beat and reports whether it is one.
-func (m *Mesh) heardWhole(now time.Time, l *link, b wire.Beat) bool {
+func (m *Mesh) heardWhole(now time.Time, l *link, b wire.Heartbeat) bool {
 	if !l.addr.IsValid() {
 		m.opts.Logger.Warn("beat_refused", zap.String("peer", string(l.id)), zap.String("reason", "its id is no address"))
 		return false
@@ -172,7 +172,7 @@
 	l.place, l.asOf = b.Place, b.AsOf
 	if b.Role != fleet.RoleEntry {
 		if isFirst {
-			m.send(now, l, Whole) // what it is told depends on its region
+			m.send(now, l, Complete) // what it is told depends on its region
 		}
 		return true
 	}
@@ -189,7 +189,7 @@
 }
 
 // stillThere notes a brief beat of an entry.
-func (m *Mesh) stillThere(now time.Time, b wire.Beat) {
+func (m *Mesh) stillThere(now time.Time, b wire.Heartbeat) {
 	if c := m.contacts[addrOf(b.ID)]; c != nil && c.last.ID != "" {
 		c.heard = now
 		c.named = now
--- a/daemon/mesh/mesh.go
+++ b/daemon/mesh/mesh.go
@@ -101,27 +101,27 @@
 	Metrics  tally.Scope
 	// Compose returns the beat for a peer, which is then sent. It runs on the
 	// control loop.
-	Compose func(now time.Time, to Peer, form Form) wire.Beat
+	Compose func(now time.Time, to Peer, form Form) wire.Heartbeat
 	// GroupLoads returns what the entries of the own group have together. Agents
 	// need none.
 	GroupLoads func(now time.Time) []placement.RegionLoad
-	// HasNews reports whether an entry is to be sent a brief beat.
-	HasNews func(to fleet.InstanceID) bool
-	// Heard takes a beat. It runs on the control loop.
-	Heard func(now time.Time, from Peer, b wire.Beat)
-	// Lost tells that nothing is heard of a process any more. It runs on the
+	// HasChanges reports whether an entry is to be sent a brief beat.
+	HasChanges func(to fleet.InstanceID) bool
+	// OnHeartbeat takes a beat. It runs on the control loop.
+	OnHeartbeat func(now time.Time, from Peer, b wire.Heartbeat)
+	// OnLost tells that nothing is heard of a process any more. It runs on the
 	// control loop.
-	Lost func(now time.Time, id fleet.InstanceID)
-	// FarLess has entries of other regions be sent brief beats less often.
-	FarLess bool
+	OnLost func(now time.Time, id fleet.InstanceID)
+	// ThrottleOtherRegions has entries of other regions be sent brief beats less often.
+	ThrottleOtherRegions bool
 }
 
 // Peer is whom a beat is for, or from.
 type Peer struct {
 	ID   fleet.InstanceID
 	Role fleet.Role
-	// Near entries are of the own group; they tell each other everything.
-	Near bool
+	// SameGroup entries are of the own group; they tell each other everything.
+	SameGroup bool
 	// Region is that of a process that has been heard, or empty.
 	Region fleet.Region
 	// AsOf is up to which revision an entry knew the servers when it last told.
@@ -132,8 +132,8 @@
 type Form uint8
 
 const (
-	// Whole beats hold everything.
-	Whole Form = iota
+	// Complete beats hold everything.
+	Complete Form = iota
 	// First beats are whole ones on a new link.
 	First
 	// Brief beats hold changed loads, and which configuration is in force.
@@ -147,14 +147,14 @@
 	CallerAddr netip.AddrPort
 	Ready      bool
 	Leaving    bool
-	// Reaches is true while the platform answers it or one that reads for it,
-	// TurnedAway while the platform does not answer it.
-	Reaches    bool
-	TurnedAway bool
+	// ReachesPlatform is true while the platform answers it or one that reads for it,
+	// PlatformUnresponsive while the platform does not answer it.
+	ReachesPlatform      bool
+	PlatformUnresponsive bool
 	// Silent is true while nothing is heard of it.
 	Silent bool
-	// Near is true if it is of the own group.
-	Near bool
+	// SameGroup is true if it is of the own group.
+	SameGroup bool
 }
 
 // Mesh holds the links of a process. All but Serve belongs to the control
@@ -199,9 +199,9 @@
 	}
 }
 
-// Woke drops every link and takes every entry for silent, after a pause of the
+// ResetAfterPause drops every link and takes every entry for silent, after a pause of the
 // process: the others have given the links up.
-func (m *Mesh) Woke(now time.Time) {
+func (m *Mesh) ResetAfterPause(now time.Time) {
 	for _, c := range m.contacts {
 		c.heard, c.toldAt = time.Time{}, time.Time{}
 		c.retryAt = now
--- a/daemon/mesh/mesh_test.go
+++ b/daemon/mesh/mesh_test.go
@@ -30,7 +30,7 @@
 	loop     *control.Loop
 	endpoint *peer.Endpoint
 	mesh     *mesh.Mesh
-	heard    map[fleet.InstanceID]wire.Beat // belongs to the loop
+	heard    map[fleet.InstanceID]wire.Heartbeat // belongs to the loop
 	beats    map[fleet.InstanceID]int
 	lost     map[fleet.InstanceID]int
 	leaving  bool
@@ -58,7 +58,7 @@
 	addr := netip.MustParseAddr(address)
 	n := &node{
 		id: mesh.IDOf(addr), place: place, loop: control.New(control.Options{Every: 10 * time.Millisecond}),
-		heard: map[fleet.InstanceID]wire.Beat{}, beats: map[fleet.InstanceID]int{}, lost: map[fleet.InstanceID]int{},
+		heard: map[fleet.InstanceID]wire.Heartbeat{}, beats: map[fleet.InstanceID]int{}, lost: map[fleet.InstanceID]int{},
 	}
 	store, err := keys.Ephemeral(keys.Identity{ID: n.id, Role: role})
 	Expect(err).NotTo(HaveOccurred())
@@ -75,17 +75,17 @@
 	n.mesh = mesh.New(ctx, time.Now(), mesh.Options{
 		Self: n.id, Role: role, Place: place, PeerPort: port, Seeds: seedAddrs,
 		Loop: n.loop, Endpoint: n.endpoint, Logger: zap.NewNop(), Metrics: tally.NoopScope,
-		Compose: func(now time.Time, to mesh.Peer, form mesh.Form) wire.Beat {
-			b := wire.Beat{ID: n.id, Role: role, Brief: form == mesh.Brief, Ready: true, Leaving: n.leaving, Place: place}
+		Compose: func(now time.Time, to mesh.Peer, form mesh.Form) wire.Heartbeat {
+			b := wire.Heartbeat{ID: n.id, Role: role, Brief: form == mesh.Brief, Ready: true, Leaving: n.leaving, Place: place}
 			if to.Role == fleet.RoleAgent && !b.Brief {
-				b.Entries = n.mesh.LiveIn(now, to.Region)
+				b.Entries = n.mesh.LiveEntries(now, to.Region)
 			}
 			return b
 		},
-		GroupLoads: func(time.Time) []placement.RegionLoad { return nil },
-		HasNews:    func(fleet.InstanceID) bool { return false },
-		Heard:      func(_ time.Time, _ mesh.Peer, b wire.Beat) { n.heard[b.ID] = b; n.beats[b.ID]++ },
-		Lost:       func(_ time.Time, id fleet.InstanceID) { n.lost[id]++ },
+		GroupLoads:  func(time.Time) []placement.RegionLoad { return nil },
+		HasChanges:  func(fleet.InstanceID) bool { return false },
+		OnHeartbeat: func(_ time.Time, _ mesh.Peer, b wire.Heartbeat) { n.heard[b.ID] = b; n.beats[b.ID]++ },
+		OnLost:      func(_ time.Time, id fleet.InstanceID) { n.lost[id]++ },
 	})
 	n.loop.AddTicker(n.mesh)
 	ended := make(chan struct{})
@@ -198,7 +198,7 @@
 		Eventually(one.live, patience).Should(ConsistOf(two.id))
 		var after []mesh.Entry
 		Expect(one.loop.Do(context.Background(), func(now time.Time) {
-			one.mesh.Woke(now)
+			one.mesh.ResetAfterPause(now)
 			after = one.mesh.Entries(now)
 		})).To(Succeed())
 		Expect(after).To(HaveLen(1))
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -114,14 +114,14 @@
 	}
 	defer s.Abort()
 	s.SetStall(configStall)
-	var ask wire.ConfigAsk
+	var ask wire.ConfigRequest
 	if base != nil {
 		ask.Digest = base.Digest()
 	}
 	if err := s.Send(ask); err != nil {
 		return revision.Candidate{}, err
 	}
-	var head wire.ConfigHead
+	var head wire.ConfigHeader
 	if err := s.Recv(&head); err != nil {
 		return revision.Candidate{}, err
 	}
@@ -136,7 +136,7 @@
 	return revision.ReadDelta(claim, base, delta)
 }
 
-func receiveDelta(s *peer.Stream, head wire.ConfigHead) (fleettext.Delta, error) {
+func receiveDelta(s *peer.Stream, head wire.ConfigHeader) (fleettext.Delta, error) {
 	if head.Revision == 0 {
 		return fleettext.Delta{}, failure.NotFound.New("peer has no text in force")
 	}
@@ -157,12 +157,12 @@
 // ServeConfig answers a peer that is behind with the sections that changed.
 func (n *Node) ServeConfig(ctx context.Context, _ keys.Identity, s *peer.Stream) {
 	s.SetStall(configStall)
-	var ask wire.ConfigAsk
+	var ask wire.ConfigRequest
 	if err := s.Recv(&ask); err != nil {
 		s.Abort()
 		return
 	}
-	var head wire.ConfigHead
+	var head wire.ConfigHeader
 	var delta fleettext.Delta
 	err := n.opts.Loop.Do(ctx, func(time.Time) {
 		state, ready := n.keeper.Active()
@@ -170,7 +170,7 @@
 			return
 		}
 		delta = n.keeper.Delta(ask.Digest)
-		head = wire.ConfigHead{Revision: state.Revision, Digest: delta.Result, Base: delta.Base,
+		head = wire.ConfigHeader{Revision: state.Revision, Digest: delta.Result, Base: delta.Base,
 			Removed: delta.Removed, Sections: len(delta.Changed)}
 	})
 	if err != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-func sendDelta(s *peer.Stream, head wire.ConfigHead, delta fleettext.Delta) error {
+func sendDelta(s *peer.Stream, head wire.ConfigHeader, delta fleettext.Delta) error {
 	if err := s.Send(head); err != nil {
 		return err
 	}
--- a/daemon/node/text_test.go
+++ b/daemon/node/text_test.go
@@ -201,24 +201,24 @@
 	// so these ids keep the links on which their claims go.
 	ways := map[fleet.InstanceID]func(s *peer.Stream){
 		"a-other-text": func(s *peer.Stream) {
-			var ask wire.ConfigAsk
+			var ask wire.ConfigRequest
 			_ = s.Recv(&ask)
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(textWith(9)), Base: ask.Digest})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(textWith(9)), Base: ask.Digest})
 			_ = s.CloseSend()
 		},
 		"a-half-text": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(textWith(9)), Sections: 2})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(textWith(9)), Sections: 2})
 			_ = s.CloseSend()
 		},
 		"a-many-sections": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(textWith(9)), Sections: 1 << 30})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(textWith(9)), Sections: 1 << 30})
 			_ = s.CloseSend()
 		},
 		"a-no-text": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{})
 			_ = s.CloseSend()
 		},
 		"a-no-answer": func(s *peer.Stream) { <-s.Context().Done() },
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -127,7 +127,7 @@
 
 // connectWeights makes the sources of weights and the limits of the link.
 func (p *Agent) connectWeights(o *agent.Options, client *engine.Client, opts Options) error {
-	up, down := newShareLimit(nil), newShareLimit(opts.Down)
+	up, down := newShareLimit(nil), newShareLimit(opts.DownLimit)
 	o.UpLimit, o.DownLimit = up, down
 	origin, err := p.source(p.settings.Platform.OriginURL, down)
 	if err != nil {
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -64,8 +64,8 @@
 	// Socket stands for the machine's link under the peers' traffic; nil: the
 	// bound socket.
 	Socket func(*net.UDPConn) net.PacketConn
-	// Down limits weights that come in beside the link's share; nil: not.
-	Down swarm.Limiter
+	// DownLimit limits weights that come in beside the link's share; nil: not.
+	DownLimit swarm.Limiter
 	// Metrics takes the process's metrics; nil: a scope of its own.
 	Metrics tally.Scope
 }
--- a/daemon/supply/supply.go
+++ b/daemon/supply/supply.go
@@ -23,9 +23,9 @@
 	Digest uint64
 }
 
-// For returns the plan of the agent at addr; false if the catalog shows no
+// NewPlan returns the plan of the agent at addr; false if the catalog shows no
 // engine there or no origin of weights.
-func For(s catalog.Snapshot, regions map[fleet.Zone]fleet.Region, addr netip.Addr) (Plan, bool) {
+func NewPlan(s catalog.Snapshot, regions map[fleet.Zone]fleet.Region, addr netip.Addr) (Plan, bool) {
 	if s.Config == nil {
 		return Plan{}, false
 	}
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -92,10 +92,10 @@
 	}
 	defer s.Abort()
 	s.SetStall(g.swarm.opts.Stall)
-	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Index: index}); err != nil {
+	if err := s.Send(wire.ChunkRequest{Manifest: g.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
-	var head wire.ChunkHead
+	var head wire.ChunkHeader
 	if err := s.Recv(&head); err != nil {
 		return nil, err
 	}
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -26,7 +26,7 @@
 	member   spread.Member
 	dialer   fleet.InstanceID
 	stream   *peer.Stream
-	news     chan wire.ChunkNews
+	news     chan wire.ChunkUpdate
 	once     sync.Once
 	closed   chan struct{}
 	sentHave *weights.Set
@@ -39,7 +39,7 @@
 		member:   member,
 		dialer:   dialer,
 		stream:   s,
-		news:     make(chan wire.ChunkNews, newsQueue),
+		news:     make(chan wire.ChunkUpdate, newsQueue),
 		closed:   make(chan struct{}),
 		sentHave: weights.NewSet(chunks),
 		sentSeen: weights.NewSet(chunks),
@@ -90,11 +90,11 @@
 // openExchange asks for the exchange and waits for the neighbour's first news,
 // at most for the stall timeout: a connection whose other side has vanished
 // opens streams without an error.
-func (g *gather) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
+func (g *gather) openExchange(s *peer.Stream) (wire.ChunkUpdate, error) {
 	s.SetStall(g.swarm.opts.Stall)
 	defer s.SetStall(0)
-	var first wire.ChunkNews
-	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Exchange: true}); err != nil {
+	var first wire.ChunkUpdate
+	if err := s.Send(wire.ChunkRequest{Manifest: g.version.Manifest, Exchange: true}); err != nil {
 		return first, err
 	}
 	err := s.Recv(&first)
@@ -115,7 +115,7 @@
 // nothing yet. Two neighbours that chose each other may open one each at the
 // same time; both keep the one that the lesser id opened, so that neither
 // closes the one that the other keeps.
-func (g *gather) linked(now time.Time, l *link, first *wire.ChunkNews) {
+func (g *gather) linked(now time.Time, l *link, first *wire.ChunkUpdate) {
 	id := l.member.ID
 	old, ok := g.links[id]
 	if g.ctx.Err() != nil || ok && old.dialer != l.dialer && old.dialer < l.dialer {
@@ -153,7 +153,7 @@
 
 func (g *gather) readNews(l *link) {
 	for {
-		var news wire.ChunkNews
+		var news wire.ChunkUpdate
 		if err := l.stream.Recv(&news); err != nil {
 			g.swarm.post(func(now time.Time) { g.unlinked(now, l) })
 			return
@@ -184,7 +184,7 @@
 // heard takes a neighbour's news; the first tell all that it has. Indexes that
 // the manifest does not have are left out: they come from a peer that is
 // broken.
-func (g *gather) heard(now time.Time, from fleet.InstanceID, news wire.ChunkNews) {
+func (g *gather) heard(now time.Time, from fleet.InstanceID, news wire.ChunkUpdate) {
 	l := g.links[from]
 	if g.ctx.Err() != nil || l == nil {
 		return
@@ -223,7 +223,7 @@
 // tell queues what the neighbour has not been told. If its queue is full the
 // next call tells it.
 func (l *link) tell(have, seen *weights.Set) {
-	news := wire.ChunkNews{Have: missing(have, l.sentHave), Seen: missing(seen, l.sentSeen)}
+	news := wire.ChunkUpdate{Have: missing(have, l.sentHave), Seen: missing(seen, l.sentSeen)}
 	select {
 	case l.news <- news:
 		addAll(l.sentHave, news.Have)
@@ -246,7 +246,7 @@
 // acceptExchange takes a neighbour's exchange into use. A version that is not
 // gathered here, or a neighbour that is not known here yet, is refused; the
 // neighbour asks again, since this process may only be late.
-func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
+func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkRequest) {
 	var accepted bool
 	st.SetStall(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
--- a/daemon/swarm/peers_test.go
+++ b/daemon/swarm/peers_test.go
@@ -67,21 +67,21 @@
 		}),
 		Entry("a few bytes and then nothing", func(m daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(ctx context.Context, s *peer.Stream, index int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
 				_ = s.SendBytes(m.Chunks[index][:10])
 				<-ctx.Done()
 			}
 		}),
 		Entry("a part, and the end of the stream", func(m daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(_ context.Context, s *peer.Stream, index int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
 				_ = s.SendBytes(m.Chunks[index][:10])
 				_ = s.CloseSend()
 			}
 		}),
 		Entry("nothing of what they announced", func(daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(_ context.Context, s *peer.Stream, _ int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkMissing})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkMissing})
 				_ = s.CloseSend()
 			}
 		}),
@@ -133,7 +133,7 @@
 		const asks = 16 // many times the slots
 		for range asks {
 			s := asker.Open(peer.KindChunk)
-			Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
+			Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
 			Eventually(h.serving.Load).Should(BeNumerically(">", 0))
 			s.Abort()
 			Eventually(h.serving.Load).Should(BeZero())
@@ -142,8 +142,8 @@
 		h.OnLoop(func(time.Time) {})
 
 		s := asker.Open(peer.KindChunk)
-		Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
-		var head wire.ChunkHead
+		Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
+		var head wire.ChunkHeader
 		Expect(s.Recv(&head)).To(Succeed())
 		Expect(head.Status).To(Equal(wire.ChunkFollows))
 	})
@@ -161,8 +161,8 @@
 		h.expectWhole(m)
 		stage.Spoil()
 		s := daemontest.NewEntry("agent-2", h.Self).Open(peer.KindChunk)
-		Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 1})).To(Succeed())
-		var head wire.ChunkHead
+		Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 1})).To(Succeed())
+		var head wire.ChunkHeader
 		Expect(s.Recv(&head)).To(Succeed())
 		Expect(head.Status).To(Equal(wire.ChunkMissing))
 	})
--- a/daemon/swarm/rig_test.go
+++ b/daemon/swarm/rig_test.go
@@ -151,7 +151,7 @@
 }
 
 func (n *sender) serve(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-	var open wire.ChunkOpen
+	var open wire.ChunkRequest
 	if s.Recv(&open) != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 		for i := range n.model.Chunks {
 			all = append(all, i)
 		}
-		_ = s.Send(wire.ChunkNews{Have: all, Seen: all})
+		_ = s.Send(wire.ChunkUpdate{Have: all, Seen: all})
 	}
 	<-ctx.Done()
 	n.mu.Lock()
@@ -196,7 +196,7 @@
 }
 
 func sendChunk(s *peer.Stream, data []byte) {
-	_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(data)})
+	_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)})
 	for len(data) > 0 {
 		n := min(len(data), swarm.PieceBytes)
 		_ = s.SendBytes(data[:n])
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -27,7 +27,7 @@
 // goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
 	st.SetStall(s.opts.Stall)
-	var open wire.ChunkOpen
+	var open wire.ChunkRequest
 	if err := st.Recv(&open); err != nil {
 		st.Abort()
 		return
@@ -40,11 +40,11 @@
 }
 
 // giveChunk sends one chunk, or the manifest, to a peer.
-func (s *Swarm) giveChunk(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
+func (s *Swarm) giveChunk(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkRequest) {
 	defer func() { _ = st.CloseSend() }()
 	data, status := s.takeUpload(ctx, from.ID, open)
 	if status != wire.ChunkFollows {
-		_ = st.Send(wire.ChunkHead{Status: status})
+		_ = st.Send(wire.ChunkHeader{Status: status})
 		return
 	}
 	if open.Index != manifestIndex {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (s *Swarm) takeUpload(ctx context.Context, from fleet.InstanceID, open wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
+func (s *Swarm) takeUpload(ctx context.Context, from fleet.InstanceID, open wire.ChunkRequest) ([]byte, wire.ChunkStatus) {
 	deadline := time.Now().Add(waitForSlot)
 	for {
 		var answer uploadAnswer
@@ -80,7 +80,7 @@
 // giveBack undoes what an asker that has gone is granted all the same: its ask
 // may still lie in the queue of the control loop, where this comes behind it.
 // Kept, the slot would be lost for good.
-func (s *Swarm) giveBack(from fleet.InstanceID, open wire.ChunkOpen, answer *uploadAnswer) {
+func (s *Swarm) giveBack(from fleet.InstanceID, open wire.ChunkRequest, answer *uploadAnswer) {
 	s.post(func(time.Time) {
 		g, ok := s.gathers[open.Manifest]
 		switch {
@@ -123,7 +123,7 @@
 }
 
 // askUpload runs on the control loop.
-func (s *Swarm) askUpload(now time.Time, from fleet.InstanceID, open wire.ChunkOpen) uploadAnswer {
+func (s *Swarm) askUpload(now time.Time, from fleet.InstanceID, open wire.ChunkRequest) uploadAnswer {
 	g, ok := s.gathers[open.Manifest]
 	switch {
 	case !ok || g.plan == nil:
@@ -198,7 +198,7 @@
 }
 
 func (s *Swarm) sendChunk(ctx context.Context, st *peer.Stream, data []byte) error {
-	if err := st.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(data)}); err != nil {
+	if err := st.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)}); err != nil {
 		return err
 	}
 	for start := 0; start < len(data); start += s.opts.SendBytes {
--- a/daemon/wire/beat.go
+++ b/daemon/wire/heartbeat.go
@@ -12,9 +12,9 @@
 	"chivespindle.example/core/serverlimit"
 )
 
-// Beat is what a process tells those that it is linked to, several times a
+// Heartbeat is what a process tells those that it is linked to, several times a
 // second. Stream: peer.KindGossip, long-lived, both directions.
-type Beat struct {
+type Heartbeat struct {
 	ID          fleet.InstanceID `cbor:"1,keyasint"`
 	Role        fleet.Role       `cbor:"2,keyasint"`
 	Incarnation uint64           `cbor:"3,keyasint"`
@@ -30,24 +30,24 @@
 	// OperatorAsOf is up to which revision the sender knows what the operator
 	// wrote. Wanted and ConfigRevision tell of all of it.
 	OperatorAsOf catalog.Revision `cbor:"19,keyasint,omitzero"`
-	// Reaches is true while the platform answers an entry, or one that reads it
+	// ReachesPlatform is true while the platform answers an entry, or one that reads it
 	// for this one.
-	Reaches bool `cbor:"16,keyasint,omitzero"`
-	// TurnedAway entries have been answered by the platform for a while not at all
+	ReachesPlatform bool `cbor:"16,keyasint,omitzero"`
+	// PlatformUnresponsive entries have been answered by the platform for a while not at all
 	// and are the last to read it for others.
-	TurnedAway bool `cbor:"22,keyasint,omitzero"`
+	PlatformUnresponsive bool `cbor:"22,keyasint,omitzero"`
 	// Platform and Servers are told by an entry that reads the platform to those of
 	// its region.
 	Platform *PlatformState `cbor:"23,keyasint,omitempty"`
-	Servers  *ServerNews    `cbor:"24,keyasint,omitempty"`
+	Servers  *ServerChanges `cbor:"24,keyasint,omitempty"`
 	// Wanted are the model versions that the operator named.
 	Wanted []WantedVersion `cbor:"10,keyasint,omitempty"`
 	// Loads is what an entry has at each server whose load has changed since the
 	// beat before on the link. One without work has a zero load.
 	Loads []placement.Load `cbor:"11,keyasint,omitempty"`
-	// AllLoads is true if Loads are all that the sender has anywhere: what it told
+	// LoadsComplete is true if Loads are all that the sender has anywhere: what it told
 	// before is void.
-	AllLoads bool `cbor:"21,keyasint,omitzero"`
+	LoadsComplete bool `cbor:"21,keyasint,omitzero"`
 	// Brief beats have no fields but ID, Role, Incarnation, ConfigRevision, Loads
 	// and AllLoads.
 	Brief bool `cbor:"17,keyasint,omitzero"`
@@ -74,8 +74,8 @@
 
 // PlatformState is how an entry that reads the platform stands with it.
 type PlatformState struct {
-	// HeardAgoMS is how long ago the last answer came.
-	HeardAgoMS int64 `cbor:"1,keyasint"`
+	// LastResponseAgoMS is how long ago the last answer came.
+	LastResponseAgoMS int64 `cbor:"1,keyasint"`
 	// Failing is true since a call failed.
 	Failing bool `cbor:"2,keyasint,omitzero"`
 	// RegainedAgoMS is how long ago the platform answered again after it had been
@@ -87,9 +87,9 @@
 	ReadAgoMS int64 `cbor:"5,keyasint,omitzero"`
 }
 
-// ServerNews is what happened to servers after a revision, complete up to
+// ServerChanges is what happened to servers after a revision, complete up to
 // another.
-type ServerNews struct {
+type ServerChanges struct {
 	After   catalog.Revision `cbor:"1,keyasint"`
 	AsOf    catalog.Revision `cbor:"2,keyasint"`
 	Changes []catalog.Change `cbor:"3,keyasint,omitempty"`
@@ -100,9 +100,9 @@
 // Digest is what one entry tells of those that it hears, for others that hold
 // no link with them.
 type Digest struct {
-	// By is the entry that hears them, Group the one that it belongs to.
-	By    netip.Addr `cbor:"1,keyasint"`
-	Group string     `cbor:"2,keyasint"`
+	// Reporter is the entry that hears them, Group the one that it belongs to.
+	Reporter netip.Addr `cbor:"1,keyasint"`
+	Group    string     `cbor:"2,keyasint"`
 	// AgeMS is how long ago By told it.
 	AgeMS int64 `cbor:"3,keyasint,omitzero"`
 	// Version changes with Entries, which are left out if they were told over the
@@ -115,20 +115,20 @@
 
 // EntryState is what others must know of an entry.
 type EntryState struct {
-	Addr       netip.Addr     `cbor:"1,keyasint"`
-	Place      fleet.Place    `cbor:"2,keyasint"`
-	CallerAddr netip.AddrPort `cbor:"3,keyasint,omitzero"`
-	Ready      bool           `cbor:"4,keyasint,omitzero"`
-	Leaving    bool           `cbor:"5,keyasint,omitzero"`
-	Reaches    bool           `cbor:"6,keyasint,omitzero"`
-	TurnedAway bool           `cbor:"7,keyasint,omitzero"`
+	Addr                 netip.Addr     `cbor:"1,keyasint"`
+	Place                fleet.Place    `cbor:"2,keyasint"`
+	CallerAddr           netip.AddrPort `cbor:"3,keyasint,omitzero"`
+	Ready                bool           `cbor:"4,keyasint,omitzero"`
+	Leaving              bool           `cbor:"5,keyasint,omitzero"`
+	ReachesPlatform      bool           `cbor:"6,keyasint,omitzero"`
+	PlatformUnresponsive bool           `cbor:"7,keyasint,omitzero"`
 }
 
 // State returns what the beat of an entry says of it.
-func (b Beat) State(addr netip.Addr) EntryState {
+func (b Heartbeat) State(addr netip.Addr) EntryState {
 	return EntryState{
-		Addr: addr, Place: b.Place, CallerAddr: b.CallerAddr, Ready: b.Ready, Leaving: b.Leaving, Reaches: b.Reaches,
-		TurnedAway: b.TurnedAway,
+		Addr: addr, Place: b.Place, CallerAddr: b.CallerAddr, Ready: b.Ready, Leaving: b.Leaving, ReachesPlatform: b.ReachesPlatform,
+		PlatformUnresponsive: b.PlatformUnresponsive,
 	}
 }
 
@@ -151,8 +151,8 @@
 	Assumed bool `cbor:"4,keyasint,omitzero"`
 }
 
-// Named returns the version as the receiver sees it.
-func (w WantedVersion) Named(now time.Time) loading.NamedVersion {
+// NamedVersion returns the version as the receiver sees it.
+func (w WantedVersion) NamedVersion(now time.Time) loading.NamedVersion {
 	since := now.Add(-time.Duration(w.AgeMS) * time.Millisecond)
 	return loading.NamedVersion{Version: w.Version, Since: since, Assumed: w.Assumed}
 }
@@ -163,48 +163,48 @@
 	Addr        netip.Addr `cbor:"1,keyasint"`
 	Incarnation uint64     `cbor:"2,keyasint"`
 	// Seq counts the states that the agent told.
-	Seq      uint64 `cbor:"3,keyasint"`
-	Loaded   uint64 `cbor:"4,keyasint,omitzero"`
-	Changing bool   `cbor:"5,keyasint,omitzero"`
-	Down     bool   `cbor:"6,keyasint,omitzero"`
+	Seq         uint64 `cbor:"3,keyasint"`
+	Loaded      uint64 `cbor:"4,keyasint,omitzero"`
+	Reloading   bool   `cbor:"5,keyasint,omitzero"`
+	Unreachable bool   `cbor:"6,keyasint,omitzero"`
 	// ReadyInMS is when the engine is expected to answer from the wanted
 	// version; 0 if it does, or if that is not known.
 	ReadyInMS int64 `cbor:"7,keyasint,omitzero"`
-	// Pace is by how much the engine's passes last longer than published, in
+	// SlowdownPercent is by how much the engine's passes last longer than published, in
 	// percent; 0 if that is not known.
-	Pace int `cbor:"8,keyasint,omitzero"`
+	SlowdownPercent int `cbor:"8,keyasint,omitzero"`
 	// Born is the engine's and not the agent's.
 	Born fleet.StartTime `cbor:"9,keyasint,omitzero"`
 	// AgeMS is for how long the agent has run.
 	AgeMS int64 `cbor:"10,keyasint,omitzero"`
 }
 
-// Newer reports whether r was told after other, which was heard some time
+// IsNewer reports whether r was told after other, which was heard some time
 // before r.
 //
 // Of two agents the younger one replaced the other. Their incarnations are
 // times of day and would not do: after a clock was set back, an agent that
 // started again was not believed until its predecessor's word had run out.
-func (r Replica) Newer(other Replica, before time.Duration) bool {
+func (r Replica) IsNewer(other Replica, before time.Duration) bool {
 	if r.Incarnation != other.Incarnation {
 		return r.AgeMS < other.AgeMS+before.Milliseconds()
 	}
 	return r.Seq > other.Seq
 }
 
-// SameWord reports whether r and other are the same state of the same agent.
-func (r Replica) SameWord(other Replica) bool {
+// IsSameReport reports whether r and other are the same state of the same agent.
+func (r Replica) IsSameReport(other Replica) bool {
 	return r.Incarnation == other.Incarnation && r.Seq == other.Seq
 }
 
-// SameEngine reports whether r and other say the same of the engine.
-func (r Replica) SameEngine(other Replica) bool {
-	return r.Loaded == other.Loaded && r.Changing == other.Changing && r.Down == other.Down && r.Pace == other.Pace &&
+// HasSameEngineState reports whether r and other say the same of the engine.
+func (r Replica) HasSameEngineState(other Replica) bool {
+	return r.Loaded == other.Loaded && r.Reloading == other.Reloading && r.Unreachable == other.Unreachable && r.SlowdownPercent == other.SlowdownPercent &&
 		r.Born == other.Born
 }
 
-// Aged returns what was heard some time ago, as it is told on.
-func (r Replica) Aged(since time.Duration) Replica {
+// WithAge returns what was heard some time ago, as it is told on.
+func (r Replica) WithAge(since time.Duration) Replica {
 	r.AgeMS += since.Milliseconds()
 	return r
 }
@@ -226,17 +226,17 @@
 	LoadMS int64 `cbor:"5,keyasint"`
 }
 
-// CatalogAsk asks an entry for what its catalog holds that is newer. Stream:
+// CatalogRequest asks an entry for what its catalog holds that is newer. Stream:
 // peer.KindConfig, one ask and one CatalogAnswer.
-type CatalogAsk struct {
+type CatalogRequest struct {
 	// AsOf is up to which revision the asker knows the servers.
 	AsOf           catalog.Revision `cbor:"1,keyasint"`
 	ConfigRevision catalog.Revision `cbor:"2,keyasint,omitzero"`
 }
 
-// CatalogAnswer tells what is newer, nil for nothing. A snapshot as of 0 tells
+// CatalogResponse tells what is newer, nil for nothing. A snapshot as of 0 tells
 // nothing of the servers.
-type CatalogAnswer struct {
+type CatalogResponse struct {
 	// Snapshot is without a configuration.
 	Snapshot *catalog.Snapshot `cbor:"1,keyasint,omitempty"`
 	// ConfigRevision is that of the configuration that follows in raw frames,
--- a/daemon/wire/wire.go
+++ b/daemon/wire/wire.go
@@ -20,17 +20,17 @@
 	Digest   fleet.Digest      `cbor:"3,keyasint"`
 }
 
-// ConfigAsk asks a peer for the text in force. Stream: peer.KindConfig, one
+// ConfigRequest asks a peer for the text in force. Stream: peer.KindConfig, one
 // ask and one answer.
-type ConfigAsk struct {
+type ConfigRequest struct {
 	// Digest is that of the text that the asker has in force; zero for none.
 	Digest fleet.Digest `cbor:"1,keyasint"`
 }
 
-// ConfigHead opens the answer; Sections messages of fleettext.Section follow.
+// ConfigHeader opens the answer; Sections messages of fleettext.Section follow.
 // They lead from the text with the digest Base, zero for nothing, to the one
 // with Digest. Revision 0 means that the peer has no text in force.
-type ConfigHead struct {
+type ConfigHeader struct {
 	Revision revision.Revision `cbor:"1,keyasint"`
 	Digest   fleet.Digest      `cbor:"2,keyasint"`
 	Base     fleet.Digest      `cbor:"3,keyasint"`
@@ -38,18 +38,18 @@
 	Sections int               `cbor:"5,keyasint"`
 }
 
-// ChunkOpen opens a stream of peer.KindChunk. With Exchange the stream stays
+// ChunkRequest opens a stream of peer.KindChunk. With Exchange the stream stays
 // and carries ChunkNews both ways; without it the answer is one ChunkHead and
 // the chunk's bytes.
-type ChunkOpen struct {
+type ChunkRequest struct {
 	Manifest fleet.Digest `cbor:"1,keyasint"`
 	Exchange bool         `cbor:"2,keyasint"`
 	Index    int          `cbor:"3,keyasint"`
 }
 
-// ChunkNews tells a neighbour what changed since the last ChunkNews. Have and
+// ChunkUpdate tells a neighbour what changed since the last ChunkNews. Have and
 // Seen are indexes; the first message of a stream lists all.
-type ChunkNews struct {
+type ChunkUpdate struct {
 	Have []int `cbor:"1,keyasint,omitempty"`
 	Seen []int `cbor:"2,keyasint,omitempty"`
 }
@@ -66,8 +66,8 @@
 	ChunkMissing
 )
 
-// ChunkHead opens the answer to a chunk request.
-type ChunkHead struct {
+// ChunkHeader opens the answer to a chunk request.
+type ChunkHeader struct {
 	Status ChunkStatus `cbor:"1,keyasint"`
 	Bytes  int         `cbor:"2,keyasint"`
 }
@@ -89,25 +89,25 @@
 	BodyBytes int                `cbor:"11,keyasint"`
 }
 
-// AnswerPart is one part of the answer to a Request: one AnswerBegin, then
+// ResponsePart is one part of the answer to a Request: one AnswerBegin, then
 // pieces, then one AnswerEnd. A request that was not run has only the end.
-type AnswerPart struct {
-	Piece []byte       `cbor:"1,keyasint,omitempty"`
-	End   *AnswerEnd   `cbor:"2,keyasint,omitempty"`
-	Begin *AnswerBegin `cbor:"3,keyasint,omitempty"`
+type ResponsePart struct {
+	Piece  []byte          `cbor:"1,keyasint,omitempty"`
+	End    *ResponseEnd    `cbor:"2,keyasint,omitempty"`
+	Header *ResponseHeader `cbor:"3,keyasint,omitempty"`
 }
 
-// IsOneStep reports whether the part is a beginning, a piece or an end alone. Of any
+// IsSingle reports whether the part is a beginning, a piece or an end alone. Of any
 // other, one would be dropped unseen.
-func (p AnswerPart) IsOneStep() bool {
+func (p ResponsePart) IsSingle() bool {
 	if len(p.Piece) > 0 {
-		return p.Begin == nil && p.End == nil
+		return p.Header == nil && p.End == nil
 	}
-	return p.Begin == nil || p.End == nil
+	return p.Header == nil || p.End == nil
 }
 
-// AnswerBegin says what is known once the backend server answers.
-type AnswerBegin struct {
+// ResponseHeader says what is known once the backend server answers.
+type ResponseHeader struct {
 	Status  int           `cbor:"1,keyasint"`
 	Version fleet.Version `cbor:"2,keyasint"`
 }
@@ -120,8 +120,8 @@
 	OutcomeRan     = 2
 )
 
-// AnswerEnd closes an answer. For OutcomeRan it follows the last piece.
-type AnswerEnd struct {
+// ResponseEnd closes an answer. For OutcomeRan it follows the last piece.
+type ResponseEnd struct {
 	Outcome int           `cbor:"1,keyasint"`
 	ID      string        `cbor:"2,keyasint"`
 	Status  int           `cbor:"3,keyasint,omitempty"`
@@ -129,20 +129,20 @@
 	Reason  string        `cbor:"5,keyasint,omitempty"`
 	// RetryAfterMS is when the caller may come back; 0: not told.
 	RetryAfterMS int64 `cbor:"6,keyasint,omitempty"`
-	// Decided is true if Outcome is what the home of the idempotency key
+	// DecidedByHome is true if Outcome is what the home of the idempotency key
 	// knows of the key, not only of this ask.
-	Decided bool `cbor:"7,keyasint,omitempty"`
+	DecidedByHome bool `cbor:"7,keyasint,omitempty"`
 	// Duplicate is true if a request with the key was taken before and its
 	// answer is not given here.
 	Duplicate bool `cbor:"8,keyasint,omitempty"`
-	// Full is true if the request was refused for want of room in time. It
+	// QueueFull is true if the request was refused for want of room in time. It
 	// says nothing of a more important request.
-	Full bool `cbor:"9,keyasint,omitempty"`
+	QueueFull bool `cbor:"9,keyasint,omitempty"`
 }
 
-// ReportAsk opens a stream of peer.KindReport. An agent answers with Report
+// ReportRequest opens a stream of peer.KindReport. An agent answers with Report
 // messages, an entry with Demand messages.
-type ReportAsk struct{}
+type ReportRequest struct{}
 
 // Demand is what each workspace asks of an entry, in requests a second,
 // admitted or not. It is sent each second.
--- a/standin/bench/burst/fleet.go
+++ b/standin/bench/burst/fleet.go
@@ -98,7 +98,7 @@
 	s.Link.BytesPerSecond = MachineRate
 	m.link = NewLink(MachineRate)
 	m.scope = tally.NewTestScope("", nil)
-	m.process, err = process.NewAgent(s, f.logger, process.Options{Socket: m.link.Socket, Down: m.link.Down, Metrics: m.scope})
+	m.process, err = process.NewAgent(s, f.logger, process.Options{Socket: m.link.Socket, DownLimit: m.link.Down, Metrics: m.scope})
 	if err != nil {
 		return err
 	}
--- a/standin/bench/slopes/spread.go
+++ b/standin/bench/slopes/spread.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		now := slices.Sorted(slices.Values(order[told:until]))
-		size, err := encodedSize(wire.ChunkNews{Have: now, Seen: now})
+		size, err := encodedSize(wire.ChunkUpdate{Have: now, Seen: now})
 		if err != nil {
 			return 0, err
 		}
--- a/standin/bench/slopes/stub.go
+++ b/standin/bench/slopes/stub.go
@@ -229,7 +229,7 @@
 // subscribe takes the reports of the measured process, as an entry does.
 func (s *stub) subscribe(_ context.Context, st *peer.Stream) {
 	var first cbor.RawMessage
-	if st.Send(wire.ReportAsk{}) != nil || st.Recv(&first) != nil {
+	if st.Send(wire.ReportRequest{}) != nil || st.Recv(&first) != nil {
 		return
 	}
 	s.crowd.following.Add(1)
@@ -239,7 +239,7 @@
 
 // chunk exchanges news of chunks, or sends one.
 func (s *stub) chunk(ctx context.Context, st *peer.Stream) {
-	var open wire.ChunkOpen
+	var open wire.ChunkRequest
 	if st.Recv(&open) != nil {
 		return
 	}
@@ -251,7 +251,7 @@
 	if open.Index != manifestIndex {
 		data = s.crowd.model.Chunks[open.Index]
 	}
-	if st.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(data)}) == nil {
+	if st.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)}) == nil {
 		_ = st.SendBytes(data)
 		_ = st.CloseSend()
 	}
@@ -259,7 +259,7 @@
 
 // exchange opens an exchange of news, as a neighbour does.
 func (s *stub) exchange(ctx context.Context, st *peer.Stream) {
-	if st.Send(wire.ChunkOpen{Manifest: s.crowd.said.Version.Manifest, Exchange: true}) == nil {
+	if st.Send(wire.ChunkRequest{Manifest: s.crowd.said.Version.Manifest, Exchange: true}) == nil {
 		s.news(ctx, st)
 	}
 }
@@ -270,8 +270,8 @@
 	for i := range s.crowd.model.Chunks {
 		all = append(all, i)
 	}
-	if st.Send(wire.ChunkNews{Have: all, Seen: all}) == nil {
-		discard[wire.ChunkNews](st)
+	if st.Send(wire.ChunkUpdate{Have: all, Seen: all}) == nil {
+		discard[wire.ChunkUpdate](st)
 	}
 }
 
