--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -248,27 +248,27 @@
 }
 
 // handleHeartbeat processes the heartbeat of an entry.
-func (l *Loader) handleHeartbeat(now time.Time, _ mesh.Peer, beat wire.Heartbeat) {
+func (l *Loader) handleHeartbeat(now time.Time, _ mesh.Peer, b wire.Heartbeat) {
 	l.lastHeartbeat = now
-	if beat.Supply != nil {
-		l.supply = beat.Supply
+	if b.Supply != nil {
+		l.supply = b.Supply
 		if l.readingCatalog {
 			l.cancelCatalogRead() // the entry sent what the read would return, and the link is shared
 		}
 	}
-	if beat.Members != nil {
-		l.setMembers(now, beat.Members)
+	if b.Members != nil {
+		l.setMembers(now, b.Members)
 	}
 	if l.supply == nil {
 		return
 	}
-	for _, w := range beat.Wanted {
+	for _, w := range b.Wanted {
 		if w.Model == l.supply.Model {
 			l.addWanted(now, w.NamedVersion(now))
 		}
 	}
-	if beat.Manifest != nil {
-		l.handleManifest(now, *beat.Manifest)
+	if b.Manifest != nil {
+		l.handleManifest(now, *b.Manifest)
 	}
 }
 
--- a/daemon/loader/manifest.go
+++ b/daemon/loader/manifest.go
@@ -50,7 +50,7 @@
 func (l *Loader) handleManifest(now time.Time, received wire.Manifest) {
 	l.receivedManifest = received // it may arrive before the report that its version is wanted
 	wanted := l.plan.Wanted()
-	if l.supply == nil || received.Model != l.supply.Model || wanted != 0 && received.Version != wanted || l.isFetched(received.Version) {
+	if l.supply == nil || received.Model != l.supply.Model || wanted != 0 && received.Version != wanted || l.hasFetch(received.Version) {
 		return
 	}
 	named, err := l.stage.addManifest(*l.supply, received)
@@ -67,7 +67,7 @@
 	if l.plan.Wanted() == 0 {
 		l.plan.AddWanted(loading.NamedVersion{Version: version, Since: now})
 	}
-	if version != l.plan.Wanted() || l.isFetched(version) {
+	if version != l.plan.Wanted() || l.hasFetch(version) {
 		return // another version was named in the meantime
 	}
 	l.addFetch(now, version, named)
--- a/daemon/loader/steps.go
+++ b/daemon/loader/steps.go
@@ -137,7 +137,7 @@
 	if l.supply == nil || !l.hasEngineReport || len(l.members) == 0 || l.plan.IsLeaving() {
 		return
 	}
-	if l.plan.Wanted() == 0 || !l.isFetched(l.plan.Wanted()) {
+	if l.plan.Wanted() == 0 || !l.hasFetch(l.plan.Wanted()) {
 		l.readManifest(now)
 	}
 	l.startNewestFetch(now)
@@ -146,7 +146,7 @@
 	}
 }
 
-func (l *Loader) isFetched(version uint64) bool {
+func (l *Loader) hasFetch(version uint64) bool {
 	for _, g := range l.fetches {
 		if g.version == version {
 			return true
--- a/daemon/mesh/contacts.go
+++ b/daemon/mesh/contacts.go
@@ -12,47 +12,48 @@
 
 // contact is an entry that may be dialled.
 type contact struct {
-	addr    netip.Addr
-	seed    bool
-	dialing bool
-	failed  int
-	retryAt time.Time
-	named   time.Time      // when it was last heard of
-	last    wire.Heartbeat // zero until heard over a link
-	heard   time.Time      // over a link
-	// told is what a digest tells of it, toldAt as of when.
-	told   wire.EntryState
-	toldAt time.Time
-	// near is true for an entry that an agent was told of as near.
-	near bool
-	// wantedSince is since when the plan has a link that is missing; zero if none
-	// is.
-	wantedSince time.Time
+	addr            netip.Addr
+	seed            bool
+	dialing         bool
+	failures        int
+	retryAt         time.Time
+	lastMentionAt   time.Time      // when it was last mentioned or reported
+	lastHeartbeat   wire.Heartbeat // last complete one; zero until received over a link
+	lastHeartbeatAt time.Time      // when a heartbeat was last received over a link
+	// reported is the state of the entry in a digest, reportedAt the time of that
+	// state.
+	reported   wire.EntryState
+	reportedAt time.Time
+	// preferred is true for an entry that an agent knows to be in its region.
+	preferred bool
+	// missingSince is since when the planned link with the entry is missing; zero if it
+	// is not.
+	missingSince time.Time
 }
 
-// standing is what is known of an entry at a moment.
-type standing struct {
+// entryStatus is what is known of an entry at a moment.
+type entryStatus struct {
 	wire.EntryState
 	silent bool
 }
 
-// standing returns what is known of a contact; false if it was never heard of.
-// What an entry says itself over a link counts for more than what others tell,
-// and the silence of one whose link ought to be there as well.
-func (m *Mesh) standing(now time.Time, c *contact) (standing, bool) {
-	direct := c.last.ID != "" && now.Sub(c.heard) <= silentAfter
-	ought := c.last.ID != "" && m.plan.SameGroup[IDOf(c.addr)]
+// status returns what is known of a contact; false if nothing was ever received about
+// it. The entry's own heartbeats take precedence over reports of others. So does its
+// silence, if there should be a link with it.
+func (m *Mesh) status(now time.Time, c *contact) (entryStatus, bool) {
+	isConnected := c.lastHeartbeat.ID != "" && now.Sub(c.lastHeartbeatAt) <= silenceTimeout
+	mustBeLinked := c.lastHeartbeat.ID != "" && m.plan.SameGroup[IDOf(c.addr)]
 	switch {
-	case direct:
-		return standing{EntryState: c.last.State(c.addr)}, true
-	case !ought && now.Sub(c.toldAt) <= digestLife:
-		return standing{EntryState: c.told}, true
-	case c.last.ID != "":
-		return standing{EntryState: c.last.State(c.addr), silent: true}, true
-	case c.told.Addr.IsValid():
-		return standing{EntryState: c.told, silent: true}, true
+	case isConnected:
+		return entryStatus{EntryState: c.lastHeartbeat.State(c.addr)}, true
+	case !mustBeLinked && now.Sub(c.reportedAt) <= digestLifetime:
+		return entryStatus{EntryState: c.reported}, true
+	case c.lastHeartbeat.ID != "":
+		return entryStatus{EntryState: c.lastHeartbeat.State(c.addr), silent: true}, true
+	case c.reported.Addr.IsValid():
+		return entryStatus{EntryState: c.reported, silent: true}, true
 	default:
-		return standing{}, false
+		return entryStatus{}, false
 	}
 }
 
@@ -62,30 +63,31 @@
 		c = &contact{addr: addr}
 		m.contacts[addr] = c
 	}
-	c.named = now
+	c.lastMentionAt = now
 	return c
 }
 
-// learn takes the entries that a message lists as near the agent. An entry lists the
-// others of the agent's region, and is near itself if it is of that region.
-func (m *Mesh) learn(now time.Time, from *contact, b wire.Heartbeat) {
-	isNear := b.Place.Region == m.opts.Place.Region && !b.Leaving
+// learnEntries marks the entries that a heartbeat lists as preferred. An entry lists
+// the other entries of the agent's region, and is preferred itself if it is in that
+// region and not leaving.
+func (m *Mesh) learnEntries(now time.Time, from *contact, b wire.Heartbeat) {
+	isPreferred := b.Place.Region == m.opts.Place.Region && !b.Leaving
 	if len(b.Entries) > 0 {
 		for _, c := range m.contacts {
-			c.near = slices.Contains(b.Entries, c.addr)
+			c.preferred = slices.Contains(b.Entries, c.addr)
 		}
 	}
 	for _, addr := range b.Entries {
-		m.contact(now, addr).near = true
+		m.contact(now, addr).preferred = true
 	}
-	from.near = from.near || isNear
+	from.preferred = from.preferred || isPreferred
 }
 
-// Entries returns the other entries that were heard of, by id.
+// Entries returns the other known entries, ordered by ID.
 func (m *Mesh) Entries(now time.Time) []Entry {
 	var all []Entry
 	for _, c := range m.contacts {
-		s, known := m.standing(now, c)
+		s, known := m.status(now, c)
 		if !known {
 			continue
 		}
@@ -99,22 +101,22 @@
 	return all
 }
 
-// HasLiveEntry reports whether any entry is heard over a link now.
+// HasLiveEntry reports whether heartbeats of any entry arrive over a link.
 func (m *Mesh) HasLiveEntry(now time.Time) bool {
 	for _, c := range m.contacts {
-		if c.last.ID != "" && now.Sub(c.heard) <= silentAfter {
+		if c.lastHeartbeat.ID != "" && now.Sub(c.lastHeartbeatAt) <= silenceTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// LiveEntries returns the addresses of the entries of a region that are there and do
-// not leave.
+// LiveEntries returns the addresses of the live entries of a region that are not
+// leaving.
 func (m *Mesh) LiveEntries(now time.Time, region fleet.Region) []netip.Addr {
 	var live []netip.Addr
 	for addr, c := range m.contacts {
-		s, known := m.standing(now, c)
+		s, known := m.status(now, c)
 		if known && !s.silent && !s.Leaving && s.Place.Region == region {
 			live = append(live, addr)
 		}
@@ -123,14 +125,15 @@
 	return live
 }
 
-// FindEntry returns a live entry whose last whole beat isAhead accepts, one of the
-// own region if there is any, and whether it is; ok is false if there is none.
-func (m *Mesh) FindEntry(now time.Time, isAhead func(wire.Heartbeat) bool) (addr netip.Addr, near, ok bool) {
+// FindEntry returns a live entry whose last complete heartbeat is accepted, preferably
+// one of the local region, and whether it is in that region; ok is false if there is
+// none.
+func (m *Mesh) FindEntry(now time.Time, accept func(wire.Heartbeat) bool) (addr netip.Addr, sameRegion, ok bool) {
 	for a, c := range m.contacts {
-		if c.last.ID == "" || now.Sub(c.heard) > silentAfter || !isAhead(c.last) {
+		if c.lastHeartbeat.ID == "" || now.Sub(c.lastHeartbeatAt) > silenceTimeout || !accept(c.lastHeartbeat) {
 			continue
 		}
-		if c.last.Place.Region == m.opts.Place.Region {
+		if c.lastHeartbeat.Place.Region == m.opts.Place.Region {
 			return a, true, true
 		}
 		addr, ok = a, true
--- a/daemon/mesh/dial.go
+++ b/daemon/mesh/dial.go
@@ -9,55 +9,55 @@
 	"chivespindle.example/core/linking"
 )
 
-// planLinks plans the links of an entry anew, and closes those that it dialled
-// and needs no more.
+// planLinks plans the links of an entry again, and closes those that this entry dialled
+// and that are no longer planned.
 func (m *Mesh) planLinks(now time.Time) {
-	if now.Before(m.planAt) {
+	if now.Before(m.nextPlanAt) {
 		return
 	}
-	m.planAt = now.Add(planEvery)
+	m.nextPlanAt = now.Add(planInterval)
 	self := linking.Member{ID: m.opts.Self, Region: m.opts.Place.Region}
 	var others []linking.Member
 	for _, c := range m.contacts {
-		if s, known := m.standing(now, c); known && !s.silent && IDOf(c.addr) != m.opts.Self {
+		if s, known := m.status(now, c); known && !s.silent && IDOf(c.addr) != m.opts.Self {
 			others = append(others, linking.Member{ID: IDOf(c.addr), Region: s.Place.Region})
 		}
 	}
 	m.plan = linking.NewPlan(self, others)
 	for _, l := range m.links {
 		if l.role != fleet.RoleEntry || m.plan.Includes(l.id) {
-			l.unwantedSince = time.Time{}
+			l.unplannedSince = time.Time{}
 			continue
 		}
-		if l.unwantedSince.IsZero() {
-			l.unwantedSince = now
+		if l.unplannedSince.IsZero() {
+			l.unplannedSince = now
 		}
-		if l.dialer == m.opts.Self && now.Sub(l.unwantedSince) > unwantedFor {
-			m.down(now, l, "not planned")
+		if l.dialer == m.opts.Self && now.Sub(l.unplannedSince) > unplannedLinkLifetime {
+			m.removeLink(now, l, "not planned")
 		}
 	}
 }
 
-// dialPlanned dials the entries of the plan that are not linked, those with a
-// greater id first, so that two entries have one link. A seed of which nothing
-// is heard is dialled as well: through it, parts of the fleet that lost each
-// other meet again.
+// dialPlanned dials the planned entries without a link. The entry with the lower ID
+// dials first, so that two entries have one link. A seed that is not known to be live
+// is dialled as well: through seeds, parts of the fleet that lost contact find each
+// other again.
 func (m *Mesh) dialPlanned(now time.Time) {
 	for addr, c := range m.contacts {
 		id := IDOf(addr)
-		if !c.seed && now.Sub(c.named) > forgetAfter {
+		if !c.seed && now.Sub(c.lastMentionAt) > contactLifetime {
 			delete(m.contacts, addr)
 			continue
 		}
 		planned := m.plan.Includes(id)
 		if id == m.opts.Self || m.links[id] != nil || !planned && !m.isLostSeed(now, c) {
-			c.wantedSince = time.Time{}
+			c.missingSince = time.Time{}
 			continue
 		}
-		if c.wantedSince.IsZero() {
-			c.wantedSince = now
+		if c.missingSince.IsZero() {
+			c.missingSince = now
 		}
-		othersTurn := planned && id < m.opts.Self && !c.seed && now.Sub(c.wantedSince) < dialAnyway
+		othersTurn := planned && id < m.opts.Self && !c.seed && now.Sub(c.missingSince) < dialFallbackDelay
 		if !c.dialing && !now.Before(c.retryAt) && !othersTurn {
 			c.dialing = true
 			go m.dial(addr)
@@ -65,34 +65,34 @@
 	}
 }
 
-// isLostSeed reports whether a contact is a seed that nobody is known to hear.
+// isLostSeed reports whether a contact is a seed that is not known to be live.
 func (m *Mesh) isLostSeed(now time.Time, c *contact) bool {
 	if !c.seed {
 		return false
 	}
-	s, known := m.standing(now, c)
+	s, known := m.status(now, c)
 	return !known || s.silent
 }
 
-// dialEntries dials entries for an agent until it has enough links, near ones
-// first, and closes links with others once it has.
+// dialEntries dials entries for an agent until it has enough links, preferred entries
+// first, and then closes its links with other entries.
 func (m *Mesh) dialEntries(now time.Time) {
-	good := m.goodLinks()
-	if good >= agentLinks {
-		m.closeOthers(now)
+	preferred := m.preferredLinks()
+	if preferred >= agentLinks {
+		m.closeUnpreferredLinks(now)
 		return
 	}
-	dialing := m.dialing()
-	for _, c := range m.byNearness() {
-		if good+dialing >= agentLinks {
+	dialing := m.dialCount()
+	for _, c := range m.byPreference() {
+		if preferred+dialing >= agentLinks {
 			return
 		}
 		id := IDOf(c.addr)
-		if !c.seed && now.Sub(c.named) > forgetAfter {
+		if !c.seed && now.Sub(c.lastMentionAt) > contactLifetime {
 			delete(m.contacts, c.addr)
 			continue
 		}
-		isSpare := len(m.links)+dialing >= agentLinks && !c.near
+		isSpare := len(m.links)+dialing >= agentLinks && !c.preferred
 		if c.dialing || m.links[id] != nil || now.Before(c.retryAt) || isSpare {
 			continue
 		}
@@ -102,32 +102,32 @@
 	}
 }
 
-// closeOthers closes an agent's links with entries that are not near.
-func (m *Mesh) closeOthers(now time.Time) {
+// closeUnpreferredLinks closes an agent's links with entries that are not preferred.
+func (m *Mesh) closeUnpreferredLinks(now time.Time) {
 	for _, l := range m.links {
-		if !m.isNearEntry(l) {
-			m.down(now, l, "nearer ones found")
+		if !m.isPreferredEntry(l) {
+			m.removeLink(now, l, "nearer ones found")
 		}
 	}
 }
 
-// goodLinks is the number of an agent's links with near entries.
-func (m *Mesh) goodLinks() int {
+// preferredLinks returns the number of an agent's links with preferred entries.
+func (m *Mesh) preferredLinks() int {
 	n := 0
 	for _, l := range m.links {
-		if m.isNearEntry(l) {
+		if m.isPreferredEntry(l) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Mesh) isNearEntry(l *link) bool {
+func (m *Mesh) isPreferredEntry(l *link) bool {
 	c := m.contacts[l.addr]
-	return c != nil && c.near
+	return c != nil && c.preferred
 }
 
-func (m *Mesh) dialing() int {
+func (m *Mesh) dialCount() int {
 	n := 0
 	for _, c := range m.contacts {
 		if c.dialing {
@@ -137,27 +137,27 @@
 	return n
 }
 
-// byNearness orders the contacts of an agent: those that it was told of as near
-// first, those that leave last, then spread by hash, so that agents share the
-// entries out evenly.
-func (m *Mesh) byNearness() []*contact {
+// byPreference returns the contacts of an agent in the order in which it dials them:
+// preferred entries first, entries of other regions and leaving ones last, and
+// otherwise by hash, so that the agents are spread evenly over the entries.
+func (m *Mesh) byPreference() []*contact {
 	all := make([]*contact, 0, len(m.contacts))
 	for _, c := range m.contacts {
 		all = append(all, c)
 	}
-	weight := func(c *contact) uint64 { return fleet.RendezvousRank(m.opts.Self, IDOf(c.addr)) }
-	far := func(c *contact) int {
+	rank := func(c *contact) uint64 { return fleet.RendezvousRank(m.opts.Self, IDOf(c.addr)) }
+	distance := func(c *contact) int {
 		switch {
-		case c.last.ID != "" && (c.last.Place.Region != m.opts.Place.Region || c.last.Leaving):
+		case c.lastHeartbeat.ID != "" && (c.lastHeartbeat.Place.Region != m.opts.Place.Region || c.lastHeartbeat.Leaving):
 			return 2
-		case c.near:
+		case c.preferred:
 			return 0
 		default:
 			return 1
 		}
 	}
 	slices.SortFunc(all, func(a, b *contact) int {
-		return cmp.Or(far(a)-far(b), cmp.Compare(weight(b), weight(a)))
+		return cmp.Or(distance(a)-distance(b), cmp.Compare(rank(b), rank(a)))
 	})
 	return all
 }
--- a/daemon/mesh/heartbeats.go
+++ b/daemon/mesh/heartbeats.go
@@ -6,91 +6,91 @@
 	"chivespindle.example/core/fleet"
 )
 
-// peer returns whom a link leads to.
+// peer returns the process at the other end of a link.
 func (m *Mesh) peer(l *link) Peer {
-	return Peer{ID: l.id, Role: l.role, SameGroup: m.isNear(l), Region: l.place.Region, AsOf: l.asOf}
+	return Peer{ID: l.id, Role: l.role, SameGroup: m.isSameGroup(l), Region: l.place.Region, AsOf: l.asOf}
 }
 
-// isNear reports whether a link leads to an entry of the own group.
-func (m *Mesh) isNear(l *link) bool {
+// isSameGroup reports whether a link leads to an entry of the same group.
+func (m *Mesh) isSameGroup(l *link) bool {
 	return m.opts.Role == fleet.RoleEntry && l.role == fleet.RoleEntry && m.plan.SameGroup[l.id]
 }
 
-// beat sends what is due on a link.
-func (m *Mesh) beat(now time.Time, l *link) {
+// sendDue sends the heartbeat that is due on a link.
+func (m *Mesh) sendDue(now time.Time, l *link) {
 	switch {
-	case now.Sub(l.beaten) >= m.wholePause(l):
+	case now.Sub(l.lastCompleteAt) >= m.completePause(l):
 		m.send(now, l, Complete)
-	case !m.isNear(l):
-	case now.Sub(l.briefed) >= liveEvery, now.Sub(l.briefed) >= m.briefPause(l) && m.opts.HasChanges(l.id):
+	case !m.isSameGroup(l):
+	case now.Sub(l.lastSentAt) >= livenessInterval, now.Sub(l.lastSentAt) >= m.briefPause(l) && m.opts.HasChanges(l.id):
 		m.send(now, l, Brief)
 	}
 }
 
-// wholePause is the pause between two whole beats on a link.
-func (m *Mesh) wholePause(l *link) time.Duration {
+// completePause returns the pause between two complete heartbeats on a link.
+func (m *Mesh) completePause(l *link) time.Duration {
 	if m.opts.Role == fleet.RoleAgent || l.role == fleet.RoleAgent {
-		return agentBeatEvery
+		return agentHeartbeatInterval
 	}
-	return beatEvery
+	return heartbeatInterval
 }
 
-// briefPause grows with the number of links, so that what an entry sends does
-// not.
+// briefPause returns the pause between two brief heartbeats on a link. It grows with
+// the number of links, so that the traffic of an entry does not.
 func (m *Mesh) briefPause(l *link) time.Duration {
-	pause := min(briefMax, max(briefMin, time.Duration(len(m.plan.SameGroup))*briefEvery))
+	pause := min(maxBriefPause, max(minBriefPause, time.Duration(len(m.plan.SameGroup))*briefPausePerLink))
 	if m.opts.ThrottleOtherRegions && l.place.Region != m.opts.Place.Region {
-		pause = min(briefMax, farTimes*pause)
+		pause = min(maxBriefPause, otherRegionFactor*pause)
 	}
 	return pause
 }
 
-// Flush sends a beat over every link at once, as after a change that others
-// must hear of.
+// Flush sends a heartbeat over every link at once, after a change that all peers must
+// know.
 func (m *Mesh) Flush(now time.Time) {
 	for _, l := range m.links {
 		m.send(now, l, Complete)
 	}
 }
 
-// FlushGroup is Flush for the entries of the own group.
+// FlushGroup is Flush for the entries of the same group.
 func (m *Mesh) FlushGroup(now time.Time) {
 	for _, l := range m.links {
-		if m.isNear(l) {
+		if m.isSameGroup(l) {
 			m.send(now, l, Complete)
 		}
 	}
 }
 
-// tellNews passes on at once that entries changed.
-func (m *Mesh) tellNews(now time.Time) {
-	if !m.newsFar && !m.newsNear || now.Before(m.newsAt) {
+// sendEntryChanges reports changed entries at once, at most once per minChangePause.
+func (m *Mesh) sendEntryChanges(now time.Time) {
+	if !m.notifyOtherGroups && !m.notifyGroup || now.Before(m.nextNotifyAt) {
 		return
 	}
-	m.newsAt = now.Add(newsEvery)
+	m.nextNotifyAt = now.Add(minChangePause)
 	for _, l := range m.links {
-		near := m.isNear(l)
-		if l.role == fleet.RoleEntry && (near && m.newsNear || !near && m.newsFar) {
+		sameGroup := m.isSameGroup(l)
+		if l.role == fleet.RoleEntry && (sameGroup && m.notifyGroup || !sameGroup && m.notifyOtherGroups) {
 			m.send(now, l, Complete)
 		}
 	}
-	m.newsFar, m.newsNear = false, false
+	m.notifyOtherGroups, m.notifyGroup = false, false
 }
 
-// send composes and queues a beat, unless the link is still busy with the one
-// before: what that one lacks comes with the next.
+// send composes and queues a heartbeat, unless the previous one is still queued: the
+// next heartbeat contains what was left out.
 func (m *Mesh) send(now time.Time, l *link, form Form) {
-	if len(l.out) == cap(l.out) {
+	if len(l.queue) == cap(l.queue) {
 		m.opts.Metrics.Counter("beats_left_out").Inc(1)
 		return
 	}
-	l.briefed = now
+	l.lastSentAt = now
 	if form != Brief {
-		l.beaten = now
+		l.lastCompleteAt = now
 	}
 	b := m.opts.Compose(now, m.peer(l), form)
 	if l.role == fleet.RoleEntry && m.opts.Role == fleet.RoleEntry && !b.Brief {
 		b.Digests = m.digestsFor(now, l)
 	}
-	l.out <- b
+	l.queue <- b
 }
--- a/daemon/mesh/link.go
+++ b/daemon/mesh/link.go
@@ -13,40 +13,41 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// link is an open stream of beats with one process.
+// link is an open stream of heartbeats with one process.
 type link struct {
-	id     fleet.InstanceID
-	role   fleet.Role
-	dialer fleet.InstanceID
-	stream *peer.Stream
-	out    chan wire.Heartbeat
-	once   sync.Once
-	closed chan struct{}
-	heard  time.Time
-	addr   netip.Addr  // that names the process
-	place  fleet.Place // zero until heard
-	asOf   catalog.Revision
-	since  time.Time // it is up
-	// unwantedSince is since when the plan lacks the link; zero if it does not.
-	unwantedSince time.Time
-	// digests are the newest ones that the link brought, and toldVersions those
-	// that were sent over it, by the entry that they are of.
-	digests      map[netip.Addr]heardDigest
-	toldVersions map[netip.Addr]uint64
-	// beaten and briefed are when the last whole and the last beat were sent.
-	beaten, briefed time.Time
+	id             fleet.InstanceID
+	role           fleet.Role
+	dialer         fleet.InstanceID
+	stream         *peer.Stream
+	queue          chan wire.Heartbeat
+	closeOnce      sync.Once
+	closed         chan struct{}
+	lastReceivedAt time.Time
+	addr           netip.Addr  // address of the process
+	place          fleet.Place // zero until received
+	asOf           catalog.Revision
+	upSince        time.Time // when the link was added
+	// unplannedSince is since when the plan does not include the link; zero if it does.
+	unplannedSince time.Time
+	// digests are the newest digests received over the link, and sentVersions the
+	// versions of the digests sent over it, both by reporter.
+	digests      map[netip.Addr]receivedDigest
+	sentVersions map[netip.Addr]uint64
+	// lastCompleteAt and lastSentAt are when the last complete and the last heartbeat
+	// were sent.
+	lastCompleteAt, lastSentAt time.Time
 }
 
 func newLink(id fleet.InstanceID, role fleet.Role, dialer fleet.InstanceID, s *peer.Stream) *link {
 	return &link{
 		id: id, role: role, dialer: dialer, stream: s, addr: addrOf(id),
-		digests: make(map[netip.Addr]heardDigest), toldVersions: make(map[netip.Addr]uint64),
-		out: make(chan wire.Heartbeat, sendQueue), closed: make(chan struct{}),
+		digests: make(map[netip.Addr]receivedDigest), sentVersions: make(map[netip.Addr]uint64),
+		queue: make(chan wire.Heartbeat, sendQueueLen), closed: make(chan struct{}),
 	}
 }
 
 func (l *link) close() {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		l.stream.Abort()
 	})
@@ -59,111 +60,111 @@
 		c := m.contact(now, addr)
 		c.dialing = false
 		if err != nil {
-			c.failed++
-			c.retryAt = now.Add(min(redialMax, redialMin<<min(c.failed-1, maxDoublings)))
+			c.failures++
+			c.retryAt = now.Add(min(maxRedialPause, minRedialPause<<min(c.failures-1, maxDoublings)))
 			return
 		}
-		c.failed = 0
-		m.up(now, newLink(id, s.Peer().Role, m.opts.Self, s))
+		c.failures = 0
+		m.addLink(now, newLink(id, s.Peer().Role, m.opts.Self, s))
 	})
 }
 
-// up takes a link into use. Two processes that dial each other at the same
-// time both keep the link that the lesser id dialled, so that neither closes
-// the one that the other keeps. Otherwise the newer one stays: the older may
-// lead to a process that has ended.
-func (m *Mesh) up(now time.Time, l *link) {
+// addLink adds a link. If two processes dialled each other at the same time, both keep
+// the link that the lower ID dialled, so that neither closes the one that the other
+// keeps. Otherwise the newer link stays: the older one may lead to a process that has
+// ended.
+func (m *Mesh) addLink(now time.Time, l *link) {
 	if old := m.links[l.id]; old != nil {
-		fresh := now.Sub(old.heard) < crossedWithin
-		if fresh && old.dialer != l.dialer && old.dialer < l.dialer {
+		isRecent := now.Sub(old.lastReceivedAt) < crossedDialWindow
+		if isRecent && old.dialer != l.dialer && old.dialer < l.dialer {
 			l.close()
 			return
 		}
 		old.close()
 	}
 	m.links[l.id] = l
-	l.heard, l.since = now, now
-	go m.read(l)
-	go m.write(l)
+	l.lastReceivedAt, l.upSince = now, now
+	go m.receiveLoop(l)
+	go m.sendLoop(l)
 	m.send(now, l, First)
 	m.opts.Logger.Info("link_up", zap.String("peer", string(l.id)), zap.String("role", string(l.role)))
 }
 
-func (m *Mesh) down(now time.Time, l *link, reason string) {
+func (m *Mesh) removeLink(now time.Time, l *link, reason string) {
 	l.close()
 	if m.links[l.id] != l {
 		return
 	}
 	delete(m.links, l.id)
-	m.newsFar = m.newsFar || l.role == fleet.RoleEntry
+	m.notifyOtherGroups = m.notifyOtherGroups || l.role == fleet.RoleEntry
 	m.opts.Logger.Info("link_down", zap.String("peer", string(l.id)), zap.String("role", string(l.role)),
-		zap.String("reason", reason), zap.Duration("heard_ago", now.Sub(l.heard)))
+		zap.String("reason", reason), zap.Duration("heard_ago", now.Sub(l.lastReceivedAt)))
 	m.opts.OnLost(now, l.id)
 }
 
-// dropDead gives up links that bring nothing, so that they are dialled anew.
-func (m *Mesh) dropDead(now time.Time) {
+// dropSilentLinks closes links that receive nothing, so that they are dialled again.
+func (m *Mesh) dropSilentLinks(now time.Time) {
 	for _, l := range m.links {
-		if now.Sub(l.heard) > m.deadLimit(l) {
-			m.down(now, l, "silent")
+		if now.Sub(l.lastReceivedAt) > m.timeoutOf(l) {
+			m.removeLink(now, l, "silent")
 		}
 	}
 }
 
-// deadLimit is how long a link may bring nothing.
-func (m *Mesh) deadLimit(l *link) time.Duration {
+// timeoutOf returns how long a link may receive nothing.
+func (m *Mesh) timeoutOf(l *link) time.Duration {
 	switch {
 	case m.opts.Role == fleet.RoleAgent || l.role == fleet.RoleAgent:
-		return deadAfter + agentBeatEvery
-	case m.isNear(l):
-		return deadAfter
+		return linkTimeout + agentHeartbeatInterval
+	case m.isSameGroup(l):
+		return linkTimeout
 	default:
-		return farDeadAfter
+		return otherGroupLinkTimeout
 	}
 }
 
-func (m *Mesh) read(l *link) {
+func (m *Mesh) receiveLoop(l *link) {
 	for {
 		var b wire.Heartbeat
 		if err := l.stream.Recv(&b); err != nil {
-			m.post(func(now time.Time) { m.down(now, l, "closed") })
+			m.post(func(now time.Time) { m.removeLink(now, l, "closed") })
 			return
 		}
-		m.post(func(now time.Time) { m.heard(now, l, b) })
+		m.post(func(now time.Time) { m.handleHeartbeat(now, l, b) })
 	}
 }
 
-func (m *Mesh) write(l *link) {
+func (m *Mesh) sendLoop(l *link) {
 	l.stream.SetStall(0)
 	for {
 		select {
 		case <-l.closed:
 			return
-		case b := <-l.out:
+		case b := <-l.queue:
 			if err := l.stream.Send(b); err != nil {
-				m.post(func(now time.Time) { m.down(now, l, "not sent") })
+				m.post(func(now time.Time) { m.removeLink(now, l, "not sent") })
 				return
 			}
 		}
 	}
 }
 
-func (m *Mesh) heard(now time.Time, l *link, b wire.Heartbeat) {
+func (m *Mesh) handleHeartbeat(now time.Time, l *link, b wire.Heartbeat) {
 	if m.links[l.id] != l || b.ID != l.id {
 		return
 	}
-	l.heard = now
+	l.lastReceivedAt = now
 	if b.Role == fleet.RoleEntry && b.Brief {
-		m.stillThere(now, b)
+		m.handleBrief(now, b)
 	}
-	if !b.Brief && !m.heardWhole(now, l, b) {
+	if !b.Brief && !m.handleComplete(now, l, b) {
 		return
 	}
 	m.opts.OnHeartbeat(now, m.peer(l), b)
 }
 
-// heardWhole takes a whole beat and reports whether it is one.
-func (m *Mesh) heardWhole(now time.Time, l *link, b wire.Heartbeat) bool {
+// handleComplete processes a complete heartbeat and reports whether it is valid.
+func (m *Mesh) handleComplete(now time.Time, l *link, b wire.Heartbeat) bool {
 	if !l.addr.IsValid() {
 		m.opts.Logger.Warn("beat_refused", zap.String("peer", string(l.id)), zap.String("reason", "its id is no address"))
 		return false
@@ -172,27 +173,27 @@
 	l.place, l.asOf = b.Place, b.AsOf
 	if b.Role != fleet.RoleEntry {
 		if isFirst {
-			m.send(now, l, Complete) // what it is told depends on its region
+			m.send(now, l, Complete) // the content for an agent depends on its region
 		}
 		return true
 	}
 	c := m.contact(now, l.addr)
-	m.noteChange(c.last, b, l.addr)
-	c.last = b
-	c.heard = now
+	m.recordChange(c.lastHeartbeat, b, l.addr)
+	c.lastHeartbeat = b
+	c.lastHeartbeatAt = now
 	if m.opts.Role == fleet.RoleAgent {
-		m.learn(now, c, b)
+		m.learnEntries(now, c, b)
 		return true
 	}
-	m.heardDigests(now, l, b.Digests)
+	m.handleDigests(now, l, b.Digests)
 	return true
 }
 
-// stillThere notes a brief beat of an entry.
-func (m *Mesh) stillThere(now time.Time, b wire.Heartbeat) {
-	if c := m.contacts[addrOf(b.ID)]; c != nil && c.last.ID != "" {
-		c.heard = now
-		c.named = now
-		c.last.ConfigRevision = max(c.last.ConfigRevision, b.ConfigRevision)
+// handleBrief records a brief heartbeat of an entry.
+func (m *Mesh) handleBrief(now time.Time, b wire.Heartbeat) {
+	if c := m.contacts[addrOf(b.ID)]; c != nil && c.lastHeartbeat.ID != "" {
+		c.lastHeartbeatAt = now
+		c.lastMentionAt = now
+		c.lastHeartbeat.ConfigRevision = max(c.lastHeartbeat.ConfigRevision, b.ConfigRevision)
 	}
 }
--- a/daemon/mesh/mesh.go
+++ b/daemon/mesh/mesh.go
@@ -1,11 +1,11 @@
-// Package mesh links the processes of a fleet that has no list of its own
-// instances: entries find each other through a few seeds and through each
-// other, agents find entries in the same way.
+// Package mesh links the processes of a fleet that has no list of its own instances:
+// entries discover each other through a few seeds and through each other, and agents
+// discover entries in the same way.
 //
-// An entry holds the links that core/linking plans, an agent a few. Over each
-// link both sides send a Beat several times a second. Of entries that it holds
-// no link with, an entry hears by the digests of others. What is known is soft:
-// it is learned again within a second after any number of processes were lost.
+// An entry has the links that core/linking plans, an agent has a few. Both sides of a
+// link send a heartbeat several times a second. An entry learns about entries without a
+// link to it from the digests of others. The state is soft: it is learned again within
+// a second after any number of processes failed.
 package mesh
 
 import (
@@ -27,67 +27,69 @@
 )
 
 const (
-	// beatEvery is the pause between two whole beats to an entry, unless what
-	// they tell has changed; liveEvery is the longest pause between any two to one
-	// of the own group.
-	beatEvery = 500 * time.Millisecond
-	liveEvery = 200 * time.Millisecond
-	// briefEvery is the pause between two brief beats for each entry that one is
-	// linked to, within briefMin and briefMax: what an entry sends does not grow
-	// with its links. Brief beats tell of the loads that placement is based on.
-	briefEvery = 5 * time.Millisecond
-	briefMin   = 20 * time.Millisecond
-	briefMax   = 400 * time.Millisecond
-	// farTimes is how many times longer the pause to an entry of another region
-	// is. Most of its requests go to servers of its own.
-	farTimes = 4
-	// newsEvery is the least pause between two beats that pass on at once that an
-	// entry came, leaves or went.
-	newsEvery = 100 * time.Millisecond
-	// agentBeatEvery is the pause between two beats on a link with an agent.
-	agentBeatEvery = 400 * time.Millisecond
-	// silentAfter is how long a link may bring nothing until its process counts
-	// as silent: several beats, and less than callers wait for a connection.
-	silentAfter = 900 * time.Millisecond
-	// deadAfter is when a silent link is given up and dialled anew. A connection
-	// can go silent for good while new ones work.
-	deadAfter = 1200 * time.Millisecond
-	// farDeadAfter is the same for a link between groups. It shares the link
-	// between regions with weights; given up while that was full, links were
-	// dialled anew and filled it more.
-	farDeadAfter = 2500 * time.Millisecond
-	// digestLife is how long an entry counts as there that a digest told of: until
-	// a lost bridge has been found silent and another has told.
-	digestLife = 4 * time.Second
-	// introduceFor is how long an entry tells another of its group whom it hears,
-	// from the moment on at which they are linked.
-	introduceFor = 5 * time.Second
-	// planEvery is the pause between two plans of the links, unless an entry is
-	// new. unwantedFor is how
-	// long a link is kept that the plan lacks, and dialAnyway after how long the
-	// greater id dials as well: two entries may see different fleets for a while.
-	planEvery   = 200 * time.Millisecond
-	unwantedFor = 3 * time.Second
-	dialAnyway  = 300 * time.Millisecond
-	// redialMin doubles up to redialMax while an address does not answer.
-	redialMin    = 150 * time.Millisecond
-	redialMax    = 1500 * time.Millisecond
-	maxDoublings = 4 // enough to reach redialMax
-	// agentLinks is the number of entries that an agent is linked to, so that
-	// one that is lost leaves another.
+	// heartbeatInterval is the pause between two complete heartbeats to an entry,
+	// unless their content has changed. livenessInterval is the longest pause between
+	// any two heartbeats to an entry of the same group.
+	heartbeatInterval = 500 * time.Millisecond
+	livenessInterval  = 200 * time.Millisecond
+	// briefPausePerLink, times the number of linked entries, is the pause between two
+	// brief heartbeats, within minBriefPause and maxBriefPause: the traffic of an entry
+	// does not grow with the number of its links. Brief heartbeats carry the loads on
+	// which placement is based.
+	briefPausePerLink = 5 * time.Millisecond
+	minBriefPause     = 20 * time.Millisecond
+	maxBriefPause     = 400 * time.Millisecond
+	// otherRegionFactor is the factor by which the pause to an entry of another region
+	// is longer. Most requests of that entry go to servers of its own region.
+	otherRegionFactor = 4
+	// minChangePause is the minimum pause between two heartbeats that report at once
+	// that an entry is new, is leaving or was lost.
+	minChangePause = 100 * time.Millisecond
+	// agentHeartbeatInterval is the pause between two heartbeats on a link with an
+	// agent.
+	agentHeartbeatInterval = 400 * time.Millisecond
+	// silenceTimeout is the time without a heartbeat after which a process counts as
+	// silent: several heartbeats, and less than callers wait for a connection.
+	silenceTimeout = 900 * time.Millisecond
+	// linkTimeout is the time after which a silent link is closed and dialled again. A
+	// connection can go silent permanently while new ones work.
+	linkTimeout = 1200 * time.Millisecond
+	// otherGroupLinkTimeout is the same for a link between groups. Such a link shares
+	// the network between regions with weights. When links were closed while that
+	// network was full, dialling them again filled it even more.
+	otherGroupLinkTimeout = 2500 * time.Millisecond
+	// digestLifetime is how long a digest keeps an entry live: until the loss of a
+	// bridge was detected and another bridge has reported.
+	digestLifetime = 4 * time.Second
+	// introductionPeriod is how long after a new link an entry reports to another entry
+	// of its group which entries it has contact with.
+	introductionPeriod = 5 * time.Second
+	// planInterval is the pause between two plans of the links, unless an entry is new.
+	// unplannedLinkLifetime is how long a link is kept that is not planned, and
+	// dialFallbackDelay the delay after which the higher ID dials as well: two entries
+	// may see different fleets for a while.
+	planInterval          = 200 * time.Millisecond
+	unplannedLinkLifetime = 3 * time.Second
+	dialFallbackDelay     = 300 * time.Millisecond
+	// minRedialPause doubles up to maxRedialPause while an address does not respond.
+	minRedialPause = 150 * time.Millisecond
+	maxRedialPause = 1500 * time.Millisecond
+	maxDoublings   = 4 // enough to reach maxRedialPause
+	// agentLinks is the number of entries that an agent has links with, so that one
+	// link remains when an entry fails.
 	agentLinks = 2
-	// forgetAfter is when an entry that stays silent is dialled no more, unless
-	// it is a seed.
-	forgetAfter = 30 * time.Second
-	// sendQueue bounds the beats that wait for a slow link; the next one holds
-	// all that was left out.
-	sendQueue = 1
-	// crossedWithin is the time in which two links between the same processes
-	// are taken for dialled at the same time.
-	crossedWithin = 300 * time.Millisecond
+	// contactLifetime is the time after which a silent entry is no longer dialled,
+	// unless it is a seed.
+	contactLifetime = 30 * time.Second
+	// sendQueueLen bounds the heartbeats that wait for a slow link. The next heartbeat
+	// contains all that was left out.
+	sendQueueLen = 1
+	// crossedDialWindow is the time within which two links between the same processes
+	// count as dialled simultaneously.
+	crossedDialWindow = 300 * time.Millisecond
 )
 
-// Options of a Mesh. All fields are needed.
+// Options configures a Mesh. All fields are required, except GroupLoads for agents.
 type Options struct {
 	Self  fleet.InstanceID
 	Role  fleet.Role
@@ -99,44 +101,45 @@
 	Endpoint *peer.Endpoint
 	Logger   *zap.Logger
 	Metrics  tally.Scope
-	// Compose returns the beat for a peer, which is then sent. It runs on the
-	// control loop.
+	// Compose returns the heartbeat to send to a peer. It runs on the control loop.
 	Compose func(now time.Time, to Peer, form Form) wire.Heartbeat
-	// GroupLoads returns what the entries of the own group have together. Agents
-	// need none.
+	// GroupLoads returns the total loads of the entries of this entry's group. Agents
+	// do not need it.
 	GroupLoads func(now time.Time) []placement.RegionLoad
-	// HasChanges reports whether an entry is to be sent a brief beat.
+	// HasChanges reports whether a brief heartbeat is to be sent to an entry.
 	HasChanges func(to fleet.InstanceID) bool
-	// OnHeartbeat takes a beat. It runs on the control loop.
+	// OnHeartbeat processes a heartbeat. It runs on the control loop.
 	OnHeartbeat func(now time.Time, from Peer, b wire.Heartbeat)
-	// OnLost tells that nothing is heard of a process any more. It runs on the
-	// control loop.
+	// OnLost is called when a process has no link any more. It runs on the control loop.
 	OnLost func(now time.Time, id fleet.InstanceID)
-	// ThrottleOtherRegions has entries of other regions be sent brief beats less often.
+	// ThrottleOtherRegions sends brief heartbeats to entries of other regions less
+	// often.
 	ThrottleOtherRegions bool
 }
 
-// Peer is whom a beat is for, or from.
+// Peer is the receiver or sender of a heartbeat.
 type Peer struct {
 	ID   fleet.InstanceID
 	Role fleet.Role
-	// SameGroup entries are of the own group; they tell each other everything.
+	// SameGroup is true for entries of the same group, which send each other all
+	// changes.
 	SameGroup bool
-	// Region is that of a process that has been heard, or empty.
+	// Region is empty until a heartbeat was received.
 	Region fleet.Region
-	// AsOf is up to which revision an entry knew the servers when it last told.
+	// AsOf is the revision up to which an entry knew the servers at its last heartbeat.
 	AsOf catalog.Revision
 }
 
-// Form says what a beat holds.
+// Form is the form of a heartbeat.
 type Form uint8
 
 const (
-	// Complete beats hold everything.
+	// Complete heartbeats contain everything.
 	Complete Form = iota
-	// First beats are whole ones on a new link.
+	// First heartbeats are complete ones on a new link.
 	First
-	// Brief beats hold changed loads, and which configuration is in force.
+	// Brief heartbeats contain changed loads and the revision of the active
+	// configuration.
 	Brief
 )
 
@@ -147,33 +150,35 @@
 	CallerAddr netip.AddrPort
 	Ready      bool
 	Leaving    bool
-	// ReachesPlatform is true while the platform answers it or one that reads for it,
-	// PlatformUnresponsive while the platform does not answer it.
+	// ReachesPlatform is true while the platform responds to the entry or to one that
+	// reads it for the entry. PlatformUnresponsive is true while the platform does not
+	// respond to the entry.
 	ReachesPlatform      bool
 	PlatformUnresponsive bool
-	// Silent is true while nothing is heard of it.
+	// Silent is true while nothing is received from or about the entry.
 	Silent bool
-	// SameGroup is true if it is of the own group.
+	// SameGroup is true if the entry is in the same group.
 	SameGroup bool
 }
 
-// Mesh holds the links of a process. All but Serve belongs to the control
-// loop.
+// Mesh holds the links of a process. Only the control loop may call its methods, except
+// for Serve.
 type Mesh struct {
-	opts     Options
-	ctx      context.Context
-	addr     netip.Addr // that names this process
-	contacts map[netip.Addr]*contact
-	links    map[fleet.InstanceID]*link
-	plan     linking.Plan
-	planAt   time.Time // when the next one is due
-	// newsFar is true while entries of other groups, newsNear while those of the
-	// own are to hear at once of entries that changed; newsAt is when they may.
-	newsFar, newsNear bool
-	newsAt            time.Time
+	opts       Options
+	ctx        context.Context
+	addr       netip.Addr // address of this process
+	contacts   map[netip.Addr]*contact
+	links      map[fleet.InstanceID]*link
+	plan       linking.Plan
+	nextPlanAt time.Time // when the next plan is due
+	// notifyOtherGroups is true while entries of other groups, notifyGroup while those
+	// of the same group are to be sent changes of entries at once. nextNotifyAt is when
+	// that may happen.
+	notifyOtherGroups, notifyGroup bool
+	nextNotifyAt                   time.Time
 }
 
-// New returns a mesh that links itself at the next Tick. It ends with ctx.
+// New returns a mesh that dials its links from the next Tick on. It ends with ctx.
 func New(ctx context.Context, now time.Time, opts Options) *Mesh {
 	m := &Mesh{
 		opts:     opts,
@@ -188,49 +193,49 @@
 	return m
 }
 
-// IDOf names the process on an instance. The platform lists none of ours, so
-// a process is named by its IP number, which is known wherever it is met.
+// IDOf returns the ID of the process on an instance. The platform does not list the
+// processes of this system, so the ID is the IP address, which is known to all.
 func IDOf(addr netip.Addr) fleet.InstanceID { return fleet.InstanceID(addr.String()) }
 
-// SetSeeds takes the seeds that the settings name now, beside those before.
+// SetSeeds adds the seeds of the current settings to the earlier ones.
 func (m *Mesh) SetSeeds(now time.Time, seeds []netip.Addr) {
 	for _, seed := range seeds {
 		m.contact(now, seed).seed = true
 	}
 }
 
-// ResetAfterPause drops every link and takes every entry for silent, after a pause of the
-// process: the others have given the links up.
+// ResetAfterPause closes every link and considers every entry silent after a pause of
+// the process: the peers have closed the links in the meantime.
 func (m *Mesh) ResetAfterPause(now time.Time) {
 	for _, c := range m.contacts {
-		c.heard, c.toldAt = time.Time{}, time.Time{}
+		c.lastHeartbeatAt, c.reportedAt = time.Time{}, time.Time{}
 		c.retryAt = now
 	}
 	for _, l := range m.links {
-		m.down(now, l, "paused")
+		m.removeLink(now, l, "paused")
 	}
 }
 
-// Group names the group of entries that this one belongs to.
+// Group returns the name of the group of entries that this entry belongs to.
 func (m *Mesh) Group() string { return m.plan.Group }
 
-// PeerAddr returns where the process on an instance listens for peers.
+// PeerAddr returns the address on which the process on an instance listens for peers.
 func (m *Mesh) PeerAddr(addr netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(addr, m.opts.PeerPort)
 }
 
-// Tick sends beats and dials. It is called by the control loop.
+// Tick sends heartbeats and dials. It is called by the control loop.
 func (m *Mesh) Tick(now time.Time) {
-	m.dropDead(now)
+	m.dropSilentLinks(now)
 	if m.opts.Role == fleet.RoleEntry {
 		m.planLinks(now)
 		m.dialPlanned(now)
 	} else {
 		m.dialEntries(now)
 	}
-	m.tellNews(now)
+	m.sendEntryChanges(now)
 	for _, l := range m.links {
-		m.beat(now, l)
+		m.sendDue(now, l)
 	}
 }
 
@@ -238,11 +243,11 @@
 	m.opts.Loop.Post(m.ctx, control.Func(f))
 }
 
-// Serve serves a stream of peer.KindGossip that another process opened. It
-// returns when the stream ends.
+// Serve serves a stream of peer.KindGossip that another process opened. It returns when
+// the stream ends.
 func (m *Mesh) Serve(ctx context.Context, from keys.Identity, s *peer.Stream) {
 	l := newLink(from.ID, from.Role, from.ID, s)
-	m.post(func(now time.Time) { m.up(now, l) })
+	m.post(func(now time.Time) { m.addLink(now, l) })
 	select {
 	case <-ctx.Done():
 	case <-l.closed:
--- a/daemon/mesh/mesh_test.go
+++ b/daemon/mesh/mesh_test.go
@@ -20,21 +20,21 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// patience bounds what must happen soon.
-const patience = 15 * time.Second
+// eventualTimeout bounds the wait for a condition that must hold eventually.
+const eventualTimeout = 15 * time.Second
 
-// node is a process with a mesh, on an address of this machine.
+// node is a process with a mesh, on a loopback address.
 type node struct {
-	id       fleet.InstanceID
-	place    fleet.Place
-	loop     *control.Loop
-	endpoint *peer.Endpoint
-	mesh     *mesh.Mesh
-	heard    map[fleet.InstanceID]wire.Heartbeat // belongs to the loop
-	beats    map[fleet.InstanceID]int
-	lost     map[fleet.InstanceID]int
-	leaving  bool
-	stop     func()
+	id         fleet.InstanceID
+	place      fleet.Place
+	loop       *control.Loop
+	endpoint   *peer.Endpoint
+	mesh       *mesh.Mesh
+	received   map[fleet.InstanceID]wire.Heartbeat // used by the loop only
+	heartbeats map[fleet.InstanceID]int
+	lostCount  map[fleet.InstanceID]int
+	leaving    bool
+	stop       func()
 }
 
 type handler struct{ node *node }
@@ -58,7 +58,7 @@
 	addr := netip.MustParseAddr(address)
 	n := &node{
 		id: mesh.IDOf(addr), place: place, loop: control.New(control.Options{Every: 10 * time.Millisecond}),
-		heard: map[fleet.InstanceID]wire.Heartbeat{}, beats: map[fleet.InstanceID]int{}, lost: map[fleet.InstanceID]int{},
+		received: map[fleet.InstanceID]wire.Heartbeat{}, heartbeats: map[fleet.InstanceID]int{}, lostCount: map[fleet.InstanceID]int{},
 	}
 	store, err := keys.Ephemeral(keys.Identity{ID: n.id, Role: role})
 	Expect(err).NotTo(HaveOccurred())
@@ -84,8 +84,8 @@
 		},
 		GroupLoads:  func(time.Time) []placement.RegionLoad { return nil },
 		HasChanges:  func(fleet.InstanceID) bool { return false },
-		OnHeartbeat: func(_ time.Time, _ mesh.Peer, b wire.Heartbeat) { n.heard[b.ID] = b; n.beats[b.ID]++ },
-		OnLost:      func(_ time.Time, id fleet.InstanceID) { n.lost[id]++ },
+		OnHeartbeat: func(_ time.Time, _ mesh.Peer, b wire.Heartbeat) { n.received[b.ID] = b; n.heartbeats[b.ID]++ },
+		OnLost:      func(_ time.Time, id fleet.InstanceID) { n.lostCount[id]++ },
 	})
 	n.loop.AddTicker(n.mesh)
 	ended := make(chan struct{})
@@ -105,8 +105,8 @@
 	return n
 }
 
-// live returns the entries that a process hears.
-func (n *node) live() []fleet.InstanceID {
+// liveEntries returns the IDs of the entries that a process considers live.
+func (n *node) liveEntries() []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	_ = n.loop.Do(context.Background(), func(now time.Time) {
 		for _, e := range n.mesh.Entries(now) {
@@ -128,74 +128,74 @@
 		one := start(port, fleet.RoleEntry, a)
 		two := start(port, fleet.RoleEntry, b, a)
 		three := start(port, fleet.RoleEntry, c, a)
-		Eventually(one.live, patience).Should(ConsistOf(two.id, three.id))
-		Eventually(two.live, patience).Should(ConsistOf(one.id, three.id))
-		Eventually(three.live, patience).Should(ConsistOf(one.id, two.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id, three.id))
+		Eventually(two.liveEntries, eventualTimeout).Should(ConsistOf(one.id, three.id))
+		Eventually(three.liveEntries, eventualTimeout).Should(ConsistOf(one.id, two.id))
 	})
 
-	// The seeds are stale: one is dead, one is the process itself.
-	It("does with seeds of which only one lives", func() {
+	// The seeds are outdated: one is dead, one is the process itself.
+	It("finds entries when only one seed is live", func() {
 		one := start(port, fleet.RoleEntry, a, a, "127.0.3.77", b)
 		two := start(port, fleet.RoleEntry, b, "127.0.3.77")
-		Eventually(one.live, patience).Should(ConsistOf(two.id))
-		Eventually(two.live, patience).Should(ConsistOf(one.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id))
+		Eventually(two.liveEntries, eventualTimeout).Should(ConsistOf(one.id))
 	})
 
-	It("has an agent find entries beyond its seed, and another when one goes", func() {
+	It("lets an agent find entries beyond its seed, and another one when an entry fails", func() {
 		one := start(port, fleet.RoleEntry, a)
 		two := start(port, fleet.RoleEntry, b, a)
-		side := start(port, fleet.RoleAgent, agent, a)
-		Eventually(side.live, patience).Should(ConsistOf(one.id, two.id))
+		agentNode := start(port, fleet.RoleAgent, agent, a)
+		Eventually(agentNode.liveEntries, eventualTimeout).Should(ConsistOf(one.id, two.id))
 		one.stop()
 		three := start(port, fleet.RoleEntry, c, b)
-		Eventually(side.live, patience).Should(ConsistOf(two.id, three.id))
+		Eventually(agentNode.liveEntries, eventualTimeout).Should(ConsistOf(two.id, three.id))
 	})
 
-	// Guards against an agent that changes its links with each beat, as an entry does
-	// not name itself among those that are near.
-	It("has an agent keep the links that it has", func() {
+	// Guards against an agent that changes its links with each heartbeat, because an
+	// entry does not list itself among the entries of the agent's region.
+	It("keeps the links of an agent stable", func() {
 		const enough = 12
 		entries := []*node{start(port, fleet.RoleEntry, a), start(port, fleet.RoleEntry, b, a), start(port, fleet.RoleEntry, c, a)}
 		for _, n := range entries {
-			Eventually(n.live, patience).Should(HaveLen(len(entries) - 1))
+			Eventually(n.liveEntries, eventualTimeout).Should(HaveLen(len(entries) - 1))
 		}
-		side := start(port, fleet.RoleAgent, agent, a, b, c)
-		Eventually(side.links, patience).Should(Equal(2))
-		lost := func() (total int) {
+		agentNode := start(port, fleet.RoleAgent, agent, a, b, c)
+		Eventually(agentNode.linkCount, eventualTimeout).Should(Equal(2))
+		totalLost := func() (total int) {
 			for _, n := range entries {
-				_ = n.loop.Do(context.Background(), func(time.Time) { total += n.lost[agent] })
+				_ = n.loop.Do(context.Background(), func(time.Time) { total += n.lostCount[agent] })
 			}
 			return total
 		}
-		before := lost()
-		Eventually(func() (beats int) {
-			_ = side.loop.Do(context.Background(), func(time.Time) {
+		before := totalLost()
+		Eventually(func() (total int) {
+			_ = agentNode.loop.Do(context.Background(), func(time.Time) {
 				for _, n := range entries {
-					beats += side.beats[n.id]
+					total += agentNode.heartbeats[n.id]
 				}
 			})
-			return beats
-		}, patience).Should(BeNumerically(">=", enough))
-		Expect(lost() - before).To(BeZero())
+			return total
+		}, eventualTimeout).Should(BeNumerically(">=", enough))
+		Expect(totalLost() - before).To(BeZero())
 	})
 
-	// A process is killed and started again at its address. Its links from before
-	// lead nowhere and close nothing.
-	It("links again with a process that was started anew", func() {
+	// A process is killed and restarted at its address. Its earlier links lead nowhere
+	// and are not closed.
+	It("links again with a process that was restarted", func() {
 		one := start(port, fleet.RoleEntry, a)
 		two := start(port, fleet.RoleEntry, b, a)
-		Eventually(one.live, patience).Should(ConsistOf(two.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id))
 		two.stop()
-		Eventually(one.live, patience).Should(BeEmpty())
-		again := start(port, fleet.RoleEntry, b, a)
-		Eventually(one.live, patience).Should(ConsistOf(again.id))
-		Eventually(again.live, patience).Should(ConsistOf(one.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(BeEmpty())
+		restarted := start(port, fleet.RoleEntry, b, a)
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(restarted.id))
+		Eventually(restarted.liveEntries, eventualTimeout).Should(ConsistOf(one.id))
 	})
 
-	It("takes everyone for silent after a pause, until they are heard again", func() {
+	It("considers all entries silent after a pause until their heartbeats arrive again", func() {
 		one := start(port, fleet.RoleEntry, a)
 		two := start(port, fleet.RoleEntry, b, a)
-		Eventually(one.live, patience).Should(ConsistOf(two.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id))
 		var after []mesh.Entry
 		Expect(one.loop.Do(context.Background(), func(now time.Time) {
 			one.mesh.ResetAfterPause(now)
@@ -203,21 +203,21 @@
 		})).To(Succeed())
 		Expect(after).To(HaveLen(1))
 		Expect(after[0].Silent).To(BeTrue())
-		Eventually(one.live, patience).Should(ConsistOf(two.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id))
 	})
 
-	It("passes on at once that a process leaves", func() {
+	It("reports at once that a process is leaving", func() {
 		one := start(port, fleet.RoleEntry, a)
 		two := start(port, fleet.RoleEntry, b, a)
-		Eventually(one.live, patience).Should(ConsistOf(two.id))
+		Eventually(one.liveEntries, eventualTimeout).Should(ConsistOf(two.id))
 		Expect(two.loop.Do(context.Background(), func(now time.Time) {
 			two.leaving = true
 			two.mesh.Flush(now)
 		})).To(Succeed())
 		Eventually(func() bool {
 			var leaving bool
-			_ = one.loop.Do(context.Background(), func(time.Time) { leaving = one.heard[two.id].Leaving })
+			_ = one.loop.Do(context.Background(), func(time.Time) { leaving = one.received[two.id].Leaving })
 			return leaving
-		}, patience).Should(BeTrue())
+		}, eventualTimeout).Should(BeTrue())
 	})
 })
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -23,13 +23,13 @@
 	"chivespindle.example/daemon/swarm"
 )
 
-// maxAgentBody bounds a request's body at an agent; entries have a lower,
-// settable bound.
+// maxAgentBody bounds the body of a request at an agent; entries have a lower,
+// configurable bound.
 const maxAgentBody = 64 << 20
 
-// lingerTime is how long a leaving agent goes on after its last request, so
-// that the last bytes of its answer and the news of its leaving arrive: what is
-// on its way when the endpoint closes is dropped.
+// lingerTime is how long a leaving agent continues after its last request, so that the
+// last bytes of the response and the report that it is leaving arrive: data in transit
+// is dropped when the endpoint closes.
 const lingerTime = time.Second
 
 // Agent is an assembled agent process.
@@ -39,17 +39,17 @@
 	ops  *opshttp.Server
 }
 
-// late passes streams on to a handler that is made after the endpoint.
-type late struct{ handler peer.Handler }
+// lateHandler forwards streams to a handler that is created after the endpoint.
+type lateHandler struct{ handler peer.Handler }
 
 // ServeStream implements peer.Handler.
-func (l *late) ServeStream(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
+func (l *lateHandler) ServeStream(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
 	l.handler.ServeStream(ctx, from, kind, s)
 }
 
-// NewAgent puts an agent together. It takes no stream before it runs.
+// NewAgent assembles an agent. It accepts no stream before it runs.
 func NewAgent(s *settings.Settings, logger *zap.Logger, opts Options) (*Agent, error) {
-	handler := &late{}
+	handler := &lateHandler{}
 	b, err := newBase(s, logger, handler, opts)
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	p.loop.AddTicker(p.role)
 	ops, err := opshttp.New(opshttp.Options{
 		Listen:  s.Listen.Ops,
-		Metrics: p.page,
+		Metrics: p.metricsHandler,
 		Status:  func() any { return p.role.Status() },
 		Ready:   p.role.Ready,
 	})
@@ -98,37 +98,37 @@
 	return err
 }
 
-// Self is the process as the instance list shows it.
+// Self returns the process as the instance list shows it.
 func (p *Agent) Self() fleet.Instance {
 	self := p.settings.Self()
 	self.PeerAddr = p.endpoint.Addr()
 	return self
 }
 
-// connectBackend makes the adapters of the backend server.
-func (p *Agent) connectBackend(o *agent.Options, opts Options) error {
+// connectBackend creates the adapters for the backend server.
+func (p *Agent) connectBackend(roleOptions *agent.Options, opts Options) error {
 	addr, err := addrOf(p.settings.Backend.URL)
 	if err != nil {
 		return err
 	}
 	if p.settings.Backend.Kind == settings.BackendPlain {
 		client := plainservice.New(plainservice.Options{Addr: addr})
-		o.Backend, o.Plain = client, client
+		roleOptions.Backend, roleOptions.Plain = client, client
 		return nil
 	}
 	client := engine.New(engine.Options{
 		Addr:         addr,
 		CheckVersion: func(v fleet.Version) error { return p.role.CheckVersion(v) },
 	})
-	o.Backend, o.Engine = client, client
-	o.Changeover = serving.ChangeoverOptions{Rand: newRand(), DrainTimeout: p.settings.Limits.DrainTimeout}
-	return p.connectWeights(o, client, opts)
+	roleOptions.Backend, roleOptions.Engine = client, client
+	roleOptions.Changeover = serving.ChangeoverOptions{Rand: newRand(), DrainTimeout: p.settings.Limits.DrainTimeout}
+	return p.connectWeights(roleOptions, client, opts)
 }
 
-// connectWeights makes the sources of weights and the limits of the link.
-func (p *Agent) connectWeights(o *agent.Options, client *engine.Client, opts Options) error {
+// connectWeights creates the sources of weights and the limits of the link.
+func (p *Agent) connectWeights(roleOptions *agent.Options, client *engine.Client, opts Options) error {
 	up, down := newShareLimit(nil), newShareLimit(opts.DownLimit)
-	o.UpLimit, o.DownLimit = up, down
+	roleOptions.UpLimit, roleOptions.DownLimit = up, down
 	origin, err := p.source(p.settings.Platform.OriginURL, down)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 		return err
 	}
 	self := p.Self()
-	o.Swarm = swarm.Options{
+	roleOptions.Swarm = swarm.Options{
 		Self:       spread.Member{ID: self.ID, Place: self.Place, Addr: self.PeerAddr},
 		Loop:       p.loop,
 		Endpoint:   p.endpoint,
@@ -161,8 +161,8 @@
 		BaseURL: base, StallTimeout: p.settings.Link.StallTimeout, Limiter: down})
 }
 
-// shareLimit is the share of the link that weights may use, in front of the
-// link of a measurement if there is one.
+// shareLimit limits weights to a share of the link, in front of the simulated link of a
+// measurement if there is one.
 type shareLimit struct {
 	*rate.Limiter
 	link swarm.Limiter
@@ -172,7 +172,7 @@
 	return &shareLimit{Limiter: rate.NewLimiter(rate.Inf, swarm.PieceBytes), link: link}
 }
 
-// WaitN waits until n bytes may be moved; n is at most swarm.PieceBytes.
+// WaitN waits until n bytes may be transferred; n is at most swarm.PieceBytes.
 func (l *shareLimit) WaitN(ctx context.Context, n int) error {
 	if err := l.Limiter.WaitN(ctx, n); err != nil {
 		return err
@@ -183,17 +183,17 @@
 	return l.link.WaitN(ctx, n)
 }
 
-// Actors returns the parts to run.
+// Actors returns the actors to run.
 func (p *Agent) Actors() []Actor { return p.actors(p.ops) }
 
-// Role gives access to the agent's status.
+// Role returns the agent, which has the status.
 func (p *Agent) Role() *agent.Agent { return p.role }
 
-// OpsAddr is the bound operators' address.
+// OpsAddr returns the bound address for operators.
 func (p *Agent) OpsAddr() string { return p.ops.Addr().String() }
 
-// Leave stops gracefully: no new work, then what runs is finished, at most for
-// the drain timeout. It returns when the process may end.
+// Leave stops gracefully: the agent accepts no new work and finishes the running
+// requests, at most for the drain timeout. It returns when the process may exit.
 func (p *Agent) Leave() {
 	ctx, cancel := context.WithTimeout(p.ctx, p.settings.Limits.DrainTimeout)
 	defer cancel()
@@ -201,10 +201,10 @@
 		p.logger.Error("leaving_failed", zap.Error(err))
 		return
 	}
-	done := p.role.Drain(ctx)
+	allFinished := p.role.Drain(ctx)
 	time.Sleep(lingerTime)
-	p.logger.Info("left", zap.Bool("all_finished", done))
+	p.logger.Info("left", zap.Bool("all_finished", allFinished))
 }
 
-// Close releases everything after the actors have ended.
+// Close releases all resources after the actors have ended.
 func (p *Agent) Close() { p.close() }
--- a/daemon/process/entry.go
+++ b/daemon/process/entry.go
@@ -23,9 +23,9 @@
 	ops     *opshttp.Server
 }
 
-// NewEntry puts an entry together and binds its addresses.
+// NewEntry assembles an entry and binds its addresses.
 func NewEntry(s *settings.Settings, logger *zap.Logger, opts Options) (*Entry, error) {
-	handler := &late{}
+	handler := &lateHandler{}
 	b, err := newBase(s, logger, handler, opts)
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	p.callers = callers
 	p.ops, err = opshttp.New(opshttp.Options{
 		Listen:  s.Listen.Ops,
-		Metrics: p.page,
+		Metrics: p.metricsHandler,
 		Status:  func() any { return p.role.Status() },
 		Ready:   p.role.Ready,
 		Extra:   map[string]http.Handler{"GET /explain": p.role.ExplainHandler()},
@@ -81,7 +81,7 @@
 	return err
 }
 
-// Self is the process as the instance list shows it, with its bound addresses.
+// Self returns the process as the instance list shows it, with its bound addresses.
 func (p *Entry) Self() fleet.Instance {
 	self := p.settings.Self()
 	self.PeerAddr = p.endpoint.Addr()
@@ -91,7 +91,7 @@
 	return self
 }
 
-// Actors returns the parts to run.
+// Actors returns the actors to run.
 func (p *Entry) Actors() []Actor {
 	callers := Actor{
 		Execute: p.callers.Run,
@@ -106,8 +106,8 @@
 	return append([]Actor{callers}, p.actors(p.ops)...)
 }
 
-// Leave stops gracefully: other entries stop naming this one, which serves on
-// until the answers that name it have expired. Requests that still run then
+// Leave stops gracefully: other entries stop naming this one, which continues to serve
+// until the responses that name it have expired. Requests that are still running then
 // are finished when the callers' server is interrupted.
 func (p *Entry) Leave() {
 	if err := p.role.Leave(p.ctx); err != nil {
@@ -121,5 +121,5 @@
 	p.logger.Info("left", zap.Bool("all_finished", err == nil))
 }
 
-// Close releases everything after the actors have ended.
+// Close releases all resources after the actors have ended.
 func (p *Entry) Close() { p.close() }
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -1,6 +1,5 @@
-// Package process puts the parts of a role together from its settings: the
-// adapters, the node and the role itself. The programs and the measurements
-// run the same parts.
+// Package process assembles a process of either role from its settings: the adapters,
+// the node and the role itself. The programs and the measurements run the same parts.
 package process
 
 import (
@@ -30,47 +29,47 @@
 	"chivespindle.example/daemon/swarm"
 )
 
-// Actor is one long-running part of a process. Execute runs until it is done
-// or Interrupt is called; it is what oklog/run takes.
+// Actor is one long-running part of a process. Execute runs until it is done or
+// Interrupt is called, as github.com/oklog/run requires.
 type Actor struct {
 	Execute   func() error
 	Interrupt func(error)
 }
 
-// DuplicateID is the failure of a process whose id is taken: another process runs under this process's id and is newer.
+// DuplicateID is the error of a process whose ID is also used by a newer process.
 var DuplicateID = failure.Namespace.NewType("duplicate_id")
 
-// base is what both roles are made of.
+// base contains what both roles share.
 type base struct {
-	settings    *settings.Settings
-	ctx         context.Context
-	cancel      context.CancelFunc
-	logger      *zap.Logger
-	metrics     tally.Scope
-	page        http.Handler
-	closer      io.Closer
-	tracer      *telemetry.Tracer
-	keys        *keys.Store
-	loop        *control.Loop
-	endpoint    *peer.Endpoint
-	node        *node.Node
-	incarnation uint64
-	fatal       chan error
+	settings       *settings.Settings
+	ctx            context.Context
+	cancel         context.CancelFunc
+	logger         *zap.Logger
+	metrics        tally.Scope
+	metricsHandler http.Handler
+	metricsCloser  io.Closer
+	tracer         *telemetry.Tracer
+	keys           *keys.Store
+	loop           *control.Loop
+	endpoint       *peer.Endpoint
+	node           *node.Node
+	incarnation    uint64
+	fatal          chan error
 }
 
-// Options are what a measurement may replace. The zero value is what the
-// programs use.
+// Options contains what a measurement may replace. The programs use the zero value.
 type Options struct {
-	// Socket stands for the machine's link under the peers' traffic; nil: the
-	// bound socket.
+	// Socket wraps the bound socket of the peers' traffic to simulate the machine's
+	// link; nil for the bound socket itself.
 	Socket func(*net.UDPConn) net.PacketConn
-	// DownLimit limits weights that come in beside the link's share; nil: not.
+	// DownLimit limits incoming weights in addition to the link's share; nil for no
+	// limit.
 	DownLimit swarm.Limiter
-	// Metrics takes the process's metrics; nil: a scope of its own.
+	// Metrics receives the metrics of the process; nil for a scope of its own.
 	Metrics tally.Scope
 }
 
-// newBase opens what both roles need. Streams of peers go to handler.
+// newBase opens what both roles need. Streams of peers are passed to handler.
 func newBase(s *settings.Settings, logger *zap.Logger, handler peer.Handler, opts Options) (*base, error) {
 	files := keys.Files{Authority: s.TLS.Authority, Certificate: s.TLS.Certificate, Key: s.TLS.Key}
 	store, err := keys.Load(files)
@@ -89,7 +88,7 @@
 		fatal:       make(chan error, 1),
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	b.metrics, b.page, b.closer = telemetry.NewMetrics()
+	b.metrics, b.metricsHandler, b.metricsCloser = telemetry.NewMetrics()
 	if opts.Metrics != nil {
 		b.metrics = opts.Metrics
 	}
@@ -116,18 +115,18 @@
 	return nil
 }
 
-// checkIdentity refuses a certificate of another process: peers would take
-// this process for that one.
-func checkIdentity(have keys.Identity, s *settings.Settings) error {
-	if have.ID != s.Instance.ID || have.Role != s.Role {
-		return failure.Invalid.New("the certificate is for %s, the settings say %s:%s", have, s.Role, s.Instance.ID)
+// checkIdentity rejects a certificate of another process: peers would mistake this
+// process for that one.
+func checkIdentity(identity keys.Identity, s *settings.Settings) error {
+	if identity.ID != s.Instance.ID || identity.Role != s.Role {
+		return failure.Invalid.New("the certificate is for %s, the settings say %s:%s", identity, s.Role, s.Instance.ID)
 	}
 	return nil
 }
 
-// attachNode makes the node, which calls changed on changes and listRead, if not
-// nil, with the instance list.
-func (b *base) attachNode(changed func(now time.Time), listRead func(now time.Time, list []fleet.Instance)) error {
+// attachNode creates the node, which calls onChange on changes and onList, if not nil,
+// with the instance list.
+func (b *base) attachNode(onChange func(now time.Time), onList func(now time.Time, list []fleet.Instance)) error {
 	s := b.settings
 	config, err := platform.NewConfigSource(platform.ConfigOptions{
 		BaseURL: s.Platform.ConfigURL, Timeout: s.Platform.CallTimeout, Wait: s.Platform.WatchWait})
@@ -151,16 +150,16 @@
 		Rand:        newRand(),
 		Logger:      b.logger,
 		Metrics:     b.metrics,
-		OnChange:    changed,
-		OnList:      listRead,
+		OnChange:    onChange,
+		OnList:      onList,
 		OnDuplicate: b.duplicate,
 	})
 	b.loop.AddTicker(b.node)
 	return nil
 }
 
-// duplicate ends the process if the other one under its id is newer: then this
-// one has been replaced. An older one will end itself.
+// duplicate ends this process if the other one with its ID is newer: then this one has
+// been replaced. An older one ends itself.
 func (b *base) duplicate(other gossip.Record) {
 	if other.Incarnation <= b.incarnation {
 		return
@@ -171,8 +170,8 @@
 	}
 }
 
-// actors are those that both roles have. The endpoint is first, so that
-// nothing is sent before the process can be reached.
+// actors returns the actors that both roles have. The endpoint is first, so that
+// nothing is sent before the process is reachable.
 func (b *base) actors(ops *opshttp.Server) []Actor {
 	return []Actor{
 		b.actor(b.endpoint.Run),
@@ -185,7 +184,7 @@
 	}
 }
 
-// actor runs f until the process ends.
+// actor returns an actor that runs f until the process ends.
 func (b *base) actor(f func(ctx context.Context) error) Actor {
 	ctx, cancel := context.WithCancel(b.ctx)
 	return Actor{
@@ -203,8 +202,8 @@
 	}
 }
 
-// reloadKeys looks at the key files again and again, so that keys are replaced
-// without a restart.
+// reloadKeys checks the key files periodically, so that keys can be replaced without a
+// restart.
 func (b *base) reloadKeys(ctx context.Context) error {
 	ticker := time.NewTicker(b.settings.TLS.ReloadEvery)
 	defer ticker.Stop()
@@ -230,7 +229,7 @@
 	}
 }
 
-// Node gives access to the text in force and the view of the fleet.
+// Node returns the node, which has the active configuration and the view of the fleet.
 func (b *base) Node() *node.Node { return b.node }
 
 // close releases what newBase opened.
@@ -241,20 +240,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), spanTimeout)
 	defer cancel()
 	_ = b.tracer.Shutdown(ctx)
-	_ = b.closer.Close()
+	_ = b.metricsCloser.Close()
 }
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// addrOf returns the address of a checked base URL.
+// addrOf returns the address in a validated base URL.
 func addrOf(base string) (netip.AddrPort, error) {
 	u, err := url.Parse(base)
 	if err != nil {
-		return netip.AddrPort{}, failure.Invalid.Wrap(err, "URL %q", base)
+		return netip.AddrPort{}, failure.Invalid.Wrap(err, "invalid URL %q", base)
 	}
 	addr, err := netip.ParseAddrPort(u.Host)
 	if err != nil {
-		return netip.AddrPort{}, failure.Invalid.Wrap(err, "URL %q", base)
+		return netip.AddrPort{}, failure.Invalid.Wrap(err, "URL %q without an IP address and port", base)
 	}
 	return addr, nil
 }
--- a/daemon/supply/supply.go
+++ b/daemon/supply/supply.go
@@ -1,7 +1,7 @@
-// Package supply finds in the platform's catalog what the agent beside an
-// engine needs: which model its service serves, where its weights come from and
-// which other agents want them. Entries find it for their agents, and an agent
-// for itself while no entry is there.
+// Package supply extracts from the platform's catalog what the agent beside an engine
+// needs: which model its service serves, where the weights come from and which other
+// agents need them. Entries do this for their agents, and an agent does it itself while
+// no entry is reachable.
 package supply
 
 import (
@@ -15,7 +15,7 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// Plan is what an agent needs.
+// Plan is what an agent needs to fetch weights.
 type Plan struct {
 	Supply  wire.Supply
 	Members []wire.Member
@@ -23,7 +23,7 @@
 	Digest uint64
 }
 
-// NewPlan returns the plan of the agent at addr; false if the catalog shows no
+// NewPlan returns the plan of the agent at addr; false if the catalog contains no
 // engine there or no origin of weights.
 func NewPlan(s catalog.Snapshot, regions map[fleet.Zone]fleet.Region, addr netip.Addr) (Plan, bool) {
 	if s.Config == nil {
@@ -50,7 +50,7 @@
 	return p, true
 }
 
-// engineAt returns the service of the engine on an instance.
+// engineAt returns the service of the engine on an instance, or nil.
 func engineAt(s catalog.Snapshot, addr netip.Addr) *routing.Service {
 	for _, server := range s.Servers {
 		if server.Addr.Addr() != addr {
@@ -65,10 +65,10 @@
 	return nil
 }
 
-func originOf(c *routing.Config) *routing.Origin {
-	for i := range c.Services {
-		if c.Services[i].Origin != nil {
-			return c.Services[i].Origin
+func originOf(config *routing.Config) *routing.Origin {
+	for i := range config.Services {
+		if config.Services[i].Origin != nil {
+			return config.Services[i].Origin
 		}
 	}
 	return nil
--- a/daemon/wire/heartbeat.go
+++ b/daemon/wire/heartbeat.go
@@ -12,58 +12,57 @@
 	"chivespindle.example/core/serverlimit"
 )
 
-// Heartbeat is what a process tells those that it is linked to, several times a
+// Heartbeat is the message that linked processes send each other several times a
 // second. Stream: peer.KindGossip, long-lived, both directions.
 type Heartbeat struct {
 	ID          fleet.InstanceID `cbor:"1,keyasint"`
 	Role        fleet.Role       `cbor:"2,keyasint"`
 	Incarnation uint64           `cbor:"3,keyasint"`
 	Place       fleet.Place      `cbor:"4,keyasint"`
-	// CallerAddr is where an entry takes requests.
+	// CallerAddr is the address on which an entry accepts requests.
 	CallerAddr netip.AddrPort `cbor:"5,keyasint,omitzero"`
-	// Ready entries take requests; Leaving ones have begun their planned stop.
+	// Ready entries accept requests; Leaving ones have begun their planned stop.
 	Ready   bool `cbor:"6,keyasint,omitzero"`
 	Leaving bool `cbor:"7,keyasint,omitzero"`
 	// AsOf and ConfigRevision are those of the sender's catalog.
 	AsOf           catalog.Revision `cbor:"8,keyasint,omitzero"`
 	ConfigRevision catalog.Revision `cbor:"9,keyasint,omitzero"`
-	// OperatorAsOf is up to which revision the sender knows what the operator
-	// wrote. Wanted and ConfigRevision tell of all of it.
+	// OperatorAsOf is the revision up to which the sender knows what the operator
+	// wrote. Wanted and ConfigRevision reflect all of it.
 	OperatorAsOf catalog.Revision `cbor:"19,keyasint,omitzero"`
-	// ReachesPlatform is true while the platform answers an entry, or one that reads it
-	// for this one.
+	// ReachesPlatform is true while the platform responds to an entry, or to another
+	// one that reads the platform for it.
 	ReachesPlatform bool `cbor:"16,keyasint,omitzero"`
-	// PlatformUnresponsive entries have been answered by the platform for a while not at all
-	// and are the last to read it for others.
+	// PlatformUnresponsive is true for an entry that has had no response from the
+	// platform for a while. Such entries are the last to read it for others.
 	PlatformUnresponsive bool `cbor:"22,keyasint,omitzero"`
-	// Platform and Servers are told by an entry that reads the platform to those of
-	// its region.
+	// Platform and Servers are sent by an entry that reads the platform to the entries
+	// of its region.
 	Platform *PlatformState `cbor:"23,keyasint,omitempty"`
 	Servers  *ServerChanges `cbor:"24,keyasint,omitempty"`
-	// Wanted are the model versions that the operator named.
+	// Wanted contains the model versions that the operator named.
 	Wanted []WantedVersion `cbor:"10,keyasint,omitempty"`
-	// Loads is what an entry has at each server whose load has changed since the
-	// beat before on the link. One without work has a zero load.
+	// Loads contains the load of an entry at each server where it has changed since the
+	// previous heartbeat on the link. A server without work has a zero load.
 	Loads []placement.Load `cbor:"11,keyasint,omitempty"`
-	// LoadsComplete is true if Loads are all that the sender has anywhere: what it told
-	// before is void.
+	// LoadsComplete is true if Loads are all loads of the sender: loads that it
+	// reported before are void.
 	LoadsComplete bool `cbor:"21,keyasint,omitzero"`
-	// Brief beats have no fields but ID, Role, Incarnation, ConfigRevision, Loads
-	// and AllLoads.
+	// Brief heartbeats have no fields but ID, Role, Incarnation, ConfigRevision, Loads
+	// and LoadsComplete.
 	Brief bool `cbor:"17,keyasint,omitzero"`
-	// Replicas are the engines that agents told the sender of, or an agent's
-	// own.
+	// Replicas are the engines that agents reported to the sender, or an agent's own.
 	Replicas []Replica `cbor:"12,keyasint,omitempty"`
-	// Entries tell an agent of the entries of its region.
+	// Entries lists the entries of an agent's region, for the agent.
 	Entries []netip.Addr `cbor:"13,keyasint,omitempty"`
-	// Digests tell an entry of those that it holds no link with.
+	// Digests describe entries that the receiving entry has no link with.
 	Digests []Digest `cbor:"20,keyasint,omitempty"`
-	// Members are the agents of the receiver's service. They are sent only when
-	// they have changed.
+	// Members are the agents of the receiver's service. They are sent only when they
+	// have changed.
 	Members []Member `cbor:"14,keyasint,omitempty"`
-	// Supply tells an agent where its service's weights come from.
+	// Supply is where the weights of an agent's service come from.
 	Supply *Supply `cbor:"15,keyasint,omitempty"`
-	// Manifest is that of the wanted version. It is sent once over a link.
+	// Manifest is the manifest of the wanted version. It is sent once over a link.
 	Manifest *Manifest `cbor:"18,keyasint,omitempty"`
 	// Crashes are an entry's new reports of requests that were in flight at servers
 	// that crashed.
@@ -72,48 +71,49 @@
 	Limits []serverlimit.Report `cbor:"26,keyasint,omitempty"`
 }
 
-// PlatformState is how an entry that reads the platform stands with it.
+// PlatformState is the state of the platform as seen by an entry that reads it.
 type PlatformState struct {
-	// LastResponseAgoMS is how long ago the last answer came.
+	// LastResponseAgoMS is the time since the last response.
 	LastResponseAgoMS int64 `cbor:"1,keyasint"`
-	// Failing is true since a call failed.
+	// Failing is true after a failed call.
 	Failing bool `cbor:"2,keyasint,omitzero"`
-	// RegainedAgoMS is how long ago the platform answered again after it had been
-	// away for SilentMS; both 0 if it never was.
+	// RegainedAgoMS is the time since the platform responded again after an outage of
+	// SilentMS; both are 0 if there was no outage.
 	RegainedAgoMS int64 `cbor:"3,keyasint,omitzero"`
 	SilentMS      int64 `cbor:"4,keyasint,omitzero"`
-	// ReadAgoMS is up to how long ago all changes of servers are known up to the beat's
-	// AsOf.
+	// ReadAgoMS is the age of the sender's knowledge of servers: the heartbeat's AsOf
+	// includes all older changes.
 	ReadAgoMS int64 `cbor:"5,keyasint,omitzero"`
 }
 
-// ServerChanges is what happened to servers after a revision, complete up to
+// ServerChanges contains the changes of servers after one revision, complete up to
 // another.
 type ServerChanges struct {
 	After   catalog.Revision `cbor:"1,keyasint"`
 	AsOf    catalog.Revision `cbor:"2,keyasint"`
 	Changes []catalog.Change `cbor:"3,keyasint,omitempty"`
-	// AgeMS is how long ago the platform was read.
+	// AgeMS is the time since the platform was read.
 	AgeMS int64 `cbor:"4,keyasint,omitzero"`
 }
 
-// Digest is what one entry tells of those that it hears, for others that hold
-// no link with them.
+// Digest is the report of one entry about the entries that it receives heartbeats from,
+// for others that have no link with them.
 type Digest struct {
-	// Reporter is the entry that hears them, Group the one that it belongs to.
+	// Reporter is the entry that receives their heartbeats, Group the group that it
+	// belongs to.
 	Reporter netip.Addr `cbor:"1,keyasint"`
 	Group    string     `cbor:"2,keyasint"`
-	// AgeMS is how long ago By told it.
+	// AgeMS is the time since Reporter sent the digest.
 	AgeMS int64 `cbor:"3,keyasint,omitzero"`
-	// Version changes with Entries, which are left out if they were told over the
-	// link before.
+	// Version changes with Entries, which are omitted if they were sent over the link
+	// before.
 	Version uint64       `cbor:"4,keyasint"`
 	Entries []EntryState `cbor:"5,keyasint,omitempty"`
-	// Loads are what the entries of the group have together.
+	// Loads are the total loads of the entries of the group.
 	Loads []placement.RegionLoad `cbor:"6,keyasint,omitempty"`
 }
 
-// EntryState is what others must know of an entry.
+// EntryState is the state of an entry that other entries need.
 type EntryState struct {
 	Addr                 netip.Addr     `cbor:"1,keyasint"`
 	Place                fleet.Place    `cbor:"2,keyasint"`
@@ -124,7 +124,7 @@
 	PlatformUnresponsive bool           `cbor:"7,keyasint,omitzero"`
 }
 
-// State returns what the beat of an entry says of it.
+// State returns the state of an entry from its heartbeat.
 func (b Heartbeat) State(addr netip.Addr) EntryState {
 	return EntryState{
 		Addr: addr, Place: b.Place, CallerAddr: b.CallerAddr, Ready: b.Ready, Leaving: b.Leaving, ReachesPlatform: b.ReachesPlatform,
@@ -132,62 +132,62 @@
 	}
 }
 
-// Manifest lists the chunks of a version as an agent read them at the origin,
-// twice with the same result.
+// Manifest lists the chunks of a version as an agent read them from the origin, twice
+// with the same result.
 type Manifest struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	Raw     []byte `cbor:"3,keyasint"` // encoded by weights.Manifest
 }
 
-// WantedVersion is a model version that the operator named, and for how long
-// the sender has known of it.
+// WantedVersion is a model version that the operator named, and the time for which the
+// sender has known it.
 type WantedVersion struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	AgeMS   int64  `cbor:"3,keyasint"`
-	// Assumed is true if the sender found the version when it started and does
-	// not know its age.
+	// Assumed is true if the sender found the version when it started and does not know
+	// its age.
 	Assumed bool `cbor:"4,keyasint,omitzero"`
 }
 
-// NamedVersion returns the version as the receiver sees it.
+// NamedVersion returns the version in the receiver's time.
 func (w WantedVersion) NamedVersion(now time.Time) loading.NamedVersion {
 	since := now.Add(-time.Duration(w.AgeMS) * time.Millisecond)
 	return loading.NamedVersion{Version: w.Version, Since: since, Assumed: w.Assumed}
 }
 
-// Replica is what the agent beside an engine knows of it.
+// Replica is the state of an engine as reported by the agent beside it.
 type Replica struct {
-	// Addr is the IP number that agent and engine share.
+	// Addr is the IP address that agent and engine share.
 	Addr        netip.Addr `cbor:"1,keyasint"`
 	Incarnation uint64     `cbor:"2,keyasint"`
-	// Seq counts the states that the agent told.
+	// Seq counts the states that the agent has reported.
 	Seq         uint64 `cbor:"3,keyasint"`
 	Loaded      uint64 `cbor:"4,keyasint,omitzero"`
 	Reloading   bool   `cbor:"5,keyasint,omitzero"`
 	Unreachable bool   `cbor:"6,keyasint,omitzero"`
-	// ReadyInMS is when the engine is expected to answer from the wanted
-	// version; 0 if it does, or if that is not known.
+	// ReadyInMS is the time until the engine is expected to serve the wanted version; 0
+	// if it does, or if the time is not known.
 	ReadyInMS int64 `cbor:"7,keyasint,omitzero"`
-	// SlowdownPercent is by how much the engine's passes last longer than published, in
-	// percent; 0 if that is not known.
+	// SlowdownPercent is the factor by which the engine's passes exceed their published
+	// duration, in percent; 0 if it is not known.
 	SlowdownPercent int `cbor:"8,keyasint,omitzero"`
-	// Born is the engine's and not the agent's.
+	// Born is the start time of the engine, not of the agent.
 	Born fleet.StartTime `cbor:"9,keyasint,omitzero"`
-	// AgeMS is for how long the agent has run.
+	// AgeMS is the time for which the agent has run.
 	AgeMS int64 `cbor:"10,keyasint,omitzero"`
 }
 
-// IsNewer reports whether r was told after other, which was heard some time
+// IsNewer reports whether r was reported after other, which was received some time
 // before r.
 //
-// Of two agents the younger one replaced the other. Their incarnations are
-// times of day and would not do: after a clock was set back, an agent that
-// started again was not believed until its predecessor's word had run out.
-func (r Replica) IsNewer(other Replica, before time.Duration) bool {
+// Of two agents the younger one has replaced the other. Their incarnations are times of
+// day and cannot be compared: after a clock was set back, reports of a restarted agent
+// were ignored until the report of its predecessor had expired.
+func (r Replica) IsNewer(other Replica, elapsed time.Duration) bool {
 	if r.Incarnation != other.Incarnation {
-		return r.AgeMS < other.AgeMS+before.Milliseconds()
+		return r.AgeMS < other.AgeMS+elapsed.Milliseconds()
 	}
 	return r.Seq > other.Seq
 }
@@ -197,15 +197,15 @@
 	return r.Incarnation == other.Incarnation && r.Seq == other.Seq
 }
 
-// HasSameEngineState reports whether r and other say the same of the engine.
+// HasSameEngineState reports whether r and other contain the same state of the engine.
 func (r Replica) HasSameEngineState(other Replica) bool {
 	return r.Loaded == other.Loaded && r.Reloading == other.Reloading && r.Unreachable == other.Unreachable && r.SlowdownPercent == other.SlowdownPercent &&
 		r.Born == other.Born
 }
 
-// WithAge returns what was heard some time ago, as it is told on.
-func (r Replica) WithAge(since time.Duration) Replica {
-	r.AgeMS += since.Milliseconds()
+// WithAge returns r, received some time ago, as it is forwarded.
+func (r Replica) WithAge(elapsed time.Duration) Replica {
+	r.AgeMS += elapsed.Milliseconds()
 	return r
 }
 
@@ -222,27 +222,27 @@
 	Origin         netip.AddrPort `cbor:"2,keyasint"`
 	BytesPerSecond int64          `cbor:"3,keyasint"`
 	Layers         int            `cbor:"4,keyasint"`
-	// LoadMS is how long the load of a whole version takes once it is staged.
+	// LoadMS is the time to load a complete staged version.
 	LoadMS int64 `cbor:"5,keyasint"`
 }
 
-// CatalogRequest asks an entry for what its catalog holds that is newer. Stream:
-// peer.KindConfig, one ask and one CatalogAnswer.
+// CatalogRequest requests what is newer in an entry's catalog. Stream: peer.KindConfig,
+// one CatalogRequest and one CatalogResponse.
 type CatalogRequest struct {
-	// AsOf is up to which revision the asker knows the servers.
+	// AsOf is the revision up to which the requester knows the servers.
 	AsOf           catalog.Revision `cbor:"1,keyasint"`
 	ConfigRevision catalog.Revision `cbor:"2,keyasint,omitzero"`
 }
 
-// CatalogResponse tells what is newer, nil for nothing. A snapshot as of 0 tells
-// nothing of the servers.
+// CatalogResponse contains what is newer; Snapshot is nil if nothing is. A snapshot as
+// of 0 does not describe the servers.
 type CatalogResponse struct {
 	// Snapshot is without a configuration.
 	Snapshot *catalog.Snapshot `cbor:"1,keyasint,omitempty"`
-	// ConfigRevision is that of the configuration that follows in raw frames,
-	// packed, ConfigBytes in all; 0 if the asker has it.
+	// ConfigRevision is the revision of the configuration that follows, compressed, in
+	// raw frames of ConfigBytes in total; 0 if the requester has it.
 	ConfigRevision catalog.Revision `cbor:"2,keyasint,omitzero"`
 	ConfigBytes    int              `cbor:"3,keyasint,omitzero"`
-	// AgeMS is how long ago the platform was read for the servers.
+	// AgeMS is the time since the servers were read from the platform.
 	AgeMS int64 `cbor:"4,keyasint,omitzero"`
 }
