--- a/daemon/loader/catalog.go
+++ b/daemon/loader/catalog.go
@@ -20,8 +20,8 @@
 	noEntryTimeout        = 2 * time.Second
 	noEntryTimeoutAtStart = 1500 * time.Millisecond
 	// noSupplyTimeout is how long after its start an agent waits for an entry to report
-	// where the weights come from. Entries that lost the platform before the server was
-	// registered do not know it.
+	// where the weights come from. Entries that were cut off from the platform before
+	// the server was registered do not know it.
 	noSupplyTimeout = 4 * time.Second
 	// catalogReadInterval is the mean pause between two such reads. There are far more
 	// agents than entries, and the platform counts each call.
--- a/daemon/loader/catalog_test.go
+++ b/daemon/loader/catalog_test.go
@@ -46,8 +46,8 @@
 		Expect(l.needsCatalog(at(13 * time.Second))).To(BeTrue())
 	})
 
-	// The entries lost the platform before the server was registered: they are
-	// reachable but do not know the server.
+	// The entries were cut off from the platform before the server was registered: they
+	// are reachable but do not know the server.
 	It("reads the catalog when no entry knows where the weights come from", func() {
 		l := &Loader{started: start, lastHeartbeat: at(5 * time.Second)}
 		Expect(l.needsCatalog(at(5 * time.Second))).To(BeTrue())
--- a/daemon/loader/stage.go
+++ b/daemon/loader/stage.go
@@ -138,7 +138,7 @@
 // fetchStallTimeout is the time without a chunk after which a fetch counts as stalled.
 const fetchStallTimeout = 900 * time.Millisecond
 
-// remainingTime is the least time that the missing chunks take over the instance's
+// remainingTime returns the minimum time for the missing chunks over the instance's
 // link; loading.NotExpected while none arrive.
 func (s *stage) remainingTime(now time.Time, g versionFetch, linkBytes int64) time.Duration {
 	v, err := s.versionByNumber(g.version)
