--- a/daemon/agent/once.go
+++ b/daemon/agent/once.go
@@ -34,7 +34,7 @@
 }
 
 // runOnce serves a non-idempotent request.
-func (a *Agent) runOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
+func (a *Agent) runOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.ResponseEnd {
 	key, err := once.ParseKey(req.Workspace, req.IdempotencyKey)
 	if err != nil {
 		return decidedByHome(notRunEnd(req, err))
@@ -62,7 +62,7 @@
 // closeKey responds to a request that this agent cannot accept now. Whether the
 // caller may be told "not run" depends on the record of the key. A recorded
 // response is returned, since it needs no backend server.
-func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, info once.RequestInfo, refused error) wire.AnswerEnd {
+func (a *Agent) closeKey(s *peer.Stream, req wire.Request, key once.Key, digest fleet.Digest, info once.RequestInfo, refused error) wire.ResponseEnd {
 	verdict := a.register.Close(time.Now(), key, digest, info)
 	end := a.replyFromRecord(s, req, verdict)
 	if verdict.Outcome == failure.NotRun {
@@ -74,7 +74,7 @@
 
 // forwardOnce forwards the request and lets it complete even if the entry or the
 // caller disconnects, so that a retry finds the response.
-func (a *Agent) forwardOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.AnswerEnd {
+func (a *Agent) forwardOnce(ctx context.Context, s *peer.Stream, req wire.Request, body []byte, version fleet.Version, key once.Key) wire.ResponseEnd {
 	out := newResponseStream(s, version)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.remaining(req))
 	defer cancel()
@@ -85,7 +85,7 @@
 	}
 	defer func() { release(out.firstPieceDelay) }()
 	if !a.register.MarkForwarded(key) {
-		return decidedByHome(wire.AnswerEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
+		return decidedByHome(wire.ResponseEnd{ID: req.ID, Duplicate: true, Reason: "the key was taken meanwhile"})
 	}
 	var keptBody []byte
 	end := a.forward(ctx, req, body, version, func(p serving.Piece) error {
@@ -103,13 +103,13 @@
 	return decidedByHome(out.finish(req, end))
 }
 
-func decidedByHome(end wire.AnswerEnd) wire.AnswerEnd {
-	end.Decided = true
+func decidedByHome(end wire.ResponseEnd) wire.ResponseEnd {
+	end.DecidedByHome = true
 	return end
 }
 
 // replyFromRecord responds to a request whose key is on record.
-func (a *Agent) replyFromRecord(s *peer.Stream, req wire.Request, v once.Verdict) wire.AnswerEnd {
+func (a *Agent) replyFromRecord(s *peer.Stream, req wire.Request, v once.Verdict) wire.ResponseEnd {
 	if v.Action != once.Done || !v.Result.HasBody {
 		return refusalEnd(req, v)
 	}
@@ -117,14 +117,14 @@
 	if len(v.Result.Body) > 0 {
 		_ = out.sendPiece(serving.Piece{Status: v.Result.Status, Data: v.Result.Body}) // finish reports an error
 	}
-	end := wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: req.ID, Status: v.Result.Status, Version: v.Result.Version}
+	end := wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: req.ID, Status: v.Result.Status, Version: v.Result.Version}
 	return decidedByHome(out.finish(req, end))
 }
 
 // refusalEnd converts a verdict without a recorded response to the end of a
 // response.
-func refusalEnd(req wire.Request, v once.Verdict) wire.AnswerEnd {
-	end := decidedByHome(wire.AnswerEnd{ID: req.ID, Duplicate: true})
+func refusalEnd(req wire.Request, v once.Verdict) wire.ResponseEnd {
+	end := decidedByHome(wire.ResponseEnd{ID: req.ID, Duplicate: true})
 	switch v.Action {
 	case once.Running:
 		end.Reason = "a request with this key runs now"
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -36,7 +36,7 @@
 
 		running := r.entry.Do(r.nonIdempotentRequest("second", key), requestBody).End
 		Expect(running).To(HaveValue(SatisfyAll(
-			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("Decided", true),
+			HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true), HaveField("DecidedByHome", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0)))))
 
 		close(release)
@@ -57,7 +57,7 @@
 		r.backend.SetHandler(daemontest.HandleAfter(release, daemontest.Echo))
 		key := r.issueKey(1)
 		other := daemontest.NewEntry("entry-2", r.Self)
-		ends := make(chan wire.AnswerEnd, 2)
+		ends := make(chan wire.ResponseEnd, 2)
 		for id, entry := range map[string]*daemontest.Entry{"by-1": r.entry, "by-2": other} {
 			s := entry.Send(r.nonIdempotentRequest(id, key), requestBody)
 			go func() {
@@ -66,7 +66,7 @@
 				}
 			}()
 		}
-		var refused, ran wire.AnswerEnd
+		var refused, ran wire.ResponseEnd
 		Eventually(ends).Should(Receive(&refused))
 		Expect(refused).To(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Duplicate", true),
 			HaveField("RetryAfterMS", BeNumerically(">", 0))))
@@ -84,7 +84,7 @@
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
 			r := newPlainRig()
 			end := r.entry.Do(r.nonIdempotentRequest("late", keyOf(r).Text), requestBody).End
-			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("Decided", true),
+			Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeUnknown), HaveField("DecidedByHome", true),
 				HaveField("Reason", ContainSubstring(string(reason))))))
 			Expect(r.backend.Calls()).To(BeEmpty())
 		},
@@ -116,7 +116,7 @@
 		Eventually(r.admits).Should(BeFalse())
 
 		Expect(r.entry.Do(r.nonIdempotentRequest("fresh-1", fresh), requestBody).End).To(HaveValue(SatisfyAll(
-			HaveField("Outcome", wire.OutcomeNotRun), HaveField("Decided", true))))
+			HaveField("Outcome", wire.OutcomeNotRun), HaveField("DecidedByHome", true))))
 		Expect(r.entry.Do(r.nonIdempotentRequest("lost-2", lost), requestBody).End).To(HaveValue(HaveField("Outcome", wire.OutcomeUnknown)))
 		again := r.entry.Do(r.nonIdempotentRequest("done-2", done), requestBody)
 		Expect(again.End).To(HaveValue(HaveField("Outcome", wire.OutcomeRan)))
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -104,7 +104,7 @@
 	started := time.Now()
 	end := a.handleRequest(ctx, s, req, body)
 	a.logRequest(from, req, end, started)
-	if err := s.Send(wire.AnswerPart{End: &end}); err != nil {
+	if err := s.Send(wire.ResponsePart{End: &end}); err != nil {
 		return
 	}
 	_ = s.CloseSend()
@@ -127,14 +127,14 @@
 	return body, nil
 }
 
-func (a *Agent) logRequest(from keys.Identity, req wire.Request, end wire.AnswerEnd, started time.Time) {
+func (a *Agent) logRequest(from keys.Identity, req wire.Request, end wire.ResponseEnd, started time.Time) {
 	a.opts.Metrics.Tagged(map[string]string{"outcome": outcomeOf(end).String()}).Counter("requests").Inc(1)
 	a.opts.Logger.Info("request", zap.String("request_id", req.ID), zap.String("entry", string(from.ID)),
 		zap.Stringer("outcome", outcomeOf(end)), zap.String("reason", end.Reason),
 		zap.Stringer("version", end.Version), zap.Duration("took", time.Since(started)))
 }
 
-func outcomeOf(end wire.AnswerEnd) failure.Outcome {
+func outcomeOf(end wire.ResponseEnd) failure.Outcome {
 	switch end.Outcome {
 	case wire.OutcomeRan:
 		return failure.Ran
@@ -147,7 +147,7 @@
 
 // handleRequest serves one request and returns how it ended. The pieces of the
 // response are sent to the entry as they arrive.
-func (a *Agent) handleRequest(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.AnswerEnd {
+func (a *Agent) handleRequest(ctx context.Context, s *peer.Stream, req wire.Request, body []byte) wire.ResponseEnd {
 	if req.NonIdempotent {
 		return a.runOnce(ctx, s, req, body)
 	}
@@ -210,13 +210,13 @@
 	return -late
 }
 
-func notRunEnd(req wire.Request, err error) wire.AnswerEnd {
-	return wire.AnswerEnd{
+func notRunEnd(req wire.Request, err error) wire.ResponseEnd {
+	return wire.ResponseEnd{
 		Outcome:      wire.OutcomeNotRun,
 		ID:           req.ID,
 		Reason:       err.Error(),
 		RetryAfterMS: failure.RetryAfter(err).Milliseconds(),
-		Full:         errorx.IsOfType(err, calls.Overloaded),
+		QueueFull:    errorx.IsOfType(err, calls.Overloaded),
 	}
 }
 
@@ -224,7 +224,7 @@
 // response to emit. The response must name the request and the version for which it
 // was admitted; otherwise it is aborted, neither reported to the entry as complete
 // nor kept in the record.
-func (a *Agent) forward(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.AnswerEnd {
+func (a *Agent) forward(ctx context.Context, req wire.Request, body []byte, version fleet.Version, emit func(serving.Piece) error) wire.ResponseEnd {
 	call := serving.Call{
 		ID:             req.ID,
 		IdempotencyKey: req.IdempotencyKey,
@@ -243,7 +243,7 @@
 	if err != nil {
 		return failedEnd(req, err)
 	}
-	return wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: response.ID, Status: response.Status, Version: response.Version}
+	return wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: response.ID, Status: response.Status, Version: response.Version}
 }
 
 func checkResponse(req wire.Request, version fleet.Version, response serving.Response) error {
@@ -276,17 +276,17 @@
 	}
 	o.hasBegun = true
 	o.firstPieceDelay = time.Since(o.startedAt)
-	return o.send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: statusOr200(status), Version: o.version}})
+	return o.send(wire.ResponsePart{Header: &wire.ResponseHeader{Status: statusOr200(status), Version: o.version}})
 }
 
 func (o *responseStream) sendPiece(p serving.Piece) error {
 	if err := o.sendBegin(p.Status); err != nil {
 		return err
 	}
-	return o.send(wire.AnswerPart{Piece: p.Data})
+	return o.send(wire.ResponsePart{Piece: p.Data})
 }
 
-func (o *responseStream) send(part wire.AnswerPart) error {
+func (o *responseStream) send(part wire.ResponsePart) error {
 	if o.sendErr == nil {
 		o.sendErr = o.stream.Send(part)
 	}
@@ -295,7 +295,7 @@
 
 // finish returns the end of the response for the entry. It reports completion only
 // if all parts were sent.
-func (o *responseStream) finish(req wire.Request, end wire.AnswerEnd) wire.AnswerEnd {
+func (o *responseStream) finish(req wire.Request, end wire.ResponseEnd) wire.ResponseEnd {
 	if end.Outcome != wire.OutcomeRan {
 		return end
 	}
@@ -321,7 +321,7 @@
 
 // failedEnd returns the end of a response that failed. Only a complete response
 // ends as run.
-func failedEnd(req wire.Request, err error) wire.AnswerEnd {
+func failedEnd(req wire.Request, err error) wire.ResponseEnd {
 	end := notRunEnd(req, err)
 	if failure.OutcomeOf(err) != failure.NotRun {
 		end.Outcome = wire.OutcomeUnknown
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -44,7 +44,7 @@
 		}
 		end := r.entry.Do(req, "two cones").End
 		Expect(end).To(HaveValue(SatisfyAll(HaveField("Outcome", wire.OutcomeNotRun),
-			HaveField("Reason", ContainSubstring("deadline")), HaveField("Decided", once))))
+			HaveField("Reason", ContainSubstring("deadline")), HaveField("DecidedByHome", once))))
 		Expect(r.backend.Calls()).To(BeEmpty())
 	},
 		Entry("idempotent", false),
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -320,7 +320,7 @@
 // receiveResponse forwards the response to the caller until its end.
 func (a *attempt) receiveResponse(s *peer.Stream, server balance.Server) (calls.Completion, error) {
 	for {
-		var part wire.AnswerPart
+		var part wire.ResponsePart
 		if err := s.Recv(&part); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = calls.Interrupted.New("the agent ended the answer early")
@@ -328,10 +328,10 @@
 			return calls.Completion{}, interruptedError(err, "receive the answer")
 		}
 		switch {
-		case !part.IsOneStep():
+		case !part.IsSingle():
 			return calls.Completion{}, corruptError("a part of the answer is more than one step")
-		case part.Begin != nil:
-			if err := a.handleBegin(*part.Begin); err != nil {
+		case part.Header != nil:
+			if err := a.handleBegin(*part.Header); err != nil {
 				return calls.Completion{}, err
 			}
 		case part.End != nil:
@@ -352,7 +352,7 @@
 	return failure.WithOutcome(failure.Corrupt.New(format, args...), failure.Unknown)
 }
 
-func (a *attempt) handleBegin(b wire.AnswerBegin) error {
+func (a *attempt) handleBegin(b wire.ResponseHeader) error {
 	if a.delivered {
 		return corruptError("the answer begins twice")
 	}
@@ -369,7 +369,7 @@
 // began. The response is aborted if the end names another request, since its pieces
 // may belong to another caller, or another version, since its pieces may come from
 // both.
-func (a *attempt) handleEnd(end wire.AnswerEnd, server balance.Server) (calls.Completion, error) {
+func (a *attempt) handleEnd(end wire.ResponseEnd, server balance.Server) (calls.Completion, error) {
 	if end.ID != a.request.ID {
 		return calls.Completion{}, corruptError("the answer names request %q", end.ID)
 	}
@@ -386,12 +386,12 @@
 }
 
 // endError converts the end of an unsuccessful response to an error.
-func endError(end wire.AnswerEnd, server fleet.InstanceID) error {
+func endError(end wire.ResponseEnd, server fleet.InstanceID) error {
 	kind, outcome := calls.Interrupted, failure.Unknown
 	switch {
 	case end.Duplicate:
 		kind = calls.Duplicate
-	case end.Full:
+	case end.QueueFull:
 		kind = calls.Overloaded
 	case end.Outcome == wire.OutcomeNotRun:
 		kind = failure.Refused
@@ -403,6 +403,6 @@
 		outcome = failure.NotRun
 	}
 	err := failure.WithOutcome(kind.New("%s: %s", server, end.Reason), outcome)
-	err = err.WithProperty(decidedProperty, end.Decided)
+	err = err.WithProperty(decidedProperty, end.DecidedByHome)
 	return failure.WithRetryAfter(err, time.Duration(end.RetryAfterMS)*time.Millisecond)
 }
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -135,7 +135,7 @@
 		r := newRig(2)
 		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeNotRun, Decided: true, RetryAfterMS: 700})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeNotRun, DecidedByHome: true, RetryAfterMS: 700})
 		})
 		got := r.send(r.nonIdempotentRequest(r.agents[0], requestBody))
 		Expect(got.Err).To(SatisfyAll(haveOutcome(failure.NotRun),
@@ -207,7 +207,7 @@
 		r := newRig(2)
 		r.agents[0].SetScript(func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Decided: true, Duplicate: true, RetryAfterMS: 900})
+			x.End(wire.ResponseEnd{DecidedByHome: true, Duplicate: true, RetryAfterMS: 900})
 		})
 		got := r.send(r.nonIdempotentRequest(r.agents[0], requestBody))
 		Expect(got.Err).To(SatisfyAll(beOfType(calls.Duplicate), haveOutcome(failure.Unknown), haveRetryAfter()))
@@ -216,12 +216,12 @@
 })
 
 // respondWithEnd sends a piece and an end that edit has modified.
-func respondWithEnd(edit func(*wire.AnswerEnd)) func(*daemontest.Exchange) {
+func respondWithEnd(edit func(*wire.ResponseEnd)) func(*daemontest.Exchange) {
 	return func(x *daemontest.Exchange) {
 		x.Read()
 		x.Begin(fleet.Version{Name: "r1"})
 		x.Piece(requestBody)
-		end := wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID, Version: fleet.Version{Name: "r1"}}
+		end := wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: x.Request.ID, Version: fleet.Version{Name: "r1"}}
 		edit(&end)
 		x.End(end)
 	}
@@ -234,40 +234,40 @@
 	// not receive it as complete, and no retry follows the part that it has.
 	// Without the check of the ID or of the version in handleEnd, the response
 	// counted as complete; before the fix, the version was not checked.
-	DescribeTable("is aborted", func(edit func(*wire.AnswerEnd)) {
+	DescribeTable("is aborted", func(edit func(*wire.ResponseEnd)) {
 		r := newRig(2)
 		r.script(respondWithEnd(edit), (*daemontest.Exchange).Echo)
 		Expect(r.send(r.request(requestBody))).To(SatisfyAll(
 			HaveField("Err", SatisfyAll(beOfType(failure.Corrupt), haveOutcome(failure.Unknown))), HaveField("Begins", 1)))
 		Expect(r.opened()).To(Equal(1))
 	},
-		Entry("with the end of another request", func(end *wire.AnswerEnd) { end.ID = "request-0" }),
-		Entry("that ends with another version", func(end *wire.AnswerEnd) { end.Version.Name = "r2" }),
-		Entry("that ends with no version", func(end *wire.AnswerEnd) { end.Version = fleet.Version{} }),
+		Entry("with the end of another request", func(end *wire.ResponseEnd) { end.ID = "request-0" }),
+		Entry("that ends with another version", func(end *wire.ResponseEnd) { end.Version.Name = "r2" }),
+		Entry("that ends with no version", func(end *wire.ResponseEnd) { end.Version = fleet.Version{} }),
 	)
 
 	// Guards against dropping a piece that arrives together with the beginning or
 	// the end of its response.
-	DescribeTable("is aborted at a part that is not one step", func(parts ...wire.AnswerPart) {
+	DescribeTable("is aborted at a part that is not one step", func(parts ...wire.ResponsePart) {
 		r := newRig(2)
 		r.script(func(x *daemontest.Exchange) {
 			x.Read()
 			for _, part := range parts {
 				_ = x.Stream.Send(part)
 			}
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}, (*daemontest.Exchange).Echo)
 		result := r.send(r.request(requestBody))
 		Expect(result).To(SatisfyAny(
 			HaveField("Err", SatisfyAll(beOfType(failure.Corrupt), haveOutcome(failure.Unknown))),
 			SatisfyAll(HaveField("Err", Succeed()), HaveField("Body", requestBody), HaveField("Begins", 1))))
 	},
-		Entry("a beginning with a piece", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}, Piece: []byte("two")}),
-		Entry("an end with a piece", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}},
-			wire.AnswerPart{End: &wire.AnswerEnd{ID: "request-1", Outcome: wire.OutcomeRan}, Piece: []byte("two")}),
-		Entry("a beginning with an end", wire.AnswerPart{
-			Begin: &wire.AnswerBegin{Status: 200}, End: &wire.AnswerEnd{ID: "request-1", Outcome: wire.OutcomeRan}}),
-		Entry("a second beginning", wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}, wire.AnswerPart{Begin: &wire.AnswerBegin{Status: 200}}),
+		Entry("a beginning with a piece", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}, Piece: []byte("two")}),
+		Entry("an end with a piece", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}},
+			wire.ResponsePart{End: &wire.ResponseEnd{ID: "request-1", Outcome: wire.OutcomeRan}, Piece: []byte("two")}),
+		Entry("a beginning with an end", wire.ResponsePart{
+			Header: &wire.ResponseHeader{Status: 200}, End: &wire.ResponseEnd{ID: "request-1", Outcome: wire.OutcomeRan}}),
+		Entry("a second beginning", wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}}, wire.ResponsePart{Header: &wire.ResponseHeader{Status: 200}}),
 	)
 
 	// A server swaps the responses of two concurrent requests. Both are aborted.
@@ -282,7 +282,7 @@
 			x.Begin(fleet.Version{})
 			other := map[string]string{"request-1": "request-2", "request-2": "request-1"}[x.Request.ID]
 			x.Piece("answer to " + other)
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan, ID: other})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan, ID: other})
 		})
 		results := make(chan callResult, 2)
 		for range 2 {
@@ -321,7 +321,7 @@
 		}),
 		Entry("only an end", func(x *daemontest.Exchange) {
 			x.Read()
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}),
 	)
 })
@@ -339,7 +339,7 @@
 			begun <- x
 			<-x.Ctx.Done()
 			x.Piece("late goods")
-			x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan})
+			x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan})
 		}, (*daemontest.Exchange).Echo)
 		ctx, cancel := context.WithCancel(context.Background())
 		results := make(chan callResult, 1)
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -194,7 +194,7 @@
 	}
 	defer s.Abort()
 	s.SetStall(demandMaxAge)
-	if err := s.Send(wire.ReportAsk{}); err != nil {
+	if err := s.Send(wire.ReportRequest{}); err != nil {
 		return err
 	}
 	for {
--- a/daemon/gateway/agents_test.go
+++ b/daemon/gateway/agents_test.go
@@ -24,11 +24,11 @@
 	})
 
 	report := func(now time.Time, r wire.Replica) {
-		g.receive(now, nearEntry, wire.Beat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
+		g.receive(now, nearEntry, wire.Heartbeat{ID: "10.0.1.1", Role: fleet.RoleAgent, Replicas: []wire.Replica{r}})
 	}
 
 	It("takes precedence over the registration, which is updated later", func() {
-		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Changing: true})
+		report(start, wire.Replica{Addr: addr, Incarnation: 1, Seq: 1, Loaded: 2, Reloading: true})
 		listed(g, backend, start)
 		Expect(backend.listed[0].LoadedVersion).To(Equal(placement.ModelVersion(2)))
 		Expect(backend.listed[0].Reloading).To(BeTrue())
--- a/daemon/gateway/catalog.go
+++ b/daemon/gateway/catalog.go
@@ -116,7 +116,7 @@
 	if r.origin == fromStore {
 		// The other entries of the region wait for this one's report. The next heartbeat
 		// would delay it by up to half a second.
-		g.mesh.FlushNear(now)
+		g.mesh.FlushGroup(now)
 	}
 }
 
--- a/daemon/gateway/contact.go
+++ b/daemon/gateway/contact.go
@@ -69,7 +69,7 @@
 
 // state returns the state that is reported to entries that do not read the platform.
 func (c *contact) state(now time.Time) wire.PlatformState {
-	state := wire.PlatformState{HeardAgoMS: now.Sub(c.lastResponse).Milliseconds(), Failing: c.failing}
+	state := wire.PlatformState{LastResponseAgoMS: now.Sub(c.lastResponse).Milliseconds(), Failing: c.failing}
 	if c.outageDuration > 0 {
 		state.RegainedAgoMS, state.SilentMS = now.Sub(c.outageEnd).Milliseconds(), c.outageDuration.Milliseconds()
 	}
@@ -79,7 +79,7 @@
 // adoptState adopts the state that an entry which reads the platform reports. Of several
 // such entries, the one with the latest response decides.
 func (c *contact) adoptState(now time.Time, state wire.PlatformState) {
-	lastResponse := now.Add(-time.Duration(state.HeardAgoMS) * time.Millisecond)
+	lastResponse := now.Add(-time.Duration(state.LastResponseAgoMS) * time.Millisecond)
 	if lastResponse.Before(c.lastResponse) {
 		return
 	}
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -52,7 +52,7 @@
 	It("keeps them even if another entry got a response a moment earlier", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.receive(at(5500*time.Millisecond), nearEntry, other)
 		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
@@ -75,7 +75,7 @@
 	It("keeps no lapsed servers if only this entry was cut off", func() {
 		g.sourceFailed(at(time.Second), broken)
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.receive(at(2*time.Second), nearEntry, other)
 		g.sourceResponded(at(6 * time.Second))
 		g.apply(at(6*time.Second), removeTwo, 9)
@@ -99,8 +99,8 @@
 	It("is stale after a pause until the configuration has been read again", func() {
 		g.publish(start)
 		g.resumeAfterPause(at(5*time.Second), 5*time.Second)
-		g.receiveFromReader(at(5*time.Second), wire.Beat{
-			Platform: &wire.PlatformState{}, Servers: &wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo},
+		g.receiveFromReader(at(5*time.Second), wire.Heartbeat{
+			Platform: &wire.PlatformState{}, Servers: &wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo},
 		})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(9)))
 		g.publish(at(5 * time.Second))
@@ -209,7 +209,7 @@
 		g := newFollower()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("refused"))
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		other.Wanted = []wire.WantedVersion{{Model: "m", Version: 2, Assumed: true}}
 		g.receive(at(6*time.Second), nearEntry, other)
 		g.sourceResponded(at(6500 * time.Millisecond))
@@ -263,7 +263,7 @@
 		g := newFollower()
 		g.sourceFailed(at(time.Second), failure.Unavailable.New("refused"))
 		other := beat("10.0.0.2")
-		other.Reaches = true
+		other.ReachesPlatform = true
 		g.receive(at(2*time.Second), nearEntry, other)
 		g.sourceResponded(at(6 * time.Second))
 		g.adopt(at(6*time.Second), wanted(2), "platform")
@@ -358,9 +358,9 @@
 		Expect(first.Supply.Model).To(Equal("m"))
 		Expect(first.Supply.Layers).To(Equal(4))
 		Expect(first.Members).To(HaveLen(2))
-		Expect(g.compose(start, anAgent, mesh.Whole).Members).To(BeEmpty())
+		Expect(g.compose(start, anAgent, mesh.Complete).Members).To(BeEmpty())
 		g.apply(start, []catalog.Change{{Revision: 9, Removed: "i-2"}}, 9)
-		Expect(g.compose(start, anAgent, mesh.Whole).Members).To(HaveLen(1))
+		Expect(g.compose(start, anAgent, mesh.Complete).Members).To(HaveLen(1))
 	})
 
 	It("send another entry only the loads that have changed", func() {
@@ -385,7 +385,7 @@
 	// groups, but the last loads that they had sent were kept.
 	Context("from an entry that reported a full engine", func() {
 		var g *Gateway
-		full := wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
+		full := wire.Heartbeat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
 		}}
 		isPlaced := func() bool {
@@ -407,7 +407,7 @@
 		})
 
 		It("discard that report if they contain all loads", func() {
-			g.receive(start, nearEntry, wire.Beat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, AllLoads: true})
+			g.receive(start, nearEntry, wire.Heartbeat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, LoadsComplete: true})
 			Expect(isPlaced()).To(BeTrue())
 		})
 	})
@@ -418,12 +418,12 @@
 		g.publish(start)
 		_, refusal := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(refusal.Reason).To(BeEmpty())
-		Expect(g.compose(start, nearEntry, mesh.First).AllLoads).To(BeTrue())
-		Expect(g.compose(start, nearEntry, mesh.Brief).AllLoads).To(BeFalse())
+		Expect(g.compose(start, nearEntry, mesh.First).LoadsComplete).To(BeTrue())
+		Expect(g.compose(start, nearEntry, mesh.Brief).LoadsComplete).To(BeFalse())
 		otherGroup := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry}
-		Expect(g.compose(start, otherGroup, mesh.Whole).Loads).To(BeEmpty())
+		Expect(g.compose(start, otherGroup, mesh.Complete).Loads).To(BeEmpty())
 		resent := g.compose(start, nearEntry, mesh.Brief)
-		Expect(resent.AllLoads).To(BeTrue())
+		Expect(resent.LoadsComplete).To(BeTrue())
 		Expect(resent.Loads).To(HaveLen(1))
 	})
 })
--- a/daemon/gateway/limit_test.go
+++ b/daemon/gateway/limit_test.go
@@ -124,7 +124,7 @@
 		other, _ := newGateway()
 		other.receive(time.Now(), nearEntry, report)
 		Expect(other.limits.All(time.Now())).To(HaveKeyWithValue(fleet.InstanceID("i-1"), advertised))
-		Expect(g.compose(time.Now(), nearEntry, mesh.Whole).Limits).To(BeEmpty())
+		Expect(g.compose(time.Now(), nearEntry, mesh.Complete).Limits).To(BeEmpty())
 	})
 })
 
--- a/daemon/gateway/manifests.go
+++ b/daemon/gateway/manifests.go
@@ -53,7 +53,7 @@
 // circulates within the group.
 func (m *manifests) forEntry(to mesh.Peer) *wire.Manifest {
 	for name, known := range m.newest {
-		if known.fromOwnGroup && to.Near {
+		if known.fromOwnGroup && to.SameGroup {
 			continue
 		}
 		if unsent := m.nextUnsent(to.ID, name); unsent != nil {
--- a/daemon/gateway/model_test.go
+++ b/daemon/gateway/model_test.go
@@ -150,7 +150,7 @@
 	return e.alive && now.Sub(from) >= settleTime
 }
 
-func (e *modelEntry) countBeat(b wire.Beat) {
+func (e *modelEntry) countBeat(b wire.Heartbeat) {
 	if b.Servers != nil {
 		e.serverBytes += sizeOf(b.Servers)
 	}
@@ -224,11 +224,11 @@
 }
 
 // requestCatalog requests the catalog of a peer.
-func (e *modelEntry) requestCatalog(addr netip.Addr, request wire.CatalogAsk) {
+func (e *modelEntry) requestCatalog(addr netip.Addr, request wire.CatalogRequest) {
 	startedAt := e.m.now
 	fail := func(now time.Time) {
 		if e.alive {
-			e.g.handleCatalogResponse(now, addr, startedAt, wire.CatalogAnswer{}, 0, failure.Timeout.New("no progress"))
+			e.g.handleCatalogResponse(now, addr, startedAt, wire.CatalogResponse{}, 0, failure.Timeout.New("no progress"))
 		}
 	}
 	if e.isHidden(startedAt) {
--- a/daemon/gateway/peercatalog.go
+++ b/daemon/gateway/peercatalog.go
@@ -47,7 +47,7 @@
 	if g.requestingCatalog || now.Before(g.nextCatalogRequest) {
 		return
 	}
-	addr, sameRegion, ok := g.mesh.Ahead(now, func(b wire.Beat) bool {
+	addr, sameRegion, ok := g.mesh.FindEntry(now, func(b wire.Heartbeat) bool {
 		return b.ConfigRevision > g.snapshot.ConfigRevision || b.AsOf > g.snapshot.AsOf && g.lacksServers(now)
 	})
 	if !ok {
@@ -62,7 +62,7 @@
 	}
 	g.requestingCatalog = true
 	g.nextCatalogRequest = now.Add(catalogRequestInterval)
-	request := wire.CatalogAsk{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
+	request := wire.CatalogRequest{AsOf: g.snapshot.AsOf, ConfigRevision: g.snapshot.ConfigRevision}
 	g.startCatalogRequest(addr, request)
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-func (g *Gateway) requestCatalog(addr netip.Addr, request wire.CatalogAsk) {
+func (g *Gateway) requestCatalog(addr netip.Addr, request wire.CatalogRequest) {
 	ctx, cancel := context.WithTimeout(g.ctx, catalogRequestTimeout)
 	defer cancel()
 	startedAt := time.Now()
@@ -100,7 +100,7 @@
 }
 
 // handleCatalogResponse handles a peer's response, with size bytes of a configuration.
-func (g *Gateway) handleCatalogResponse(now time.Time, addr netip.Addr, startedAt time.Time, response wire.CatalogAnswer, size int, err error) {
+func (g *Gateway) handleCatalogResponse(now time.Time, addr netip.Addr, startedAt time.Time, response wire.CatalogResponse, size int, err error) {
 	fields := []zap.Field{zap.String("peer", addr.String()), zap.Duration("took", now.Sub(startedAt)), zap.Int("bytes", size)}
 	g.requestingCatalog = false
 	if err != nil {
@@ -115,8 +115,8 @@
 
 // fetchCatalog returns the newer parts of a peer's catalog, including the configuration,
 // and the number of bytes of the configuration that were received.
-func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, request wire.CatalogAsk) (wire.CatalogAnswer, int, error) {
-	var response wire.CatalogAnswer
+func (g *Gateway) fetchCatalog(ctx context.Context, addr netip.Addr, request wire.CatalogRequest) (wire.CatalogResponse, int, error) {
+	var response wire.CatalogResponse
 	s, err := g.opts.Endpoint.Open(ctx, g.mesh.PeerAddr(addr), "", peer.KindConfig)
 	if err != nil {
 		return response, 0, err
@@ -164,10 +164,10 @@
 	return received, nil
 }
 
-// serveCatalog handles a peer's CatalogAsk.
+// serveCatalog handles a peer's CatalogRequest.
 func (g *Gateway) serveCatalog(ctx context.Context, s *peer.Stream) {
 	s.SetStall(catalogStallTimeout)
-	var request wire.CatalogAsk
+	var request wire.CatalogRequest
 	if err := s.Recv(&request); err != nil {
 		s.Abort()
 		return
@@ -177,7 +177,7 @@
 	}
 }
 
-func (g *Gateway) sendCatalog(ctx context.Context, s *peer.Stream, request wire.CatalogAsk) error {
+func (g *Gateway) sendCatalog(ctx context.Context, s *peer.Stream, request wire.CatalogRequest) error {
 	var held catalog.Snapshot
 	var age time.Duration
 	if err := g.opts.Loop.Do(ctx, func(now time.Time) { held, age = g.snapshot, now.Sub(g.changesReadAt) }); err != nil {
@@ -209,15 +209,15 @@
 // newerThan returns the parts of a catalog that the requesting peer lacks. The
 // configuration is returned separately: it is by far the largest part, so it is sent only
 // to peers that lack it, and not within the message.
-func newerThan(held catalog.Snapshot, request wire.CatalogAsk) (wire.CatalogAnswer, *routing.Config) {
+func newerThan(held catalog.Snapshot, request wire.CatalogRequest) (wire.CatalogResponse, *routing.Config) {
 	config := held.Config
 	if held.ConfigRevision <= request.ConfigRevision {
 		config = nil
 	}
 	if held.AsOf <= request.AsOf && config == nil {
-		return wire.CatalogAnswer{}, nil
+		return wire.CatalogResponse{}, nil
 	}
-	response := wire.CatalogAnswer{}
+	response := wire.CatalogResponse{}
 	if config != nil {
 		response.ConfigRevision = held.ConfigRevision
 	}
--- a/daemon/gateway/peercatalog_test.go
+++ b/daemon/gateway/peercatalog_test.go
@@ -15,7 +15,7 @@
 	held.ConfigRevision, held.OperatorAsOf = 18, 20
 
 	It("is the configuration only, if it knows the servers", func() {
-		response, config := newerThan(held, wire.CatalogAsk{AsOf: 20, ConfigRevision: 12})
+		response, config := newerThan(held, wire.CatalogRequest{AsOf: 20, ConfigRevision: 12})
 		Expect(config).To(Equal(held.Config))
 		Expect(response.ConfigRevision).To(Equal(catalog.Revision(18)))
 		Expect(response.Snapshot.Servers).To(BeEmpty())
@@ -24,14 +24,14 @@
 	})
 
 	It("is the servers only, if it has the configuration", func() {
-		response, config := newerThan(held, wire.CatalogAsk{AsOf: 12, ConfigRevision: 18})
+		response, config := newerThan(held, wire.CatalogRequest{AsOf: 12, ConfigRevision: 18})
 		Expect(config).To(BeNil())
 		Expect(response.Snapshot.Servers).To(HaveLen(1))
 		Expect(response.Snapshot.ConfigRevision).To(BeZero())
 	})
 
 	It("is nothing, if it has both", func() {
-		response, config := newerThan(held, wire.CatalogAsk{AsOf: 20, ConfigRevision: 18})
+		response, config := newerThan(held, wire.CatalogRequest{AsOf: 20, ConfigRevision: 18})
 		Expect(config).To(BeNil())
 		Expect(response.Snapshot).To(BeNil())
 	})
--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -54,8 +54,8 @@
 func rankIn(entries []mesh.Entry, self fleet.InstanceID, region fleet.Region, isTurnedAway bool) int {
 	rank := 0
 	for _, e := range entries {
-		isCandidate := e.Near && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
-		ranksBefore := !e.TurnedAway && isTurnedAway || e.TurnedAway == isTurnedAway && e.ID < self
+		isCandidate := e.SameGroup && e.Place.Region == region && e.Ready && !e.Leaving && !e.Silent
+		ranksBefore := !e.PlatformUnresponsive && isTurnedAway || e.PlatformUnresponsive == isTurnedAway && e.ID < self
 		if isCandidate && ranksBefore {
 			rank++
 		}
--- a/daemon/gateway/reports_test.go
+++ b/daemon/gateway/reports_test.go
@@ -23,10 +23,10 @@
 		Expect(b.Limits).To(HaveLen(want))
 	}
 	expectReports(mesh.First, 1)
-	expectReports(mesh.Whole, 0)
+	expectReports(mesh.Complete, 0)
 	reconnect(g)
 	expectReports(form, 1)
 },
-	Entry("if the end of the first was detected", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Whole),
+	Entry("if the end of the first was detected", func(g *Gateway) { g.dropPeer(time.Now(), nearEntry.ID) }, mesh.Complete),
 	Entry("if the end of the first was not detected", func(*Gateway) {}, mesh.First),
 )
--- a/daemon/gateway/serverfeed.go
+++ b/daemon/gateway/serverfeed.go
@@ -53,9 +53,9 @@
 
 // addPlatformReport adds what the other entries of the region have to know of the
 // platform, if this entry reads it.
-func (g *Gateway) addPlatformReport(now time.Time, b *wire.Beat, to mesh.Peer, form mesh.Form) {
+func (g *Gateway) addPlatformReport(now time.Time, b *wire.Heartbeat, to mesh.Peer, form mesh.Form) {
 	v := g.view.Load()
-	if v == nil || !v.readsPlatform || !to.Near || to.Region != g.opts.Place.Region {
+	if v == nil || !v.readsPlatform || !to.SameGroup || to.Region != g.opts.Place.Region {
 		return
 	}
 	if form == mesh.First {
@@ -73,14 +73,14 @@
 // for none. If they are no longer kept, the news starts at the revision at which it ends,
 // so that only an entry that is up to date can apply it. Any other requests the complete
 // list.
-func (g *Gateway) serverNewsFor(now time.Time, to mesh.Peer) *wire.ServerNews {
+func (g *Gateway) serverNewsFor(now time.Time, to mesh.Peer) *wire.ServerChanges {
 	after := max(g.sentServers[to.ID], to.AsOf)
 	if after == 0 || after >= g.feed.asOf {
 		return nil
 	}
 	changes, ok := g.feed.since(after)
 	g.sentServers[to.ID] = g.feed.asOf
-	news := &wire.ServerNews{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.changesReadAt).Milliseconds()}
+	news := &wire.ServerChanges{After: after, AsOf: g.feed.asOf, Changes: changes, AgeMS: now.Sub(g.changesReadAt).Milliseconds()}
 	if !ok {
 		news.After = news.AsOf
 		g.readings.wholeListDue(to.ID, after, news.After)
@@ -90,7 +90,7 @@
 
 // receiveFromReader handles the message of an entry that reads the platform for the
 // region.
-func (g *Gateway) receiveFromReader(now time.Time, b wire.Beat) {
+func (g *Gateway) receiveFromReader(now time.Time, b wire.Heartbeat) {
 	if b.Platform != nil {
 		g.readerSeenAt = now
 		if v := g.view.Load(); v != nil && !v.readsPlatform {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (g *Gateway) receiveServerNews(now time.Time, from fleet.InstanceID, n wire.ServerNews) {
+func (g *Gateway) receiveServerNews(now time.Time, from fleet.InstanceID, n wire.ServerChanges) {
 	r := reading{origin: fromReader, from: string(from), readAt: readTime(now, n.AgeMS)}
 	if n.After > g.snapshot.AsOf {
 		g.gapUntil = max(g.gapUntil, n.AsOf)
@@ -120,7 +120,7 @@
 
 // updateReadTime updates the time of the last reading. An entry that knows as much as a
 // reader is as current as the reader's last reading.
-func (g *Gateway) updateReadTime(now time.Time, b wire.Beat) {
+func (g *Gateway) updateReadTime(now time.Time, b wire.Heartbeat) {
 	if b.AsOf <= g.snapshot.AsOf {
 		g.changesReadAt = later(g.changesReadAt, readTime(now, b.Platform.ReadAgoMS))
 	}
--- a/daemon/gateway/watch_test.go
+++ b/daemon/gateway/watch_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("The entries that read the platform for their region", func() {
 	entry := func(id fleet.InstanceID, region fleet.Region) mesh.Entry {
-		return mesh.Entry{ID: id, Place: fleet.Place{Region: region}, Ready: true, Near: true}
+		return mesh.Entry{ID: id, Place: fleet.Place{Region: region}, Ready: true, SameGroup: true}
 	}
 	others := []mesh.Entry{entry("a", "lagos"), entry("b", "kano"), entry("c", "lagos"), entry("e", "lagos"), entry("f", "lagos")}
 
@@ -40,7 +40,7 @@
 	// nothing to the others.
 	It("are chosen in each group of a region", func() {
 		changed := append([]mesh.Entry(nil), others...)
-		changed[0].Near, changed[2].Near = false, false
+		changed[0].SameGroup, changed[2].SameGroup = false, false
 		Expect(rankIn(changed, "d", "lagos", false)).To(Equal(0))
 	})
 
@@ -48,10 +48,10 @@
 	// for them; while none does, the order is that of the ids.
 	It("are chosen first among those to which the platform responds", func() {
 		changed := append([]mesh.Entry(nil), others...)
-		changed[0].TurnedAway, changed[2].TurnedAway = true, true
+		changed[0].PlatformUnresponsive, changed[2].PlatformUnresponsive = true, true
 		Expect(rankIn(changed, "d", "lagos", false)).To(Equal(0))
 		Expect(rankIn(changed, "d", "lagos", true)).To(Equal(4))
-		changed[3].TurnedAway, changed[4].TurnedAway = true, true
+		changed[3].PlatformUnresponsive, changed[4].PlatformUnresponsive = true, true
 		Expect(rankIn(changed, "d", "lagos", true)).To(Equal(2))
 	})
 
@@ -84,7 +84,7 @@
 
 	It("leaves the listing to other entries that start in its region, for a while", func() {
 		entry := func(id fleet.InstanceID) mesh.Entry {
-			return mesh.Entry{ID: id, Place: g.opts.Place, Near: true}
+			return mesh.Entry{ID: id, Place: g.opts.Place, SameGroup: true}
 		}
 		rankAmong := func(region fleet.Region, others ...mesh.Entry) int {
 			rank, _ := startingRank(others, "10.0.0.1", region)
@@ -93,7 +93,7 @@
 		first, second := entry("10.0.0.0"), entry("10.0.0.00")
 		Expect(rankAmong("lagos", first, second, entry("10.0.0.2"))).To(Equal(2))
 		Expect(rankAmong("kano", first, second)).To(BeZero(), "they read for another region")
-		first.TurnedAway = true
+		first.PlatformUnresponsive = true
 		Expect(rankAmong("lagos", first, second)).To(Equal(1), "the platform does not respond to one of them")
 		Expect(g.shouldReadPlatform(started.Add(lowerRankDelay), 5)).To(BeTrue())
 	})
@@ -131,7 +131,7 @@
 	var backend *rejectingBackend
 
 	// receiveReport has the entry receive the report of a reader.
-	receiveReport := func(when time.Time, c wire.PlatformState, news wire.ServerNews) {
+	receiveReport := func(when time.Time, c wire.PlatformState, news wire.ServerChanges) {
 		b := beat("10.0.0.2")
 		b.Platform, b.Servers = &c, &news
 		g.receive(when, nearEntry, b)
@@ -146,16 +146,16 @@
 	})
 
 	It("updates the servers from the reports of a reader", func() {
-		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
-		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 4, AsOf: 7, Changes: []catalog.Change{{Revision: 3, Server: &two}}})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	// Guards against a server that stays in use after it is gone, since the report of its
 	// removal was lost with a link. The entry requests the complete list instead.
 	It("ignores changes that leave a gap", func() {
-		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9, Changes: removeTwo})
+		receiveReport(at(time.Second), wire.PlatformState{}, wire.ServerChanges{After: 8, AsOf: 9, Changes: removeTwo})
 		Expect(g.snapshot.AsOf).To(Equal(catalog.Revision(5)))
 	})
 
@@ -164,7 +164,7 @@
 	// changes of their reader do not follow what they know.
 	It("lacks servers once it receives changes that do not follow what it knows", func() {
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeFalse())
-		receiveReport(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerNews{After: 8, AsOf: 9})
+		receiveReport(at(100*time.Millisecond), wire.PlatformState{}, wire.ServerChanges{After: 8, AsOf: 9})
 		Expect(g.lacksServers(at(100 * time.Millisecond))).To(BeTrue())
 		g.adopt(at(200*time.Millisecond), snapshot(9, one), "peer")
 		Expect(g.lacksServers(at(200 * time.Millisecond))).To(BeFalse())
@@ -177,7 +177,7 @@
 		reader.adopt(start, snapshot(7, one, two), "platform")
 		reader.apply(start, removeTwo, 9)
 		b := beat("10.0.0.2")
-		b.Servers = reader.serverNewsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, Near: true, AsOf: 5})
+		b.Servers = reader.serverNewsFor(start, mesh.Peer{ID: g.opts.Self, Role: fleet.RoleEntry, SameGroup: true, AsOf: 5})
 		g.adopt(start, snapshot(8, one, two), "peer")
 		g.receive(start, nearEntry, b)
 		Expect(g.snapshot.AsOf == 8 && g.lacksServers(start) || !hasServer(g.snapshot.Servers, "i-2")).To(BeTrue())
@@ -188,8 +188,8 @@
 	It("counts a pause of the process in the age of its reading", func() {
 		g.resumeAfterPause(at(time.Second), 3*time.Second)
 		readsPlatform()
-		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Platform.ReadAgoMS).To(Equal(int64(4000)))
+		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, SameGroup: true, Region: "lagos", AsOf: 5}
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Platform.ReadAgoMS).To(Equal(int64(4000)))
 	})
 
 	// Guards against servers that are used according to an old reading if no reader is
@@ -209,7 +209,7 @@
 		b.AsOf = 5
 		g.receive(old, nearEntry, b)
 		Expect(g.shouldReadPlatform(old, readersPerGroup)).To(BeFalse(), "it knows as much as its reader")
-		b.AsOf, b.Platform = 7, &wire.PlatformState{HeardAgoMS: maxReadingAge.Milliseconds(), ReadAgoMS: maxReadingAge.Milliseconds()}
+		b.AsOf, b.Platform = 7, &wire.PlatformState{LastResponseAgoMS: maxReadingAge.Milliseconds(), ReadAgoMS: maxReadingAge.Milliseconds()}
 		g.receive(old.Add(maxReadingAge), nearEntry, b)
 		Expect(g.shouldReadPlatform(old.Add(maxReadingAge), readersPerGroup)).To(BeFalse(), "the platform responds to no entry")
 	})
@@ -218,7 +218,7 @@
 	// seconds in which registrations of live servers lapsed.
 	It("keeps servers that lapsed while the platform was unavailable", func() {
 		regained := wire.PlatformState{RegainedAgoMS: 20, SilentMS: 6000}
-		receiveReport(at(7*time.Second), regained, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		receiveReport(at(7*time.Second), regained, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(7*time.Second))).To(HaveLen(2))
 		g.expireLapsed(at(7*time.Second + lapsedRetention))
 		Expect(listed(g, backend, at(7*time.Second+lapsedRetention))).To(HaveLen(1))
@@ -227,23 +227,23 @@
 	// Guards against requests to a server that left, at all entries of a region, if one
 	// call of their reader failed.
 	It("drops a server that leaves while a single call of its reader fails", func() {
-		failing := wire.PlatformState{HeardAgoMS: 300, Failing: true}
-		receiveReport(at(time.Second), failing, wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo})
+		failing := wire.PlatformState{LastResponseAgoMS: 300, Failing: true}
+		receiveReport(at(time.Second), failing, wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo})
 		Expect(listed(g, backend, at(time.Second))).To(ConsistOf(fleet.InstanceID("i-1")))
 	})
 
 	It("is sent the changes after what it knows, once", func() {
 		readsPlatform()
 		g.apply(at(time.Second), removeTwo, 9)
-		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, Near: true, Region: "lagos", AsOf: 5}
+		peer := mesh.Peer{ID: "10.0.0.2", Role: fleet.RoleEntry, SameGroup: true, Region: "lagos", AsOf: 5}
 		b := g.compose(at(time.Second), peer, mesh.Brief)
-		Expect(b.Servers).To(Equal(&wire.ServerNews{After: 5, AsOf: 9, Changes: removeTwo}))
+		Expect(b.Servers).To(Equal(&wire.ServerChanges{After: 5, AsOf: 9, Changes: removeTwo}))
 		Expect(b.Platform).NotTo(BeNil())
 		Expect(g.compose(at(time.Second), peer, mesh.Brief).Servers).To(BeNil())
 		peer.ID, peer.Region = "10.0.0.3", "kano"
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(BeNil(), "its own region has readers")
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Servers).To(BeNil(), "its own region has readers")
 		peer.ID, peer.Region, peer.AsOf = "10.0.0.4", "lagos", 4
-		Expect(g.compose(at(time.Second), peer, mesh.Whole).Servers).To(Equal(&wire.ServerNews{After: 9, AsOf: 9}), "it requests the complete list")
+		Expect(g.compose(at(time.Second), peer, mesh.Complete).Servers).To(Equal(&wire.ServerChanges{After: 9, AsOf: 9}), "it requests the complete list")
 	})
 })
 
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -159,19 +159,19 @@
 
 // Begin sends the start of the response.
 func (x *Exchange) Begin(version fleet.Version) {
-	_ = x.Stream.Send(wire.AnswerPart{Begin: &wire.AnswerBegin{Status: http.StatusOK, Version: version}})
+	_ = x.Stream.Send(wire.ResponsePart{Header: &wire.ResponseHeader{Status: http.StatusOK, Version: version}})
 }
 
 // Piece sends a part of the response body.
-func (x *Exchange) Piece(data string) { _ = x.Stream.Send(wire.AnswerPart{Piece: []byte(data)}) }
+func (x *Exchange) Piece(data string) { _ = x.Stream.Send(wire.ResponsePart{Piece: []byte(data)}) }
 
 // End sends the end of the response. If end has no ID, it gets that of the
 // request.
-func (x *Exchange) End(end wire.AnswerEnd) {
+func (x *Exchange) End(end wire.ResponseEnd) {
 	if end.ID == "" {
 		end.ID = x.Request.ID
 	}
-	_ = x.Stream.Send(wire.AnswerPart{End: &end})
+	_ = x.Stream.Send(wire.ResponsePart{End: &end})
 	_ = x.Stream.CloseSend()
 }
 
@@ -180,7 +180,7 @@
 	x.Read()
 	x.Begin(fleet.Version{})
 	x.Piece(string(x.Body))
-	x.End(wire.AnswerEnd{Outcome: wire.OutcomeRan, Status: http.StatusOK})
+	x.End(wire.ResponseEnd{Outcome: wire.OutcomeRan, Status: http.StatusOK})
 }
 
 // Entry is a fake entry that connects to an agent over the network.
@@ -211,7 +211,7 @@
 	ginkgo.GinkgoHelper()
 	s := e.Open(peer.KindReport)
 	defer s.Abort()
-	gomega.Expect(s.Send(wire.ReportAsk{})).To(gomega.Succeed())
+	gomega.Expect(s.Send(wire.ReportRequest{})).To(gomega.Succeed())
 	var report wire.Report
 	gomega.Expect(s.Recv(&report)).To(gomega.Succeed())
 	return report
@@ -235,9 +235,9 @@
 
 // Response is the part of a response that was received.
 type Response struct {
-	Begin *wire.AnswerBegin
+	Begin *wire.ResponseHeader
 	Body  string
-	End   *wire.AnswerEnd // nil: the stream ended without one
+	End   *wire.ResponseEnd // nil: the stream ended without one
 }
 
 // Do sends a request and reads its response.
@@ -251,13 +251,13 @@
 	defer s.Abort()
 	var response Response
 	for {
-		var part wire.AnswerPart
+		var part wire.ResponsePart
 		if err := s.Recv(&part); err != nil {
 			return response
 		}
 		switch {
-		case part.Begin != nil:
-			response.Begin = part.Begin
+		case part.Header != nil:
+			response.Begin = part.Header
 		case part.End != nil:
 			response.End = part.End
 			return response
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -116,14 +116,14 @@
 	}
 	defer s.Abort()
 	s.SetStall(configStallTimeout)
-	var request wire.ConfigAsk
+	var request wire.ConfigRequest
 	if base != nil {
 		request.Digest = base.Digest()
 	}
 	if err := s.Send(request); err != nil {
 		return revision.Candidate{}, err
 	}
-	var head wire.ConfigHead
+	var head wire.ConfigHeader
 	if err := s.Recv(&head); err != nil {
 		return revision.Candidate{}, err
 	}
@@ -138,7 +138,7 @@
 	return revision.ReadDelta(claim, base, delta)
 }
 
-func receiveDelta(s *peer.Stream, head wire.ConfigHead) (fleettext.Delta, error) {
+func receiveDelta(s *peer.Stream, head wire.ConfigHeader) (fleettext.Delta, error) {
 	if head.Revision == 0 {
 		return fleettext.Delta{}, failure.NotFound.New("peer has no active configuration")
 	}
@@ -159,12 +159,12 @@
 // ServeConfig sends the changed sections to a peer that is behind.
 func (n *Node) ServeConfig(ctx context.Context, _ keys.Identity, s *peer.Stream) {
 	s.SetStall(configStallTimeout)
-	var request wire.ConfigAsk
+	var request wire.ConfigRequest
 	if err := s.Recv(&request); err != nil {
 		s.Abort()
 		return
 	}
-	var head wire.ConfigHead
+	var head wire.ConfigHeader
 	var delta fleettext.Delta
 	err := n.opts.Loop.Do(ctx, func(time.Time) {
 		state, ready := n.selector.Active()
@@ -172,7 +172,7 @@
 			return
 		}
 		delta = n.selector.Delta(request.Digest)
-		head = wire.ConfigHead{Revision: state.Revision, Digest: delta.Result, Base: delta.Base,
+		head = wire.ConfigHeader{Revision: state.Revision, Digest: delta.Result, Base: delta.Base,
 			Removed: delta.Removed, Sections: len(delta.Changed)}
 	})
 	if err != nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-func sendDelta(s *peer.Stream, head wire.ConfigHead, delta fleettext.Delta) error {
+func sendDelta(s *peer.Stream, head wire.ConfigHeader, delta fleettext.Delta) error {
 	if err := s.Send(head); err != nil {
 		return err
 	}
--- a/daemon/node/config_test.go
+++ b/daemon/node/config_test.go
@@ -213,24 +213,24 @@
 	// kept, so these IDs keep the links on which their claims are sent.
 	responses := map[fleet.InstanceID]func(s *peer.Stream){
 		"a-other-text": func(s *peer.Stream) {
-			var request wire.ConfigAsk
+			var request wire.ConfigRequest
 			_ = s.Recv(&request)
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(configWith(9)), Base: request.Digest})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(configWith(9)), Base: request.Digest})
 			_ = s.CloseSend()
 		},
 		"a-half-text": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(configWith(9)), Sections: 2})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(configWith(9)), Sections: 2})
 			_ = s.CloseSend()
 		},
 		"a-many-sections": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{Revision: 9, Digest: digest(configWith(9)), Sections: 1 << 30})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{Revision: 9, Digest: digest(configWith(9)), Sections: 1 << 30})
 			_ = s.CloseSend()
 		},
 		"a-no-text": func(s *peer.Stream) {
-			_ = s.Recv(&wire.ConfigAsk{})
-			_ = s.Send(wire.ConfigHead{})
+			_ = s.Recv(&wire.ConfigRequest{})
+			_ = s.Send(wire.ConfigHeader{})
 			_ = s.CloseSend()
 		},
 		"a-no-answer": func(s *peer.Stream) { <-s.Context().Done() },
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -94,10 +94,10 @@
 	}
 	defer s.Abort()
 	s.SetStall(d.swarm.opts.StallTimeout)
-	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Index: index}); err != nil {
+	if err := s.Send(wire.ChunkRequest{Manifest: d.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
-	var head wire.ChunkHead
+	var head wire.ChunkHeader
 	if err := s.Recv(&head); err != nil {
 		return nil, err
 	}
--- a/daemon/swarm/helpers_test.go
+++ b/daemon/swarm/helpers_test.go
@@ -151,7 +151,7 @@
 }
 
 func (p *fakePeer) serve(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-	var request wire.ChunkOpen
+	var request wire.ChunkRequest
 	if s.Recv(&request) != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 		for i := range p.model.Chunks {
 			all = append(all, i)
 		}
-		_ = s.Send(wire.ChunkNews{Have: all, Seen: all})
+		_ = s.Send(wire.ChunkUpdate{Have: all, Seen: all})
 	}
 	<-ctx.Done()
 	p.mu.Lock()
@@ -196,7 +196,7 @@
 }
 
 func sendChunk(s *peer.Stream, data []byte) {
-	_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(data)})
+	_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)})
 	for len(data) > 0 {
 		n := min(len(data), swarm.PieceBytes)
 		_ = s.SendBytes(data[:n])
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -26,7 +26,7 @@
 	member      spread.Member
 	dialer      fleet.InstanceID
 	stream      *peer.Stream
-	reports     chan wire.ChunkNews
+	reports     chan wire.ChunkUpdate
 	once        sync.Once
 	closed      chan struct{}
 	sentHave    *weights.Set
@@ -39,7 +39,7 @@
 		member:   member,
 		dialer:   dialer,
 		stream:   s,
-		reports:  make(chan wire.ChunkNews, reportQueueLen),
+		reports:  make(chan wire.ChunkUpdate, reportQueueLen),
 		closed:   make(chan struct{}),
 		sentHave: weights.NewSet(chunks),
 		sentSeen: weights.NewSet(chunks),
@@ -90,11 +90,11 @@
 // openExchange requests the exchange and waits for the neighbour's first report,
 // at most for the stall timeout: a connection whose remote process has vanished
 // opens streams without an error.
-func (d *download) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
+func (d *download) openExchange(s *peer.Stream) (wire.ChunkUpdate, error) {
 	s.SetStall(d.swarm.opts.StallTimeout)
 	defer s.SetStall(0)
-	var first wire.ChunkNews
-	if err := s.Send(wire.ChunkOpen{Manifest: d.version.Manifest, Exchange: true}); err != nil {
+	var first wire.ChunkUpdate
+	if err := s.Send(wire.ChunkRequest{Manifest: d.version.Manifest, Exchange: true}); err != nil {
 		return first, err
 	}
 	err := s.Recv(&first)
@@ -115,7 +115,7 @@
 // if none was received yet. Two neighbours that chose each other may each open
 // an exchange at the same time; both keep the one opened by the lower ID, so
 // that neither closes the one that the other keeps.
-func (d *download) addLink(now time.Time, l *link, first *wire.ChunkNews) {
+func (d *download) addLink(now time.Time, l *link, first *wire.ChunkUpdate) {
 	id := l.member.ID
 	old, ok := d.links[id]
 	if d.ctx.Err() != nil || ok && old.dialer != l.dialer && old.dialer < l.dialer {
@@ -153,7 +153,7 @@
 
 func (d *download) readReports(l *link) {
 	for {
-		var report wire.ChunkNews
+		var report wire.ChunkUpdate
 		if err := l.stream.Recv(&report); err != nil {
 			d.swarm.post(func(now time.Time) { d.removeLink(now, l) })
 			return
@@ -184,7 +184,7 @@
 // handleReport processes a neighbour's report; the first one lists all chunks
 // that the neighbour holds. Indexes that are not in the manifest come from a
 // faulty peer and are ignored.
-func (d *download) handleReport(now time.Time, from fleet.InstanceID, report wire.ChunkNews) {
+func (d *download) handleReport(now time.Time, from fleet.InstanceID, report wire.ChunkUpdate) {
 	l := d.links[from]
 	if d.ctx.Err() != nil || l == nil {
 		return
@@ -223,7 +223,7 @@
 // queueReport queues a report of unsent changes. If the queue is full, the
 // changes are included in the next report.
 func (l *link) queueReport(have, seen *weights.Set) {
-	report := wire.ChunkNews{Have: unsent(have, l.sentHave), Seen: unsent(seen, l.sentSeen)}
+	report := wire.ChunkUpdate{Have: unsent(have, l.sentHave), Seen: unsent(seen, l.sentSeen)}
 	select {
 	case l.reports <- report:
 		addAll(l.sentHave, report.Have)
@@ -246,7 +246,7 @@
 // acceptExchange accepts an exchange opened by a neighbour. It refuses if the
 // version is not being fetched here or the neighbour is not a known member; the
 // neighbour retries, since this process may just not be up to date.
-func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkOpen) {
+func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkRequest) {
 	var accepted bool
 	st.SetStall(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
--- a/daemon/swarm/peers_test.go
+++ b/daemon/swarm/peers_test.go
@@ -68,21 +68,21 @@
 		}),
 		Entry("stall after a few bytes", func(m daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(ctx context.Context, s *peer.Stream, index int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
 				_ = s.SendBytes(m.Chunks[index][:10])
 				<-ctx.Done()
 			}
 		}),
 		Entry("stream closed after a few bytes", func(m daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(_ context.Context, s *peer.Stream, index int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(m.Chunks[index])})
 				_ = s.SendBytes(m.Chunks[index][:10])
 				_ = s.CloseSend()
 			}
 		}),
 		Entry("chunk reported but missing", func(daemontest.Model) func(context.Context, *peer.Stream, int) {
 			return func(_ context.Context, s *peer.Stream, _ int) {
-				_ = s.Send(wire.ChunkHead{Status: wire.ChunkMissing})
+				_ = s.Send(wire.ChunkHeader{Status: wire.ChunkMissing})
 				_ = s.CloseSend()
 			}
 		}),
@@ -136,7 +136,7 @@
 		const attempts = 16 // many times the number of upload slots
 		for range attempts {
 			s := requester.Open(peer.KindChunk)
-			Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
+			Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
 			Eventually(a.openStreams.Load).Should(BeNumerically(">", 0))
 			s.Abort()
 			Eventually(a.openStreams.Load).Should(BeZero())
@@ -145,8 +145,8 @@
 		a.OnLoop(func(time.Time) {})
 
 		s := requester.Open(peer.KindChunk)
-		Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
-		var head wire.ChunkHead
+		Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 0})).To(Succeed())
+		var head wire.ChunkHeader
 		Expect(s.Recv(&head)).To(Succeed())
 		Expect(head.Status).To(Equal(wire.ChunkFollows))
 	})
@@ -165,8 +165,8 @@
 		a.expectComplete(m)
 		stage.Corrupt()
 		s := daemontest.NewEntry("agent-2", a.Self).Open(peer.KindChunk)
-		Expect(s.Send(wire.ChunkOpen{Manifest: m.Version.Manifest, Index: 1})).To(Succeed())
-		var head wire.ChunkHead
+		Expect(s.Send(wire.ChunkRequest{Manifest: m.Version.Manifest, Index: 1})).To(Succeed())
+		var head wire.ChunkHeader
 		Expect(s.Recv(&head)).To(Succeed())
 		Expect(head.Status).To(Equal(wire.ChunkMissing))
 	})
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -28,7 +28,7 @@
 // ServeChunk serves a stream of peer.KindChunk. It runs on a traffic goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
 	st.SetStall(s.opts.StallTimeout)
-	var request wire.ChunkOpen
+	var request wire.ChunkRequest
 	if err := st.Recv(&request); err != nil {
 		st.Abort()
 		return
@@ -41,11 +41,11 @@
 }
 
 // serveData sends one chunk, or the manifest, to a peer.
-func (s *Swarm) serveData(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkOpen) {
+func (s *Swarm) serveData(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkRequest) {
 	defer func() { _ = st.CloseSend() }()
 	data, status := s.acquireUpload(ctx, from.ID, request)
 	if status != wire.ChunkFollows {
-		_ = st.Send(wire.ChunkHead{Status: status})
+		_ = st.Send(wire.ChunkHeader{Status: status})
 		return
 	}
 	if request.Index != manifestIndex {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (s *Swarm) acquireUpload(ctx context.Context, from fleet.InstanceID, request wire.ChunkOpen) ([]byte, wire.ChunkStatus) {
+func (s *Swarm) acquireUpload(ctx context.Context, from fleet.InstanceID, request wire.ChunkRequest) ([]byte, wire.ChunkStatus) {
 	deadline := time.Now().Add(uploadQueueTimeout)
 	for {
 		var decision uploadDecision
@@ -81,7 +81,7 @@
 // revertDecision undoes a decision for a request that has ended in the meantime:
 // the request may still be in the queue of the control loop, and this event is
 // queued behind it. Otherwise its upload slot would never be released.
-func (s *Swarm) revertDecision(from fleet.InstanceID, request wire.ChunkOpen, decision *uploadDecision) {
+func (s *Swarm) revertDecision(from fleet.InstanceID, request wire.ChunkRequest, decision *uploadDecision) {
 	s.post(func(time.Time) {
 		d, ok := s.downloads[request.Manifest]
 		switch {
@@ -126,7 +126,7 @@
 
 // decideUpload decides on a request for a chunk or the manifest. It runs on the
 // control loop.
-func (s *Swarm) decideUpload(now time.Time, from fleet.InstanceID, request wire.ChunkOpen) uploadDecision {
+func (s *Swarm) decideUpload(now time.Time, from fleet.InstanceID, request wire.ChunkRequest) uploadDecision {
 	d, ok := s.downloads[request.Manifest]
 	switch {
 	case !ok || d.plan == nil:
@@ -203,7 +203,7 @@
 }
 
 func (s *Swarm) sendChunk(ctx context.Context, st *peer.Stream, data []byte) error {
-	if err := st.Send(wire.ChunkHead{Status: wire.ChunkFollows, Bytes: len(data)}); err != nil {
+	if err := st.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)}); err != nil {
 		return err
 	}
 	for start := 0; start < len(data); start += s.opts.SendBytes {
