--- a/cmd/chivespindled/platform.go
+++ b/cmd/chivespindled/platform.go
@@ -141,7 +141,7 @@
 	}
 	b.metrics, b.page, b.closer = telemetry.NewMetrics()
 	b.lines = telemetry.NewQueue(os.Stdout)
-	b.logger = telemetry.NewLogger(zapcore.InfoLevel, b.lines).With(zap.String("instance", s.Node))
+	b.logger = telemetry.NewLogger(zapcore.InfoLevel, b.lines).With(zap.String("instance", s.NodeName))
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	store, err := keys.Ephemeral(keys.Identity{ID: b.id, Role: role})
 	if err != nil {
--- a/cmd/chivespindled/platform_agent.go
+++ b/cmd/chivespindled/platform_agent.go
@@ -13,9 +13,9 @@
 	l := loader.New(b.ctx, time.Now(), loader.Options{
 		Self: b.id, Addr: s.IP, Incarnation: b.incarnation, Place: s.Place, PeerPort: s.PeerPort, Seeds: s.Seeds,
 		Loop: b.loop, Endpoint: b.endpoint,
-		Engine: platform.NewEngine(s.Server), Origin: platform.NewOrigin(),
-		Source: platform.NewStore(s.Store, b.logger), Regions: s.Regions,
-		VersionTime: s.VersionTime, LinkBytes: s.LinkBytes, Off: b.off,
+		Engine: platform.NewEngine(s.EngineAddr), Origin: platform.NewOrigin(),
+		Source: platform.NewStore(s.StoreAddr, b.logger), Regions: s.Regions,
+		VersionTime: s.VersionTime, LinkBytes: s.LinkBytesPerSecond, Off: b.off,
 		Logger: b.logger, Metrics: b.metrics,
 	})
 	b.handler.Handler = l
--- a/cmd/chivespindled/platform_entry.go
+++ b/cmd/chivespindled/platform_entry.go
@@ -45,9 +45,9 @@
 	s := b.settings
 	g := gateway.New(b.ctx, time.Now(), gateway.Options{
 		Self: b.id, Addr: s.IP, Incarnation: b.incarnation, Place: s.Place,
-		CallerAddr: s.Callers, PeerPort: s.PeerPort, Seeds: s.Seeds, Regions: s.Regions,
+		CallerAddr: s.CallerAddr, PeerPort: s.PeerPort, Seeds: s.Seeds, Regions: s.Regions,
 		Loop: b.loop, Endpoint: b.endpoint,
-		Source: platform.NewStore(s.Store, b.logger), Backend: platform.NewBackend(),
+		Source: platform.NewStore(s.StoreAddr, b.logger), Backend: platform.NewBackend(),
 		Budget:      gateway.RetryBudget{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
 		VersionTime: s.VersionTime, SoundTime: s.SoundTime, Disabled: b.off,
 		Logger: b.logger, Metrics: b.metrics,
@@ -56,14 +56,14 @@
 	b.loop.AddTicker(g)
 	e := &platformEntry{base: b, gateway: g, ingress: platform.NewIngress(g)}
 	var err error
-	if e.callers, err = b.serve(s.Callers, e.ingress); err != nil {
+	if e.callers, err = b.serve(s.CallerAddr, e.ingress); err != nil {
 		return err
 	}
 	e.callers.ConnContext = e.ingress.ConnContext
-	if _, err := b.serve(s.Ready, platform.NewReady(g)); err != nil {
+	if _, err := b.serve(s.ReadyAddr, platform.NewReadyHandler(g)); err != nil {
 		return err
 	}
-	if _, err := b.serve(s.Directory, platform.NewDirectory(g)); err != nil {
+	if _, err := b.serve(s.DirectoryAddr, platform.NewDirectoryHandler(g)); err != nil {
 		return err
 	}
 	b.actor(b.endpoint.Run)
@@ -84,7 +84,7 @@
 // then is finished.
 func (e *platformEntry) Leave() {
 	times := e.base.settings.DrainTimes()
-	e.ingress.Leave()
+	e.ingress.DisableKeepAlives()
 	if err := e.gateway.Leave(e.base.ctx); err != nil {
 		e.base.logger.Error("leaving_not_told", zap.Error(err))
 	}
