--- a/cmd/chivespindle/addresses.go
+++ b/cmd/chivespindle/addresses.go
@@ -16,40 +16,42 @@
 	"chivespindle.example/core/fleet"
 )
 
-// newCaller returns a caller that asks the entries given, each for its share
-// of the time, so that one that hangs leaves time for the next.
-func (c *client) newCaller(timeout time.Duration, near fleet.Place) (*callerclient.Client, error) {
+// newCallerClient returns a caller's client for the given entries. Each entry
+// gets an equal share of the timeout, so that one that hangs leaves time for
+// the next.
+func (c *client) newCallerClient(timeout time.Duration, place fleet.Place) (*callerclient.Client, error) {
 	if len(c.flags.entries) == 0 {
 		return nil, Usage.New("--entry ip:port is required: the callers' address of an entry")
 	}
 	return callerclient.New(callerclient.Options{
 		Seeds:   c.flags.entries,
-		Near:    near,
+		Near:    place,
 		Timeout: timeout / time.Duration(len(c.flags.entries)),
 	}), nil
 }
 
-// ask runs a question of a caller within the command's time.
-func (c *client) ask(ctx context.Context, near fleet.Place, question func(context.Context, *callerclient.Client) error) error {
-	ctx, cancel, err := c.withTimeout(ctx, questionTimeout)
+// withCaller calls query with a caller's client and the command's timeout.
+func (c *client) withCaller(ctx context.Context, place fleet.Place, query func(context.Context, *callerclient.Client) error) error {
+	ctx, cancel, err := c.withTimeout(ctx, queryTimeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	deadline, _ := ctx.Deadline()
-	caller, err := c.newCaller(time.Until(deadline), near)
+	caller, err := c.newCallerClient(time.Until(deadline), place)
 	if err != nil {
 		return err
 	}
-	if err := question(ctx, caller); err != nil {
-		return timedOut(err)
+	if err := query(ctx, caller); err != nil {
+		return asTimeout(err)
 	}
 	return nil
 }
 
-// timedOut makes a failure.Timeout of an error that a deadline of ours caused.
-// errorx hides causes from package errors, so the chain is walked.
-func timedOut(err error) error {
+// asTimeout wraps err in failure.Timeout if it was caused by the command's
+// deadline. errorx hides causes from package errors, so the chain is walked
+// here.
+func asTimeout(err error) error {
 	for cause := err; cause != nil; {
 		if errors.Is(cause, context.DeadlineExceeded) {
 			return failure.Timeout.Wrap(err, "no answer in time")
@@ -82,8 +84,8 @@
 		Example: "  chivespindle addresses --zone apapa-hall --region lagos --entry 127.0.0.1:7100",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			near := fleet.Place{Zone: fleet.Zone(zone), Region: fleet.Region(region)}
-			return c.ask(command.Context(), near, func(ctx context.Context, caller *callerclient.Client) error {
+			place := fleet.Place{Zone: fleet.Zone(zone), Region: fleet.Region(region)}
+			return c.withCaller(command.Context(), place, func(ctx context.Context, caller *callerclient.Client) error {
 				addresses, err := caller.Addresses(ctx)
 				if err != nil {
 					return err
@@ -108,12 +110,12 @@
 	return &cobra.Command{
 		Use:   "key SERVICE",
 		Short: "Ask for an idempotency key",
-		Long: `Ask for an idempotency key for one piece of work at a service. It names the one
-process that may run the work, so that asking again with it never runs it twice.`,
+		Long: `Request an idempotency key for one piece of work at a service. It names the one
+process that may run the work, so that a retry with it never runs the work twice.`,
 		Example: "  chivespindle key workshop-api --entry 127.0.0.1:7100",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			return c.ask(command.Context(), fleet.Place{}, func(ctx context.Context, caller *callerclient.Client) error {
+			return c.withCaller(command.Context(), fleet.Place{}, func(ctx context.Context, caller *callerclient.Client) error {
 				key, err := caller.IssueKey(ctx, fleet.ServiceName(args[0]))
 				if err != nil {
 					return err
--- a/cmd/chivespindle/caller_test.go
+++ b/cmd/chivespindle/caller_test.go
@@ -10,8 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// withoutTrailer answers a request with a body that ends in order, but without
-// the trailer that proves it whole. announced says whether the head named it.
+// withoutTrailer serves an entry whose response body ends normally, but without
+// the trailer that proves it complete. announced says whether the header
+// declares the trailer.
 func withoutTrailer(announced bool) func() servers {
 	return func() servers {
 		mux := http.NewServeMux()
@@ -31,13 +32,13 @@
 
 func oneEntry() servers { return servers{"ENTRY": newEntry()} }
 
-func secondEntry() servers { return servers{"NOONE": nobody(), "ENTRY": newEntry()} }
+func secondEntry() servers { return servers{"NOONE": unusedAddr(), "ENTRY": newEntry()} }
 
-func noEntry() servers { return servers{"NOONE": nobody()} }
+func noEntry() servers { return servers{"NOONE": unusedAddr()} }
 
 var _ = DescribeTable("Sessions of callers",
-	func(name, args string, beside func() servers) {
-		session{args: args, stdin: `{"prompt":"E14"}`, servers: beside()}.expectGolden(name)
+	func(name, args string, newServers func() servers) {
+		session{args: args, stdin: `{"prompt":"E14"}`, servers: newServers()}.expectGolden(name)
 	},
 	func(name, _ string, _ func() servers) string { return name },
 	Entry(nil, "addresses", "addresses --zone apapa-hall --region lagos --entry {ENTRY}", oneEntry),
@@ -45,7 +46,7 @@
 	Entry(nil, "addresses-none", "addresses --zone empty-hall --entry {ENTRY}", oneEntry),
 	Entry(nil, "addresses-unreachable", "addresses --entry {NOONE}", noEntry),
 	Entry(nil, "addresses-frozen", "addresses --timeout 50ms --entry {ENTRY}",
-		func() servers { return servers{"ENTRY": frozen()} }),
+		func() servers { return servers{"ENTRY": hangingServer()} }),
 	Entry(nil, "key", "key workshop-api --entry {ENTRY}", oneEntry),
 	Entry(nil, "key-json", "key workshop-api --output json --entry {ENTRY}", oneEntry),
 	Entry(nil, "key-unknown", "key nothing --entry {ENTRY}", oneEntry),
@@ -58,7 +59,7 @@
 	Entry(nil, "request-not-run-json", "request full --output json --entry {ENTRY}", oneEntry),
 	Entry(nil, "request-unreachable", "request spindle-pool --entry {NOONE}", noEntry),
 	Entry(nil, "request-no-addresses", "request spindle-pool --timeout 50ms --entry {ENTRY}",
-		func() servers { return servers{"ENTRY": frozen()} }),
+		func() servers { return servers{"ENTRY": hangingServer()} }),
 	Entry(nil, "request-unknown", "request lost --entry {ENTRY}", oneEntry),
 	Entry(nil, "request-cut", "request cut --entry {ENTRY}", oneEntry),
 	Entry(nil, "request-cut-json", "request cut --output json --entry {ENTRY}", oneEntry),
@@ -67,10 +68,10 @@
 	Entry(nil, "request-ran-before", "request repeated --key k-1 --non-idempotent --entry {ENTRY}", oneEntry),
 )
 
-// A technician interrupts a request that hangs: nothing proves that it was not
-// run, so the client must not end with a code that a script could take for a
-// request that may be sent again.
-var _ = It("says unknown when it gives up on a request that was sent", func() {
+// Guards against an exit code that a script could take for a request that may
+// be sent again. A user interrupts a request that hangs, and nothing proves
+// that it was not run.
+var _ = It("reports an unknown outcome when a request that was sent is interrupted", func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var addr netip.AddrPort
 	mux := http.NewServeMux()
--- a/cmd/chivespindle/check.go
+++ b/cmd/chivespindle/check.go
@@ -14,24 +14,24 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// stdinName stands for the standard input as a file.
+// stdinName is the file name that stands for the standard input.
 const stdinName = "-"
 
-// checkReport tells which files are good.
+// checkReport lists the result for each file.
 type checkReport struct {
 	Files []checkedFile `json:"files"`
 }
 
-// checkedFile is what the check of one file found.
+// checkedFile is the result of checking one file.
 type checkedFile struct {
-	File     string       `json:"file"`
-	Accepted bool         `json:"accepted"`
-	Text     *textSummary `json:"text,omitempty"` // of a good operators' text
-	Faults   []fault      `json:"faults,omitempty"`
-	Omitted  int          `json:"omitted,omitempty"` // faults beyond those listed
+	File     string         `json:"file"`
+	Accepted bool           `json:"accepted"`
+	Config   *configSummary `json:"text,omitempty"` // of a valid configuration
+	Faults   []fault        `json:"faults,omitempty"`
+	Omitted  int            `json:"omitted,omitempty"` // number of faults not listed
 }
 
-// fault is why a file is refused. Line is 0 for the whole file.
+// fault is why a file is rejected. Line is 0 if it concerns the whole file.
 type fault struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -46,8 +46,8 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason)
 }
 
-// textSummary is what a good text holds.
-type textSummary struct {
+// configSummary describes a valid configuration.
+type configSummary struct {
 	Fleet      string       `json:"fleet"`
 	Digest     fleet.Digest `json:"digest"`
 	Services   int          `json:"services"`
@@ -59,23 +59,24 @@
 		Use:   "check FILE...",
 		Short: "Check operators' texts offline",
 		Long: `Check operators' texts offline, with the code that every process checks a text
-with before it takes it. Each fault is printed as file:line: reason. FILE may
+with before it accepts it. Each fault is printed as file:line: reason. FILE may
 be - for the standard input.`,
 		Example: "  chivespindle check fleet.ini",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
 			r := &checkReport{}
 			for _, file := range files {
-				_, checked := c.loadText(file)
+				_, checked := c.loadConfig(file)
 				r.Files = append(r.Files, checked)
 			}
-			return c.printChecked(r)
+			return c.printCheckReport(r)
 		},
 	}
 }
 
-// printChecked prints the report, and fails if a file is refused.
-func (c *client) printChecked(r *checkReport) error {
+// printCheckReport prints the report and returns an error if a file is
+// rejected.
+func (c *client) printCheckReport(r *checkReport) error {
 	if err := c.print(r); err != nil {
 		return err
 	}
@@ -109,29 +110,30 @@
 		fmt.Fprintf(w, "%s: and %d more\n", f.File, f.Omitted)
 	}
 	switch {
-	case f.Text != nil:
+	case f.Config != nil:
 		fmt.Fprintf(w, "%s: good: fleet %s, %d services, %d workspaces, digest %s\n",
-			f.File, f.Text.Fleet, f.Text.Services, f.Text.Workspaces, f.Text.Digest)
+			f.File, f.Config.Fleet, f.Config.Services, f.Config.Workspaces, f.Config.Digest)
 	case f.Accepted:
 		fmt.Fprintf(w, "%s: good\n", f.File)
 	}
 }
 
-// loadText reads and checks one text. The Fleet is nil if it is refused.
-func (c *client) loadText(file string) (*fleettext.Fleet, checkedFile) {
+// loadConfig reads and checks one configuration. The Fleet is nil if it is
+// rejected.
+func (c *client) loadConfig(file string) (*fleettext.Fleet, checkedFile) {
 	checked := checkedFile{File: file}
 	text, err := c.readFile(file, fleettext.MaxBytes)
 	if err != nil {
-		checked.Faults = []fault{{File: file, Reason: "cannot be read: " + readReason(err)}}
+		checked.Faults = []fault{{File: file, Reason: "cannot be read: " + readErrorReason(err)}}
 		return nil, checked
 	}
 	loaded, err := fleettext.Load(file, text)
 	if err != nil {
-		checked.Faults, checked.Omitted = textFaults(file, err)
+		checked.Faults, checked.Omitted = configFaults(file, err)
 		return nil, checked
 	}
 	checked.Accepted = true
-	checked.Text = &textSummary{
+	checked.Config = &configSummary{
 		Fleet:      loaded.Name(),
 		Digest:     loaded.Digest(),
 		Services:   len(loaded.ServiceNames()),
@@ -140,7 +142,7 @@
 	return loaded, checked
 }
 
-func textFaults(file string, err error) ([]fault, int) {
+func configFaults(file string, err error) ([]fault, int) {
 	check := fleettext.AsCheckError(err)
 	if check == nil {
 		return []fault{{File: file, Reason: err.Error()}}, 0
@@ -152,9 +154,9 @@
 	return faults, check.Omitted
 }
 
-// readFile reads a file, or the standard input, up to one byte over limit: so
-// much is enough for its reader to refuse it, and a wrong path does not fill
-// the memory.
+// readFile reads a file, or the standard input, up to one byte over limit. This
+// is enough for the caller to detect a file that is too large, and a wrong path
+// cannot use up the memory.
 func (c *client) readFile(name string, limit int64) ([]byte, error) {
 	if name == stdinName {
 		return readAtMost(c.stdin, limit)
@@ -175,8 +177,8 @@
 	return data, nil
 }
 
-// readReason returns why a file cannot be read, without its name.
-func readReason(err error) string {
+// readErrorReason returns why a file cannot be read, without the file's name.
+func readErrorReason(err error) string {
 	cause := causeOf(err)
 	var pathError *fs.PathError
 	if errors.As(cause, &pathError) {
--- a/cmd/chivespindle/client.go
+++ b/cmd/chivespindle/client.go
@@ -19,14 +19,14 @@
 	stdin          io.Reader
 	stdout, stderr io.Writer
 	now            func() time.Time
-	// pause waits, and reports whether ctx lets the caller go on.
-	pause func(ctx context.Context, d time.Duration) bool
-	build build
+	// sleep waits for d and reports whether ctx is still active.
+	sleep func(ctx context.Context, d time.Duration) bool
+	build buildInfo
 
 	flags globalFlags
 }
 
-// globalFlags hold for every command.
+// globalFlags apply to every command.
 type globalFlags struct {
 	output  outputFormat
 	entries addressList
@@ -34,10 +34,11 @@
 	timeout time.Duration
 }
 
-// run carries out a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func (c *client) run(ctx context.Context, args []string) int {
-	// Errors of the command line itself come before its flags are read.
-	c.flags.output = wantedOutput(args)
+	// Errors of the command line itself are reported before its flags are
+	// parsed.
+	c.flags.output = requestedOutput(args)
 	root := c.newRootCommand()
 	root.SetArgs(args)
 	root.SetIn(c.stdin)
@@ -48,7 +49,8 @@
 		return exitOK
 	}
 	if errorx.Cast(err) == nil {
-		// Commands return typed errors; this one is of the library's parser.
+		// Commands return typed errors, so this one comes from the library's
+		// parser.
 		err = Usage.New("%s; see chivespindle --help", strings.Join(strings.Fields(err.Error()), " "))
 	}
 	return c.reportError(err)
@@ -71,7 +73,7 @@
 	flags.Var(&c.flags.entries, "entry", "callers' address of an entry, ip:port; may be given again, the next is asked if one does not answer")
 	flags.Var(&c.flags.ops, "ops", "operators' address of a process, ip:port; may be given again")
 	flags.DurationVar(&c.flags.timeout, "timeout", 0, "most that the command may take (default 5s; follow 10m; request its deadline and 2s)")
-	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputWords, cobra.ShellCompDirectiveNoFileComp))
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputNames, cobra.ShellCompDirectiveNoFileComp))
 	for _, name := range []string{"entry", "ops", "timeout"} {
 		_ = root.RegisterFlagCompletionFunc(name, cobra.NoFileCompletions)
 	}
@@ -90,23 +92,23 @@
 	return root
 }
 
-// questionTimeout bounds a command that asks and prints.
-const questionTimeout = 5 * time.Second
+// queryTimeout bounds a command that queries a process and prints the result.
+const queryTimeout = 5 * time.Second
 
-// withTimeout returns a context for the whole command.
-func (c *client) withTimeout(ctx context.Context, byDefault time.Duration) (context.Context, context.CancelFunc, error) {
+// withTimeout returns a context with the timeout of the whole command.
+func (c *client) withTimeout(ctx context.Context, defaultTimeout time.Duration) (context.Context, context.CancelFunc, error) {
 	switch {
 	case c.flags.timeout < 0:
 		return nil, nil, Usage.New("--timeout must be above 0, got %s", c.flags.timeout)
 	case c.flags.timeout > 0:
-		byDefault = c.flags.timeout
+		defaultTimeout = c.flags.timeout
 	}
-	limited, cancel := context.WithTimeout(ctx, byDefault)
+	limited, cancel := context.WithTimeout(ctx, defaultTimeout)
 	return limited, cancel, nil
 }
 
-// newOpsClient returns a client of the operators' port, if an address was
-// given.
+// newOpsClient returns a client of the operators' port, or an error if no
+// address was given.
 func (c *client) newOpsClient() (*opsclient.Client, error) {
 	if len(c.flags.ops) == 0 {
 		return nil, Usage.New("--ops ip:port is required: the operators' address of an entry")
@@ -114,25 +116,25 @@
 	return opsclient.New(), nil
 }
 
-// report is what a command prints, in either form. Its JSON is its exported
-// fields.
+// report is the output of a command. Its JSON form is its exported fields.
 type report interface {
 	writeText(w io.Writer)
 }
 
-// print writes a report at once, so that an error in the middle prints none.
+// print writes a report only after it has been encoded completely, so that an
+// error leaves no partial output.
 func (c *client) print(r report) error {
-	var page strings.Builder
+	var buffer strings.Builder
 	if c.flags.output == outputJSON {
-		encoder := json.NewEncoder(&page)
+		encoder := json.NewEncoder(&buffer)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(r); err != nil {
 			return failure.Internal.Wrap(err, "the report cannot be encoded")
 		}
 	} else {
-		r.writeText(&page)
+		r.writeText(&buffer)
 	}
-	return c.write(page.String())
+	return c.write(buffer.String())
 }
 
 func (c *client) write(text string) error {
--- a/cmd/chivespindle/diff.go
+++ b/cmd/chivespindle/diff.go
@@ -10,14 +10,14 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// diffReport is the difference that a text would make.
+// diffReport lists what changes from one configuration to another.
 type diffReport struct {
 	Old     fleet.Digest `json:"old_digest"`
 	New     fleet.Digest `json:"new_digest"`
 	Changes []change     `json:"changes"`
 }
 
-// change is a fleettext.Change as JSON.
+// change is the JSON form of a fleettext.Change.
 type change struct {
 	Section string               `json:"section"`
 	Kind    fleettext.ChangeKind `json:"kind"`
@@ -31,9 +31,9 @@
 	return &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Show what a text would change",
-		Long: `Show what changes in force if the text NEW takes the place of OLD: defaults are
-filled in, and comments and order do not count. One of the two may be - for the
-standard input. The exit code is 0 with and without a difference.`,
+		Long: `Show what takes effect if the text NEW replaces OLD: defaults are filled in, and
+comments and order are ignored. One of the two may be - for the standard input.
+The exit code is 0 with and without a difference.`,
 		Example: "  chivespindle diff fleet.ini fleet-new.ini",
 		Args:    cobra.ExactArgs(files),
 		RunE:    func(_ *cobra.Command, args []string) error { return c.diff(args[0], args[1]) },
@@ -44,10 +44,10 @@
 	if oldFile == stdinName && newFile == stdinName {
 		return Usage.New("only one of OLD and NEW can be the standard input")
 	}
-	before, oldChecked := c.loadText(oldFile)
-	after, newChecked := c.loadText(newFile)
+	before, oldChecked := c.loadConfig(oldFile)
+	after, newChecked := c.loadConfig(newFile)
 	if before == nil || after == nil {
-		return c.printChecked(&checkReport{Files: []checkedFile{oldChecked, newChecked}})
+		return c.printCheckReport(&checkReport{Files: []checkedFile{oldChecked, newChecked}})
 	}
 	r := &diffReport{Old: before.Digest(), New: after.Digest(), Changes: []change{}}
 	for _, d := range fleettext.Diff(before, after) {
--- a/cmd/chivespindle/errors.go
+++ b/cmd/chivespindle/errors.go
@@ -28,25 +28,26 @@
 	Usage = failure.Invalid.NewSubtype("usage")
 	// RefusedInput is the type of errors about the content of a file.
 	RefusedInput = failure.Invalid.NewSubtype("input")
-	// Canceled means that the person at the keyboard stopped the command.
+	// Canceled is the type of the error when the user interrupted the command.
 	Canceled = failure.Namespace.NewType("canceled")
 )
 
-// callProperty holds the callReport of a request that failed.
+// callProperty holds the callReport of a failed request.
 var callProperty = errorx.RegisterProperty("call")
 
-// callOf returns the callReport that err carries, nil if none.
-func callOf(err error) *callReport {
+// callReportOf returns the callReport attached to err, or nil.
+func callReportOf(err error) *callReport {
 	value, _ := errorx.ExtractProperty(err, callProperty)
 	call, _ := value.(*callReport)
 	return call
 }
 
-// exitCode maps an error. Once the arguments of a request are good, its
-// outcome decides, so that a script never takes a timeout for "not run".
+// exitCode maps an error to an exit code. Once the arguments of a request are
+// valid, its outcome decides, so that a script never mistakes a timeout for
+// "not run".
 func exitCode(err error) int {
-	if call := callOf(err); call != nil {
-		return exitOfOutcome(call.outcome)
+	if call := callReportOf(err); call != nil {
+		return outcomeExitCode(call.outcome)
 	}
 	switch {
 	case errorx.IsOfType(err, Usage):
@@ -60,7 +61,7 @@
 	}
 }
 
-func exitOfOutcome(outcome failure.Outcome) int {
+func outcomeExitCode(outcome failure.Outcome) int {
 	switch outcome {
 	case failure.NotRun:
 		return exitNotRun
@@ -71,7 +72,7 @@
 	}
 }
 
-// errorReport is an error as JSON.
+// errorReport is the JSON form of an error.
 type errorReport struct {
 	Error    string `json:"error"` // type of the failure
 	Reason   string `json:"reason"`
@@ -88,11 +89,11 @@
 	}
 	reason := strings.TrimPrefix(err.Error(), kind+": ")
 	if c.flags.output == outputJSON {
-		line := errorReport{Error: kind, Reason: reason, ExitCode: code, callReport: callOf(err)}
-		_ = json.NewEncoder(c.stderr).Encode(line) // nobody is left to tell
+		line := errorReport{Error: kind, Reason: reason, ExitCode: code, callReport: callReportOf(err)}
+		_ = json.NewEncoder(c.stderr).Encode(line) // a failure to write to stderr cannot be reported
 		return code
 	}
-	if call := callOf(err); call != nil {
+	if call := callReportOf(err); call != nil {
 		call.writeText(c.stderr)
 	}
 	reason = strings.Join(strings.FieldsFunc(reason, func(r rune) bool { return r == '\n' || r == '\r' }), "; ")
@@ -100,7 +101,7 @@
 	return code
 }
 
-// causeOf returns what err wraps, else err.
+// causeOf returns the error that err wraps, or err itself.
 func causeOf(err error) error {
 	if typed := errorx.Cast(err); typed != nil && typed.Cause() != nil {
 		return typed.Cause()
--- a/cmd/chivespindle/explain.go
+++ b/cmd/chivespindle/explain.go
@@ -18,31 +18,31 @@
 	"chivespindle.example/core/status"
 )
 
-// lossesEvery is the length of the windows of an account: twice the time
-// between two lines of an entry.
-const lossesEvery = 2 * time.Second
+// defaultLossWindow is the default length of a window of --losses: twice the
+// interval at which an entry logs its results.
+const defaultLossWindow = 2 * time.Second
 
 func (c *client) newExplainCommand() *cobra.Command {
-	priority := noUrgency
+	priority := unsetUrgency
 	var prefix, request, server string
 	var losses bool
-	var every time.Duration
+	var window time.Duration
 	command := &cobra.Command{
 		Use:   "explain SERVICE | explain --request ID [LOG...] | explain --losses [LOG...]",
 		Short: "Show why each server would or would not be chosen, or why requests failed",
 		Long: `Show how an entry would choose a backend server of the service for a request
-now. Entries choose by what each knows, so the answer holds for that entry. With
-several --ops, the first that answers is shown.
+now. Each entry chooses by its own state, so the result holds for that entry.
+With several --ops, the first response is shown.
 
 With --request, read the logs of processes from files, or from the standard
 input, and show what happened to a request on the users' platform and why. Give
-the logs of all entries and agents: what they tell of themselves around that
-time is part of the answer. With --server as well, tell of that server, if it was
-leaving, which reading of the servers entries went by; needed for a request that no line
-names.
+the logs of all entries and agents: what they log about themselves around that
+time is part of the report. With --server as well, show for that server, if it
+was leaving, which server list the entries used; needed for a request that no
+line names.
 
 With --losses, read the logs of entries and show by time and by route how many
-calls were served as their routes want, and what became of the others.`,
+calls were served as their routes require, and the results of the others.`,
 		Example: `  chivespindle explain spindle-pool --prefix fault-log --ops 127.0.0.1:7101
   chivespindle explain --request 7f8876cacd2f5ae4 front-*.log side-*.log
   chivespindle explain --losses --every 2s front-*.log`,
@@ -58,10 +58,10 @@
 				return RefusedInput.New("--request and --losses are two questions; ask one")
 			case server != "" && request == "":
 				return RefusedInput.New("--server needs --request")
-			case losses && every <= 0:
+			case losses && window <= 0:
 				return RefusedInput.New("--every must be longer than 0")
 			case losses:
-				return c.explainLosses(every, args)
+				return c.explainLosses(window, args)
 			case request != "":
 				return c.explainRequest(request, server, args)
 			}
@@ -69,10 +69,10 @@
 			return c.explain(command.Context(), q)
 		},
 	}
-	command.Flags().StringVar(&request, "request", "", "id of a request to find in logs")
+	command.Flags().StringVar(&request, "request", "", "id of a request to look up in logs")
 	command.Flags().StringVar(&server, "server", "", "with --request, id of a server that it reached")
-	command.Flags().BoolVar(&losses, "losses", false, "account in logs for calls that were not served as their routes want")
-	command.Flags().DurationVar(&every, "every", lossesEvery, "length of the windows of --losses")
+	command.Flags().BoolVar(&losses, "losses", false, "count in logs the calls that were not served as their routes require")
+	command.Flags().DurationVar(&window, "every", defaultLossWindow, "length of the windows of --losses")
 	command.Flags().StringVar(&prefix, "prefix", "", "name of the request's prompt prefix")
 	command.Flags().Var(&priority, "priority", "urgency of the request, u=0 (first) to u=7")
 	return command
@@ -84,20 +84,21 @@
 		return err
 	}
 	defer ops.Close()
-	ctx, cancel, err := c.withTimeout(ctx, questionTimeout)
+	ctx, cancel, err := c.withTimeout(ctx, queryTimeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	explanation, err := c.explainAny(ctx, ops, q)
+	explanation, err := c.queryExplanation(ctx, ops, q)
 	if err != nil {
 		return err
 	}
 	return c.print(explainReport{explanation})
 }
 
-// explainAny asks one address after the other, each for its share of the time.
-func (c *client) explainAny(ctx context.Context, ops *opsclient.Client, q opsclient.Question) (*status.Explanation, error) {
+// queryExplanation queries the addresses in turn, each with an equal share of
+// the timeout.
+func (c *client) queryExplanation(ctx context.Context, ops *opsclient.Client, q opsclient.Question) (*status.Explanation, error) {
 	deadline, _ := ctx.Deadline()
 	share := time.Until(deadline) / time.Duration(len(c.flags.ops))
 	var last error
@@ -110,13 +111,13 @@
 		}
 		last = err
 		if !errorx.HasTrait(err, failure.Temporary) {
-			break // the next entry would say the same
+			break // another entry would return the same error
 		}
 	}
 	return nil, last
 }
 
-// explainReport shows an explanation. Its JSON is the entry's answer.
+// explainReport shows an explanation. Its JSON form is the entry's response.
 type explainReport struct{ *status.Explanation }
 
 func (r explainReport) writeText(w io.Writer) {
@@ -127,48 +128,48 @@
 	fmt.Fprintln(w)
 	t := newTable("SERVER", "TIER", "VERDICT", "COST", "IN-FLIGHT", "OTHERS", "SLOTS", "REPORT", "WHY")
 	for _, s := range r.Candidates {
-		t.row(string(s.ID), s.Tier, string(s.Verdict), decimal(s.Cost), strconv.Itoa(s.InFlight),
-			decimal(s.OtherInFlight), strconv.FormatFloat(s.Slots, 'f', -1, 64), ageText(s.ReportAgeMS), whyText(s))
+		t.addRow(string(s.ID), s.Tier, string(s.Verdict), formatDecimal(s.Cost), strconv.Itoa(s.InFlight),
+			formatDecimal(s.OtherInFlight), strconv.FormatFloat(s.Slots, 'f', -1, 64), formatAge(s.ReportAgeMS), formatReason(s))
 	}
 	for _, s := range r.Unknown {
-		t.row(string(s.ID), none, "unknown", none, none, none, none, none, s.Reason)
+		t.addRow(string(s.ID), emptyCell, "unknown", emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, s.Reason)
 	}
 	t.write(w)
 	if len(r.Candidates)+len(r.Unknown) == 0 {
-		fmt.Fprintln(w, "the entry knows no server of the service")
+		fmt.Fprintln(w, "the entry knows no server of this service")
 	}
 }
 
-// decimal gives two decimals, which tell costs apart.
-func decimal(value float64) string {
+// formatDecimal formats with two decimals, enough to distinguish costs.
+func formatDecimal(value float64) string {
 	const decimals = 2
 	return strconv.FormatFloat(value, 'f', decimals, 64)
 }
 
-func ageText(ms int64) string {
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// reasons says in words what a verdict means.
-var reasons = map[balance.Verdict]string{
+// verdictReasons describes the verdicts.
+var verdictReasons = map[balance.Verdict]string{
 	balance.Eligible: "may be chosen",
-	balance.Excluded: "the request has tried it already",
-	balance.Draining: "takes no new work: it leaves or changes its version",
-	balance.Ejected:  "its recent answers failed or stalled",
-	balance.Busy:     "refused a request a moment ago and asked for a pause",
-	balance.Full:     "its slots and its short queue are taken",
+	balance.Excluded: "already tried for this request",
+	balance.Draining: "accepts no new requests: it is leaving or changing its version",
+	balance.Ejected:  "its recent responses failed or stalled",
+	balance.Busy:     "recently refused a request and asked for a pause",
+	balance.Full:     "its slots and its short queue are full",
 }
 
-func whyText(s status.Candidate) string {
+func formatReason(s status.Candidate) string {
 	var parts []string
-	if reason, known := reasons[s.Verdict]; known {
+	if reason, known := verdictReasons[s.Verdict]; known {
 		parts = append(parts, reason)
 	}
 	if s.EjectedMS > 0 {
-		parts = append(parts, "taken back in "+ageText(s.EjectedMS))
+		parts = append(parts, "eligible again in "+formatAge(s.EjectedMS))
 	}
 	if s.Preferred {
 		parts = append(parts, "the prefix leads here")
--- a/cmd/chivespindle/explain_losses.go
+++ b/cmd/chivespindle/explain_losses.go
@@ -9,14 +9,14 @@
 	"chivespindle.example/cmd/chivespindle/internal/requestlog"
 )
 
-// explainLosses prints when, on which routes and why calls were not served as
-// their routes want.
-func (c *client) explainLosses(every time.Duration, files []string) error {
-	account := requestlog.NewAccount(every)
-	if err := c.readLogs(files, account.Take); err != nil {
+// explainLosses prints, by time and by route, how many calls were not served as
+// their routes require, and why.
+func (c *client) explainLosses(window time.Duration, files []string) error {
+	counter := requestlog.NewAccount(window)
+	if err := c.readLogs(files, counter.Take); err != nil {
 		return err
 	}
-	report := lossReport{Windows: account.Windows(), Routes: account.Routes()}
+	report := lossReport{Windows: counter.Windows(), Routes: counter.Routes()}
 	if len(report.Windows) == 0 {
 		return RefusedInput.New("no line of the logs accounts for calls; give those of entries")
 	}
@@ -31,22 +31,22 @@
 func (r lossReport) writeText(w io.Writer) {
 	t := newTable("FROM", "CALLS", "ON TIME", "OTHERS, WITH WHAT THEIR FIRST EVENTS CAME LATER THAN PREDICTED")
 	for _, v := range r.Windows {
-		t.row(v.From.UTC().Format(stepTime), fmt.Sprint(v.Calls), shareText(v.OnTime, v.Calls), lossText(v.Losses))
+		t.addRow(v.From.UTC().Format(stepTime), fmt.Sprint(v.Calls), formatShare(v.OnTime, v.Calls), formatLosses(v.Losses))
 	}
 	t.write(w)
 	fmt.Fprintln(w)
 	t = newTable("ROUTE", "CALLS", "ON TIME", "OTHERS")
 	for _, v := range r.Routes {
-		t.row(v.Route, fmt.Sprint(v.Calls), shareText(v.OnTime, v.Calls), lossText(v.Losses))
+		t.addRow(v.Route, fmt.Sprint(v.Calls), formatShare(v.OnTime, v.Calls), formatLosses(v.Losses))
 	}
 	t.write(w)
 }
 
-func shareText(part, whole int) string {
-	return decimal(float64(part) / float64(max(1, whole)))
+func formatShare(part, whole int) string {
+	return formatDecimal(float64(part) / float64(max(1, whole)))
 }
 
-func lossText(losses []requestlog.Loss) string {
+func formatLosses(losses []requestlog.Loss) string {
 	parts := make([]string, len(losses))
 	for i, l := range losses {
 		parts[i] = fmt.Sprintf("%s %d", l.Result, l.Calls)
@@ -55,7 +55,7 @@
 		}
 	}
 	if len(parts) == 0 {
-		return none
+		return emptyCell
 	}
 	return strings.Join(parts, ", ")
 }
--- a/cmd/chivespindle/explain_request.go
+++ b/cmd/chivespindle/explain_request.go
@@ -9,24 +9,25 @@
 	"chivespindle.example/cmd/chivespindle/internal/requestlog"
 )
 
-// explainRequest prints what logs tell of a request.
+// explainRequest prints what the logs contain about a request.
 func (c *client) explainRequest(request, server string, files []string) error {
-	log := requestlog.NewLog(request)
-	log.AtServer(server)
-	if err := c.readLogs(files, log.Take); err != nil {
+	collector := requestlog.NewLog(request)
+	collector.AtServer(server)
+	if err := c.readLogs(files, collector.Take); err != nil {
 		return err
 	}
-	return c.print(requestReport{log.Story()})
+	return c.print(requestReport{collector.Story()})
 }
 
-// readLogs hands the events of files, or of the standard input, to take.
-func (c *client) readLogs(files []string, take func(requestlog.Line)) error {
+// readLogs calls handle for each event in the files, or in the standard input
+// if there are none.
+func (c *client) readLogs(files []string, handle func(requestlog.Line)) error {
 	if len(files) == 0 {
 		files = []string{stdinName}
 	}
 	events := 0
 	for _, name := range files {
-		n, err := c.readLog(name, take)
+		n, err := c.readLog(name, handle)
 		if err != nil {
 			return err
 		}
@@ -38,21 +39,21 @@
 	return nil
 }
 
-// readLog takes the events of one file and returns their number.
-func (c *client) readLog(name string, take func(requestlog.Line)) (int, error) {
+// readLog calls handle for each event in one file and returns their number.
+func (c *client) readLog(name string, handle func(requestlog.Line)) (int, error) {
 	r := c.stdin
 	if name != stdinName {
 		file, err := os.Open(name)
 		if err != nil {
 			return 0, RefusedInput.New("%s", err.Error())
 		}
-		defer func() { _ = file.Close() }() // it was only read
+		defer func() { _ = file.Close() }() // opened for reading only
 		r = file
 	}
 	events := 0
 	_, err := requestlog.Read(r, func(line requestlog.Line) {
 		events++
-		take(line)
+		handle(line)
 	})
 	if err != nil {
 		return events, RefusedInput.Wrap(err, "%s", name)
--- a/cmd/chivespindle/flags.go
+++ b/cmd/chivespindle/flags.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// outputFormat is the form of what is printed. It implements pflag.Value.
+// outputFormat is the output format. It implements pflag.Value.
 type outputFormat string
 
 const (
@@ -15,7 +15,7 @@
 	outputJSON outputFormat = "json"
 )
 
-var outputWords = []string{string(outputText), string(outputJSON)}
+var outputNames = []string{string(outputText), string(outputJSON)}
 
 // String implements pflag.Value.
 func (f *outputFormat) String() string { return string(*f) }
@@ -25,16 +25,16 @@
 
 // Set implements pflag.Value.
 func (f *outputFormat) Set(text string) error {
-	if !slices.Contains(outputWords, text) {
-		return flagFault{"must be text or json"}
+	if !slices.Contains(outputNames, text) {
+		return flagError{"must be text or json"}
 	}
 	*f = outputFormat(text)
 	return nil
 }
 
-// wantedOutput finds --output before the flags are read, for the error of a
-// command line that cannot be.
-func wantedOutput(args []string) outputFormat {
+// requestedOutput finds --output before the flags are parsed, so that an error
+// in the command line itself is printed in the requested format.
+func requestedOutput(args []string) outputFormat {
 	for i, arg := range args {
 		value, joined := strings.CutPrefix(arg, "--output=")
 		if !joined && arg == "--output" && i+1 < len(args) {
@@ -47,7 +47,7 @@
 	return outputText
 }
 
-// addressList is a flag that may be given again. It implements pflag.Value.
+// addressList is a flag that may be repeated. It implements pflag.Value.
 type addressList []netip.AddrPort
 
 // String implements pflag.Value.
@@ -67,9 +67,9 @@
 	addr, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
-		return flagFault{"must be an IP number and a port, such as 127.0.0.1:7100"}
+		return flagError{"must be an IP number and a port, such as 127.0.0.1:7100"}
 	case addr.Port() == 0:
-		return flagFault{"the port must not be 0"}
+		return flagError{"the port must not be 0"}
 	case !slices.Contains(*l, addr):
 		*l = append(*l, addr)
 	}
@@ -80,17 +80,17 @@
 type urgency int
 
 const (
-	lastUrgency  = 7
-	noUrgency    = urgency(-1)
-	urgencyStart = "u="
+	maxUrgency    = 7
+	unsetUrgency  = urgency(-1)
+	urgencyPrefix = "u="
 )
 
 // String implements pflag.Value.
 func (u *urgency) String() string {
-	if *u == noUrgency {
+	if *u == unsetUrgency {
 		return ""
 	}
-	return urgencyStart + strconv.Itoa(int(*u))
+	return urgencyPrefix + strconv.Itoa(int(*u))
 }
 
 // Type implements pflag.Value.
@@ -98,17 +98,17 @@
 
 // Set implements pflag.Value.
 func (u *urgency) Set(text string) error {
-	n, err := strconv.Atoi(strings.TrimPrefix(text, urgencyStart))
-	if err != nil || n < 0 || n > lastUrgency {
-		return flagFault{"must be u=0 (first) to u=7"}
+	n, err := strconv.Atoi(strings.TrimPrefix(text, urgencyPrefix))
+	if err != nil || n < 0 || n > maxUrgency {
+		return flagError{"must be u=0 (first) to u=7"}
 	}
 	*u = urgency(n)
 	return nil
 }
 
-// flagFault is why a flag's value is refused. The parser puts the flag and the
-// value before it.
-type flagFault struct{ reason string }
+// flagError is why a flag's value is rejected. The parser prefixes the flag and
+// the value.
+type flagError struct{ reason string }
 
 // Error implements error.
-func (f flagFault) Error() string { return f.reason }
+func (f flagError) Error() string { return f.reason }
--- a/cmd/chivespindle/follow.go
+++ b/cmd/chivespindle/follow.go
@@ -18,21 +18,21 @@
 
 const (
 	followTimeout = 10 * time.Minute
-	// pollTimeout bounds one question, so that an entry that dies without
-	// closing its connection does not hold up the others.
+	// pollTimeout bounds one poll, so that an entry that dies without closing
+	// its connection does not delay the others.
 	pollTimeout = 2 * time.Second
-	// defaultPoll is the pause between two questions for a fleet of up to
-	// smallFleet processes. It grows with the fleet, since an entry's work for
-	// a status does: in a trial, encoding that of 3,910 processes took 21 ms of
-	// processor time. Twice a second that would be 4% of a core.
-	defaultPoll = 500 * time.Millisecond
-	smallFleet  = 500
+	// defaultPollInterval is the interval between two polls for a fleet of up
+	// to smallFleetSize processes. It grows with the fleet, as does an entry's
+	// cost of encoding its status: 21 ms of CPU time for 3,910 processes. At
+	// two polls per second that would be 4% of a core.
+	defaultPollInterval = 500 * time.Millisecond
+	smallFleetSize      = 500
 )
 
 func (c *client) newFollowCommand() *cobra.Command {
 	var options follow.Options
-	var atLeast uint64
-	var every time.Duration
+	var minRevision uint64
+	var interval time.Duration
 	command := &cobra.Command{
 		Use:   "follow [SERVICE...]",
 		Short: "Follow a rollout until every replica serves",
@@ -48,31 +48,31 @@
 			for _, name := range services {
 				options.Services = append(options.Services, fleet.ServiceName(name))
 			}
-			options.AtLeast = revision.Revision(atLeast)
-			return c.follow(command.Context(), options, every)
+			options.AtLeast = revision.Revision(minRevision)
+			return c.follow(command.Context(), options, interval)
 		},
 		ValidArgsFunction: cobra.NoFileCompletions,
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&atLeast, "revision", 0, "wait until this revision or a higher one is in force")
+	flags.Uint64Var(&minRevision, "revision", 0, "wait until this revision or a higher one is in force")
 	flags.BoolVar(&options.Instances, "instances", false, "print a line for each change of a replica as well")
-	flags.DurationVar(&every, "every", 0, "pause between two questions (default 500ms, more for fleets above 500 processes)")
+	flags.DurationVar(&interval, "every", 0, "pause between two questions (default 500ms, more for fleets above 500 processes)")
 	return command
 }
 
 // watch is one run of the follow command.
 type watch struct {
-	client   *client
-	ops      *opsclient.Client
-	follower *follow.Follower
-	started  time.Time
-	silent   bool // no entry answered the last question
-	members  int
+	client     *client
+	ops        *opsclient.Client
+	follower   *follow.Follower
+	started    time.Time
+	unanswered bool // no entry responded to the last poll
+	members    int
 }
 
-func (c *client) follow(ctx context.Context, options follow.Options, every time.Duration) error {
-	if every < 0 {
-		return Usage.New("--every must be above 0, got %s", every)
+func (c *client) follow(ctx context.Context, options follow.Options, interval time.Duration) error {
+	if interval < 0 {
+		return Usage.New("--every must be above 0, got %s", interval)
 	}
 	ops, err := c.newOpsClient()
 	if err != nil {
@@ -85,15 +85,16 @@
 	}
 	defer cancel()
 	w := &watch{client: c, ops: ops, follower: follow.New(options), started: c.now()}
-	status, err := w.ask(ctx)
+	status, err := w.fetchStatus(ctx)
 	if err != nil {
-		return err // a wrong address shows at once
+		return err // report a wrong address immediately
 	}
-	return w.run(ctx, status, every)
+	return w.run(ctx, status, interval)
 }
 
-// run goes from one status to the next until the rollout's end, or ctx's.
-func (w *watch) run(ctx context.Context, status *status.Entry, every time.Duration) error {
+// run observes one status after another until the rollout has finished or ctx
+// is done.
+func (w *watch) run(ctx context.Context, status *status.Entry, interval time.Duration) error {
 	for {
 		if status != nil {
 			if err := w.print(w.follower.Observe(status)...); err != nil {
@@ -107,54 +108,55 @@
 		if done {
 			return w.print(follow.Event{Kind: follow.Finished, Revision: w.follower.Revision()})
 		}
-		if !w.client.pause(ctx, w.pollPause(every)) {
-			return w.stopped(ctx)
+		if !w.client.sleep(ctx, w.pollInterval(interval)) {
+			return w.stopError(ctx)
 		}
-		if status, err = w.askAgain(ctx); err != nil {
+		if status, err = w.poll(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-func (w *watch) pollPause(every time.Duration) time.Duration {
-	if every > 0 {
-		return every
+func (w *watch) pollInterval(interval time.Duration) time.Duration {
+	if interval > 0 {
+		return interval
 	}
-	return defaultPoll * time.Duration(max(smallFleet, w.members)) / smallFleet
+	return defaultPollInterval * time.Duration(max(smallFleetSize, w.members)) / smallFleetSize
 }
 
-func (w *watch) stopped(ctx context.Context) error {
+func (w *watch) stopError(ctx context.Context) error {
 	if ctx.Err() == context.Canceled {
 		return Canceled.New("stopped while %s", w.follower.Pending())
 	}
 	return failure.Timeout.New("not at its end in time: %s", w.follower.Pending())
 }
 
-func (w *watch) ask(ctx context.Context) (*status.Entry, error) {
+func (w *watch) fetchStatus(ctx context.Context) (*status.Entry, error) {
 	limited, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	s, err := askEntries(limited, w.ops, w.client.flags.ops)
+	s, err := queryEntries(limited, w.ops, w.client.flags.ops)
 	if err != nil {
 		return nil, err
 	}
-	status := s.best().status
+	status := s.newest().status
 	w.members = len(status.Fleet)
 	return status, nil
 }
 
-// askAgain goes on without a status while no entry answers: entries are
-// replaced during a rollout as at any time.
-func (w *watch) askAgain(ctx context.Context) (*status.Entry, error) {
-	status, err := w.ask(ctx)
-	wasSilent := w.silent
-	w.silent = err != nil
-	if err == nil || wasSilent || ctx.Err() != nil {
+// poll returns no status and no error while no entry responds: entries may be
+// replaced during a rollout, as at any other time. The first failure is
+// printed.
+func (w *watch) poll(ctx context.Context) (*status.Entry, error) {
+	status, err := w.fetchStatus(ctx)
+	wasUnanswered := w.unanswered
+	w.unanswered = err != nil
+	if err == nil || wasUnanswered || ctx.Err() != nil {
 		return status, nil
 	}
 	return nil, w.print(follow.Event{Kind: follow.Unanswered, Reason: err.Error()})
 }
 
-// followLine is an event as a line of JSON.
+// followLine is the JSON form of an event.
 type followLine struct {
 	ElapsedMS int64 `json:"elapsed_ms"`
 	follow.Event
--- a/cmd/chivespindle/instance.go
+++ b/cmd/chivespindle/instance.go
@@ -12,7 +12,7 @@
 	"chivespindle.example/core/status"
 )
 
-// agentReport and entryReport show one process. Their JSON is its status.
+// agentReport and entryReport show one process. Their JSON form is its status.
 type (
 	agentReport struct{ *status.Agent }
 	entryReport struct{ *status.Entry }
@@ -27,29 +27,30 @@
 	if len(c.flags.ops) > 1 {
 		return Usage.New("--instance shows one process; give --ops once")
 	}
-	ctx, cancel, err := c.withTimeout(ctx, questionTimeout)
+	ctx, cancel, err := c.withTimeout(ctx, queryTimeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	answer, err := ops.Status(ctx, c.flags.ops[0])
+	response, err := ops.Status(ctx, c.flags.ops[0])
 	if err != nil {
 		return err
 	}
-	if agent, isAgent := answer.(*status.Agent); isAgent {
+	if agent, isAgent := response.(*status.Agent); isAgent {
 		return c.print(agentReport{agent})
 	}
-	return c.print(entryReport{answer.(*status.Entry)})
+	return c.print(entryReport{response.(*status.Entry)})
 }
 
-// fact is one line of a process's page. A line without a value is left out.
-type fact struct {
+// detail is one line of a process's report. It is omitted if the value is
+// empty.
+type detail struct {
 	name, value string
 }
 
-func writeFacts(w io.Writer, facts []fact) {
+func writeDetails(w io.Writer, details []detail) {
 	const nameWidth = 12
-	for _, f := range facts {
+	for _, f := range details {
 		if f.value != "" {
 			fmt.Fprintf(w, "%-*s %s\n", nameWidth, f.name+":", f.value)
 		}
@@ -62,53 +63,53 @@
 	if !r.Admitting {
 		admitting = "no, " + r.Refusing
 	}
-	facts := []fact{
-		{"state", stateText(r.State, r.Phase)},
-		{"serving", versionText(r.Serving)},
-		{"target", versionText(r.Target)},
+	details := []detail{
+		{"state", formatState(r.State, r.Phase)},
+		{"serving", formatVersion(r.Serving)},
+		{"target", formatVersion(r.Target)},
 		{"held up", r.Waiting},
 		{"admitting", admitting},
-		{"leaving", yesOrNothing(r.Leaving)},
-		{"revision", revisionText(r.Revision)},
+		{"leaving", yesOrEmpty(r.Leaving)},
+		{"revision", formatRevision(r.Revision)},
 		{"in flight", fmt.Sprint(r.InFlight)},
-		{"load", loadText(r.Agent)},
-		{"drawn", drawnText(r.Fetched.OriginBytes, r.Fetched.StoreBytes, r.Fetched.PeerBytes)},
+		{"load", formatLoad(r.Agent)},
+		{"drawn", formatFetchedBytes(r.Fetched.OriginBytes, r.Fetched.StoreBytes, r.Fetched.PeerBytes)},
 	}
 	for _, g := range r.Fetches {
-		facts = append(facts, fact{"gather", gatherText(g)})
+		details = append(details, detail{"gather", formatFetch(g)})
 	}
-	facts = append(facts, peersFact(r.KnownPeers, r.SilentPeers))
-	writeFacts(w, facts)
+	details = append(details, peersDetail(r.KnownPeers, r.SilentPeers))
+	writeDetails(w, details)
 }
 
-func stateText(state gossip.State, phase string) string {
+func formatState(state gossip.State, phase string) string {
 	if phase == "" || phase == string(state) {
 		return string(state)
 	}
 	return fmt.Sprintf("%s, %s", state, phase)
 }
 
-func yesOrNothing(is bool) string {
+func yesOrEmpty(is bool) string {
 	if is {
 		return "yes"
 	}
 	return ""
 }
 
-func loadText(s *status.Agent) string {
+func formatLoad(s *status.Agent) string {
 	const percent = 100
 	return fmt.Sprintf("%d running, %d waiting, %d slots, KV cache %.0f%%",
 		s.Load.Running, s.Load.Waiting, s.Load.Slots, math.Round(s.Load.KVUsed*percent))
 }
 
-func drawnText(origin, store, peers int64) string {
+func formatFetchedBytes(origin, store, peers int64) string {
 	return fmt.Sprintf("%s from the origin, %s from the store, %s from peers",
-		bytesText(origin), bytesText(store), bytesText(peers))
+		formatBytes(origin), formatBytes(store), formatBytes(peers))
 }
 
-func gatherText(g status.ChunkFetch) string {
+func formatFetch(g status.ChunkFetch) string {
 	text := fmt.Sprintf("%s: %d of %d chunks, %d links, %s", g.Version, g.Plan.Have, g.Plan.Total, g.Links,
-		drawnText(g.Plan.OriginBytes, g.Plan.StoreBytes, g.Plan.PeerBytes))
+		formatFetchedBytes(g.Plan.OriginBytes, g.Plan.StoreBytes, g.Plan.PeerBytes))
 	if !g.Known {
 		text = fmt.Sprintf("%s: the manifest is not here yet", g.Version)
 	}
@@ -121,7 +122,7 @@
 	return text
 }
 
-func peersFact(known int, silent []fleet.InstanceID) fact {
+func peersDetail(known int, silent []fleet.InstanceID) detail {
 	text := fmt.Sprintf("%d known", known)
 	if len(silent) > 0 {
 		names := make([]string, len(silent))
@@ -130,7 +131,7 @@
 		}
 		text += fmt.Sprintf(", %d silent: %s", len(silent), strings.Join(names, ", "))
 	}
-	return fact{"peers", text}
+	return detail{"peers", text}
 }
 
 func (r entryReport) writeText(w io.Writer) {
@@ -141,12 +142,12 @@
 			silent = append(silent, m.ID)
 		}
 	}
-	writeFacts(w, []fact{
-		{"revision", revisionText(r.Revision)},
+	writeDetails(w, []detail{
+		{"revision", formatRevision(r.Revision)},
 		{"digest", shortDigest(r.Config.Digest)},
-		{"platform", revisionText(r.Config.PlatformRevision)},
-		{"leaving", yesOrNothing(r.Leaving)},
+		{"platform", formatRevision(r.Config.PlatformRevision)},
+		{"leaving", yesOrEmpty(r.Leaving)},
 		{"in flight", fmt.Sprint(r.InFlight)},
-		peersFact(max(0, len(r.Fleet)-1), silent),
+		peersDetail(max(0, len(r.Fleet)-1), silent),
 	})
 }
--- a/cmd/chivespindle/internal/callstream/callstream.go
+++ b/cmd/chivespindle/internal/callstream/callstream.go
@@ -1,7 +1,7 @@
-// Package callstream sends one request of docs/CALLERS.md and passes the
-// answer on as it comes. adapters/callerclient, which it takes the addresses
-// from, returns answers whole; a person at a terminal waits for the first
-// token, not for the last.
+// Package callstream sends one request of docs/CALLERS.md and streams the
+// response. It takes the addresses from adapters/callerclient, which returns
+// only complete responses: a user at a terminal wants to see the first token as
+// soon as it arrives.
 package callstream
 
 import (
@@ -24,14 +24,14 @@
 	"chivespindle.example/core/failure"
 )
 
-// Answer is what is known of an answer besides its body. After a failure it
-// holds what had come until then.
+// Answer describes a response without its body. After a failure it holds what
+// had been received by then.
 type Answer struct {
-	Entry     netip.AddrPort // that was asked last; zero if none could be
-	RequestID string         // by which the entry's log names the request
+	Entry     netip.AddrPort // tried last; zero if there was none
+	RequestID string         // of the request in the entry's log
 	Status    int            // of the backend server; 0 for a refusal
 	Version   string         // "name@digest"; empty from a plain service
-	Bytes     int64          // of the body that were passed on
+	Bytes     int64          // of the body written to out
 }
 
 // Client sends requests.
@@ -39,13 +39,13 @@
 	http *http.Client
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client {
 	return &Client{http: &http.Client{
-		// Each request has a connection of its own. net/http sends a request
-		// with an Idempotency-Key again by itself when a connection that was
-		// used before breaks; the work might run twice, and the outcome would
-		// be told of the second request only.
+		// Each request uses its own connection. When a reused connection
+		// breaks, net/http itself resends a request that has an
+		// Idempotency-Key: the work might run twice, and only the outcome of
+		// the second request would be reported.
 		Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
@@ -53,43 +53,43 @@
 	}}
 }
 
-// Send sends the request to the first of the entries that can be connected to
-// and copies the answer's body to out. It goes to the next one only if nothing
+// Send sends the request to the first of the entries that accepts a connection
+// and copies the response body to out. It tries the next entry only if nothing
 // was sent. failure.OutcomeOf the error says whether the request ran. When ctx
 // ends, the connection is closed, which cancels the request.
 func (c *Client) Send(ctx context.Context, entries []netip.AddrPort, r callerclient.Request, out io.Writer) (Answer, error) {
-	var answer Answer
-	err := failure.WithOutcome(failure.Unavailable.New("there is no entry to ask"), failure.NotRun)
+	var result Answer
+	err := failure.WithOutcome(failure.Unavailable.New("no entry address is known"), failure.NotRun)
 	for _, entry := range entries {
-		answer, err = c.sendTo(ctx, entry, r, out)
+		result, err = c.sendTo(ctx, entry, r, out)
 		if err == nil || !errorx.IsOfType(err, callerclient.NotConnected) || ctx.Err() != nil {
 			break
 		}
 	}
 	if err != nil {
-		return answer, err
+		return result, err
 	}
-	return answer, nil
+	return result, nil
 }
 
 func (c *Client) sendTo(ctx context.Context, entry netip.AddrPort, r callerclient.Request, out io.Writer) (Answer, *errorx.Error) {
-	answer := Answer{Entry: entry}
+	result := Answer{Entry: entry}
 	req, err := newRequest(ctx, entry, r)
 	if err != nil {
-		return answer, failure.WithOutcome(failure.Invalid.Wrap(err, "request to %s", entry), failure.NotRun)
+		return result, failure.WithOutcome(failure.Invalid.Wrap(err, "request to %s", entry), failure.NotRun)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return answer, notSent(entry, err)
+		return result, sendError(entry, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer.RequestID = resp.Header.Get(callerhttp.HeaderRequestID)
+	result.RequestID = resp.Header.Get(callerhttp.HeaderRequestID)
 	if outcome := resp.Header.Get(callerhttp.HeaderOutcome); outcome != "" && !callerhttp.Bodyless(resp.StatusCode) {
-		return answer, refusal(resp, outcome)
+		return result, refusalError(resp, outcome)
 	}
-	answer.Status = resp.StatusCode
-	answer.Version = resp.Header.Get(callerhttp.HeaderVersion)
-	return answer, receive(ctx, resp, out, &answer)
+	result.Status = resp.StatusCode
+	result.Version = resp.Header.Get(callerhttp.HeaderVersion)
+	return result, copyBody(ctx, resp, out, &result)
 }
 
 // newRequest returns the request with the headers of docs/CALLERS.md.
@@ -122,12 +122,12 @@
 	return req, nil
 }
 
-// notSent tells a failure to connect, after which the request was certainly
-// not run, from any other.
-func notSent(entry netip.AddrPort, err error) *errorx.Error {
+// sendError distinguishes a failure to connect, after which the request has
+// certainly not run, from any other failure.
+func sendError(entry netip.AddrPort, err error) *errorx.Error {
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
-		err = urlError.Err // the address stands in the message already
+		err = urlError.Err // the message already has the address
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -136,9 +136,9 @@
 	return failure.WithOutcome(calls.Interrupted.Wrap(err, "no answer from %s", entry), failure.Unknown)
 }
 
-// refusal makes an error of an entry's own answer. The header alone decides on
-// the outcome, since the body may be cut.
-func refusal(resp *http.Response, outcome string) *errorx.Error {
+// refusalError returns the error for an entry's own error response. The outcome
+// is taken from the header alone, because the body may be truncated.
+func refusalError(resp *http.Response, outcome string) *errorx.Error {
 	const maxRefusal = 64 << 10
 	var r callerhttp.Refusal
 	err := callerclient.Refused.New("status %d without a reason", resp.StatusCode)
@@ -155,39 +155,42 @@
 	return failure.WithRetryAfter(failure.WithOutcome(err, known), pause)
 }
 
-// receive passes the body on. Only the trailer proves that it is whole, or the header
-// if its status has no body.
-func receive(ctx context.Context, resp *http.Response, out io.Writer, answer *Answer) *errorx.Error {
-	sink := &countingWriter{out: out}
-	_, err := io.Copy(sink, resp.Body)
-	answer.Bytes = sink.written
+// copyBody copies the body to out. Only the trailer proves that it is complete,
+// or the header if its status has no body.
+func copyBody(ctx context.Context, resp *http.Response, out io.Writer, result *Answer) *errorx.Error {
+	counter := &countingWriter{out: out}
+	_, err := io.Copy(counter, resp.Body)
+	result.Bytes = counter.written
 	switch {
-	case sink.err != nil:
-		return unknown(failure.Unavailable.Wrap(sink.err, "the answer cannot be written"))
+	case counter.err != nil:
+		return withUnknownOutcome(failure.Unavailable.Wrap(counter.err, "the response cannot be written"))
 	case ctx.Err() != nil:
-		return unknown(calls.Interrupted.Wrap(ctx.Err(), "given up after %d bytes of the answer", answer.Bytes))
+		return withUnknownOutcome(calls.Interrupted.Wrap(ctx.Err(), "canceled after %d bytes of the response", result.Bytes))
 	case err != nil:
-		return unknown(calls.Interrupted.Wrap(err, "the answer was cut after %d bytes", answer.Bytes))
+		return withUnknownOutcome(calls.Interrupted.Wrap(err, "the answer was cut after %d bytes", result.Bytes))
 	case callerhttp.Bodyless(resp.StatusCode) && resp.Header.Get(callerhttp.HeaderOutcome) == failure.Ran.String():
 		return nil
-	case !announced(resp):
-		return unknown(calls.Interrupted.New("status %d from a server that is no entry", resp.StatusCode))
+	case !declaresOutcomeTrailer(resp):
+		return withUnknownOutcome(calls.Interrupted.New("status %d from a server that is no entry", resp.StatusCode))
 	case resp.Trailer.Get(callerhttp.HeaderOutcome) != failure.Ran.String():
-		return unknown(calls.Interrupted.New("the answer was cut after %d bytes", answer.Bytes))
+		return withUnknownOutcome(calls.Interrupted.New("the answer was cut after %d bytes", result.Bytes))
 	}
 	return nil
 }
 
-// announced reports whether the answer's head named the trailer, as an entry's
-// does.
-func announced(resp *http.Response) bool {
+// declaresOutcomeTrailer reports whether the response header declared the
+// outcome trailer, as an entry's does.
+func declaresOutcomeTrailer(resp *http.Response) bool {
 	_, found := resp.Trailer[callerhttp.HeaderOutcome]
 	return found
 }
 
-func unknown(err *errorx.Error) *errorx.Error { return failure.WithOutcome(err, failure.Unknown) }
+func withUnknownOutcome(err *errorx.Error) *errorx.Error {
+	return failure.WithOutcome(err, failure.Unknown)
+}
 
-// countingWriter keeps its own failures apart from those of the connection.
+// countingWriter counts the bytes written and records its own errors separately
+// from those of the connection.
 type countingWriter struct {
 	out     io.Writer
 	written int64
--- a/cmd/chivespindle/internal/callstream/callstream_test.go
+++ b/cmd/chivespindle/internal/callstream/callstream_test.go
@@ -26,8 +26,8 @@
 
 var request = callerclient.Request{Service: "workshop-api", IdempotencyKey: "k-1", NonIdempotent: true, Body: []byte("{}")}
 
-// whole answers as an entry does.
-func whole(w http.ResponseWriter, pieces ...string) {
+// writeComplete writes a complete response as an entry does.
+func writeComplete(w http.ResponseWriter, pieces ...string) {
 	w.Header().Set("Trailer", callerhttp.HeaderOutcome)
 	for _, piece := range pieces {
 		_, _ = io.WriteString(w, piece)
@@ -37,35 +37,35 @@
 }
 
 var _ = Describe("Send", func() {
-	// A technician reads along while the engine generates. The entry here holds
-	// the second piece back until the first one was passed on: a client that
-	// gathers the answer would wait for ever.
-	It("passes each piece on as it comes", func(ctx SpecContext) {
-		passed := make(chan string, 2)
+	// Guards against a client that buffers the whole response. The entry holds
+	// the second piece back until the first one has been forwarded, so a
+	// buffering client would wait forever.
+	It("forwards each piece as it arrives", func(ctx SpecContext) {
+		forwarded := make(chan string, 2)
 		addr := start(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", callerhttp.HeaderOutcome)
 			_, _ = io.WriteString(w, "first")
 			_ = http.NewResponseController(w).Flush()
-			Expect(<-passed).To(Equal("first"))
-			whole(w, "second")
+			Expect(<-forwarded).To(Equal("first"))
+			writeComplete(w, "second")
 		})
-		answer, err := callstream.New().Send(ctx, []netip.AddrPort{addr}, request, writerFunc(func(p []byte) (int, error) {
-			passed <- string(p)
+		response, err := callstream.New().Send(ctx, []netip.AddrPort{addr}, request, writerFunc(func(p []byte) (int, error) {
+			forwarded <- string(p)
 			return len(p), nil
 		}))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Bytes).To(BeEquivalentTo(len("firstsecond")))
+		Expect(response.Bytes).To(BeEquivalentTo(len("firstsecond")))
 	}, NodeTimeout(10*time.Second))
 
-	// A parts order reaches the entry, which dies before it answers. The order
-	// may have run: it must not be sent again, neither to this entry by the
-	// HTTP library nor to the next one.
+	// Guards against running work twice. The entry receives an order and dies
+	// before it responds. The order may have run, so it must not be sent again,
+	// neither to this entry by the HTTP library nor to the next one.
 	It("sends once when the connection breaks after the request", func(ctx SpecContext) {
 		var orders atomic.Int32
 		var broken atomic.Bool
 		entry := start(func(w http.ResponseWriter, _ *http.Request) {
-			if !broken.Load() { // a first request leaves a connection that could be used again
-				whole(w, "good")
+			if !broken.Load() { // the first request leaves a connection that could be reused
+				writeComplete(w, "good")
 				return
 			}
 			orders.Add(1)
@@ -76,9 +76,9 @@
 		_, err := client.Send(ctx, []netip.AddrPort{entry}, request, io.Discard)
 		Expect(err).NotTo(HaveOccurred())
 		broken.Store(true)
-		answer, err := client.Send(ctx, []netip.AddrPort{entry, next}, request, io.Discard)
+		response, err := client.Send(ctx, []netip.AddrPort{entry, next}, request, io.Discard)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown), "%v", err)
-		Expect(answer.Entry).To(Equal(entry))
+		Expect(response.Entry).To(Equal(entry))
 		Expect(orders.Load()).To(BeEquivalentTo(1))
 	})
 
@@ -96,12 +96,13 @@
 		Entry("not run", "not_run", `{"reason":"full"}`, failure.NotRun),
 		Entry("ran", "ran", `{"reason":"taken before"}`, failure.Ran),
 		Entry("unknown", "unknown", `{"reason":"cut"}`, failure.Unknown),
-		Entry("a word of a later version", "maybe", `{"reason":"?"}`, failure.Unknown),
-		Entry("a body that is cut", "not_run", `{"reas`, failure.NotRun),
+		Entry("a value of a later version", "maybe", `{"reason":"?"}`, failure.Unknown),
+		Entry("a truncated body", "not_run", `{"reas`, failure.NotRun),
 	)
 
-	// Guards against an answer of a server that is no entry, taken for a complete one.
-	DescribeTable("takes an answer without a body for complete by its header alone",
+	// Guards against taking the response of a server that is not an entry for a
+	// complete one.
+	DescribeTable("accepts a response without a body as complete by its header alone",
 		func(ctx SpecContext, header string, complete bool) {
 			addr := start(func(w http.ResponseWriter, _ *http.Request) {
 				if header != "" {
@@ -119,18 +120,18 @@
 		},
 		Entry("ran", "ran", true),
 		Entry("none", "", false),
-		Entry("another word", "unknown", false),
+		Entry("another value", "unknown", false),
 	)
 
-	It("says unknown when the answer cannot be written", func(ctx SpecContext) {
-		addr := start(func(w http.ResponseWriter, _ *http.Request) { whole(w, "good") })
+	It("reports an unknown outcome when the response cannot be written", func(ctx SpecContext) {
+		addr := start(func(w http.ResponseWriter, _ *http.Request) { writeComplete(w, "good") })
 		full := writerFunc(func([]byte) (int, error) { return 0, io.ErrShortWrite })
 		_, err := callstream.New().Send(ctx, []netip.AddrPort{addr}, request, full)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
-		Expect(err.Error()).To(ContainSubstring("the answer cannot be written"))
+		Expect(err.Error()).To(ContainSubstring("the response cannot be written"))
 	})
 
-	It("says not run when there is nobody to ask", func() {
+	It("reports not run when there is no entry to connect to", func() {
 		_, err := callstream.New().Send(context.Background(), nil, request, io.Discard)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 	})
--- a/cmd/chivespindle/internal/follow/event.go
+++ b/cmd/chivespindle/internal/follow/event.go
@@ -10,30 +10,30 @@
 	"chivespindle.example/core/status"
 )
 
-// Kind says what an Event tells of.
+// Kind is the kind of an Event.
 type Kind string
 
 // Kinds of events.
 const (
-	// RevisionInForce: the entry has another text in force.
+	// RevisionInForce: the entry has another active configuration.
 	RevisionInForce Kind = "revision"
-	// TextIsRefused: the entry refuses a text above the one in force.
+	// TextIsRefused: the entry refuses a configuration newer than the active one.
 	TextIsRefused Kind = "refused"
-	// TextsConflict: there is another text under the revision in force.
+	// TextsConflict: there is another configuration under the active revision.
 	TextsConflict Kind = "conflict"
-	// ServiceChanged: other numbers of a service's replicas.
+	// ServiceChanged: the replica counts of a service have changed.
 	ServiceChanged Kind = "service"
-	// InstanceChanged: one replica is new or does something else.
+	// InstanceChanged: a replica is new or its state has changed.
 	InstanceChanged Kind = "instance"
-	// InstanceGone: one replica is not listed any more.
+	// InstanceGone: a replica is no longer listed.
 	InstanceGone Kind = "gone"
-	// Finished: the rollout is at its end.
+	// Finished: the rollout has finished.
 	Finished Kind = "finished"
-	// Unanswered: no entry answers at present.
+	// Unanswered: no entry responds at present.
 	Unanswered Kind = "unanswered"
 )
 
-// Event is one change. Fields that its kind does not have are zero.
+// Event is one change. Fields that do not apply to its kind are zero.
 type Event struct {
 	Kind     Kind              `json:"event"`
 	Entry    fleet.InstanceID  `json:"entry,omitempty"`
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s %s: %s", m.Service, m.ID, state)
 }
 
-// Progress counts the replicas of a service by how far they are. Each counts
+// Progress counts the replicas of a service by state. Each replica is counted
 // once.
 type Progress struct {
 	Service  fleet.ServiceName `json:"service"`
@@ -107,9 +107,9 @@
 	Leaving  int               `json:"leaving"` // silent or not
 }
 
-// progressOf counts the replicas, and returns those that are to serve the
-// target and do not.
-func progressOf(service status.Service, members []status.Member) (Progress, []status.Member) {
+// countReplicas counts the replicas and returns those that should serve the
+// target but do not.
+func countReplicas(service status.Service, members []status.Member) (Progress, []status.Member) {
 	p := Progress{Service: service.Service, Target: service.Target}
 	var waiting []status.Member
 	for _, m := range members {
@@ -126,7 +126,7 @@
 	return p, waiting
 }
 
-// counter returns the field that a replica counts in.
+// counter returns the field in which a replica is counted.
 func (p *Progress) counter(m status.Member) *int {
 	switch {
 	case m.Leaving:
@@ -148,7 +148,7 @@
 	}
 }
 
-// Done reports whether every replica that stays serves the target.
+// Done reports whether every replica that is not leaving serves the target.
 func (p Progress) Done() bool {
 	return p.Serving > 0 && p.Serving == p.Replicas-p.Leaving
 }
--- a/cmd/chivespindle/internal/follow/follow.go
+++ b/cmd/chivespindle/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow compares successive statuses of a fleet: what changed from
-// one to the next, and whether a rollout has come to its end. It does no I/O.
+// Package follow compares successive statuses of a fleet: what has changed from
+// one to the next, and whether a rollout has finished. It does no I/O.
 package follow
 
 import (
@@ -14,52 +14,53 @@
 	"chivespindle.example/core/status"
 )
 
-// TextRefused means that the fleet refuses the highest text, so that the
-// rollout will not begin.
+// TextRefused means that the fleet refuses the newest configuration, so that
+// the rollout will not start.
 var TextRefused = failure.Refused.NewSubtype("text")
 
 // Options of a Follower.
 type Options struct {
-	// Services are those to follow; empty for all of the text.
+	// Services lists the services to follow; empty means all of the
+	// configuration.
 	Services []fleet.ServiceName
-	// AtLeast is the revision that must be in force before a rollout can be
-	// at its end; 0 for the highest that is seen.
+	// AtLeast is the revision that must be active before a rollout can be
+	// finished; 0 means the highest revision seen.
 	AtLeast revision.Revision
 	// Instances adds an event for each change of one replica.
 	Instances bool
 }
 
-// Follower holds what the statuses so far have told. It is not safe for
+// Follower holds the state derived from the statuses so far. It is not safe for
 // concurrent use.
 type Follower struct {
 	opts    Options
-	highest revision.Revision // seen anywhere
-
-	entry     fleet.InstanceID
-	revision  revision.Revision // in force in the status shown last
-	platform  revision.Revision
-	refused   []string
-	conflicts int
-	progress  map[fleet.ServiceName]Progress
-	members   map[fleet.InstanceID]status.Member
-	waiting   []status.Member // replicas that do not serve their target
-	missing   []fleet.ServiceName
+	highest revision.Revision // seen in any report
+
+	entry            fleet.InstanceID
+	revision         revision.Revision // active in the last status observed
+	platformRevision revision.Revision
+	refused          []string
+	conflicts        int
+	progress         map[fleet.ServiceName]Progress
+	members          map[fleet.InstanceID]status.Member
+	waiting          []status.Member // replicas that do not serve their target
+	missing          []fleet.ServiceName
 }
 
-// New returns a Follower that has seen nothing.
+// New returns a Follower that has observed no status.
 func New(opts Options) *Follower {
 	return &Follower{opts: opts, highest: opts.AtLeast}
 }
 
-// Observe takes the next status and returns what changed. A status older than
-// one that was shown before is passed over: the entry that sent it is behind,
-// and the fleet has not gone back.
+// Observe processes the next status and returns what changed. A status with a
+// lower revision than an earlier one is ignored: the entry that sent it is
+// outdated, and the fleet has not rolled back.
 func (f *Follower) Observe(s *status.Entry) []Event {
-	f.raise(s)
+	f.updateHighest(s)
 	if s.Revision < f.revision {
 		return nil
 	}
-	events := f.observeText(s)
+	events := f.observeConfig(s)
 	members := make(map[fleet.InstanceID]status.Member, len(s.Fleet))
 	for _, m := range s.Fleet {
 		members[m.ID] = m
@@ -72,16 +73,16 @@
 	return events
 }
 
-// raise finds the highest revision. A process may have one in force of which
-// the answering entry has not heard.
-func (f *Follower) raise(s *status.Entry) {
+// updateHighest updates the highest revision seen. A process may have activated
+// one that the responding entry does not know yet.
+func (f *Follower) updateHighest(s *status.Entry) {
 	f.highest = max(f.highest, s.Revision, s.Config.PlatformRevision)
 	for _, m := range s.Fleet {
 		f.highest = max(f.highest, m.Revision)
 	}
 }
 
-func (f *Follower) observeText(s *status.Entry) []Event {
+func (f *Follower) observeConfig(s *status.Entry) []Event {
 	var events []Event
 	if s.Revision != f.revision || f.entry == "" {
 		events = append(events, Event{Kind: RevisionInForce, Entry: s.ID, Revision: s.Revision, Fleet: s.Config.Name})
@@ -96,7 +97,7 @@
 	}
 	f.entry = s.ID
 	f.revision = s.Revision
-	f.platform = s.Config.PlatformRevision
+	f.platformRevision = s.Config.PlatformRevision
 	f.refused = s.Config.Refused
 	f.conflicts = s.Config.Conflicts
 	return events
@@ -109,11 +110,11 @@
 	f.waiting = nil
 	f.missing = slices.Clone(f.opts.Services)
 	for _, service := range s.Services {
-		if !f.follows(service.Service) {
+		if !f.isFollowed(service.Service) {
 			continue
 		}
 		f.missing = slices.DeleteFunc(f.missing, func(n fleet.ServiceName) bool { return n == service.Service })
-		now, waiting := progressOf(service, s.Fleet)
+		now, waiting := countReplicas(service, s.Fleet)
 		f.progress[service.Service] = now
 		f.waiting = append(f.waiting, waiting...)
 		if now != before[service.Service] {
@@ -123,7 +124,7 @@
 	return events
 }
 
-func (f *Follower) follows(service fleet.ServiceName) bool {
+func (f *Follower) isFollowed(service fleet.ServiceName) bool {
 	return len(f.opts.Services) == 0 || slices.Contains(f.opts.Services, service)
 }
 
@@ -131,39 +132,40 @@
 	var events []Event
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		now := members[id]
-		if before, known := f.members[id]; f.concerns(now) && (!known || differs(before, now)) {
+		if before, known := f.members[id]; f.isRelevant(now) && (!known || hasChanged(before, now)) {
 			events = append(events, Event{Kind: InstanceChanged, Instance: &now})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.members)) {
 		before := f.members[id]
-		if _, still := members[id]; f.concerns(before) && !still {
+		if _, still := members[id]; f.isRelevant(before) && !still {
 			events = append(events, Event{Kind: InstanceGone, Instance: &before})
 		}
 	}
 	return events
 }
 
-func (f *Follower) concerns(m status.Member) bool {
-	return m.Role == fleet.RoleAgent && f.follows(m.Service)
+func (f *Follower) isRelevant(m status.Member) bool {
+	return m.Role == fleet.RoleAgent && f.isFollowed(m.Service)
 }
 
-// differs leaves the revision out: it is heard late from other zones.
-func differs(a, b status.Member) bool {
+// hasChanged ignores the revision, because that of other zones is reported
+// late.
+func hasChanged(a, b status.Member) bool {
 	a.Revision = b.Revision
 	return a != b
 }
 
-// Done reports whether every replica of the services serves its target in the
-// highest revision that was seen, those that leave set aside. A service
-// without a replica is not served. The error tells why that cannot come:
-// TextRefused, or failure.NotFound for a service that the text does not have.
+// Done reports whether every replica of the services, leaving ones excluded,
+// serves its target in the highest revision seen. A service without a replica
+// is not served. The error says why the rollout cannot finish: TextRefused,
+// or failure.NotFound for a service that the configuration does not have.
 func (f *Follower) Done() (bool, error) {
 	if f.revision < f.highest {
-		// The platform's highest text may be one that was refused. One that a
-		// process has in force was not.
-		if len(f.refused) > 0 && f.platform == f.highest {
-			return false, TextRefused.New("%s refuses revision %d: %s", f.entry, f.platform, strings.Join(f.refused, "; "))
+		// The platform's newest configuration may be one that was refused. One
+		// that is active at some process was not.
+		if len(f.refused) > 0 && f.platformRevision == f.highest {
+			return false, TextRefused.New("%s refuses revision %d: %s", f.entry, f.platformRevision, strings.Join(f.refused, "; "))
 		}
 		return false, nil
 	}
@@ -181,10 +183,10 @@
 	return true, nil
 }
 
-// Revision is the revision in force in the status shown last.
+// Revision returns the active revision in the last status observed.
 func (f *Follower) Revision() revision.Revision { return f.revision }
 
-// Pending says in a few words what is not at its end.
+// Pending describes briefly what has not finished.
 func (f *Follower) Pending() string {
 	if f.revision < f.highest {
 		return fmt.Sprintf("revision %d is not in force at %s, which has %d", f.highest, f.entry, f.revision)
@@ -198,19 +200,19 @@
 	return strings.Join(append(reasons, describeWaiting(f.waiting)...), "; ")
 }
 
-// maxNamed bounds the replicas that one line names.
-const maxNamed = 8
+// maxListedReplicas bounds the replicas listed in one line.
+const maxListedReplicas = 8
 
 func describeWaiting(waiting []status.Member) []string {
 	if len(waiting) == 0 {
 		return nil
 	}
 	var names []string
-	for _, m := range waiting[:min(len(waiting), maxNamed)] {
+	for _, m := range waiting[:min(len(waiting), maxListedReplicas)] {
 		names = append(names, string(m.ID))
 	}
 	text := "waiting for " + strings.Join(names, ", ")
-	if len(waiting) > maxNamed {
+	if len(waiting) > maxListedReplicas {
 		text += " and others"
 	}
 	return []string{text}
--- a/cmd/chivespindle/internal/follow/follow_test.go
+++ b/cmd/chivespindle/internal/follow/follow_test.go
@@ -22,8 +22,9 @@
 	return status.Member{ID: id, Role: fleet.RoleAgent, Service: "pool", State: gossip.StateServing, Serving: serving, Revision: 4}
 }
 
-// entryWith is the status of an entry with revision 4 in force, which wants r3.
-func entryWith(replicas ...status.Member) *status.Entry {
+// newStatus returns the status of an entry with active revision 4, whose target
+// is r3.
+func newStatus(replicas ...status.Member) *status.Entry {
 	return &status.Entry{
 		ID: "entry-1", Revision: 4, Config: status.Config{Name: "demo", PlatformRevision: 4},
 		Services: []status.Service{{Service: "pool", Target: r3}},
@@ -31,8 +32,8 @@
 	}
 }
 
-// with returns the status after an edit.
-func with(s *status.Entry, edit func(*status.Entry)) *status.Entry {
+// edited returns the status after an edit.
+func edited(s *status.Entry, edit func(*status.Entry)) *status.Entry {
 	edit(s)
 	return s
 }
@@ -43,49 +44,49 @@
 		f.Observe(s)
 		Expect(f.Done()).To(Equal(done), f.Pending())
 	},
-	Entry("all serve the target", follow.Options{}, entryWith(replica("a", r3), replica("b", r3)), true),
-	Entry("one serves the version before", follow.Options{}, entryWith(replica("a", r3), replica("b", r2)), false),
+	Entry("all serve the target", follow.Options{}, newStatus(replica("a", r3), replica("b", r3)), true),
+	Entry("one serves the previous version", follow.Options{}, newStatus(replica("a", r3), replica("b", r2)), false),
 	Entry("one serves another manifest under the same name", follow.Options{},
-		entryWith(replica("a", r3), replica("b", fleet.Version{Name: "r3"})), false),
-	Entry("one is silent", follow.Options{}, entryWith(replica("a", r3),
+		newStatus(replica("a", r3), replica("b", fleet.Version{Name: "r3"})), false),
+	Entry("one is silent", follow.Options{}, newStatus(replica("a", r3),
 		status.Member{ID: "b", Role: fleet.RoleAgent, Service: "pool", State: gossip.StateServing, Serving: r3, Silent: true}), false),
-	Entry("one leaves", follow.Options{}, entryWith(replica("a", r3),
+	Entry("one is leaving", follow.Options{}, newStatus(replica("a", r3),
 		status.Member{ID: "b", Role: fleet.RoleAgent, Service: "pool", State: gossip.StateServing, Serving: r2, Leaving: true}), true),
-	Entry("the only one leaves", follow.Options{}, entryWith(
+	Entry("the only one is leaving", follow.Options{}, newStatus(
 		status.Member{ID: "b", Role: fleet.RoleAgent, Service: "pool", State: gossip.StateServing, Serving: r3, Leaving: true}), false),
-	Entry("an entry that has heard of nobody yet", follow.Options{}, entryWith(), false),
-	Entry("an entry without a text", follow.Options{}, &status.Entry{ID: "entry-1"}, false),
-	Entry("a service that is not followed lags", follow.Options{Services: []fleet.ServiceName{"pool"}},
-		with(entryWith(replica("a", r3)), func(s *status.Entry) {
+	Entry("an entry that knows no replica yet", follow.Options{}, newStatus(), false),
+	Entry("an entry without a configuration", follow.Options{}, &status.Entry{ID: "entry-1"}, false),
+	Entry("a service that is not followed has not finished", follow.Options{Services: []fleet.ServiceName{"pool"}},
+		edited(newStatus(replica("a", r3)), func(s *status.Entry) {
 			s.Services = append(s.Services, status.Service{Service: "other", Target: r3})
 		}), true),
-	Entry("a plain service is open", follow.Options{},
-		with(entryWith(replica("a", fleet.Version{})), func(s *status.Entry) { s.Services[0].Target = fleet.Version{} }), true),
-	Entry("the revision asked for is not there", follow.Options{AtLeast: 5}, entryWith(replica("a", r3)), false),
+	Entry("a plain service serves", follow.Options{},
+		edited(newStatus(replica("a", fleet.Version{})), func(s *status.Entry) { s.Services[0].Target = fleet.Version{} }), true),
+	Entry("the required revision is not active", follow.Options{AtLeast: 5}, newStatus(replica("a", r3)), false),
 	Entry("the platform has a higher revision", follow.Options{},
-		with(entryWith(replica("a", r3)), func(s *status.Entry) { s.Config.PlatformRevision = 5 }), false),
+		edited(newStatus(replica("a", r3)), func(s *status.Entry) { s.Config.PlatformRevision = 5 }), false),
 	Entry("a replica has a higher revision", follow.Options{},
-		with(entryWith(replica("a", r3)), func(s *status.Entry) { s.Fleet[0].Revision = 5 }), false),
+		edited(newStatus(replica("a", r3)), func(s *status.Entry) { s.Fleet[0].Revision = 5 }), false),
 )
 
 var _ = Describe("Follower", func() {
-	// An operator follows revision 5. Of two entries the one that has it is
-	// replaced, and the other, which still has revision 4, answers: all
-	// replicas serve what that one wants. The rollout has not ended, and the
-	// fleet has not gone back.
-	It("does not take an entry that is behind for the end", func() {
+	// Guards against reporting a rollout as finished because of an outdated
+	// entry. Of two entries, the one with revision 5 is being replaced, and the
+	// other one, which still has revision 4, responds: all replicas serve its
+	// target. The rollout has not finished, and the fleet has not rolled back.
+	It("does not finish because of an outdated entry", func() {
 		f := follow.New(follow.Options{})
-		f.Observe(with(entryWith(replica("a", r2)), func(s *status.Entry) { s.Revision = 5 }))
-		behind := with(entryWith(replica("a", r2)), func(s *status.Entry) { s.Services[0].Target = r2 })
-		Expect(f.Observe(behind)).To(BeEmpty())
+		f.Observe(edited(newStatus(replica("a", r2)), func(s *status.Entry) { s.Revision = 5 }))
+		outdated := edited(newStatus(replica("a", r2)), func(s *status.Entry) { s.Services[0].Target = r2 })
+		Expect(f.Observe(outdated)).To(BeEmpty())
 		Expect(f.Done()).To(BeFalse())
 		Expect(f.Revision()).To(Equal(revision.Revision(5)))
 	})
 
-	DescribeTable("tells why the end cannot come",
+	DescribeTable("returns why the rollout cannot finish",
 		func(options follow.Options, platform revision.Revision, refused []string, kind *errorx.Type) {
 			f := follow.New(options)
-			f.Observe(with(entryWith(replica("a", r3)), func(s *status.Entry) {
+			f.Observe(edited(newStatus(replica("a", r3)), func(s *status.Entry) {
 				s.Config.PlatformRevision = platform
 				s.Config.Refused = refused
 			}))
@@ -93,22 +94,22 @@
 			Expect(done).To(BeFalse())
 			Expect(errorx.IsOfType(err, kind)).To(BeTrue(), "%v", err)
 		},
-		Entry("the text is refused", follow.Options{}, revision.Revision(5), []string{"fleet.ini:9: bad"}, follow.TextRefused),
-		Entry("the text does not have the service", follow.Options{Services: []fleet.ServiceName{"nothing"}}, revision.Revision(4), nil, failure.NotFound),
+		Entry("the configuration is refused", follow.Options{}, revision.Revision(5), []string{"fleet.ini:9: bad"}, follow.TextRefused),
+		Entry("the configuration does not have the service", follow.Options{Services: []fleet.ServiceName{"nothing"}}, revision.Revision(4), nil, failure.NotFound),
 	)
 
-	It("waits for a text above one that was refused", func() {
+	It("waits for a configuration newer than a refused one", func() {
 		f := follow.New(follow.Options{AtLeast: 6})
-		f.Observe(with(entryWith(replica("a", r3)), func(s *status.Entry) {
+		f.Observe(edited(newStatus(replica("a", r3)), func(s *status.Entry) {
 			s.Config.PlatformRevision = 5
 			s.Config.Refused = []string{"fleet.ini:9: bad"}
 		}))
 		Expect(f.Done()).To(BeFalse())
 	})
 
-	It("tells each change once", func() {
+	It("reports each change once", func() {
 		f := follow.New(follow.Options{Instances: true})
-		first := with(entryWith(replica("a", r2), replica("b", r2)), func(s *status.Entry) {
+		first := edited(newStatus(replica("a", r2), replica("b", r2)), func(s *status.Entry) {
 			s.Config.Conflicts = 1
 			s.Config.Refused = []string{"fleet.ini:9: bad\nfleet.ini:12: bad"}
 		})
@@ -120,7 +121,7 @@
 		}))
 		Expect(f.Observe(first)).To(BeEmpty())
 		silent := status.Member{ID: "c", Role: fleet.RoleAgent, Service: "pool", Silent: true}
-		Expect(lines(f.Observe(entryWith(replica("a", r3), silent)))).To(Equal([]string{
+		Expect(lines(f.Observe(newStatus(replica("a", r3), silent)))).To(Equal([]string{
 			"pool a: serving " + r3.String(),
 			"pool c: not heard of, silent",
 			"pool b: gone",
--- a/cmd/chivespindle/internal/requestlog/cause.go
+++ b/cmd/chivespindle/internal/requestlog/cause.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// sameMoment is how far apart failures at one server may be to count as the
-// same fault.
-const sameMoment = 2 * time.Second
+// sameFaultWindow is the longest time between failures at one server that count
+// as the same fault.
+const sameFaultWindow = 2 * time.Second
 
-// restartWithin is how soon after a request's last line its entry must start
-// anew to count as having ended with the request in hand: callers wait no
-// longer, and a killed process is started again within seconds.
-const restartWithin = 8 * time.Second
+// restartWindow is how soon after a request's last line its entry must restart
+// to count as having ended while it had the request. Callers wait no longer,
+// and a killed process is restarted within seconds.
+const restartWindow = 8 * time.Second
 
-// round is the precision of times in sentences.
-const round = time.Millisecond
+// precision is that of times in sentences.
+const precision = time.Millisecond
 
 // cause returns why the request ended as it did.
 func (l *Log) cause() string {
-	if len(l.own) == 0 {
+	if len(l.requestLines) == 0 {
 		return "No line names this request. A plain success has one line in fifty; an entry that is killed writes no more; " +
-			"what exceeds the bound of lines is counted in lines_left_out." + l.startedAnew()
+			"what exceeds the bound of lines is counted in lines_left_out." + l.describeRestarts()
 	}
-	last := l.own[len(l.own)-1]
+	last := l.requestLines[len(l.requestLines)-1]
 	switch last.Event {
 	case "served":
-		return l.served(last)
+		return l.explainServed(last)
 	case "abandoned":
-		return fmt.Sprintf("The caller left after %s.", age(last))
+		return fmt.Sprintf("The caller disconnected after %s.", age(last))
 	case "refused":
-		return l.refused(last)
+		return l.explainRefused(last)
 	default:
-		return l.unfinished(last)
+		return l.explainUnfinished(last)
 	}
 }
 
-// startedAnew tells which processes started again within the log: what they
-// had in hand has no end in it.
-func (l *Log) startedAnew() string {
+// describeRestarts describes which processes restarted within the log: the
+// requests that they had in flight have no end in it.
+func (l *Log) describeRestarts() string {
 	starts := make(map[string]int) // by instance
 	var first, last Line
-	for _, line := range l.beliefs {
+	for _, line := range l.processLines {
 		if line.Event != "started" {
 			continue
 		}
@@ -62,43 +62,44 @@
 		first.Instance, first.At.UTC().Format(time.TimeOnly), last.Instance, last.At.UTC().Format(time.TimeOnly))
 }
 
-func (l *Log) served(last Line) string {
+func (l *Log) explainServed(last Line) string {
 	text := fmt.Sprintf("It was answered by a server, status %s, after %s.", last.Text("status"), age(last))
-	if failed, ok := l.ownLast("server_error"); ok && failed.Text("status") == last.Text("status") {
-		return ownFailure(failed)
+	if failed, ok := l.lastRequestLine("server_error"); ok && failed.Text("status") == last.Text("status") {
+		return describeServerError(failed)
 	}
 	if attempts := last.Int("attempts"); attempts > 1 {
-		text += fmt.Sprintf(" It took %d attempts; before the last, %s.", attempts, l.lastFailure())
+		text += fmt.Sprintf(" It took %d attempts; before the last, %s.", attempts, l.describeLastFailure())
 	}
 	return text
 }
 
-// ownFailure tells of a failure that a server answered itself.
-func ownFailure(failed Line) string {
+// describeServerError describes an error response of the server itself.
+func describeServerError(failed Line) string {
 	return fmt.Sprintf("Its server failed: %s at %s answered %s itself, after %s (attempt %s).",
 		failed.Text("server"), failed.Text("addr"), failed.Text("status"), age(failed), failed.Text("attempts"))
 }
 
-// unfinished explains a request whose end no line tells.
-func (l *Log) unfinished(last Line) string {
+// explainUnfinished explains a request without a final line in the log.
+func (l *Log) explainUnfinished(last Line) string {
 	if last.Event == "server_error" {
-		return ownFailure(last)
+		return describeServerError(last)
 	}
-	for _, line := range l.beliefs {
+	for _, line := range l.processLines {
 		after := line.At.Sub(last.At)
-		if line.Instance == last.Instance && line.Event == "started" && after > 0 && after < restartWithin {
+		if line.Instance == last.Instance && line.Event == "started" && after > 0 && after < restartWindow {
 			return fmt.Sprintf("The entry %s ended while it had the request, without a word, and started anew %s later.",
-				last.Instance, after.Round(round))
+				last.Instance, after.Round(precision))
 		}
 	}
 	return fmt.Sprintf("The log has no end of it: its last line is %s after %s.", last.Event, age(last))
 }
 
-func age(line Line) time.Duration { return line.Duration("age").Round(round) }
+func age(line Line) time.Duration { return line.Duration("age").Round(precision) }
 
-// refused explains an answer of our own, or a stream that was cut.
-func (l *Log) refused(last Line) string {
-	text := l.reason(last)
+// explainRefused explains an error response of the entry itself, or a response
+// that it aborted.
+func (l *Log) explainRefused(last Line) string {
+	text := l.explainReason(last)
 	switch {
 	case last.Is("begun"):
 		return text + fmt.Sprintf(" A part of the answer had gone out, so its connection was cut after %s.", age(last))
@@ -106,96 +107,97 @@
 		return text + " A server may have run it, so the answer promises nothing."
 	case last.Duration("retry_after") > 0:
 		return text + fmt.Sprintf(" It did not run; the caller was told to come back in %s.",
-			last.Duration("retry_after").Round(round))
+			last.Duration("retry_after").Round(precision))
 	default:
 		return text
 	}
 }
 
-func (l *Log) reason(last Line) string {
+func (l *Log) explainReason(last Line) string {
 	switch reason := last.Text("reason"); reason {
 	case "full":
-		return l.full(last)
+		return l.explainFull(last)
 	case "no_place":
-		return l.noPlace(last)
+		return l.explainNoPlace(last)
 	case "no_server":
-		return "No engine could take it." + l.engines(last)
+		return "No engine could accept it." + l.describeEngines(last)
 	case "too_long":
-		return l.tooLong()
+		return l.explainTooLong()
 	case "limited":
-		return "The servers that could take it had limits, and this entry had used its share of them." + l.engines(last)
+		return "The servers that could take it had limits, and this entry had used its share of them." + l.describeEngines(last)
 	case "quarantined":
-		return l.quarantined()
+		return l.explainQuarantined()
 	case "no_view", "cut_off":
-		return l.blind(last)
+		return l.explainNoConfig(last)
 	case "no_route", "no_key":
-		return l.unknown(last)
+		return l.explainNotConfigured(last)
 	case "timeout":
-		return l.timeout(last)
+		return l.explainTimeout(last)
 	case "declined":
 		return fmt.Sprintf("It was sent to %d servers, and each said that it did not run it.", last.Int("attempts"))
 	case "retry_budget":
-		return "Another server would have been tried, but the share of repeats that all entries allow was used up: " +
-			l.lastFailure() + "."
+		return "Another server would have been tried, but the retry budget that all entries share was used up: " +
+			l.describeLastFailure() + "."
 	case "unreachable", "no_answer", "answer_broken", "stream_broken", "server_failed", "not_continued":
-		return l.serverFailed(last)
+		return l.explainServerFailed(last)
 	case "unproved_refusal":
-		return "Its server refused it without saying that it did not run, and it may run only once: " + l.lastFailure() + "."
+		return "Its server refused it without saying that it did not run, and it may run only once: " + l.describeLastFailure() + "."
 	default:
 		return fmt.Sprintf("The entry gave the reason %s.", reason)
 	}
 }
 
-// full explains a refusal under load.
-func (l *Log) full(last Line) string {
+// explainFull explains a refusal because of load.
+func (l *Log) explainFull(last Line) string {
 	text := "Too busy: no engine would have begun in time."
-	if placed, ok := l.ownLast("not_placed"); ok {
+	if placed, ok := l.lastRequestLine("not_placed"); ok {
 		text = fmt.Sprintf("Too busy: of the engines that could take it, %d in all, the best would have begun after %s, longer than may wait.",
-			placed.Int("usable"), placed.Duration("predicted").Round(round))
+			placed.Int("usable"), placed.Duration("predicted").Round(precision))
 	}
-	if _, held := l.ownLast("held"); held {
+	if _, held := l.lastRequestLine("held"); held {
 		text += fmt.Sprintf(" It had waited %s at the entry.", age(last))
 	}
-	if failed, ok := l.ownLast("attempt_failed"); ok {
-		text += " Before, " + l.failure(failed) + "."
+	if failed, ok := l.lastRequestLine("attempt_failed"); ok {
+		text += " Before, " + l.describeFailure(failed) + "."
 	}
-	return text + l.engines(last)
+	return text + l.describeEngines(last)
 }
 
-// noPlace explains a refusal by an engine that would have begun in time.
-func (l *Log) noPlace(last Line) string {
-	placed, _ := l.ownLast("not_placed")
+// explainNoPlace explains a refusal although an engine would have begun in
+// time.
+func (l *Log) explainNoPlace(last Line) string {
+	placed, _ := l.lastRequestLine("not_placed")
 	text := fmt.Sprintf("The best of %d engines had no room for a request of %d tokens.", placed.Int("usable"), placed.Int("prompt"))
 	if placed.Is("returned") {
 		text = fmt.Sprintf("It came back late, and the places that late requests may take were taken at all %d engines.",
 			placed.Int("usable"))
 	}
-	if _, held := l.ownLast("held"); held {
+	if _, held := l.lastRequestLine("held"); held {
 		text += fmt.Sprintf(" It had waited %s at the entry.", age(last))
 	}
-	return text + l.engines(last)
+	return text + l.describeEngines(last)
 }
 
-// engines tells the state of the engines as the entry knew them.
-func (l *Log) engines(last Line) string {
-	known := l.knownEngines(last)
+// describeEngines describes the state of the engines as the entry knew it.
+func (l *Log) describeEngines(last Line) string {
+	known := l.countEngines(last)
 	if known.total == 0 {
-		return " The entry had not heard of any agent."
+		return " The entry knew no agent."
 	}
-	if known.changing+known.empty+known.down == 0 {
+	if known.reloading+known.empty+known.unreachable == 0 {
 		return fmt.Sprintf(" All %d engines that it knew were in service.", known.total)
 	}
 	return fmt.Sprintf(" Of the %d engines that it knew, %d were loading or about to, %d held no weights, %d were down.",
-		known.total, known.changing, known.empty, known.down)
+		known.total, known.reloading, known.empty, known.unreachable)
 }
 
-type engineCount struct{ total, changing, empty, down int }
+type engineCount struct{ total, reloading, empty, unreachable int }
 
-// knownEngines counts the engines by what agents had told the entry since its
-// start.
-func (l *Log) knownEngines(last Line) engineCount {
+// countEngines counts the engines by what agents had reported to the entry
+// since its start.
+func (l *Log) countEngines(last Line) engineCount {
 	state := make(map[string]Line) // by address
-	for _, line := range l.beliefs {
+	for _, line := range l.processLines {
 		if line.Instance != last.Instance || line.At.After(last.At) {
 			continue
 		}
@@ -210,9 +212,9 @@
 	for _, line := range state {
 		switch {
 		case line.Is("down"):
-			count.down++
+			count.unreachable++
 		case line.Is("changing"):
-			count.changing++
+			count.reloading++
 		case line.Text("loaded") == "0":
 			count.empty++
 		}
@@ -220,152 +222,154 @@
 	return count
 }
 
-func (l *Log) tooLong() string {
-	placed, _ := l.ownLast("not_placed")
+func (l *Log) explainTooLong() string {
+	placed, _ := l.lastRequestLine("not_placed")
 	return fmt.Sprintf("It came back late: its answer, of some %d tokens by the caller's estimate, would not have been "+
-		"whole in the %s that the caller still waited.", placed.Int("expected"), placed.Duration("left").Round(round))
+		"whole in the %s that the caller still waited.", placed.Int("expected"), placed.Duration("left").Round(precision))
 }
 
-// quarantined explains a request that is kept from servers.
-func (l *Log) quarantined() string {
-	placed, _ := l.ownLast("not_placed")
+// explainQuarantined explains why a request is not sent to any server.
+func (l *Log) explainQuarantined() string {
+	placed, _ := l.lastRequestLine("not_placed")
 	return fmt.Sprintf("It is quarantined until %s: requests with this content (fingerprint %s) were in flight as the servers %s crashed, "+
 		"and none succeeded in between.", placed.Text("until"), placed.Text("fingerprint"), placed.Text("servers"))
 }
 
-// blind explains an entry that could not tell what is configured.
-func (l *Log) blind(last Line) string {
-	if woke, ok := l.lastBelief(last.Instance, "woke", last.At); ok && last.At.Sub(woke.At) < contextBefore {
+// explainNoConfig explains a refusal by an entry without a reliable
+// configuration.
+func (l *Log) explainNoConfig(last Line) string {
+	if woke, ok := l.lastProcessLine(last.Instance, "woke", last.At); ok && last.At.Sub(woke.At) < contextBefore {
 		return fmt.Sprintf("The entry had stood still for %s until %s before, and had not read the platform again.",
-			woke.Duration("after").Round(round), last.At.Sub(woke.At).Round(round))
+			woke.Duration("after").Round(precision), last.At.Sub(woke.At).Round(precision))
 	}
-	if lost, ok := l.isLost(last); ok {
+	if lost, ok := l.platformLoss(last); ok {
 		silent := last.At.Sub(lost.At) + lost.Duration("heard_ago")
 		return fmt.Sprintf("The entry had heard neither the platform for %s nor a peer, and could not tell what is configured: %s.",
-			silent.Round(round), lost.Text("error"))
+			silent.Round(precision), lost.Text("error"))
 	}
-	if started, ok := l.lastBelief(last.Instance, "started", last.At); ok {
-		return fmt.Sprintf("The entry had started %s before and knew no configuration yet.", last.At.Sub(started.At).Round(round))
+	if started, ok := l.lastProcessLine(last.Instance, "started", last.At); ok {
+		return fmt.Sprintf("The entry had started %s before and knew no configuration yet.", last.At.Sub(started.At).Round(precision))
 	}
 	return "The entry knew no configuration that it could rely on."
 }
 
-// isLost returns since when the platform had not answered the entry, and false
-// if it had answered again, or the entry has started anew since.
-func (l *Log) isLost(last Line) (Line, bool) {
-	lost, ok := l.lastBelief(last.Instance, "platform_lost", last.At)
+// platformLoss returns the line since which the platform had not responded to
+// the entry, and false if it had responded again, or the entry had restarted,
+// since.
+func (l *Log) platformLoss(last Line) (Line, bool) {
+	lost, ok := l.lastProcessLine(last.Instance, "platform_lost", last.At)
 	for _, event := range []string{"platform_regained", "started"} {
-		since, found := l.lastBelief(last.Instance, event, last.At)
+		since, found := l.lastProcessLine(last.Instance, event, last.At)
 		ok = ok && !(found && since.At.After(lost.At))
 	}
 	return lost, ok
 }
 
-// unknown explains a refusal by what the configuration lacks.
-func (l *Log) unknown(last Line) string {
+// explainNotConfigured explains a refusal by what the configuration lacks.
+func (l *Log) explainNotConfigured(last Line) string {
 	what := "route for its host and path"
 	if last.Text("reason") == "no_key" {
 		what = "key like the caller's"
 	}
-	in, ok := l.lastBelief(last.Instance, "config_in_force", last.At)
+	active, ok := l.lastProcessLine(last.Instance, "config_in_force", last.At)
 	if !ok {
 		return fmt.Sprintf("The configuration in force has no %s.", what)
 	}
 	return fmt.Sprintf("Configuration %s, in force there for %s, has no %s.",
-		in.Text("version"), last.At.Sub(in.At).Round(round), what)
+		active.Text("version"), last.At.Sub(active.At).Round(precision), what)
 }
 
-func (l *Log) timeout(last Line) string {
+func (l *Log) explainTimeout(last Line) string {
 	text := fmt.Sprintf("The time of its caller, or of its route, was up after %s.", age(last))
-	if _, held := l.ownLast("held"); held && last.Int("attempts") == 0 {
-		return text + " It had waited at the entry for an engine." + l.engines(last)
+	if _, held := l.lastRequestLine("held"); held && last.Int("attempts") == 0 {
+		return text + " It had waited at the entry for an engine." + l.describeEngines(last)
 	}
-	failed, ok := l.ownLast("attempt_failed")
+	failed, ok := l.lastRequestLine("attempt_failed")
 	switch {
 	case !ok:
 		return text
 	case failed.Int("last_event") < 0:
 		return text + fmt.Sprintf(" Server %s, expected to begin within %s, had given nothing.",
-			failed.Text("server"), failed.Duration("predicted").Round(round))
+			failed.Text("server"), failed.Duration("predicted").Round(precision))
 	default:
 		return text + fmt.Sprintf(" Server %s had written up to event %s.", failed.Text("server"), failed.Text("last_event"))
 	}
 }
 
-// serverFailed explains a failure of the server that had the request.
-func (l *Log) serverFailed(last Line) string {
-	failed, ok := l.ownLast("attempt_failed")
+// explainServerFailed explains a failure of the server that had the request.
+func (l *Log) explainServerFailed(last Line) string {
+	failed, ok := l.lastRequestLine("attempt_failed")
 	if !ok {
 		return fmt.Sprintf("A server failed (%s).", last.Text("reason"))
 	}
-	text := l.failure(failed)
+	text := l.describeFailure(failed)
 	text = strings.ToUpper(text[:1]) + text[1:] + "."
-	if others := l.othersAt(failed); others > 0 {
-		text += fmt.Sprintf(" Other attempts that failed there within %s: %d.", sameMoment, others)
+	if others := l.countOtherFailures(failed); others > 0 {
+		text += fmt.Sprintf(" Other attempts that failed there within %s: %d.", sameFaultWindow, others)
 	}
-	return text + l.agentWord(failed)
+	return text + l.describeAgent(failed)
 }
 
-func (l *Log) lastFailure() string {
-	if failed, ok := l.ownLast("attempt_failed"); ok {
-		return l.failure(failed)
+func (l *Log) describeLastFailure() string {
+	if failed, ok := l.lastRequestLine("attempt_failed"); ok {
+		return l.describeFailure(failed)
 	}
-	if failed, ok := l.ownLast("server_error"); ok {
+	if failed, ok := l.lastRequestLine("server_error"); ok {
 		return fmt.Sprintf("server %s had answered %s itself", failed.Text("server"), failed.Text("status"))
 	}
-	if declined, ok := l.ownLast("attempt_declined"); ok {
+	if declined, ok := l.lastRequestLine("attempt_declined"); ok {
 		return fmt.Sprintf("server %s had said that it did not run it", declined.Text("server"))
 	}
-	return "the lines of the others were left out"
+	return "the log has no lines of the other attempts"
 }
 
-// failure tells of one failed attempt.
-func (l *Log) failure(failed Line) string {
+// describeFailure describes one failed attempt.
+func (l *Log) describeFailure(failed Line) string {
 	return fmt.Sprintf("server %s at %s failed after %s: %s",
 		failed.Text("server"), failed.Text("addr"), age(failed), failed.Text("error"))
 }
 
-func (l *Log) othersAt(failed Line) int {
+func (l *Log) countOtherFailures(failed Line) int {
 	count := 0
-	for _, line := range l.failed {
+	for _, line := range l.otherFailures {
 		apart := line.At.Sub(failed.At).Abs()
-		if line.Text("server") == failed.Text("server") && apart <= sameMoment {
+		if line.Text("server") == failed.Text("server") && apart <= sameFaultWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// agentWord tells what the agent beside a server said around its failure.
-func (l *Log) agentWord(failed Line) string {
+// describeAgent describes what the agent of a server logged around its failure.
+func (l *Log) describeAgent(failed Line) string {
 	agent := l.agentAt(failed.Text("addr"))
 	if agent == "" {
 		return ""
 	}
-	for _, line := range l.beliefs {
+	for _, line := range l.processLines {
 		apart := line.At.Sub(failed.At).Abs()
-		if line.Instance != agent || apart > sameMoment {
+		if line.Instance != agent || apart > sameFaultWindow {
 			continue
 		}
 		switch line.Event {
 		case "engine_lost":
-			return fmt.Sprintf(" The agent beside it, %s, could not reach the engine either.", agent)
+			return fmt.Sprintf(" Its agent, %s, could not reach the engine either.", agent)
 		case "woke":
-			return fmt.Sprintf(" Its machine, %s, had stood still for %s.", agent, line.Duration("after").Round(round))
+			return fmt.Sprintf(" Its machine, %s, had stood still for %s.", agent, line.Duration("after").Round(precision))
 		case "stopped":
 			return fmt.Sprintf(" Its machine, %s, was being stopped.", agent)
 		case "started":
-			return fmt.Sprintf(" The agent beside it, %s, had just started, as after a loss of power.", agent)
+			return fmt.Sprintf(" Its agent, %s, had just started, as after a power failure.", agent)
 		}
 	}
 	return ""
 }
 
-// ownLast returns the request's last line of an event.
-func (l *Log) ownLast(event string) (Line, bool) {
-	for i := len(l.own) - 1; i >= 0; i-- {
-		if l.own[i].Event == event {
-			return l.own[i], true
+// lastRequestLine returns the request's last line of an event.
+func (l *Log) lastRequestLine(event string) (Line, bool) {
+	for i := len(l.requestLines) - 1; i >= 0; i-- {
+		if l.requestLines[i].Event == event {
+			return l.requestLines[i], true
 		}
 	}
 	return Line{}, false
--- a/cmd/chivespindle/internal/requestlog/leaving.go
+++ b/cmd/chivespindle/internal/requestlog/leaving.go
@@ -8,40 +8,45 @@
 	"time"
 )
 
-// mostBehind bounds the entries that are named as the last to know of a leaving server.
-const mostBehind = 3
+// maxLateEntries bounds the entries that are listed as the last to learn that a
+// server is leaving.
+const maxLateEntries = 3
 
-// sameStep is the longest time from the line of a reading to the lines of what it told.
-const sameStep = 5 * time.Millisecond
+// adoptionGap is the longest time between the line of an adopted server list
+// and the lines about the changes in it.
+const adoptionGap = 5 * time.Millisecond
 
-// learned is when an entry learned that a server leaves.
-type learned struct {
+// notice is the line with which an entry reports that a server is leaving.
+type notice struct {
 	Line
-	// by is the reading of the servers that the entry went by until then.
-	by Line
+	// previous is the adoption of the server list that the entry used until
+	// then.
+	previous Line
 }
 
-// AtServer names a server that the request reached, where its own lines name none: a
-// plain success has one line in fifty.
+// AtServer names a server that the request reached, for requests whose own
+// lines name none: of plain successes, only one in fifty is logged.
 func (l *Log) AtServer(server string) { l.server = server }
 
-// leaving tells which readings of the servers entries went by, if the request reached a
-// server that another entry knew to leave; empty if none did.
-func (l *Log) leaving() string {
+// explainLeaving describes which server lists the entries used, if the request
+// reached a server that another entry knew to be leaving. It returns "" if none
+// did.
+func (l *Log) explainLeaving() string {
 	var parts []string
-	for _, server := range l.reached() {
-		parts = append(parts, l.leavingOf(server))
+	for _, server := range l.reachedServers() {
+		parts = append(parts, l.explainLeavingOf(server))
 	}
 	return strings.Join(parts, "")
 }
 
-// reached returns the servers that the request was sent to, as far as is known.
-func (l *Log) reached() []string {
+// reachedServers returns the servers that the request is known to have been
+// sent to.
+func (l *Log) reachedServers() []string {
 	var servers []string
 	if l.server != "" {
 		servers = append(servers, l.server)
 	}
-	for _, line := range l.own {
+	for _, line := range l.requestLines {
 		for _, key := range []string{"server", "to"} {
 			if s := line.Text(key); s != "" && !slices.Contains(servers, s) {
 				servers = append(servers, s)
@@ -51,91 +56,94 @@
 	return servers
 }
 
-func (l *Log) leavingOf(server string) string {
-	all := l.whoLearned(server)
+func (l *Log) explainLeavingOf(server string) string {
+	all := l.leaveNotices(server)
 	if len(all) == 0 {
 		return ""
 	}
 	first := all[0]
 	text := fmt.Sprintf(" Server %s leaves: the first entry to know, %s, did at %s%s.",
-		server, first.Instance, first.At.UTC().Format(stepTime), l.source(first.Line))
-	if len(l.own) == 0 {
+		server, first.Instance, first.At.UTC().Format(stepTime), l.describeSource(first.Line))
+	if len(l.requestLines) == 0 {
 		slices.Reverse(all)
-		for _, late := range all[:min(mostBehind, len(all)-1)] {
-			text += " " + behind(late, first.At)
+		for _, late := range all[:min(maxLateEntries, len(all)-1)] {
+			text += " " + describeDelay(late, first.At)
 		}
 		return text
 	}
-	last := l.own[len(l.own)-1]
+	last := l.requestLines[len(l.requestLines)-1]
 	arrived := last.At.Add(-last.Duration("age"))
 	if !arrived.After(first.At) {
 		return ""
 	}
-	for _, own := range all {
-		if own.Instance != last.Instance {
+	for _, ownNotice := range all {
+		if ownNotice.Instance != last.Instance {
 			continue
 		}
-		if !own.At.After(arrived) {
+		if !ownNotice.At.After(arrived) {
 			return ""
 		}
-		return text + " " + behind(own, first.At)
+		return text + " " + describeDelay(ownNotice, first.At)
 	}
-	by, known := l.lastBelief(last.Instance, eventAdopted, last.At)
+	list, known := l.lastProcessLine(last.Instance, eventServersAdopted, last.At)
 	if !known {
 		return ""
 	}
-	return text + fmt.Sprintf(" %s has no line of it, and went by %s.", last.Instance, readingOf(by))
+	return text + fmt.Sprintf(" %s has no line of it, and went by %s.", last.Instance, describeServerList(list))
 }
 
 const (
-	stepTime      = "15:04:05.000"
-	eventAdopted  = "servers_adopted"
-	eventLeaves   = "server_leaves"
-	eventRemoved  = "server_removed"
-	unknownSource = "a reading that no line tells of"
+	stepTime            = "15:04:05.000"
+	eventServersAdopted = "servers_adopted"
+	eventServerLeaves   = "server_leaves"
+	eventServerRemoved  = "server_removed"
+	unknownSource       = "a reading that no line tells of"
 )
 
-// whoLearned returns when each entry first knew that a server leaves, in order of time.
-func (l *Log) whoLearned(server string) []learned {
+// leaveNotices returns, in order of time, when each entry first learned that a
+// server is leaving.
+func (l *Log) leaveNotices(server string) []notice {
 	seen := make(map[string]bool)
-	var all []learned
-	for _, line := range l.beliefs {
-		if line.Event != eventLeaves && line.Event != eventRemoved || line.Text("server") != server || seen[line.Instance] {
+	var all []notice
+	for _, line := range l.processLines {
+		if line.Event != eventServerLeaves && line.Event != eventServerRemoved || line.Text("server") != server || seen[line.Instance] {
 			continue
 		}
 		seen[line.Instance] = true
-		by, _ := l.lastBelief(line.Instance, eventAdopted, line.At.Add(-sameStep))
-		all = append(all, learned{line, by})
+		previous, _ := l.lastProcessLine(line.Instance, eventServersAdopted, line.At.Add(-adoptionGap))
+		all = append(all, notice{line, previous})
 	}
-	slices.SortStableFunc(all, func(a, b learned) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	slices.SortStableFunc(all, func(a, b notice) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
 	return all
 }
 
-// source tells by which reading an entry learned of a server's leaving.
-func (l *Log) source(line Line) string {
-	by, ok := l.lastBelief(line.Instance, eventAdopted, line.At)
+// describeSource describes the server list from which an entry learned that a
+// server is leaving.
+func (l *Log) describeSource(line Line) string {
+	list, ok := l.lastProcessLine(line.Instance, eventServersAdopted, line.At)
 	if !ok {
 		return ""
 	}
-	return ", by " + readingOf(by)
+	return ", by " + describeServerList(list)
 }
 
-// behind tells when an entry learned it, and what it went by until then.
-func behind(late learned, first time.Time) string {
-	by := unknownSource
-	if late.by.Event != "" {
-		by = readingOf(late.by)
+// describeDelay describes when an entry learned it and which server list it
+// used until then.
+func describeDelay(late notice, first time.Time) string {
+	list := unknownSource
+	if late.previous.Event != "" {
+		list = describeServerList(late.previous)
 	}
 	return fmt.Sprintf("%s knew it %s after that, and went by %s until then.",
-		late.Instance, late.At.Sub(first).Round(round), by)
+		late.Instance, late.At.Sub(first).Round(precision), list)
 }
 
-// readingOf describes a reading of the servers.
-func readingOf(line Line) string {
-	giver := line.Text("source")
+// describeServerList describes the adoption of a server list.
+func describeServerList(line Line) string {
+	source := line.Text("source")
 	if from := line.Text("from"); from != "" {
-		giver += " " + from
+		source += " " + from
 	}
 	return fmt.Sprintf("revision %s of %s, read %s before it was adopted at %s",
-		line.Text("revision"), giver, line.Duration("reading_age").Round(round), line.At.UTC().Format(stepTime))
+		line.Text("revision"), source, line.Duration("reading_age").Round(precision), line.At.UTC().Format(stepTime))
 }
--- a/cmd/chivespindle/internal/requestlog/line.go
+++ b/cmd/chivespindle/internal/requestlog/line.go
@@ -1,5 +1,5 @@
 // Package requestlog finds in the logs of entries and agents what happened to
-// one request and why it ended as it did.
+// one request, and why.
 package requestlog
 
 import (
@@ -15,7 +15,7 @@
 	"chivespindle.example/core/failure"
 )
 
-// Keys and events that processes write; docs/OPERATIONS.md lists them.
+// Keys that processes write; docs/OPERATIONS.md lists them.
 const (
 	keyTime     = "ts"
 	keyLevel    = "level"
@@ -24,8 +24,8 @@
 	keyRequest  = "request"
 )
 
-// maxLine bounds a line; longer ones are no log lines.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line; longer lines are not log lines.
+const maxLineBytes = 1 << 20
 
 type field struct{ key, value string }
 
@@ -37,16 +37,16 @@
 	fields   []field
 }
 
-// Text returns the value of a key, empty if the line has none.
+// Text returns the value of a key, or "" if the line does not have it.
 func (l Line) Text(key string) string {
-	at := slices.IndexFunc(l.fields, func(f field) bool { return f.key == key })
-	if at < 0 {
+	i := slices.IndexFunc(l.fields, func(f field) bool { return f.key == key })
+	if i < 0 {
 		return ""
 	}
-	return l.fields[at].value
+	return l.fields[i].value
 }
 
-// Int returns a number, 0 if the line has none.
+// Int returns the value of a key as a number, or 0 if there is none.
 func (l Line) Int(key string) int {
 	n, err := strconv.Atoi(l.Text(key))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return n
 }
 
-// Duration returns a duration, 0 if the line has none.
+// Duration returns the value of a key as a duration, or 0 if there is none.
 func (l Line) Duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.Text(key))
 	if err != nil {
@@ -64,10 +64,11 @@
 	return d
 }
 
-// Is reports whether a key is true.
+// Is reports whether the value of a key is "true".
 func (l Line) Is(key string) bool { return l.Text(key) == "true" }
 
-// Details returns the line's own keys as they were written.
+// Details returns the keys that are specific to the event, as they were
+// written.
 func (l Line) Details() string {
 	var parts []string
 	for _, f := range l.fields {
@@ -84,19 +85,19 @@
 	return strings.Join(parts, " ")
 }
 
-// Read hands each line of a log to take. Words before the first key, as a
-// collector of logs puts them there, are passed over. It returns how many
-// lines are no events.
-func Read(r io.Reader, take func(Line)) (others int, err error) {
+// Read calls handle for each event in a log. Words that a log collector puts
+// before the first key are ignored. It returns the number of lines that are not
+// events.
+func Read(r io.Reader, handle func(Line)) (others int, err error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line, ok := parse(lines.Bytes())
 		if !ok {
 			others++
 			continue
 		}
-		take(line)
+		handle(line)
 	}
 	if err := lines.Err(); err != nil {
 		return others, failure.Invalid.Wrap(err, "the log cannot be read")
--- a/cmd/chivespindle/internal/requestlog/losses.go
+++ b/cmd/chivespindle/internal/requestlog/losses.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// eventCallResults is the line in which entries account for calls.
+// eventCallResults is the event in which entries log the results of calls.
 const eventCallResults = "call_results"
 
-// onTime is the result of a call that was served as its route wants.
-const onTime = "on_time"
+// resultOnTime is the result of a call that was served as its route requires.
+const resultOnTime = "on_time"
 
-// Loss is what became of some calls.
+// Loss counts the calls with one result other than on time.
 type Loss struct {
 	Result string `json:"result"`
 	Calls  int    `json:"calls"`
-	// ExcessMS is by how much the first events came later than predicted, in the
-	// mean of these calls.
+	// ExcessMS is by how much the first events were later than predicted, as
+	// the mean of these calls.
 	ExcessMS int64 `json:"excess_ms"`
 }
 
-// Window is the account of a while.
+// Window holds the results in one window of time.
 type Window struct {
 	From   time.Time `json:"from"`
 	Calls  int       `json:"calls"`
 	OnTime int       `json:"on_time"`
-	// Losses are the other results, the most frequent first.
+	// Losses are the other results, most frequent first.
 	Losses []Loss `json:"losses"`
 }
 
-// RouteLosses is the account of a route.
+// RouteLosses holds the results of one route.
 type RouteLosses struct {
 	Route  string `json:"route"`
 	Calls  int    `json:"calls"`
@@ -39,71 +39,72 @@
 	Losses []Loss `json:"losses"`
 }
 
-// Account adds up what became of calls, as entries told it every second.
+// Account sums the results of calls, which entries log every second.
 type Account struct {
-	every   time.Duration
-	windows map[time.Time]*counts
-	routes  map[string]*counts
+	window  time.Duration
+	windows map[time.Time]*resultCounts
+	routes  map[string]*resultCounts
 }
 
-// counts are calls by result.
-type counts struct{ results map[string]*resultCount }
+// resultCounts counts calls by result.
+type resultCounts struct{ results map[string]*resultCount }
 
 type resultCount struct {
-	calls  int
-	excess time.Duration // sum over the calls
+	calls       int
+	totalExcess time.Duration // sum over the calls
 }
 
-// NewAccount returns an empty account with windows of a length.
-func NewAccount(every time.Duration) *Account {
-	return &Account{every: every, windows: make(map[time.Time]*counts), routes: make(map[string]*counts)}
+// NewAccount returns an empty counter for windows of the given length.
+func NewAccount(window time.Duration) *Account {
+	return &Account{window: window, windows: make(map[time.Time]*resultCounts), routes: make(map[string]*resultCounts)}
 }
 
-// Take adds a line; others than of accounts are passed over. A line tells of
-// the while before it, which counts in the window of its middle.
+// Take counts a line; lines of other events are ignored. A line reports on the
+// time span before it, which is counted in the window of its middle.
 func (a *Account) Take(line Line) {
 	if line.Event != eventCallResults {
 		return
 	}
-	at := line.At.Add(-line.Duration("span") / 2).Truncate(a.every)
-	countIn(a.windows, at).add(line)
-	countIn(a.routes, line.Text("route")).add(line)
+	start := line.At.Add(-line.Duration("span") / 2).Truncate(a.window)
+	countsOf(a.windows, start).add(line)
+	countsOf(a.routes, line.Text("route")).add(line)
 }
 
-func countIn[K comparable](all map[K]*counts, key K) *counts {
+func countsOf[K comparable](all map[K]*resultCounts, key K) *resultCounts {
 	if all[key] == nil {
-		all[key] = &counts{results: make(map[string]*resultCount)}
+		all[key] = &resultCounts{results: make(map[string]*resultCount)}
 	}
 	return all[key]
 }
 
-func (c *counts) add(line Line) {
+func (c *resultCounts) add(line Line) {
 	result := line.Text("result")
 	if c.results[result] == nil {
 		c.results[result] = &resultCount{}
 	}
 	calls := line.Int("calls")
 	c.results[result].calls += calls
-	c.results[result].excess += time.Duration(calls) * line.Duration("excess")
+	c.results[result].totalExcess += time.Duration(calls) * line.Duration("excess")
 }
 
-// sum returns all calls, those on time, and the others by result.
-func (c *counts) sum() (calls, timely int, losses []Loss) {
+// sum returns the number of all calls and of those on time, and the others by
+// result.
+func (c *resultCounts) sum() (calls, onTime int, losses []Loss) {
 	for result, n := range c.results {
 		calls += n.calls
-		if result == onTime {
-			timely = n.calls
+		if result == resultOnTime {
+			onTime = n.calls
 			continue
 		}
-		losses = append(losses, Loss{Result: result, Calls: n.calls, ExcessMS: (n.excess / time.Duration(max(1, n.calls))).Milliseconds()})
+		losses = append(losses, Loss{Result: result, Calls: n.calls, ExcessMS: (n.totalExcess / time.Duration(max(1, n.calls))).Milliseconds()})
 	}
 	slices.SortFunc(losses, func(x, y Loss) int {
 		return cmp.Or(cmp.Compare(y.Calls, x.Calls), strings.Compare(x.Result, y.Result))
 	})
-	return calls, timely, losses
+	return calls, onTime, losses
 }
 
-// Windows returns the account by time.
+// Windows returns the results by time.
 func (a *Account) Windows() []Window {
 	var all []Window
 	for from, c := range a.windows {
@@ -115,7 +116,7 @@
 	return all
 }
 
-// Routes returns the account by route, the one that lost most first.
+// Routes returns the results by route, the one with the most losses first.
 func (a *Account) Routes() []RouteLosses {
 	var all []RouteLosses
 	for route, c := range a.routes {
--- a/cmd/chivespindle/internal/requestlog/requestlog_test.go
+++ b/cmd/chivespindle/internal/requestlog/requestlog_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("Read", func() {
 	const event = `ts=2031-05-06T07:08:09.123Z level=warn event=platform_lost instance=entry-1 error="a \"b\" c" heard_ago=1.2s`
 
-	It("reads the keys of an event, quoted ones too", func() {
+	It("reads the keys of an event, including quoted values", func() {
 		lines, others, err := read(event + "\n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(others).To(BeZero())
@@ -31,14 +31,14 @@
 		Expect(lines[0].Details()).To(Equal(`error="a \"b\" c" heard_ago=1.2s`))
 	})
 
-	// Collectors of logs put the time and the host before each line.
-	It("passes over words before the first key", func() {
+	// Log collectors put the time and the host before each line.
+	It("ignores words before the first key", func() {
 		lines, _, err := read("12.5 entry-1 " + event + "\n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lines).To(HaveLen(1))
 	})
 
-	DescribeTable("counts lines that are no events",
+	DescribeTable("counts lines that are not events",
 		func(text string) {
 			lines, others, err := read(text + "\n" + event + "\n")
 			Expect(err).NotTo(HaveOccurred())
@@ -49,19 +49,19 @@
 		Entry("words", "panic: runtime error"),
 		Entry("no time", "level=info event=started"),
 		Entry("no event", "ts=2031-05-06T07:08:09Z level=info"),
-		Entry("a quote that does not end", `ts=2031-05-06T07:08:09Z event=a error="b`),
-		Entry("a time that is none", "ts=yesterday event=a"),
+		Entry("an unterminated quote", `ts=2031-05-06T07:08:09Z event=a error="b`),
+		Entry("an invalid time", "ts=yesterday event=a"),
 	)
 
-	It("fails on a line that no process writes", func() {
+	It("fails on a line that is too long", func() {
 		_, _, err := read(strings.Repeat("x", 2<<20))
 		Expect(err).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("Log", func() {
-	// Logs of several processes are read one file after the other.
-	It("puts lines in order of time, whatever the order of the files", func() {
+	// The logs of several processes are read one file after the other.
+	It("sorts lines by time, whatever the order of the files", func() {
 		log := requestlog.NewLog("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:11Z event=refused instance=entry-1 request=a reason=full code=unavailable",
@@ -79,9 +79,10 @@
 		Expect(events).To(Equal([]string{"started", "held", "refused"}))
 	})
 
-	// A request waited at an engine whose version was out of time. Without the word
-	// of the agent there its story does not tell that the engine had work in hand.
-	It("shows what an agent told of an outdated engine, beside the withdrawal", func() {
+	// Guards against a report without the agent's lines: a request waited at an
+	// engine whose version had expired, and only the agent logs that the engine
+	// still had work in progress.
+	It("shows what an agent logged about an outdated engine, along with the withdrawal", func() {
 		log := requestlog.NewLog("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:01Z event=started instance=agent-1 role=agent peer=10.0.1.1:7700",
@@ -104,7 +105,7 @@
 		Expect(story.Cause).To(HavePrefix("Server i-1 at 10.0.1.1:80 failed after 1.6s: silence."))
 	})
 
-	It("names the crashes for which a request is quarantined", func() {
+	It("names the crashes that put a request in quarantine", func() {
 		log := requestlog.NewLog("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:08Z event=not_placed instance=entry-1 request=a reason=quarantined fingerprint=352bd266dae5 " +
--- a/cmd/chivespindle/main.go
+++ b/cmd/chivespindle/main.go
@@ -1,7 +1,7 @@
-// Command chivespindle is the client for operators and callers. It checks
-// texts and settings offline, shows what the fleet does, follows a rollout,
-// and sends requests as a caller does. It only reads: operators drive the
-// system by editing the text.
+// Command chivespindle is the client for operators and callers. It checks fleet
+// configurations and settings offline, shows the state of the fleet, follows a
+// rollout, and sends requests as a caller does. It does not change the fleet:
+// operators do so by editing the configuration.
 package main
 
 import (
@@ -19,16 +19,16 @@
 		stdout: os.Stdout,
 		stderr: os.Stderr,
 		now:    time.Now,
-		pause:  pause,
-		build:  readBuild(),
+		sleep:  sleep,
+		build:  readBuildInfo(),
 	}
 	code := c.run(ctx, os.Args[1:])
 	stop()
 	os.Exit(code)
 }
 
-// pause waits, and reports whether ctx lets the caller go on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/cmd/chivespindle/offline_test.go
+++ b/cmd/chivespindle/offline_test.go
@@ -65,12 +65,12 @@
 	Expect(session{args: "settings reference"}.run(ctx)).To(Equal(result{stdout: page.String()}))
 })
 
-// A wrong command line must neither print a result nor end as if it had one,
-// and must not reach a process: most of these name an address where nobody
-// listens, which would end with another code.
+// A wrong command line must neither print a result nor exit with the code of
+// one, and must not contact a process: most of these give an address at which
+// nothing listens, which would give another exit code.
 var _ = DescribeTable("A wrong command line",
 	func(args string, code int, part string) {
-		s := session{args: args, servers: map[string]netip.AddrPort{"NOONE": nobody()}}
+		s := session{args: args, servers: map[string]netip.AddrPort{"NOONE": unusedAddr()}}
 		r := s.run(context.Background())
 		Expect(r.code).To(Equal(code), r.stderr)
 		Expect(r.stdout).To(BeEmpty())
--- a/cmd/chivespindle/request.go
+++ b/cmd/chivespindle/request.go
@@ -20,20 +20,20 @@
 
 const (
 	defaultDeadline = 30 * time.Second
-	longestDeadline = time.Hour
+	maxDeadline     = time.Hour
 	// deadlineGrace is how much longer than the deadline the client waits. The
-	// entry's own word on the outcome, which comes at the deadline, is better
-	// than the "unknown" of a client that has hung up.
+	// entry reports the outcome at the deadline, which is better than the
+	// "unknown" of a client that has disconnected.
 	deadlineGrace = 2 * time.Second
-	// addressTimeout bounds the question for addresses.
+	// addressTimeout bounds the query for addresses.
 	addressTimeout = 2 * time.Second
-	// maxRequestBody bounds the memory that a wrong path takes; entries take
-	// less.
+	// maxRequestBody bounds the memory used if the path is wrong. Entries
+	// accept less.
 	maxRequestBody = 64 << 20
 	maxKeyBytes    = 256
 )
 
-// requestFlags are those of the request command.
+// requestFlags holds the flags of the request command.
 type requestFlags struct {
 	path, body, workspace, key, prefix string
 	nonIdempotent                      bool
@@ -42,16 +42,16 @@
 }
 
 func (c *client) newRequestCommand() *cobra.Command {
-	f := requestFlags{priority: noUrgency}
+	f := requestFlags{priority: unsetUrgency}
 	command := &cobra.Command{
 		Use:   "request SERVICE",
 		Short: "Send a request as a caller does",
-		Long: `Send a request as a caller does. The answer goes to the standard output as it
-comes; the outcome, the version that answered and the entry go to the standard
-error. An interrupt cancels the request.
+		Long: `Send a request as a caller does. The response goes to the standard output as it
+arrives; the outcome, the version that produced it and the entry go to the
+standard error. An interrupt cancels the request.
 
-The exit code is 0 if the request ran and the answer is whole, 5 if it was not
-run, 6 if it may have run, and 7 if it ran before with the same key. Before
+The exit code is 0 if the request ran and the response is complete, 5 if it was
+not run, 6 if it may have run, and 7 if it ran before with the same key. Before
 anything is sent it is 2 for a wrong command line and 3 for a body that cannot
 be read.`,
 		Example: `  echo '{"prompt":"Read this fault log: E14","max_tokens":64}' |
@@ -65,11 +65,11 @@
 	flags := command.Flags()
 	flags.StringVar(&f.path, "path", "", "path below the service")
 	flags.StringVar(&f.body, "body", "", "file with the body, - for the standard input (default: no body)")
-	flags.StringVar(&f.workspace, "workspace", "", "workspace whose limits count")
+	flags.StringVar(&f.workspace, "workspace", "", "workspace whose limits apply")
 	flags.StringVar(&f.key, "key", "", "idempotency key")
 	flags.BoolVar(&f.nonIdempotent, "non-idempotent", false, "run at most once; needs --key")
 	flags.Var(&f.priority, "priority", "urgency, u=0 (first) to u=7 (default: the workspace's)")
-	flags.DurationVar(&f.deadline, "deadline", defaultDeadline, "how long to wait, at most 1h; the entry is told")
+	flags.DurationVar(&f.deadline, "deadline", defaultDeadline, "how long to wait, at most 1h; it is sent to the entry")
 	flags.StringVar(&f.prefix, "prefix", "", "name of a prompt prefix that several requests share")
 	return command
 }
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer cancel()
-	caller, err := c.newCaller(addressTimeout, fleet.Place{})
+	caller, err := c.newCallerClient(addressTimeout, fleet.Place{})
 	if err != nil {
 		return err
 	}
@@ -104,11 +104,11 @@
 		Body:           body,
 	})
 	if err != nil {
-		call.end(failure.OutcomeOf(err), failure.RetryAfter(err))
-		return withCall(err, call)
+		call.setOutcome(failure.OutcomeOf(err), failure.RetryAfter(err))
+		return withCallReport(err, call)
 	}
-	call.end(failure.Ran, 0)
-	c.printCall(call)
+	call.setOutcome(failure.Ran, 0)
+	c.printCallReport(call)
 	return nil
 }
 
@@ -117,41 +117,41 @@
 	if err != nil {
 		return err
 	}
-	answer, err := callstream.New().Send(ctx, entries, r, c.stdout)
-	call.take(answer)
+	result, err := callstream.New().Send(ctx, entries, r, c.stdout)
+	call.setResponse(result)
 	return err
 }
 
-// requestBody reads the body before anything is sent, since its length goes
-// first.
+// requestBody reads the whole body before anything is sent, because its length
+// is sent first.
 func (c *client) requestBody(file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
 	}
 	body, err := c.readFile(file, maxRequestBody)
 	if err != nil {
-		return nil, RefusedInput.New("%s: cannot be read: %s", file, readReason(err))
+		return nil, RefusedInput.New("%s: cannot be read: %s", file, readErrorReason(err))
 	}
 	if len(body) > maxRequestBody {
-		return nil, RefusedInput.New("%s: has more than %s", file, bytesText(maxRequestBody))
+		return nil, RefusedInput.New("%s: larger than %s", file, formatBytes(maxRequestBody))
 	}
 	return body, nil
 }
 
-// check refuses what no entry would take, while it is certain that nothing was
-// sent.
+// check rejects what no entry would accept, while it is certain that nothing
+// has been sent.
 func (f requestFlags) check(service fleet.ServiceName) error {
 	switch {
 	case service == "" || strings.Contains(string(service), "/"):
 		return Usage.New("SERVICE must be the name of a service, got %q", service)
-	case !cleanPath(string(service) + "/" + f.path):
+	case !isCleanPath(string(service) + "/" + f.path):
 		return Usage.New("--path must have no empty, . or .. parts and no leading slash, got %q", f.path)
 	case f.nonIdempotent && f.key == "":
-		return Usage.New("--non-idempotent needs --key; chivespindle key SERVICE asks for one")
+		return Usage.New("--non-idempotent needs --key; get one with chivespindle key SERVICE")
 	case len(f.key) > maxKeyBytes:
 		return Usage.New("--key has %d bytes, at most %d are allowed", len(f.key), maxKeyBytes)
-	case f.deadline <= 0 || f.deadline > longestDeadline:
-		return Usage.New("--deadline must be above 0 and at most %s, got %s", longestDeadline, f.deadline)
+	case f.deadline <= 0 || f.deadline > maxDeadline:
+		return Usage.New("--deadline must be above 0 and at most %s, got %s", maxDeadline, f.deadline)
 	}
 	for name, value := range map[string]string{"workspace": f.workspace, "key": f.key, "prefix": f.prefix} {
 		if strings.ContainsFunc(value, isControl) {
@@ -161,20 +161,20 @@
 	return nil
 }
 
-// cleanPath reports whether an entry takes the path as it is. It answers any
-// other with a redirect.
-func cleanPath(p string) bool {
+// isCleanPath reports whether an entry accepts the path as it is. It responds
+// to any other path with a redirect.
+func isCleanPath(p string) bool {
 	p = strings.TrimSuffix(p, "/")
 	return p == path.Clean(p) && !strings.HasPrefix(p, "..")
 }
 
 func isControl(r rune) bool { return r < ' ' || r == '\x7f' }
 
-// callReport tells of one request besides the answer's body.
+// callReport describes the result of one request, without the response body.
 type callReport struct {
 	Outcome      string `json:"outcome"`
 	Status       int    `json:"status,omitempty"`  // of the backend server
-	Version      string `json:"version,omitempty"` // that answered
+	Version      string `json:"version,omitempty"` // that produced the response
 	Entry        string `json:"entry,omitempty"`
 	RequestID    string `json:"request_id,omitempty"`
 	Bytes        int64  `json:"bytes"`
@@ -183,7 +183,7 @@
 	outcome failure.Outcome
 }
 
-func (r *callReport) take(a callstream.Answer) {
+func (r *callReport) setResponse(a callstream.Answer) {
 	r.Status = a.Status
 	r.Version = a.Version
 	r.RequestID = a.RequestID
@@ -193,7 +193,7 @@
 	}
 }
 
-func (r *callReport) end(outcome failure.Outcome, retryAfter time.Duration) {
+func (r *callReport) setOutcome(outcome failure.Outcome, retryAfter time.Duration) {
 	r.outcome = outcome
 	r.Outcome = outcome.String()
 	r.RetryAfterMS = retryAfter.Milliseconds()
@@ -218,19 +218,19 @@
 	if r.RetryAfterMS > 0 {
 		line += fmt.Sprintf(" retry_after_ms=%d", r.RetryAfterMS)
 	}
-	_, _ = fmt.Fprintln(w, line) // the exit code tells the outcome as well
+	_, _ = fmt.Fprintln(w, line) // the exit code reports the outcome as well
 }
 
-func (c *client) printCall(call *callReport) {
+func (c *client) printCallReport(call *callReport) {
 	if c.flags.output == outputJSON {
-		_ = json.NewEncoder(c.stderr).Encode(call) // the exit code tells the outcome as well
+		_ = json.NewEncoder(c.stderr).Encode(call) // the exit code reports the outcome as well
 		return
 	}
 	call.writeText(c.stderr)
 }
 
-// withCall returns err with what is known of the request, for its report.
-func withCall(err error, call *callReport) error {
+// withCallReport returns err with call attached, for the error report.
+func withCallReport(err error, call *callReport) error {
 	typed := errorx.Cast(err)
 	if typed == nil {
 		typed = failure.Internal.Wrap(err, "the request failed")
--- a/cmd/chivespindle/settings.go
+++ b/cmd/chivespindle/settings.go
@@ -10,8 +10,8 @@
 	"chivespindle.example/core/fleet"
 )
 
-// roleWords are the roles that have settings.
-var roleWords = []string{string(fleet.RoleEntry), string(fleet.RoleAgent)}
+// roleNames lists the roles that have settings.
+var roleNames = []string{string(fleet.RoleEntry), string(fleet.RoleAgent)}
 
 // roleFlag is a role that has settings. It implements pflag.Value.
 type roleFlag fleet.Role
@@ -20,12 +20,12 @@
 func (r *roleFlag) String() string { return string(*r) }
 
 // Type implements pflag.Value.
-func (r *roleFlag) Type() string { return strings.Join(roleWords, "|") }
+func (r *roleFlag) Type() string { return strings.Join(roleNames, "|") }
 
 // Set implements pflag.Value.
 func (r *roleFlag) Set(text string) error {
 	if text != string(fleet.RoleEntry) && text != string(fleet.RoleAgent) {
-		return flagFault{"must be entry or agent"}
+		return flagError{"must be entry or agent"}
 	}
 	*r = roleFlag(text)
 	return nil
@@ -35,8 +35,8 @@
 	command := &cobra.Command{
 		Use:   "settings",
 		Short: "Check settings files of processes, or print their reference",
-		// Without a check of its own the library answers a wrong word with
-		// the help and exit code 0.
+		// Without Args the library responds to an unknown subcommand with the
+		// help and exit code 0.
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -49,8 +49,8 @@
 	command := &cobra.Command{
 		Use:   "check --role entry|agent FILE...",
 		Short: "Check settings files offline",
-		Long: `Check settings files of processes offline, as chivespindled does at its start.
-The environment is left out, and the files that the settings name are not
+		Long: `Check settings files of processes offline, as chivespindled does on startup.
+The environment is ignored, and the files that the settings name are not
 opened.`,
 		Example: "  chivespindle settings check --role entry entry.ini",
 		Args:    cobra.MinimumNArgs(1),
@@ -59,19 +59,20 @@
 			for _, file := range files {
 				r.Files = append(r.Files, checkSettings(fleet.Role(role), file))
 			}
-			return c.printChecked(r)
+			return c.printCheckReport(r)
 		},
 	}
 	command.Flags().Var(&role, "role", "role of the processes that read the files")
 	_ = command.MarkFlagRequired("role")
-	_ = command.RegisterFlagCompletionFunc("role", cobra.FixedCompletions(roleWords, cobra.ShellCompDirectiveNoFileComp))
+	_ = command.RegisterFlagCompletionFunc("role", cobra.FixedCompletions(roleNames, cobra.ShellCompDirectiveNoFileComp))
 	return command
 }
 
 func checkSettings(role fleet.Role, file string) checkedFile {
 	checked := checkedFile{File: file}
 	if file == "" {
-		// Load takes it for no file, and would name flags that are not here.
+		// settings.Load treats an empty name as no file, and its error would
+		// name flags that this command does not have.
 		checked.Faults = []fault{{Reason: "the file has no name"}}
 		return checked
 	}
--- a/cmd/chivespindle/status.go
+++ b/cmd/chivespindle/status.go
@@ -21,13 +21,13 @@
 	command := &cobra.Command{
 		Use:   "status",
 		Short: "Show what the fleet or one process does",
-		Long: `Show what the fleet does, as an entry sees it: of each service the target
+		Long: `Show the state of the fleet as an entry knows it: for each service the target
 version and how many replicas serve it, the revisions in force, and texts that
-are refused or in conflict. With several --ops, the answer with the highest
+are refused or in conflict. With several --ops, the response with the highest
 revision is shown, and all are listed and compared.
 
-An entry hears the revision of a process in another availability zone only when
-that process changes, so the table of revisions may be behind for those.`,
+An entry receives the revision of a process in another availability zone only
+when that process changes, so the table of revisions may be outdated for those.`,
 		Example: `  chivespindle status --ops 127.0.0.1:7101
   chivespindle status --instances --ops 127.0.0.1:7101
   chivespindle status --instance --ops 127.0.0.1:7201`,
@@ -45,7 +45,7 @@
 	return command
 }
 
-// fleetReport is the fleet's state as one entry sees it.
+// fleetReport is the state of the fleet as one entry knows it.
 type fleetReport struct {
 	Entry     fleet.InstanceID  `json:"entry"`
 	Revision  revision.Revision `json:"revision"`
@@ -53,12 +53,12 @@
 	Services  []status.Service  `json:"services"`
 	Revisions []revisionCount   `json:"revisions"`
 	Instances []status.Member   `json:"instances,omitempty"`
-	Entries   []entryAnswer     `json:"entries"`
-	Conflicts []string          `json:"conflicts"` // between the entries that were asked
+	Entries   []entrySummary    `json:"entries"`
+	Conflicts []string          `json:"conflicts"` // between the queried entries
 }
 
-// revisionCount is how many processes that are not silent have a revision in
-// force, as far as the entry has heard.
+// revisionCount is the number of processes, silent ones excluded, for which the
+// entry knows this active revision.
 type revisionCount struct {
 	Revision  revision.Revision `json:"revision"`
 	Processes int               `json:"processes"`
@@ -70,12 +70,12 @@
 		return err
 	}
 	defer ops.Close()
-	ctx, cancel, err := c.withTimeout(ctx, questionTimeout)
+	ctx, cancel, err := c.withTimeout(ctx, queryTimeout)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	s, err := askEntries(ctx, ops, c.flags.ops)
+	s, err := queryEntries(ctx, ops, c.flags.ops)
 	if err != nil {
 		return err
 	}
@@ -83,8 +83,8 @@
 }
 
 func newFleetReport(s *survey, instances bool) *fleetReport {
-	status := s.best().status
-	members := s.freshen(status.Fleet)
+	status := s.newest().status
+	members := s.withOwnRevisions(status.Fleet)
 	r := &fleetReport{
 		Entry:     status.ID,
 		Revision:  status.Revision,
@@ -92,7 +92,7 @@
 		Services:  status.Services,
 		Revisions: countRevisions(members),
 		Entries:   s.entries(),
-		Conflicts: s.disagreements(),
+		Conflicts: s.conflicts(),
 	}
 	if instances {
 		r.Instances = members
@@ -127,7 +127,7 @@
 	r.writeServices(w)
 	t := newTable("REVISION", "PROCESSES")
 	for _, n := range r.Revisions {
-		t.row(revisionText(n.Revision), strconv.Itoa(n.Processes))
+		t.addRow(formatRevision(n.Revision), strconv.Itoa(n.Processes))
 	}
 	t.write(w)
 	if len(r.Instances) > 0 {
@@ -153,7 +153,7 @@
 func (r *fleetReport) writeServices(w io.Writer) {
 	t := newTable("SERVICE", "TARGET", "REPLICAS", "SERVING", "LEAVING", "SILENT")
 	for _, s := range r.Services {
-		t.row(string(s.Service), versionText(s.Target), strconv.Itoa(s.Replicas),
+		t.addRow(string(s.Service), formatVersion(s.Target), strconv.Itoa(s.Replicas),
 			strconv.Itoa(s.Serving), strconv.Itoa(s.Leaving), strconv.Itoa(s.Silent))
 	}
 	t.write(w)
@@ -162,8 +162,8 @@
 func writeInstances(w io.Writer, members []status.Member) {
 	t := newTable("INSTANCE", "ROLE", "SERVICE", "ZONE", "REGION", "STATE", "SERVING", "REVISION")
 	for _, m := range members {
-		t.row(string(m.ID), string(m.Role), orDash(string(m.Service)), string(m.Place.Zone), string(m.Place.Region),
-			memberState(m), versionText(m.Serving), revisionText(m.Revision))
+		t.addRow(string(m.ID), string(m.Role), orDash(string(m.Service)), string(m.Place.Zone), string(m.Place.Region),
+			memberState(m), formatVersion(m.Serving), formatRevision(m.Revision))
 	}
 	t.write(w)
 }
@@ -179,8 +179,7 @@
 	return strings.Join(words, ",")
 }
 
-// writeEntries lists the entries that were asked, unless there is one and it
-// is the one shown.
+// writeEntries lists the queried entries, unless there is only the one shown.
 func (r *fleetReport) writeEntries(w io.Writer) {
 	if len(r.Entries) == 1 {
 		return
@@ -188,10 +187,10 @@
 	t := newTable("OPS", "ENTRY", "REVISION", "DIGEST", "PLATFORM", "ANSWER")
 	for _, e := range r.Entries {
 		if e.Error != "" {
-			t.row(e.Ops.String(), "-", "-", "-", "-", e.Error+": "+e.Reason)
+			t.addRow(e.Ops.String(), "-", "-", "-", "-", e.Error+": "+e.Reason)
 			continue
 		}
-		t.row(e.Ops.String(), string(e.ID), revisionText(e.Revision), shortDigest(e.Digest), revisionText(e.Platform), "good")
+		t.addRow(e.Ops.String(), string(e.ID), formatRevision(e.Revision), shortDigest(e.Digest), formatRevision(e.Platform), "good")
 	}
 	t.write(w)
 }
--- a/cmd/chivespindle/survey.go
+++ b/cmd/chivespindle/survey.go
@@ -15,47 +15,47 @@
 	"chivespindle.example/core/status"
 )
 
-// survey is what the entries at the given addresses say at one time.
+// survey holds the responses of the entries at the given addresses to one poll.
 type survey struct {
-	answers []surveyAnswer // in the order of the addresses
+	responses []surveyResponse // in the order of the addresses
 }
 
-// surveyAnswer is one entry's status, or why there is none.
-type surveyAnswer struct {
+// surveyResponse is one entry's status, or the error of the query.
+type surveyResponse struct {
 	ops    netip.AddrPort
 	status *status.Entry
 	err    error
 }
 
-// askEntries asks all addresses at once. It fails only if none answers, with
-// the first one's failure.
-func askEntries(ctx context.Context, ops *opsclient.Client, addresses []netip.AddrPort) (*survey, error) {
-	s := &survey{answers: make([]surveyAnswer, len(addresses))}
+// queryEntries queries all addresses concurrently. It fails only if none
+// responds, with the error of the first one.
+func queryEntries(ctx context.Context, ops *opsclient.Client, addresses []netip.AddrPort) (*survey, error) {
+	s := &survey{responses: make([]surveyResponse, len(addresses))}
 	var wait sync.WaitGroup
 	for i, addr := range addresses {
 		wait.Go(func() {
 			status, err := ops.Entry(ctx, addr)
-			s.answers[i] = surveyAnswer{ops: addr, status: status, err: err}
+			s.responses[i] = surveyResponse{ops: addr, status: status, err: err}
 		})
 	}
 	wait.Wait()
-	if s.best() != nil {
+	if s.newest() != nil {
 		return s, nil
 	}
-	err := s.answers[0].err
+	err := s.responses[0].err
 	if errorx.IsOfType(err, opsclient.WrongRole) {
 		return nil, Usage.Wrap(err, "--ops must be an entry's; status --instance shows an agent")
 	}
 	return nil, err
 }
 
-// best returns the answer with the highest revision, the first of equals; nil
-// if none came. An entry with a lower one is behind, and tells of targets that
-// the fleet has left.
-func (s *survey) best() *surveyAnswer {
-	var best *surveyAnswer
-	for i := range s.answers {
-		a := &s.answers[i]
+// newest returns the response with the highest revision, the first one of
+// equals, or nil if no entry responded. An entry with a lower revision is
+// outdated and reports targets that the fleet has already replaced.
+func (s *survey) newest() *surveyResponse {
+	var best *surveyResponse
+	for i := range s.responses {
+		a := &s.responses[i]
 		if a.status != nil && (best == nil || a.status.Revision > best.status.Revision) {
 			best = a
 		}
@@ -63,24 +63,25 @@
 	return best
 }
 
-// freshen returns the members with the revisions that the answering entries
-// themselves have. An entry hears late of those of another zone.
-func (s *survey) freshen(members []status.Member) []status.Member {
+// withOwnRevisions returns the members with the revisions that the responding
+// entries report of themselves. An entry learns the revisions of another zone's
+// entries late.
+func (s *survey) withOwnRevisions(members []status.Member) []status.Member {
 	own := make(map[fleet.InstanceID]revision.Revision)
-	for _, a := range s.answers {
+	for _, a := range s.responses {
 		if a.status != nil {
 			own[a.status.ID] = a.status.Revision
 		}
 	}
-	fresh := slices.Clone(members)
-	for i := range fresh {
-		fresh[i].Revision = max(fresh[i].Revision, own[fresh[i].ID])
+	updated := slices.Clone(members)
+	for i := range updated {
+		updated[i].Revision = max(updated[i].Revision, own[updated[i].ID])
 	}
-	return fresh
+	return updated
 }
 
-// entryAnswer is one line of the entries that were asked.
-type entryAnswer struct {
+// entrySummary is one row of the queried entries.
+type entrySummary struct {
 	Ops      netip.AddrPort    `json:"ops"`
 	ID       fleet.InstanceID  `json:"id,omitempty"`
 	Revision revision.Revision `json:"revision"`
@@ -90,16 +91,16 @@
 	Reason   string            `json:"reason,omitempty"`
 }
 
-func (s *survey) entries() []entryAnswer {
-	entries := make([]entryAnswer, len(s.answers))
-	for i, a := range s.answers {
-		entries[i] = a.entry()
+func (s *survey) entries() []entrySummary {
+	entries := make([]entrySummary, len(s.responses))
+	for i, a := range s.responses {
+		entries[i] = a.summary()
 	}
 	return entries
 }
 
-func (a surveyAnswer) entry() entryAnswer {
-	line := entryAnswer{Ops: a.ops}
+func (a surveyResponse) summary() entrySummary {
+	line := entrySummary{Ops: a.ops}
 	if typed := errorx.Cast(a.err); typed != nil {
 		line.Error = typed.Type().FullName()
 		line.Reason = typed.Message()
@@ -112,12 +113,12 @@
 	return line
 }
 
-// disagreements names the entries that have different texts in force under
-// one revision.
-func (s *survey) disagreements() []string {
+// conflicts describes the entries that have different active configurations
+// under one revision.
+func (s *survey) conflicts() []string {
 	first := make(map[revision.Revision]*status.Entry)
 	found := []string{}
-	for _, a := range s.answers {
+	for _, a := range s.responses {
 		if a.status == nil || a.status.Revision == 0 {
 			continue
 		}
--- a/cmd/chivespindle/table.go
+++ b/cmd/chivespindle/table.go
@@ -11,20 +11,20 @@
 	"chivespindle.example/core/revision"
 )
 
-// table is a heading with rows below, in aligned columns.
+// table is a header with rows in aligned columns.
 type table struct {
 	lines []string
 }
 
-func newTable(heads ...string) *table {
+func newTable(columns ...string) *table {
 	t := &table{}
-	t.row(heads...)
+	t.addRow(columns...)
 	return t
 }
 
-func (t *table) row(cells ...string) { t.lines = append(t.lines, strings.Join(cells, "\t")) }
+func (t *table) addRow(cells ...string) { t.lines = append(t.lines, strings.Join(cells, "\t")) }
 
-// write prints the table after a blank line; nothing if it has no rows.
+// write prints the table after a blank line, and nothing if it has no rows.
 func (t *table) write(w io.Writer) {
 	const columnGap = 2
 	if len(t.lines) == 1 {
@@ -35,44 +35,44 @@
 	for _, line := range t.lines {
 		fmt.Fprintln(aligned, line)
 	}
-	_ = aligned.Flush() // w holds the page in memory
+	_ = aligned.Flush() // w is an in-memory buffer
 }
 
-// none stands in a cell for nothing.
-const none = "-"
+// emptyCell is printed for a cell without a value.
+const emptyCell = "-"
 
 func orDash(text string) string {
 	if text == "" {
-		return none
+		return emptyCell
 	}
 	return text
 }
 
-func versionText(v fleet.Version) string {
+func formatVersion(v fleet.Version) string {
 	if v.IsZero() {
-		return none
+		return emptyCell
 	}
 	return v.String()
 }
 
-func revisionText(r revision.Revision) string {
+func formatRevision(r revision.Revision) string {
 	if r == 0 {
-		return none
+		return emptyCell
 	}
 	return strconv.FormatUint(uint64(r), 10)
 }
 
-// shortDigest gives enough of a digest to compare two by eye.
+// shortDigest returns a prefix of a digest, long enough to compare two by eye.
 func shortDigest(d fleet.Digest) string {
 	const shown = 12
 	if d.IsZero() {
-		return none
+		return emptyCell
 	}
 	return d.String()[:shown]
 }
 
-// bytesText gives a size in decimal units, as the settings take it.
-func bytesText(n int64) string {
+// formatBytes formats a size in decimal units, as the settings accept them.
+func formatBytes(n int64) string {
 	const step = 1000
 	units := []string{"B", "KB", "MB", "GB", "TB"}
 	value, unit := float64(n), 0
--- a/cmd/chivespindle/version.go
+++ b/cmd/chivespindle/version.go
@@ -8,17 +8,18 @@
 	"github.com/spf13/cobra"
 )
 
-// build says what the program was built from.
-type build struct {
+// buildInfo describes what the program was built from.
+type buildInfo struct {
 	Version  string `json:"version"`
 	Revision string `json:"source_revision,omitempty"`
 	Modified bool   `json:"modified"`
 	Go       string `json:"go"`
 }
 
-// readBuild returns what the Go toolchain wrote into the program.
-func readBuild() build {
-	b := build{Version: "unknown"}
+// readBuildInfo returns the build information that the Go toolchain embedded in
+// the program.
+func readBuildInfo() buildInfo {
+	b := buildInfo{Version: "unknown"}
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return b
@@ -45,7 +46,7 @@
 	}
 }
 
-func (b build) writeText(w io.Writer) {
+func (b buildInfo) writeText(w io.Writer) {
 	fmt.Fprintf(w, "chivespindle %s", b.Version)
 	if b.Revision != "" {
 		fmt.Fprintf(w, ", source %s", b.Revision)
--- a/cmd/chivespindled/command.go
+++ b/cmd/chivespindled/command.go
@@ -17,7 +17,8 @@
 	"chivespindle.example/daemon/process"
 )
 
-// exitCode tells a mistake of the operator from a failure of the program.
+// exitCode returns exitUsage for an error in the operator's input and
+// exitFailure for any other failure.
 func exitCode(err error) int {
 	if errorx.HasTrait(err, failure.Input) {
 		return exitUsage
@@ -33,7 +34,7 @@
 		SilenceErrors: true,
 	}
 	root.AddCommand(
-		newRoleCommand(fleet.RoleEntry, "Run an entry instance, which takes requests from callers"),
+		newRoleCommand(fleet.RoleEntry, "Run an entry instance, which accepts requests from callers"),
 		newRoleCommand(fleet.RoleAgent, "Run the agent beside one backend server"),
 		newPlatformCommand(),
 	)
@@ -58,7 +59,7 @@
 			return err
 		}
 		if checkOnly {
-			fmt.Println("settings are good")
+			fmt.Println("settings are valid")
 			return nil
 		}
 		return serve(s)
@@ -66,34 +67,34 @@
 	return command
 }
 
-// member is a process of either role.
-type member interface {
+// instance is a process of either role.
+type instance interface {
 	Actors() []process.Actor
 	Leave()
 	Close()
 }
 
-func newMember(s *settings.Settings, logger *zap.Logger) (member, error) {
+func newInstance(s *settings.Settings, logger *zap.Logger) (instance, error) {
 	if s.Role == fleet.RoleEntry {
 		return process.NewEntry(s, logger, process.Options{})
 	}
 	return process.NewAgent(s, logger, process.Options{})
 }
 
-// serve runs a process until it is told to stop or fails.
+// serve runs a process until it is asked to stop or fails.
 func serve(s *settings.Settings) error {
 	debug.SetMemoryLimit(s.Limits.MemoryLimit)
 	logger := telemetry.NewLogger(s.Log.Level, os.Stdout).With(zap.String("instance", string(s.Instance.ID)))
-	m, err := newMember(s, logger)
+	inst, err := newInstance(s, logger)
 	if err != nil {
 		return err
 	}
-	defer m.Close()
+	defer inst.Close()
 	var group run.Group
-	for _, actor := range m.Actors() {
+	for _, actor := range inst.Actors() {
 		group.Add(actor.Execute, actor.Interrupt)
 	}
-	stop := newStopper(m, logger)
+	stop := newStopper(inst, logger)
 	group.Add(stop.wait, stop.interrupt)
 	logger.Info("started", zap.String("role", string(s.Role)), zap.Stringer("peer", s.Listen.Peer), zap.Stringer("ops", s.Listen.Ops))
 	err = group.Run()
--- a/cmd/chivespindled/main.go
+++ b/cmd/chivespindled/main.go
@@ -1,5 +1,5 @@
-// Command chivespindled is the daemon: an entry instance takes requests from
-// callers, an agent stands beside one backend server.
+// Command chivespindled is the daemon. It runs either as an entry instance,
+// which accepts requests from callers, or as the agent of one backend server.
 package main
 
 import (
--- a/cmd/chivespindled/platform.go
+++ b/cmd/chivespindled/platform.go
@@ -31,21 +31,25 @@
 )
 
 const (
-	// peerIdle is how long a connection between our processes may bring nothing;
-	// beats come several times within it.
-	peerIdle = 4 * time.Second
-	// peerKeepAlive keeps chunk connections that rest between two versions.
-	peerKeepAlive = 1500 * time.Millisecond
-	// peerHandshake bounds the making of a connection: several round trips.
-	peerHandshake = 900 * time.Millisecond
-	// memoryShare is the part of the machine's memory at which the collector
-	// works harder rather than have the process killed.
-	memoryShare = 0.6
-	// entryTick is the tick of an entry's control loop, the resolution of its
-	// fastest heartbeat; agentTick that of an agent's, where each tick costs as
-	// much as the rest of what a resting agent does.
-	entryTick = 20 * time.Millisecond
-	agentTick = 50 * time.Millisecond
+	// peerIdleTimeout is how long a connection between processes of the fleet
+	// may be silent. Several heartbeats are sent within it.
+	peerIdleTimeout = 4 * time.Second
+	// peerKeepAliveInterval keeps chunk connections open while they are idle
+	// between two versions.
+	peerKeepAliveInterval = 1500 * time.Millisecond
+	// peerHandshakeTimeout bounds the handshake of a connection, which takes
+	// several round trips.
+	peerHandshakeTimeout = 900 * time.Millisecond
+	// memoryLimitShare is the share of the machine's memory that is set as the
+	// soft memory limit. Above it the garbage collector works harder, so that
+	// the process is not killed for its memory use.
+	memoryLimitShare = 0.6
+	// entryTickInterval is the interval of an entry's control loop, and so the
+	// resolution of its fastest heartbeat. agentTickInterval is that of an
+	// agent's control loop: each tick costs as much as everything else that an
+	// idle agent does.
+	entryTickInterval = 20 * time.Millisecond
+	agentTickInterval = 50 * time.Millisecond
 )
 
 func newPlatformCommand() *cobra.Command {
@@ -54,18 +58,19 @@
 		Short: "Run a role on the users' platform; settings come from the file that " + platform.SettingsVariable + " names",
 	}
 	command.AddCommand(
-		newPlatformRole(fleet.RoleEntry, "Run an entry, which takes callers' requests", runPlatformEntry),
-		newPlatformRole(fleet.RoleAgent, "Run the agent beside one model server", runPlatformAgent),
+		newPlatformRoleCommand(fleet.RoleEntry, "Run an entry, which accepts callers' requests", runPlatformEntry),
+		newPlatformRoleCommand(fleet.RoleAgent, "Run the agent of one model server", runPlatformAgent),
 		newMechanismsCommand(),
 	)
 	return command
 }
 
-// newMechanismsCommand lists what can be switched off.
+// newMechanismsCommand returns the command that lists the mechanisms that can
+// be disabled.
 func newMechanismsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "mechanisms",
-		Short: "List the mechanisms that a file named by --mechanisms can switch off",
+		Short: "List the mechanisms that the file given by --mechanisms can disable",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			for _, m := range policy.Mechanisms() {
@@ -78,7 +83,7 @@
 	}
 }
 
-func newPlatformRole(role fleet.Role, short string, start func(*platformBase) error) *cobra.Command {
+func newPlatformRoleCommand(role fleet.Role, short string, start func(*platformBase) error) *cobra.Command {
 	var mechanisms string
 	command := &cobra.Command{
 		Use:   string(role),
@@ -89,11 +94,11 @@
 			if err != nil {
 				return err
 			}
-			off, err := settings.LoadMechanisms(mechanisms)
+			disabled, err := settings.LoadMechanisms(mechanisms)
 			if err != nil {
 				return err
 			}
-			b, err := newPlatformBase(role, s, off)
+			b, err := newPlatformBase(role, s, disabled)
 			if err != nil {
 				return err
 			}
@@ -101,47 +106,48 @@
 			return start(b)
 		},
 	}
-	command.Flags().StringVar(&mechanisms, "mechanisms", "", "INI file that switches mechanisms off; all are on without it")
+	command.Flags().StringVar(&mechanisms, "mechanisms", "", "INI file that disables mechanisms; without it all are enabled")
 	return command
 }
 
-// platformBase is what both roles are made of on the platform.
+// platformBase holds the components that both roles share on the platform.
 type platformBase struct {
-	role        fleet.Role
-	settings    *platform.Settings
-	off         policy.Disabled
-	id          fleet.InstanceID
-	incarnation uint64
-	ctx         context.Context
-	cancel      context.CancelFunc
-	logger      *zap.Logger
-	lines       *telemetry.Queue
-	metrics     tally.Scope
-	page        http.Handler
-	closer      io.Closer
-	loop        *control.Loop
-	endpoint    *peer.Endpoint
-	handler     *lateHandler
-	group       run.Group
+	role           fleet.Role
+	settings       *platform.Settings
+	disabled       policy.Disabled
+	id             fleet.InstanceID
+	incarnation    uint64
+	ctx            context.Context
+	cancel         context.CancelFunc
+	logger         *zap.Logger
+	logQueue       *telemetry.Queue
+	metrics        tally.Scope
+	metricsHandler http.Handler
+	metricsCloser  io.Closer
+	loop           *control.Loop
+	endpoint       *peer.Endpoint
+	handler        *deferredHandler
+	group          run.Group
 }
 
-// lateHandler passes streams on to a handler that is made after the endpoint.
-type lateHandler struct{ peer.Handler }
+// deferredHandler forwards streams to a handler that is created after the
+// endpoint.
+type deferredHandler struct{ peer.Handler }
 
-func newPlatformBase(role fleet.Role, s *platform.Settings, off policy.Disabled) (*platformBase, error) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+func newPlatformBase(role fleet.Role, s *platform.Settings, disabled policy.Disabled) (*platformBase, error) {
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	b := &platformBase{
 		role:        role,
 		settings:    s,
-		off:         off,
+		disabled:    disabled,
 		id:          mesh.IDOf(s.IP),
 		incarnation: uint64(time.Now().UnixMilli())<<8 | uint64(rand.N(256)),
-		loop:        control.New(control.Options{TickInterval: tickOf(role)}),
-		handler:     &lateHandler{},
+		loop:        control.New(control.Options{TickInterval: tickInterval(role)}),
+		handler:     &deferredHandler{},
 	}
-	b.metrics, b.page, b.closer = telemetry.NewMetrics()
-	b.lines = telemetry.NewQueue(os.Stdout)
-	b.logger = telemetry.NewLogger(zapcore.InfoLevel, b.lines).With(zap.String("instance", s.Node))
+	b.metrics, b.metricsHandler, b.metricsCloser = telemetry.NewMetrics()
+	b.logQueue = telemetry.NewQueue(os.Stdout)
+	b.logger = telemetry.NewLogger(zapcore.InfoLevel, b.logQueue).With(zap.String("instance", s.Node))
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	store, err := keys.Ephemeral(keys.Identity{ID: b.id, Role: role})
 	if err != nil {
@@ -150,7 +156,7 @@
 	b.endpoint, err = peer.New(peer.Options{
 		Listen: netip.AddrPortFrom(s.IP, s.PeerPort), Keys: store, Handler: b.handler,
 		Logger: b.logger, Metrics: b.metrics,
-		IdleTimeout: peerIdle, KeepAlive: peerKeepAlive, HandshakeTimeout: peerHandshake,
+		IdleTimeout: peerIdleTimeout, KeepAlive: peerKeepAliveInterval, HandshakeTimeout: peerHandshakeTimeout,
 	})
 	if err != nil {
 		b.cancel()
@@ -158,38 +164,39 @@
 	return b, err
 }
 
-func tickOf(role fleet.Role) time.Duration {
+func tickInterval(role fleet.Role) time.Duration {
 	if role == fleet.RoleEntry {
-		return entryTick
+		return entryTickInterval
 	}
-	return agentTick
+	return agentTickInterval
 }
 
 func (b *platformBase) close() {
 	b.cancel()
 	_ = b.endpoint.Close()
-	_ = b.closer.Close() // ends the reporting of metrics that nobody reads any more
+	_ = b.metricsCloser.Close() // stops metrics reporting
 }
 
-// actor runs f until the process ends.
-func (b *platformBase) actor(f func(ctx context.Context) error) {
+// addActor adds f to the group. Its context is cancelled when the group ends.
+func (b *platformBase) addActor(f func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(b.ctx)
 	b.group.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-// serve adds an HTTP server on addr.
-func (b *platformBase) serve(addr netip.AddrPort, handler http.Handler) (*http.Server, error) {
+// addServer adds an HTTP server on addr to the group.
+func (b *platformBase) addServer(addr netip.AddrPort, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, failure.Invalid.Wrap(err, "listen on %s", addr)
 	}
-	server := newPlatformServer(handler)
+	server := newHTTPServer(handler)
 	interrupted := make(chan struct{})
 	b.group.Add(func() error {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
 			return failure.Unavailable.Wrap(err, "serve on %s", addr)
 		}
-		// A graceful shutdown ends Serve at once, while requests still run.
+		// A graceful shutdown makes Serve return at once, while requests are
+		// still running.
 		<-interrupted
 		return nil
 	}, func(error) {
@@ -199,42 +206,43 @@
 	return server, nil
 }
 
-// countLines tells how many log lines were dropped.
-func (b *platformBase) countLines(ctx context.Context) error {
-	ticker := time.NewTicker(settingsEvery)
+// reportDroppedLines updates the gauge of dropped log lines.
+func (b *platformBase) reportDroppedLines(ctx context.Context) error {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			b.metrics.Gauge("log_lines_dropped").Update(float64(b.lines.Dropped()))
+			b.metrics.Gauge("log_lines_dropped").Update(float64(b.logQueue.Dropped()))
 		}
 	}
 }
 
-// metricsPort and metricsPath are where the deploy file says that metrics are.
+// metricsPort and metricsPath are where the deployment file expects the
+// metrics.
 const (
 	metricsPort = 19190
 	metricsPath = "/metrics"
 )
 
-// run starts everything and waits for the end.
-func (b *platformBase) run(m member) error {
+// run starts all actors and waits until the group ends.
+func (b *platformBase) run(inst instance) error {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+metricsPath, b.page)
-	if _, err := b.serve(netip.AddrPortFrom(b.settings.IP, metricsPort), mux); err != nil {
+	mux.Handle("GET "+metricsPath, b.metricsHandler)
+	if _, err := b.addServer(netip.AddrPortFrom(b.settings.IP, metricsPort), mux); err != nil {
 		return err
 	}
-	b.actor(b.lines.Run)
-	b.actor(b.countLines)
-	stop := newStopper(m, b.logger)
+	b.addActor(b.logQueue.Run)
+	b.addActor(b.reportDroppedLines)
+	stop := newStopper(inst, b.logger)
 	b.group.Add(stop.wait, stop.interrupt)
 	b.logger.Info("started", zap.String("role", string(b.role)), zap.String("zone", string(b.settings.Place.Zone)),
-		zap.Stringer("peer", b.endpoint.Addr()), zap.Uint64("incarnation", b.incarnation), zap.Strings("switched_off", b.off.Names()))
+		zap.Stringer("peer", b.endpoint.Addr()), zap.Uint64("incarnation", b.incarnation), zap.Strings("switched_off", b.disabled.Names()))
 	err := b.group.Run()
 	b.cancel()
 	b.logger.Info("stopped", zap.Error(err))
-	_ = b.lines.Run(b.ctx) // writes what still waits; never fails
+	_ = b.logQueue.Run(b.ctx) // writes the lines still queued; never fails
 	return err
 }
--- a/cmd/chivespindled/platform_agent.go
+++ b/cmd/chivespindled/platform_agent.go
@@ -15,25 +15,25 @@
 		Loop: b.loop, Endpoint: b.endpoint,
 		Engine: platform.NewEngine(s.Server), Origin: platform.NewOrigin(),
 		Source: platform.NewStore(s.Store, b.logger), Regions: s.Regions,
-		VersionTime: s.VersionTime, LinkBytes: s.LinkBytes, Off: b.off,
+		VersionTime: s.VersionTime, LinkBytes: s.LinkBytes, Off: b.disabled,
 		Logger: b.logger, Metrics: b.metrics,
 	})
 	b.handler.Handler = l
 	b.loop.AddTicker(l)
-	b.actor(b.endpoint.Run)
-	b.actor(b.loop.Run)
-	b.actor(b.followSettings(l))
+	b.addActor(b.endpoint.Run)
+	b.addActor(b.loop.Run)
+	b.addActor(b.followSettings(l))
 	return b.run(platformAgent{})
 }
 
-// platformAgent leaves at once: nothing runs through an agent.
+// platformAgent leaves immediately, because no requests pass through an agent.
 type platformAgent struct{}
 
-// Actors implements member.
+// Actors implements instance.
 func (platformAgent) Actors() []process.Actor { return nil }
 
-// Leave implements member.
+// Leave implements instance.
 func (platformAgent) Leave() {}
 
-// Close implements member.
+// Close implements instance.
 func (platformAgent) Close() {}
--- a/cmd/chivespindled/platform_entry.go
+++ b/cmd/chivespindled/platform_entry.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// headerTime bounds the reading of a request's header: more than callers
-	// may take, so that only those that stall are ended.
-	headerTime = 10 * time.Second
-	// idleTime is longer than callers may keep an unused connection: closed
-	// sooner by us, a request that is on its way would be lost.
-	idleTime = 2 * time.Minute
-	// headerBytes bounds a request's header.
-	headerBytes = 64 << 10
+	// headerTimeout bounds the reading of a request's header. It is longer than
+	// callers may take, so that only stalled connections are closed.
+	headerTimeout = 10 * time.Second
+	// idleTimeout is longer than callers may keep an idle connection. If the
+	// entry closed the connection first, a request already on its way would be
+	// lost.
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 64 << 10
 )
 
-func newPlatformServer(handler http.Handler) *http.Server {
+func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes,
-		// What net/http would print is about broken connections of callers.
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		// net/http would only log broken connections of callers.
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 }
 
-// platformEntry is an entry that can leave.
+// platformEntry is an entry that can shut down gracefully.
 type platformEntry struct {
 	base    *platformBase
 	gateway *gateway.Gateway
@@ -49,53 +50,53 @@
 		Loop: b.loop, Endpoint: b.endpoint,
 		Source: platform.NewStore(s.Store, b.logger), Backend: platform.NewBackend(),
 		Budget:      gateway.RetryBudget{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow},
-		VersionTime: s.VersionTime, SoundTime: s.SoundTime, Disabled: b.off,
+		VersionTime: s.VersionTime, SoundTime: s.SoundTime, Disabled: b.disabled,
 		Logger: b.logger, Metrics: b.metrics,
 	})
 	b.handler.Handler = g
 	b.loop.AddTicker(g)
 	e := &platformEntry{base: b, gateway: g, ingress: platform.NewIngress(g)}
 	var err error
-	if e.callers, err = b.serve(s.Callers, e.ingress); err != nil {
+	if e.callers, err = b.addServer(s.Callers, e.ingress); err != nil {
 		return err
 	}
 	e.callers.ConnContext = e.ingress.ConnContext
-	if _, err := b.serve(s.Ready, platform.NewReady(g)); err != nil {
+	if _, err := b.addServer(s.Ready, platform.NewReady(g)); err != nil {
 		return err
 	}
-	if _, err := b.serve(s.Directory, platform.NewDirectory(g)); err != nil {
+	if _, err := b.addServer(s.Directory, platform.NewDirectory(g)); err != nil {
 		return err
 	}
-	b.actor(b.endpoint.Run)
-	b.actor(b.loop.Run)
-	b.actor(b.followSettings(g))
-	b.actor(g.Follow)
+	b.addActor(b.endpoint.Run)
+	b.addActor(b.loop.Run)
+	b.addActor(b.followSettings(g))
+	b.addActor(g.Follow)
 	return b.run(e)
 }
 
-// Actors implements member; the parts are added to the group directly.
+// Actors implements instance; the components are added to the group directly.
 func (e *platformEntry) Actors() []process.Actor { return nil }
 
-// Close implements member.
+// Close implements instance.
 func (e *platformEntry) Close() {}
 
-// Leave stops gracefully. Callers keep the address for a while, so requests
-// are taken until the answers that name this entry have expired; what runs
-// then is finished.
+// Leave shuts the entry down gracefully. Callers may keep its address for a
+// while, so it accepts requests until the address lists that name it have
+// expired, and then finishes the requests in flight.
 func (e *platformEntry) Leave() {
 	times := e.base.settings.DrainTimes()
 	e.ingress.Leave()
 	if err := e.gateway.Leave(e.base.ctx); err != nil {
 		e.base.logger.Error("leaving_not_told", zap.Error(err))
 	}
-	pause(e.base.ctx, times.Accept)
+	sleep(e.base.ctx, times.Accept)
 	ctx, cancel := context.WithTimeout(e.base.ctx, times.Finish)
 	defer cancel()
 	err := e.callers.Shutdown(ctx)
 	e.base.logger.Info("left", zap.Bool("all_finished", err == nil), zap.Int64("in_flight", e.gateway.InFlight()))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/cmd/chivespindled/platform_settings.go
+++ b/cmd/chivespindled/platform_settings.go
@@ -14,24 +14,24 @@
 	"chivespindle.example/platform"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is read: it may change
 // without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-// seedTaker uses the seeds that the settings name. The other settings hold for
-// the life of a process.
-type seedTaker interface {
+// seedSetter accepts the seeds named in the settings. The other settings are
+// fixed for the lifetime of the process.
+type seedSetter interface {
 	SetSeeds(ctx context.Context, seeds []netip.Addr) error
 }
 
-// followSettings reads the settings again on SIGHUP, which would end the
-// process if nobody took it, and every settingsEvery.
-func (b *platformBase) followSettings(taker seedTaker) func(ctx context.Context) error {
+// followSettings reloads the settings every settingsPollInterval and on SIGHUP,
+// which would end the process if it were not handled.
+func (b *platformBase) followSettings(setter seedSetter) func(ctx context.Context) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return func(ctx context.Context) error {
 		defer signal.Stop(hangups)
-		ticker := time.NewTicker(settingsEvery)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -41,12 +41,12 @@
 				b.logger.Info("hangup")
 			case <-ticker.C:
 			}
-			b.reloadSettings(ctx, taker)
+			b.reloadSettings(ctx, setter)
 		}
 	}
 }
 
-func (b *platformBase) reloadSettings(ctx context.Context, taker seedTaker) {
+func (b *platformBase) reloadSettings(ctx context.Context, setter seedSetter) {
 	s, err := platform.LoadSettings()
 	if err != nil {
 		b.logger.Error("settings_not_reloaded", zap.Error(err))
@@ -57,7 +57,7 @@
 	}
 	b.settings = s
 	b.logger.Info("settings_reloaded", zap.Int("seeds", len(s.Seeds)))
-	if err := taker.SetSeeds(ctx, s.Seeds); err != nil {
+	if err := setter.SetSeeds(ctx, s.Seeds); err != nil {
 		b.logger.Error("seeds_not_taken", zap.Error(err))
 	}
 }
--- a/cmd/chivespindled/stop.go
+++ b/cmd/chivespindled/stop.go
@@ -11,22 +11,22 @@
 )
 
 // stopper waits for a signal and then lets the process leave gracefully. A
-// second signal ends it at once.
+// second signal stops it immediately.
 type stopper struct {
-	member  member
-	logger  *zap.Logger
-	signals chan os.Signal
-	done    chan struct{}
+	instance instance
+	logger   *zap.Logger
+	signals  chan os.Signal
+	done     chan struct{}
 }
 
-func newStopper(m member, logger *zap.Logger) *stopper {
+func newStopper(inst instance, logger *zap.Logger) *stopper {
 	const queue = 2
-	s := &stopper{member: m, logger: logger, signals: make(chan os.Signal, queue), done: make(chan struct{})}
+	s := &stopper{instance: inst, logger: logger, signals: make(chan os.Signal, queue), done: make(chan struct{})}
 	signal.Notify(s.signals, syscall.SIGTERM, syscall.SIGINT)
 	return s
 }
 
-// wait returns nil once the process has left, so that all other parts are
+// wait returns nil once the process has left, so that the other actors are
 // interrupted only then.
 func (s *stopper) wait() error {
 	select {
@@ -37,7 +37,7 @@
 	}
 	left := make(chan struct{})
 	go func() {
-		s.member.Leave()
+		s.instance.Leave()
 		close(left)
 	}()
 	select {
@@ -46,7 +46,7 @@
 	case <-s.done:
 		return nil
 	case sig := <-s.signals:
-		return failure.Refused.New("stopped at once by a second %s", sig)
+		return failure.Refused.New("stopped immediately by a second %s", sig)
 	}
 }
 
--- a/cmd/wholepath/client_test.go
+++ b/cmd/wholepath/client_test.go
@@ -12,24 +12,23 @@
 	. "github.com/onsi/gomega"
 )
 
-// client runs the client program and returns its exit code and what it
-// printed.
-func client(stdin string, args ...string) (code int, stdout, stderr string) {
+// runClient runs the command line client and returns its exit code and output.
+func runClient(stdin string, args ...string) (code int, stdout, stderr string) {
 	GinkgoHelper()
-	var out, problems bytes.Buffer
+	var out, errOut bytes.Buffer
 	cmd := exec.Command(filepath.Join(programs, "chivespindle"), args...)
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(stdin), &out, &problems
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(stdin), &out, &errOut
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		return exit.ExitCode(), out.String(), problems.String()
+		return exit.ExitCode(), out.String(), errOut.String()
 	}
 	Expect(err).NotTo(HaveOccurred())
-	return 0, out.String(), problems.String()
+	return 0, out.String(), errOut.String()
 }
 
-// writeText puts an operator's text into a file.
-func (f *testFleet) writeText(name, text string) string {
+// writeConfig writes an operator's configuration to a file.
+func (f *testFleet) writeConfig(name, text string) string {
 	GinkgoHelper()
 	file := filepath.Join(f.dir, name)
 	Expect(os.WriteFile(file, []byte(text), 0o600)).To(Succeed())
--- a/cmd/wholepath/doc.go
+++ b/cmd/wholepath/doc.go
@@ -1,7 +1,7 @@
-// Package wholepath holds the tests of the whole path: separate chivespindled
-// processes between the stand-ins of the platform and callers over HTTP.
+// Package wholepath holds the end-to-end tests: separate chivespindled
+// processes between stand-ins of the platform and callers over HTTP.
 //
-// What is counted is counted by the stand-ins and by the callers. What the
-// processes say of themselves is used to wait for something, or where a spec
-// is about just that.
+// Counts are taken from the stand-ins and from the callers. What the processes
+// report about themselves is used only to wait for a condition, or where a spec
+// is about that report.
 package wholepath
--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -33,30 +33,31 @@
 	orders fleet.ServiceName = "workshop-api"    // plain, depends on assist
 )
 
-// The fleets' places: two zones of one region.
+// Places of the fleets: two zones of one region.
 var (
 	apapa = fleet.Place{Zone: "apapa-hall", Region: "lagos"}
 	ikeja = fleet.Place{Zone: "ikeja-hall", Region: "lagos"}
 )
 
-// Small models keep a change of version short; a fleet's engines tell them
-// apart by their bytes all the same.
+// Small models keep a version change short. The engines still distinguish them
+// by their bytes.
 const (
 	modelBytes = 2 << 20
 	chunkBytes = 128 << 10
 )
 
-// testFleet is a fleet and what its operator has asked for so far.
+// testFleet is a fleet and what its operator has published so far.
 type testFleet struct {
 	*harness.Fleet
 	dir     string
 	entries []*harness.Process
 	agents  []fleet.InstanceID
-	// maxOut is how many replicas of a zone the operator lets be out at once.
-	maxOut int
+	// maxUnavailable is how many replicas of a zone may be out of service at
+	// once.
+	maxUnavailable int
 
-	mu       sync.Mutex
-	intended map[string]bool
+	mu        sync.Mutex
+	published map[string]bool
 }
 
 // newFleet starts the stand-ins of a fleet, which is closed after the suite.
@@ -67,11 +68,11 @@
 	f, err := harness.New(options)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(f.Close)
-	return &testFleet{Fleet: f, dir: options.Dir, maxOut: 1, intended: make(map[string]bool)}
+	return &testFleet{Fleet: f, dir: options.Dir, maxUnavailable: 1, published: make(map[string]bool)}
 }
 
-// model makes a version known to the origin and the store.
-func (f *testFleet) model(name string, seed uint64) fleet.Version {
+// addModel adds a version to the origin and the store.
+func (f *testFleet) addModel(name string, seed uint64) fleet.Version {
 	GinkgoHelper()
 	m, err := f.AddModel(platform.ModelSpec{Name: name, Bytes: modelBytes, ChunkBytes: chunkBytes, Seed: seed})
 	Expect(err).NotTo(HaveOccurred())
@@ -106,8 +107,9 @@
 	return harness.AgentSpec{Service: service, Plain: &plainservice.Options{Delay: delay}}
 }
 
-// textOf is an operator's text in which both model services name one version.
-func (f *testFleet) textOf(v fleet.Version) string {
+// configNaming returns a configuration in which both model services name
+// version v.
+func (f *testFleet) configNaming(v fleet.Version) string {
 	return fmt.Sprintf(`[fleet]
 name = ffsan
 [version %[1]s]
@@ -126,25 +128,25 @@
 [service %[5]s]
 kind = plain
 depends_on = %[4]s
-`, v.Name, v.Manifest, pool, assist, orders, f.maxOut)
+`, v.Name, v.Manifest, pool, assist, orders, f.maxUnavailable)
 }
 
-// publish puts a text that names v in the configuration service.
+// publish publishes a configuration that names v.
 func (f *testFleet) publish(v fleet.Version) revision.Revision {
 	f.mu.Lock()
-	f.intended[harness.VersionText(v)] = true
+	f.published[harness.VersionText(v)] = true
 	f.mu.Unlock()
-	return f.Config.SetText([]byte(f.textOf(v)))
+	return f.Config.SetText([]byte(f.configNaming(v)))
 }
 
-func (f *testFleet) isIntended(version string) bool {
+func (f *testFleet) isPublished(version string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.intended[version]
+	return f.published[version]
 }
 
-// client is a caller near a place that knows every entry as a seed.
-func (f *testFleet) client(near fleet.Place) *callerclient.Client {
+// newCaller returns a caller near a place that has every entry as a seed.
+func (f *testFleet) newCaller(near fleet.Place) *callerclient.Client {
 	var seeds []netip.AddrPort
 	for _, p := range f.entries {
 		seeds = append(seeds, p.Instance.CallerAddr)
@@ -152,46 +154,46 @@
 	return callerclient.New(callerclient.Options{Seeds: seeds, Near: near})
 }
 
-// load starts callers. Those without a deadline wait for five seconds, which
-// bounds how long they wait for an agent that was killed.
-func (f *testFleet) load(spec harness.LoadSpec) *harness.Load {
-	spec.Intended = f.isIntended
+// startLoad starts callers. The default deadline of five seconds bounds how
+// long they wait for an agent that was killed.
+func (f *testFleet) startLoad(spec harness.LoadSpec) *harness.Load {
+	spec.Intended = f.isPublished
 	if spec.Deadline == 0 {
 		spec.Deadline = 5 * time.Second
 	}
-	return harness.StartLoad(f.client(apapa), spec)
+	return harness.StartLoad(f.newCaller(apapa), spec)
 }
 
-// modelLoad starts callers that ask for tokens.
-func (f *testFleet) modelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.Load {
-	return f.load(harness.LoadSpec{Models: services, Callers: callers, MaxTokens: tokens})
+// startModelLoad starts callers that request tokens.
+func (f *testFleet) startModelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.Load {
+	return f.startLoad(harness.LoadSpec{Models: services, Callers: callers, MaxTokens: tokens})
 }
 
-// plainLoad starts callers of work that must run at most once.
-func (f *testFleet) plainLoad(callers int, services ...fleet.ServiceName) *harness.Load {
-	return f.load(harness.LoadSpec{Plain: services, Callers: callers})
+// startPlainLoad starts callers of work that must run at most once.
+func (f *testFleet) startPlainLoad(callers int, services ...fleet.ServiceName) *harness.Load {
+	return f.startLoad(harness.LoadSpec{Plain: services, Callers: callers})
 }
 
-// answersAfter waits until a load has n answers more than it has now.
-func answersAfter(load *harness.Load, n int) {
+// waitForResponses waits until a load has received n more responses.
+func waitForResponses(load *harness.Load, n int) {
 	GinkgoHelper()
 	before := load.Tally().Answers
 	Eventually(func() int { return load.Tally().Answers }).Should(BeNumerically(">=", before+n))
 }
 
-// expectWhole checks that callers got every answer, each right, and that no
-// engine ran on bytes of another version.
-func (f *testFleet) expectWhole(t harness.Tally) {
+// expectComplete checks that callers received every response, each correct, and
+// that no engine ran on bytes of another version.
+func (f *testFleet) expectComplete(t harness.Tally) {
 	GinkgoHelper()
-	AddReportEntry("callers saw", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Answers, t.Refusals, t.Unknown))
+	AddReportEntry("callers received", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Answers, t.Refusals, t.Unknown))
 	Expect(t.Answers).To(BeNumerically(">", 0))
 	Expect(t.Lost).To(BeZero(), "lost requests")
-	Expect(t.WrongVersion).To(BeZero(), "answers of a version that was not asked for")
-	Expect(t.Wrong).To(BeZero(), "answers to other requests")
+	Expect(t.WrongVersion).To(BeZero(), "responses of a version that was not published")
+	Expect(t.Wrong).To(BeZero(), "responses to other requests")
 	Expect(f.Mixed()).To(BeZero(), "requests that ran on mixed weights")
 }
 
-// modelAgents are the agents beside engines, of one service or of all.
+// modelAgents returns the agents of engines, of the given services or of all.
 func (f *testFleet) modelAgents(services ...fleet.ServiceName) []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for _, id := range f.agents {
@@ -202,15 +204,15 @@
 	return ids
 }
 
-// behind lists those of ids whose engines have not loaded v.
-func (f *testFleet) behind(v fleet.Version, ids ...fleet.InstanceID) []fleet.InstanceID {
-	var late []fleet.InstanceID
+// notLoaded lists those of ids whose engines have not loaded v.
+func (f *testFleet) notLoaded(v fleet.Version, ids ...fleet.InstanceID) []fleet.InstanceID {
+	var pending []fleet.InstanceID
 	for _, id := range ids {
 		if s := f.Engines[id].Status(); s.Loaded != v || s.Loading {
-			late = append(late, id)
+			pending = append(pending, id)
 		}
 	}
-	return late
+	return pending
 }
 
 // waitLoaded waits until all engines, or those of ids, have loaded v.
@@ -219,10 +221,10 @@
 	if len(ids) == 0 {
 		ids = f.modelAgents()
 	}
-	Eventually(f.behind).WithArguments(append([]any{v}, anys(ids)...)...).Should(BeEmpty())
+	Eventually(f.notLoaded).WithArguments(append([]any{v}, toAny(ids)...)...).Should(BeEmpty())
 }
 
-func anys[T any](items []T) []any {
+func toAny[T any](items []T) []any {
 	list := make([]any, len(items))
 	for i, item := range items {
 		list[i] = item
@@ -230,7 +232,7 @@
 	return list
 }
 
-// waitReady waits until the fleet that has just been started serves v.
+// waitReady waits until a newly started fleet serves v.
 func (f *testFleet) waitReady(v fleet.Version) {
 	GinkgoHelper()
 	f.waitLoaded(v)
@@ -238,8 +240,8 @@
 	f.waitRouted()
 }
 
-// waitAdmitting waits until every entry has a text and every agent takes
-// requests.
+// waitAdmitting waits until every entry has a configuration and every agent
+// admits requests.
 func (f *testFleet) waitAdmitting() {
 	GinkgoHelper()
 	for _, p := range f.entries {
@@ -250,28 +252,28 @@
 	}
 }
 
-// waitRouted waits until each entry answers for each model service.
+// waitRouted waits until each entry gets a response from each model service.
 func (f *testFleet) waitRouted() {
 	GinkgoHelper()
 	for _, p := range f.entries {
 		for _, id := range f.modelAgents() {
 			service := f.Process(id).Instance.Service
 			Eventually(func() error {
-				_, err := f.askAt(p, service, "are you there", 1)
+				_, err := f.sendTo(p, service, "are you there", 1)
 				return err
 			}).Should(Succeed(), "%s through %s", service, p.Instance.ID)
 		}
 	}
 }
 
-// askAt sends one request through an entry.
-func (f *testFleet) askAt(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Answer, error) {
+// sendTo sends one request through an entry.
+func (f *testFleet) sendTo(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Answer, error) {
 	body, err := json.Marshal(harness.Prompt{Prompt: prompt, MaxTokens: tokens})
 	if err != nil {
 		return callerclient.Answer{}, err
 	}
 	r := callerclient.Request{Service: service, Deadline: 20 * time.Second, Body: body}
-	return f.client(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
+	return f.newCaller(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
 }
 
 // entryStatus and agentStatus read /status of a process.
@@ -279,12 +281,12 @@
 
 func agentStatus(p *harness.Process) (status.Agent, error) { return statusOf[status.Agent](p) }
 
-// operator reads the operators' ports.
-var operator = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// opsHTTP is the HTTP client for the operators' ports.
+var opsHTTP = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func statusOf[T any](p *harness.Process) (T, error) {
 	var status T
-	resp, err := operator.Get("http://" + p.Ops.String() + "/status")
+	resp, err := opsHTTP.Get("http://" + p.Ops.String() + "/status")
 	if err != nil {
 		return status, err
 	}
@@ -292,7 +294,7 @@
 	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
-// revisionOf reads the revision that a process has in force.
+// revisionOf reads the active revision of a process.
 func revisionOf(p *harness.Process) (revision.Revision, error) {
 	status, err := statusOf[struct {
 		Revision revision.Revision `json:"revision"`
@@ -300,8 +302,8 @@
 	return status.Revision, err
 }
 
-// all lists the running processes that the tests know.
-func (f *testFleet) all() []*harness.Process {
+// allProcesses returns the running processes that the tests know.
+func (f *testFleet) allProcesses() []*harness.Process {
 	list := slices.Clone(f.entries)
 	for _, id := range f.agents {
 		list = append(list, f.Process(id))
@@ -309,16 +311,16 @@
 	return list
 }
 
-// waitRevision waits until every process has the revision in force.
+// waitRevision waits until the revision is active at every process.
 func (f *testFleet) waitRevision(want revision.Revision) {
 	GinkgoHelper()
-	for _, p := range f.all() {
+	for _, p := range f.allProcesses() {
 		Eventually(revisionOf).WithArguments(p).Should(Equal(want), "%s", p.Instance.ID)
 	}
 }
 
-// showLogs prints the ends of the logs if the spec has failed.
-func (f *testFleet) showLogs() {
+// printLogsOnFailure prints the ends of the logs if the spec has failed.
+func (f *testFleet) printLogsOnFailure() {
 	if f == nil || !CurrentSpecReport().Failed() {
 		return
 	}
