--- a/cmd/wholepath/leaving_test.go
+++ b/cmd/wholepath/leaving_test.go
@@ -20,14 +20,14 @@
 )
 
 var _ = Describe("Leaving", Ordered, ContinueOnFailure, func() {
-	// tokenTime makes an answer of a few hundred tokens last for seconds.
+	// With this tokenTime a response of a few hundred tokens takes seconds.
 	const tokenTime = 20 * time.Millisecond
 	var f *testFleet
 	var r1 fleet.Version
 
 	startWithSuite(func() {
 		f = newFleet(harness.Options{})
-		r1 = f.model("r1", 1)
+		r1 = f.addModel("r1", 1)
 		f.publish(r1)
 		f.addEntry("entry-1", apapa)
 		f.addEntry("entry-2", apapa)
@@ -37,81 +37,84 @@
 		f.addAgent("orders-1", ikeja, plainSpec(orders, tokenTime))
 	})
 	BeforeAll(func() { f.waitReady(r1) })
-	AfterEach(func() { f.showLogs() })
+	AfterEach(func() { f.printLogsOnFailure() })
 
 	// An operator stops an entry with SIGTERM. The other entries stop naming it
-	// to callers at once; it goes on serving those who still hold an answer that
-	// names it, finishes what runs when these have expired, and ends by itself
-	// with exit code 0. The platform's list names it all the time. No caller's
-	// request is cut, the one that was sent through it last included.
-	It("lets an entry go without cutting a request", func() {
+	// to callers at once. It continues to serve callers that still hold an
+	// address list that names it, finishes the requests in flight when these
+	// lists have expired, and exits with code 0. The platform's list names it
+	// all the time. No caller's request is aborted, including the last one sent
+	// through it.
+	It("lets an entry leave without aborting a request", func() {
 		leaver, others := f.entries[0], f.entries[1:]
-		load := f.modelLoad(6, 5, pool)
-		answersAfter(load, 20)
-		named := Equal(leaver.Instance.CallerAddr)
-		Expect(f.addressesOf(others[0])).To(ContainElement(named))
+		load := f.startModelLoad(6, 5, pool)
+		waitForResponses(load, 20)
+		isLeaver := Equal(leaver.Instance.CallerAddr)
+		Expect(f.entryAddresses(others[0])).To(ContainElement(isLeaver))
 		f.entries = others
 
 		leaver.Terminate()
 		Eventually(entryStatus).WithArguments(leaver).Should(HaveField("Leaving", BeTrue()))
-		long, _ := f.askLong(leaver, 480)
+		long, _ := f.sendLongRequest(leaver, 480)
 		for _, p := range others {
-			Eventually(f.addressesOf).WithArguments(p).ShouldNot(ContainElement(named), "%s", p.Instance.ID)
+			Eventually(f.entryAddresses).WithArguments(p).ShouldNot(ContainElement(isLeaver), "%s", p.Instance.ID)
 		}
-		_, err := f.askAt(leaver, pool, "still there", 3)
-		Expect(err).NotTo(HaveOccurred(), "a caller that holds an older answer")
-		answersAfter(load, 20)
-		Consistently(f.addressesOf).WithArguments(others[0]).Within(time.Second).ShouldNot(ContainElement(named))
-
-		Expect(leaver.Wait(patience)).To(Succeed(), "exit of the entry")
-		Expect(<-long).NotTo(HaveOccurred(), "the answer that outlasted the entry's notice")
-		f.expectWhole(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were cut")
-		Expect(f.Instances.Remove(leaver.Instance.ID)).To(BeTrue(), "the list named it to the end")
+		_, err := f.sendTo(leaver, pool, "still there", 3)
+		Expect(err).NotTo(HaveOccurred(), "a caller that holds an older address list")
+		waitForResponses(load, 20)
+		Consistently(f.entryAddresses).WithArguments(others[0]).Within(time.Second).ShouldNot(ContainElement(isLeaver))
+
+		Expect(leaver.Wait(waitTimeout)).To(Succeed(), "exit of the entry")
+		Expect(<-long).NotTo(HaveOccurred(), "the response that outlasted the entry's notice period")
+		f.expectComplete(load.Stop())
+		Expect(load.Tally().Unknown).To(BeZero(), "requests that were aborted")
+		Expect(f.Instances.Remove(leaver.Instance.ID)).To(BeTrue(), "the platform's list named it until the end")
 	})
 
 	// An operator stops an agent with SIGTERM while its engine computes a long
-	// answer. The engine gets no other request from then on, though the
-	// platform's list still shows the instance as live, since agents tell the
-	// entries themselves. The long answer is finished; then the agent ends by
-	// itself with exit code 0. Callers of other requests notice nothing.
-	It("lets an agent finish its answer and gives it no more", func() {
-		load := f.modelLoad(6, 5, pool)
-		answersAfter(load, 20)
-		long, id := f.askLong(f.entries[0], 300)
+	// response. The engine gets no other request from then on, although the
+	// platform's list still shows the instance as live, because agents notify
+	// the entries themselves. The long response is finished, and the agent
+	// exits with code 0. Callers of other requests notice nothing.
+	It("lets an agent finish its response and sends it no more requests", func() {
+		load := f.startModelLoad(6, 5, pool)
+		waitForResponses(load, 20)
+		long, id := f.sendLongRequest(f.entries[0], 300)
 		leaver, engine := f.Process(id), f.Engines[id]
 
 		leaver.Terminate()
 		Eventually(agentStatus).WithArguments(leaver).Should(HaveField("Admitting", BeFalse()))
-		taken := executions(f, id)
+		executed := executions(f, id)
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(
 				HaveField("Fleet", ContainElement(SatisfyAll(HaveField("ID", id), HaveField("Leaving", BeTrue())))))
 		}
-		answersAfter(load, 20) // those that were on their way are refused by now
+		waitForResponses(load, 20) // requests that were on their way have been refused by now
 		refused := refusals(leaver)
-		answersAfter(load, 20)
+		waitForResponses(load, 20)
 		Expect(refusals(leaver)).To(Equal(refused), "requests that entries sent to a leaving agent")
-		Expect(executions(f, id)).To(Equal(taken), "requests that began after the agent had begun to leave")
+		Expect(executions(f, id)).To(Equal(executed), "requests that began after the agent had begun to leave")
 
-		Expect(<-long).NotTo(HaveOccurred(), "the long answer")
-		Expect(leaver.Wait(patience)).To(Succeed(), "exit of the agent")
+		Expect(<-long).NotTo(HaveOccurred(), "the long response")
+		Expect(leaver.Wait(waitTimeout)).To(Succeed(), "exit of the agent")
 		Expect(engine.Counters().Cut + engine.Counters().Cancelled).To(BeZero())
-		f.expectWhole(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were cut")
+		f.expectComplete(load.Stop())
+		Expect(load.Tally().Unknown).To(BeZero(), "requests that were aborted")
 	})
 })
 
-// addressesOf asks one entry which addresses callers near it should use.
-func (f *testFleet) addressesOf(p *harness.Process) ([]netip.AddrPort, error) {
+// entryAddresses queries one entry for the addresses that callers near it
+// should use.
+func (f *testFleet) entryAddresses(p *harness.Process) ([]netip.AddrPort, error) {
 	only := &testFleet{Fleet: f.Fleet, entries: []*harness.Process{p}}
-	return only.client(p.Instance.Place).Addresses(context.Background())
+	return only.newCaller(p.Instance.Place).Addresses(context.Background())
 }
 
-// askLong sends a request for many tokens through an entry. It returns, once an
-// engine computes the answer, where its end will be told, nil after the whole
-// and right answer, and the agent beside that engine.
-func (f *testFleet) askLong(p *harness.Process, tokens int) (<-chan error, fleet.InstanceID) {
+// sendLongRequest sends a request for many tokens through an entry. Once an
+// engine computes the response, it returns the agent of that engine and a
+// channel that receives nil after the complete and correct response, or else an
+// error.
+func (f *testFleet) sendLongRequest(p *harness.Process, tokens int) (<-chan error, fleet.InstanceID) {
 	GinkgoHelper()
 	key := uuid.NewString()
 	prompt := harness.Prompt{Prompt: "the whole fault log " + key, MaxTokens: tokens}
@@ -119,31 +122,32 @@
 	Expect(err).NotTo(HaveOccurred())
 	done := make(chan error, 1)
 	go func() {
-		r := callerclient.Request{Service: pool, IdempotencyKey: key, Deadline: patience, Body: body}
-		answer, err := f.client(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
-		if _, whole := harness.CheckAnswer(answer.Body, prompt); err == nil && !whole {
-			err = fmt.Errorf("not the whole answer: %s", answer.Body)
+		r := callerclient.Request{Service: pool, IdempotencyKey: key, Deadline: waitTimeout, Body: body}
+		response, err := f.newCaller(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
+		if _, whole := harness.CheckAnswer(response.Body, prompt); err == nil && !whole {
+			err = fmt.Errorf("incomplete response: %s", response.Body)
 		}
 		done <- err
 	}()
-	var at fleet.InstanceID
+	var agent fleet.InstanceID
 	Eventually(func() fleet.InstanceID {
 		for _, id := range f.modelAgents(pool) {
 			if f.Engines[id].Counters().ExecutionsByKey[key] > 0 {
-				at = id
+				agent = id
 			}
 		}
-		return at
-	}).ShouldNot(BeEmpty(), "the engine that computes the long answer")
-	return done, at
+		return agent
+	}).ShouldNot(BeEmpty(), "the engine that computes the long response")
+	return done, agent
 }
 
-// executions is how many requests an engine has begun to run.
+// executions returns how many requests an engine has started to run.
 func executions(f *testFleet, id fleet.InstanceID) int {
 	return len(f.Engines[id].Counters().ExecutionsByID)
 }
 
-// refusals is how many requests an agent has refused, by its log.
+// refusals returns how many requests an agent has refused, according to its
+// log.
 func refusals(p *harness.Process) int {
 	GinkgoHelper()
 	log, err := os.ReadFile(p.Log)
--- a/cmd/wholepath/path_test.go
+++ b/cmd/wholepath/path_test.go
@@ -24,7 +24,7 @@
 
 	startWithSuite(func() {
 		f = newFleet(harness.Options{Spans: true, OriginBytesPerSecond: 40 << 20})
-		r1, r2 = f.model("r1", 1), f.model("r2", 2)
+		r1, r2 = f.addModel("r1", 1), f.addModel("r2", 2)
 		f.publish(r1)
 		f.addEntry("entry-1", apapa)
 		f.addEntry("entry-2", ikeja)
@@ -38,30 +38,31 @@
 		f.addAgent("orders-2", ikeja, plainSpec(orders, 20*time.Millisecond))
 	})
 	BeforeAll(func() { f.waitReady(r1) })
-	AfterEach(func() { f.showLogs() })
+	AfterEach(func() { f.printLogsOnFailure() })
 
-	// A caller asks either entry for each of three services: a model service,
-	// one that depends on it, and a plain one. Each answer is whole, is the one
-	// to the caller's own request, and names the version that the operator's
-	// text pins; the plain service has run the work once.
-	It("brings each caller the whole answer to its own request", func() {
+	// A caller sends requests through either entry to each of three services: a
+	// model service, one that depends on it, and a plain one. Each response
+	// must be complete, belong to the caller's own request, and name the
+	// version that the configuration pins. The plain service must have run the
+	// work once.
+	It("returns to each caller the complete response to its own request", func() {
 		for i, p := range f.entries {
 			for _, service := range []fleet.ServiceName{pool, assist} {
 				prompt := harness.Prompt{Prompt: fmt.Sprintf("yarn break %d", i), MaxTokens: 12}
-				answer, err := f.askAt(p, service, prompt.Prompt, prompt.MaxTokens)
+				response, err := f.sendTo(p, service, prompt.Prompt, prompt.MaxTokens)
 				Expect(err).NotTo(HaveOccurred())
-				version, whole := harness.CheckAnswer(answer.Body, prompt)
-				Expect(whole).To(BeTrue(), "%s", answer.Body)
+				version, whole := harness.CheckAnswer(response.Body, prompt)
+				Expect(whole).To(BeTrue(), "%s", response.Body)
 				Expect(version).To(Equal(harness.VersionText(r1)))
-				Expect(answer.Version).To(Equal(version))
+				Expect(response.Version).To(Equal(version))
 			}
-			key, err := f.client(apapa).IssueKey(context.Background(), orders)
+			key, err := f.newCaller(apapa).IssueKey(context.Background(), orders)
 			Expect(err).NotTo(HaveOccurred())
-			answer, err := f.client(apapa).DoAt(context.Background(), p.Instance.CallerAddr, callerclient.Request{
+			response, err := f.newCaller(apapa).DoAt(context.Background(), p.Instance.CallerAddr, callerclient.Request{
 				Service: orders, Path: "orders", IdempotencyKey: key, NonIdempotent: true, Body: []byte("two cones")})
 			Expect(err).NotTo(HaveOccurred())
 			var receipt plainservice.Receipt
-			Expect(json.Unmarshal(answer.Body, &receipt)).To(Succeed())
+			Expect(json.Unmarshal(response.Body, &receipt)).To(Succeed())
 			Expect(receipt).To(SatisfyAll(
 				HaveField("Key", key), HaveField("Path", "orders"), HaveField("Execution", 1), HaveField("Body", []byte("two cones"))))
 			Expect(f.Executions()).To(HaveKeyWithValue(key, 1))
@@ -69,13 +70,13 @@
 	})
 
 	// A caller sends a request within a trace of its own. The spans of the
-	// entry and of the agent belong to that trace, each the child of the hop
-	// before it, so that the caller's tracing shows where its time went.
+	// entry and of the agent belong to that trace, each the child of the
+	// previous hop, so that the caller's tracing shows where its time went.
 	It("continues the caller's trace at every hop", func() {
 		const traceID, callerSpan = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 		body, err := json.Marshal(harness.Prompt{Prompt: "trace me", MaxTokens: 3})
 		Expect(err).NotTo(HaveOccurred())
-		_, err = f.client(apapa).Do(context.Background(), callerclient.Request{
+		_, err = f.newCaller(apapa).Do(context.Background(), callerclient.Request{
 			Service: pool, Body: body, Traceparent: "00-" + traceID + "-" + callerSpan + "-01"})
 		Expect(err).NotTo(HaveOccurred())
 
@@ -89,18 +90,18 @@
 		Expect(spans["agent.request"].parent).To(Equal(spans["entry.attempt"].id))
 	})
 
-	// A caller asks where to go, sends a request for tokens, asks for a key and
-	// sends work that must run once, twice with the same key. What goes over the
-	// connection is what docs/CALLERS.md says, to the byte: a program that was
-	// written against it goes on working.
-	It("speaks with callers as their page says", func() {
-		near := f.entries[0]
+	// A caller queries the addresses, sends a request for tokens, requests a
+	// key and sends work that must run once, twice with the same key. The
+	// exchange must match docs/CALLERS.md to the byte, so that programs written
+	// against it continue to work.
+	It("follows the callers' protocol page", func() {
+		entry := f.entries[0]
 		s := &session{fleet: f}
-		s.do(near, exchange{method: "GET", path: "/v1/addresses?zone=apapa-hall&region=lagos"})
+		s.do(entry, exchange{method: "GET", path: "/v1/addresses?zone=apapa-hall&region=lagos"})
 		s.expectGolden("addresses")
 
 		s = &session{fleet: f}
-		s.do(near, exchange{
+		s.do(entry, exchange{
 			method:  "POST",
 			path:    "/v1/services/" + string(pool),
 			headers: map[string]string{"Chivespindle-Deadline": "20s", "Priority": "u=1", "Chivespindle-Prefix": "fault-log"},
@@ -112,7 +113,7 @@
 		var issued struct {
 			Key string `json:"idempotency_key"`
 		}
-		body := s.do(near, exchange{method: "POST", path: "/v1/keys/" + string(orders)})
+		body := s.do(entry, exchange{method: "POST", path: "/v1/keys/" + string(orders)})
 		Expect(json.Unmarshal([]byte(body), &issued)).To(Succeed())
 		order := exchange{
 			method:  "POST",
@@ -120,147 +121,150 @@
 			headers: map[string]string{"Chivespindle-Non-Idempotent": "?1", "Idempotency-Key": issued.Key},
 			body:    "two cones",
 		}
-		s.do(near, order)
+		s.do(entry, order)
 		s.do(f.entries[1], order)
 		order.body = "three cones"
-		s.do(near, order)
+		s.do(entry, order)
 		s.expectGolden("work-that-must-run-once")
 		Expect(f.Executions()).To(HaveKeyWithValue(issued.Key, 1))
 	})
 
-	// Callers make mistakes, and one comes to an entry that has just started
-	// while the platform is down: it knows no text and nobody who could tell it.
-	// Each is answered at once, told that nothing was run and, where coming back
-	// makes sense, when.
-	It("refuses as the callers' page says", func() {
+	// Callers make mistakes, and one reaches an entry that has just started
+	// while the platform is down: it has no configuration and knows no process
+	// that could send it. Each must be refused immediately, with the outcome
+	// not run and, where a retry makes sense, a time for it.
+	It("refuses requests as the callers' protocol page says", func() {
 		f.setPlatformDown(true)
 		DeferCleanup(f.setPlatformDown, false)
-		fresh, err := f.StartEntry("entry-3", ikeja)
+		newEntry, err := f.StartEntry("entry-3", ikeja)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() {
-			fresh.Kill()
+			newEntry.Kill()
 			f.Instances.Remove("entry-3")
 		})
-		Eventually(entryStatus).WithArguments(fresh).Should(HaveField("ID", fresh.Instance.ID))
+		Eventually(entryStatus).WithArguments(newEntry).Should(HaveField("ID", newEntry.Instance.ID))
 
 		s := &session{fleet: f}
-		near, to := f.entries[0], "/v1/services/"+string(pool)
-		s.do(near, exchange{method: "POST", path: "/v1/services/no-such-service", body: "{}"})
-		s.do(near, exchange{method: "POST", path: "/v1/keys/no-such-service"})
+		entry, to := f.entries[0], "/v1/services/"+string(pool)
+		s.do(entry, exchange{method: "POST", path: "/v1/services/no-such-service", body: "{}"})
+		s.do(entry, exchange{method: "POST", path: "/v1/keys/no-such-service"})
 		for _, bad := range []map[string]string{
 			{"Chivespindle-Deadline": "soon"},
 			{"Priority": "u=9"},
 			{"Chivespindle-Non-Idempotent": "?1"},
 			{"Chivespindle-Non-Idempotent": "yes", "Idempotency-Key": "an order of mine"},
 		} {
-			s.do(near, exchange{method: "POST", path: to, headers: bad, body: "{}"})
+			s.do(entry, exchange{method: "POST", path: to, headers: bad, body: "{}"})
 		}
-		s.do(fresh, exchange{method: "POST", path: to, body: "{}"})
+		s.do(newEntry, exchange{method: "POST", path: to, body: "{}"})
 		s.expectGolden("refusals")
 	})
 
-	// The operator names another version while callers go on asking, and then
-	// the former one again. Replicas go out of service a few at a time, finish
-	// what runs, load and come back; a dependent waits for what it depends on.
-	// Callers see some refusals to try again, and every answer whole and of one
-	// version that was asked for; work that must run once runs once.
+	// The operator names another version under live requests, and then the
+	// previous one again. Replicas go out of service a few at a time, finish
+	// what runs, load and return to service; a dependent service waits for the
+	// one it depends on. Callers see some refusals that they may retry, and
+	// every response is complete and of one published version. Work that must
+	// run once runs once.
 	It("changes the version under live requests and goes back", func() {
-		models, plain := f.modelLoad(8, 16, pool, assist), f.plainLoad(4, orders)
-		answersAfter(models, 50)
+		models, plain := f.startModelLoad(8, 16, pool, assist), f.startPlainLoad(4, orders)
+		waitForResponses(models, 50)
 		for _, v := range []fleet.Version{r2, r1} {
 			f.publish(v)
-			Eventually(f.behindInOrder).WithArguments(v).Should(BeEmpty())
-			answersAfter(models, 50)
-			answer, err := f.askAt(f.entries[0], assist, "which one is it", 4)
+			Eventually(f.notLoadedInOrder).WithArguments(v).Should(BeEmpty())
+			waitForResponses(models, 50)
+			response, err := f.sendTo(f.entries[0], assist, "which one is it", 4)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Version).To(Equal(harness.VersionText(v)))
+			Expect(response.Version).To(Equal(harness.VersionText(v)))
 		}
-		f.expectWhole(models.Stop())
+		f.expectComplete(models.Stop())
 		orders := plain.Stop()
-		f.expectWhole(orders)
+		f.expectComplete(orders)
 		Expect(f.Duplicates()).To(BeZero())
-		Expect(f.notOnce(orders.RanKeys)).To(BeEmpty(), "keys that were answered and did not run once")
+		Expect(f.notRunOnce(orders.RanKeys)).To(BeEmpty(), "keys with a response that did not run once")
 	})
 
-	// Two agents, one beside an engine and one beside the plain service, are
-	// killed with kill -9 while their servers work; later they are started anew.
-	// Their entries only find that nothing comes any more. Idempotent requests are
-	// tried elsewhere, by the entry or by the caller, and all are answered. Work
-	// that must run once has run once if its caller's last word is ran, never if
-	// it is not_run, and never twice.
-	It("loses nothing and repeats nothing when agents are killed", func() {
-		models, plain := f.modelLoad(8, 30, pool), f.plainLoad(8, orders)
-		answersAfter(models, 20)
-		answersAfter(plain, 20)
-		f.killAtWork("pool-1", func() int { return f.Engines["pool-1"].Status().Load.Running })
-		f.killAtWork("orders-1", func() int { return f.Plain["orders-1"].Status().Running })
-		answersAfter(models, 50)
-		answersAfter(plain, 50)
+	// Two agents, one of an engine and one of the plain service, are killed
+	// with SIGKILL while their servers work; later they are restarted. Their
+	// entries only notice that nothing arrives any more. Idempotent requests
+	// are retried on another server, by the entry or by the caller, and all get
+	// a response. Work that must run once has run once if the outcome last
+	// reported to its caller is ran, has not run if it is not_run, and never
+	// runs twice.
+	It("loses no request and runs none twice when agents are killed", func() {
+		models, plain := f.startModelLoad(8, 30, pool), f.startPlainLoad(8, orders)
+		waitForResponses(models, 20)
+		waitForResponses(plain, 20)
+		f.killWhileBusy("pool-1", func() int { return f.Engines["pool-1"].Status().Load.Running })
+		f.killWhileBusy("orders-1", func() int { return f.Plain["orders-1"].Status().Running })
+		waitForResponses(models, 50)
+		waitForResponses(plain, 50)
 		for _, id := range []fleet.InstanceID{"pool-1", "orders-1"} {
 			_, err := f.RestartAgent(id)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		f.waitAdmitting()
-		answersAfter(plain, 50)
-		f.expectWhole(models.Stop())
-		f.expectOnce(plain.Stop())
+		waitForResponses(plain, 50)
+		f.expectComplete(models.Stop())
+		f.expectRunOnce(plain.Stop())
 	})
 })
 
-// behindInOrder lists the engines that have not loaded v, and checks that no
-// dependent has begun to before a replica of its zone of what it depends on
-// has. The dependents are looked at first: what these need was there before.
-func (f *testFleet) behindInOrder(g Gomega, v fleet.Version) []fleet.InstanceID {
-	begun := make(map[fleet.Zone]bool)
+// notLoadedInOrder lists the engines that have not loaded v. It checks that no
+// dependent has started to load it before a replica in its zone of the service
+// it depends on has loaded it. The dependents are read first, so that what they
+// require was there before.
+func (f *testFleet) notLoadedInOrder(g Gomega, v fleet.Version) []fleet.InstanceID {
+	started := make(map[fleet.Zone]bool)
 	for _, id := range f.modelAgents(assist) {
 		s := f.Engines[id].Status()
-		begun[f.zoneOf(id)] = begun[f.zoneOf(id)] || s.Loading || s.Loaded == v
+		started[f.zoneOf(id)] = started[f.zoneOf(id)] || s.Loading || s.Loaded == v
 	}
-	late := f.behind(v, f.modelAgents(pool)...)
-	for zone := range begun {
+	pending := f.notLoaded(v, f.modelAgents(pool)...)
+	for zone := range started {
 		ready := slices.ContainsFunc(f.modelAgents(pool), func(id fleet.InstanceID) bool {
-			return f.zoneOf(id) == zone && !slices.Contains(late, id)
+			return f.zoneOf(id) == zone && !slices.Contains(pending, id)
 		})
-		g.Expect(begun[zone] && !ready).To(BeFalse(), "%s loads in %s before any of %s has", assist, zone, pool)
+		g.Expect(started[zone] && !ready).To(BeFalse(), "%s loads in %s before any of %s has", assist, zone, pool)
 	}
-	return append(late, f.behind(v, f.modelAgents(assist)...)...)
+	return append(pending, f.notLoaded(v, f.modelAgents(assist)...)...)
 }
 
 func (f *testFleet) zoneOf(id fleet.InstanceID) fleet.Zone { return f.Process(id).Instance.Place.Zone }
 
-// notOnce lists the keys that the plain services have not run exactly once.
-func (f *testFleet) notOnce(keys []string) []string {
+// notRunOnce lists the keys that the plain services have not run exactly once.
+func (f *testFleet) notRunOnce(keys []string) []string {
 	executions := f.Executions()
 	return slices.DeleteFunc(slices.Clone(keys), func(key string) bool { return executions[key] == 1 })
 }
 
-// expectOnce checks that work that must run at most once did, and that the
-// callers were told the truth of it.
-func (f *testFleet) expectOnce(t harness.Tally) {
+// expectRunOnce checks that work that must run at most once did so, and that
+// the callers received the correct outcomes.
+func (f *testFleet) expectRunOnce(t harness.Tally) {
 	GinkgoHelper()
 	AddReportEntry("work that must run once", fmt.Sprintf("ran=%d not_run=%d unknown=%d refusals=%d",
 		len(t.RanKeys), len(t.NotRunKeys), len(t.UnknownKeys), t.Refusals))
 	Expect(t.Lost).To(Equal(len(t.NotRunKeys) + len(t.UnknownKeys)))
-	Expect(t.Wrong).To(BeZero(), "answers to other requests")
+	Expect(t.Wrong).To(BeZero(), "responses to other requests")
 	Expect(f.Duplicates()).To(BeZero())
-	Expect(f.notOnce(t.RanKeys)).To(BeEmpty(), "keys that were answered and did not run once")
-	Expect(f.thatRan(t.NotRunKeys)).To(BeEmpty(), "keys that ran though the last word was not_run")
+	Expect(f.notRunOnce(t.RanKeys)).To(BeEmpty(), "keys with a response that did not run once")
+	Expect(f.executedKeys(t.NotRunKeys)).To(BeEmpty(), "keys that ran although the last outcome was not_run")
 }
 
-// thatRan lists the keys that some plain service has run.
-func (f *testFleet) thatRan(keys []string) []string {
+// executedKeys lists the keys that some plain service has run.
+func (f *testFleet) executedKeys(keys []string) []string {
 	executions := f.Executions()
 	return slices.DeleteFunc(slices.Clone(keys), func(key string) bool { return executions[key] == 0 })
 }
 
-// killAtWork kills an agent as soon as its backend server runs requests.
-func (f *testFleet) killAtWork(id fleet.InstanceID, running func() int) {
+// killWhileBusy kills an agent as soon as its backend server runs requests.
+func (f *testFleet) killWhileBusy(id fleet.InstanceID, running func() int) {
 	GinkgoHelper()
 	Eventually(running).WithPolling(time.Millisecond).Should(BeNumerically(">", 0), "requests at %s", id)
 	f.Process(id).Kill()
 }
 
-// span is one line of a log that tells of a span.
+// span is a span, as logged.
 type span struct{ id, parent string }
 
 var spanLine = regexp.MustCompile(`event=span instance=\S+ trace_id=(\w+) span_id=(\w+) parent_id=(\w*) name=(\S+)`)
@@ -268,7 +272,7 @@
 // spansOf finds the spans of one trace in all logs, by name.
 func (f *testFleet) spansOf(traceID string) map[string]span {
 	spans := make(map[string]span)
-	for _, p := range f.all() {
+	for _, p := range f.allProcesses() {
 		log, err := os.ReadFile(p.Log)
 		if err != nil {
 			continue
--- a/cmd/wholepath/pause_test.go
+++ b/cmd/wholepath/pause_test.go
@@ -18,9 +18,9 @@
 
 	startWithSuite(func() {
 		f = newFleet(harness.Options{})
-		f.maxOut = 2 // a silent replica counts as out and must not hold up the others
+		f.maxUnavailable = 2 // a silent replica counts as unavailable and must not block the others
 		for i, name := range []string{"r1", "r2", "r3", "r4", "r5", "r6"} {
-			versions = append(versions, f.model(name, uint64(i+1)))
+			versions = append(versions, f.addModel(name, uint64(i+1)))
 		}
 		f.publish(versions[0])
 		f.addEntry("entry-1", apapa)
@@ -36,23 +36,24 @@
 	})
 	BeforeAll(func() { f.waitReady(versions[0]) })
 	AfterEach(func() {
-		f.showLogs()
+		f.printLogsOnFailure()
 		f.Process(frozen).Thaw()
 		f.Process(frozenPlain).Thaw()
 	})
 
-	// Two agents stop running under live requests, as on an instance that is
-	// suspended; nobody tells them. Meanwhile the operator names two more
+	// Two agents are suspended under live requests, as when an instance is
+	// suspended, and get no notification. Meanwhile the operator names two more
 	// versions, and the other replicas change over. What callers sent to the
-	// frozen agents is answered elsewhere, or its outcome is unknown. Then the
-	// agents wake up, with the old world in mind and old requests in their
-	// sockets. The engine never answers from a version that nobody asked for, it
-	// goes to the newest one, and work that its caller gave up is not run late.
-	It("wakes from a long pause and catches up", func() {
-		models := f.modelLoad(8, 16, pool, assist)
-		plain := f.load(harness.LoadSpec{Plain: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
-		answersAfter(models, 20)
-		answersAfter(plain, 20)
+	// frozen agents is answered by another server, or its outcome is unknown.
+	// Then the agents resume, with outdated state and old requests in their
+	// sockets. The engine must never respond with a version that was not
+	// published and must load the newest one, and work that its caller has
+	// abandoned must not run late.
+	It("recovers from a long pause", func() {
+		models := f.startModelLoad(8, 16, pool, assist)
+		plain := f.startLoad(harness.LoadSpec{Plain: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
+		waitForResponses(models, 20)
+		waitForResponses(plain, 20)
 		f.Process(frozen).Freeze()
 		f.Process(frozenPlain).Freeze()
 		for _, v := range versions[1:3] {
@@ -60,7 +61,7 @@
 			f.waitLoaded(v, others...)
 		}
 		f.waitSilent(frozen, frozenPlain)
-		answersAfter(models, 20)
+		waitForResponses(models, 20)
 		before := f.Engines[frozen].Counters()
 		Expect(f.Engines[frozen].Status().Loaded).To(Equal(versions[0]))
 
@@ -68,62 +69,64 @@
 		f.Process(frozenPlain).Thaw()
 		f.waitLoaded(versions[2])
 		f.waitAdmitting()
-		answersAfter(models, 50)
-		answersAfter(plain, 50)
-		f.expectWhole(models.Stop())
-		f.expectOnce(plain.Stop())
+		waitForResponses(models, 50)
+		waitForResponses(plain, 50)
+		f.expectComplete(models.Stop())
+		f.expectRunOnce(plain.Stop())
 		after := f.Engines[frozen].Counters()
-		Expect(after.AnswersByVersion).NotTo(HaveKey(versions[1].String()), "a version that was past when the agent woke")
+		Expect(after.AnswersByVersion).NotTo(HaveKey(versions[1].String()), "a version that was outdated when the agent resumed")
 		Expect(after.Loads).To(Equal(before.Loads+1), "loads after the pause")
 	})
 
-	// The agent stops running while its engine carries out an order. The
-	// operator names a newer version, which the others take, and the engine ends
-	// up with the one that is past. The agent wakes and believes that its order
-	// is just done. The past version was named by the operator too and may be
-	// served, as any former one, until the newest is ready; callers get each
-	// answer whole from one of the two, and the engine goes to the newest.
-	It("wakes from a pause in the middle of an order", func() {
-		models := f.modelLoad(8, 16, pool, assist)
-		answersAfter(models, 20)
-		past, newest := versions[3], versions[4]
-		f.publish(past)
+	// The agent is suspended while its engine executes an order. The operator
+	// names a newer version, which the others load, and the engine ends up with
+	// the version in between. The agent resumes and believes that its order has
+	// just completed. The version in between was named by the operator too and
+	// may be served, as any previous one, until the newest is ready. Callers
+	// get each response complete and from one of the published versions, and
+	// the engine loads the newest.
+	It("recovers from a pause in the middle of an order", func() {
+		models := f.startModelLoad(8, 16, pool, assist)
+		waitForResponses(models, 20)
+		intermediate, newest := versions[3], versions[4]
+		f.publish(intermediate)
 		Eventually(func() bool { return f.Engines[frozen].Status().Loading }).WithPolling(time.Millisecond).Should(BeTrue())
 		f.Process(frozen).Freeze()
 		f.publish(newest)
 		f.waitLoaded(newest, others...)
 		f.waitSilent(frozen)
-		f.waitLoaded(past, frozen)
+		f.waitLoaded(intermediate, frozen)
 
 		f.Process(frozen).Thaw()
 		f.waitLoaded(newest)
 		f.waitAdmitting()
-		answersAfter(models, 50)
-		f.expectWhole(models.Stop())
+		waitForResponses(models, 50)
+		f.expectComplete(models.Stop())
 		for version := range f.Engines[frozen].Counters().AnswersByVersion {
-			Expect(version).To(BeElementOf(texts(versions)))
+			Expect(version).To(BeElementOf(versionStrings(versions)))
 		}
 	})
 
-	// A second agent under another id is started beside an engine that has one,
-	// under live requests. Both believe that the engine is theirs. The engine
-	// checks fencing numbers, so one of them sees that it is passed over and
-	// stands down for good. Callers get every answer, whole and from the version
-	// in force, and the next version reaches the engine once.
-	It("stands down when another agent has taken its engine", func() {
-		models := f.modelLoad(4, 16, assist)
-		answersAfter(models, 20)
+	// A second agent with another id is started at an engine that already has
+	// one, under live requests. Both take the engine for theirs. The engine
+	// checks fencing numbers, so one of them sees that it has been superseded
+	// and stands down permanently. Callers get every response, complete and
+	// from the active version, and the next version is loaded by the engine
+	// once.
+	It("stands down when another agent has taken over its engine", func() {
+		models := f.startModelLoad(4, 16, assist)
+		waitForResponses(models, 20)
 		second, err := f.StartSecondAgent("assist-1b", "assist-1")
 		Expect(err).NotTo(HaveOccurred())
 		pair := []*harness.Process{f.Process("assist-1"), second}
 		Eventually(phases).WithArguments(pair).Should(ConsistOf("down", "idle"))
-		answersAfter(models, 50)
+		waitForResponses(models, 50)
 
 		loads := f.Engines["assist-1"].Counters().Loads
 		f.publish(versions[5])
 		f.waitLoaded(versions[5])
-		answersAfter(models, 50)
-		f.expectWhole(models.Stop())
+		waitForResponses(models, 50)
+		f.expectComplete(models.Stop())
 		Expect(phases(pair)).To(ConsistOf("down", "idle"))
 		Expect(f.Engines["assist-1"].Counters().Loads).To(Equal(loads + 1))
 	})
@@ -144,7 +147,7 @@
 	}
 }
 
-func texts(versions []fleet.Version) []string {
+func versionStrings(versions []fleet.Version) []string {
 	var all []string
 	for _, v := range versions {
 		all = append(all, v.String())
@@ -152,7 +155,7 @@
 	return all
 }
 
-// phases reads where each agent's change-over stands.
+// phases reads the changeover phase of each agent.
 func phases(agents []*harness.Process) ([]string, error) {
 	var all []string
 	for _, p := range agents {
--- a/cmd/wholepath/platform_test.go
+++ b/cmd/wholepath/platform_test.go
@@ -17,13 +17,13 @@
 	"chivespindle.example/standin/harness"
 )
 
-var _ = Describe("The platform's faults", Ordered, ContinueOnFailure, func() {
+var _ = Describe("Platform faults", Ordered, ContinueOnFailure, func() {
 	var f *testFleet
 	var r1, r2, r3 fleet.Version
 
 	startWithSuite(func() {
 		f = newFleet(harness.Options{})
-		r1, r2, r3 = f.model("r1", 1), f.model("r2", 2), f.model("r3", 3)
+		r1, r2, r3 = f.addModel("r1", 1), f.addModel("r2", 2), f.addModel("r3", 3)
 		f.publish(r1)
 		f.addEntry("entry-1", apapa)
 		f.addEntry("entry-2", ikeja)
@@ -35,55 +35,56 @@
 	})
 	BeforeAll(func() { f.waitReady(r1) })
 	AfterEach(func() {
-		f.showLogs()
+		f.printLogsOnFailure()
 		f.setPlatformDown(false)
 		f.setWeightsDown(false)
 		Expect(f.Config.SetStale(0)).To(Succeed())
 	})
 
-	// The operator publishes a text with a slip: a service names a version that
-	// has no section. Every process keeps the text that it has, and callers
-	// notice nothing; an entry's status tells the operator file, line and reason.
-	// The mended text then comes into force everywhere.
-	It("refuses a bad text, tells why and takes the mended one", func() {
-		load := f.modelLoad(4, 8, pool, assist)
-		former := f.Config.Revision()
-		bad := strings.Replace(f.textOf(r2), "version = "+r2.Name, "version = r9", 1)
+	// The operator publishes a configuration with a mistake: a service names a
+	// version that has no section. Every process keeps its active
+	// configuration, and callers notice nothing. An entry's status reports
+	// file, line and reason to the operator. The corrected configuration then
+	// becomes active everywhere.
+	It("refuses an invalid configuration, reports why and activates the corrected one", func() {
+		load := f.startModelLoad(4, 8, pool, assist)
+		active := f.Config.Revision()
+		bad := strings.Replace(f.configNaming(r2), "version = "+r2.Name, "version = r9", 1)
 		f.Config.SetText([]byte(bad))
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(HaveField("Config.Refused",
 				ConsistOf(ContainSubstring("fleet.ini:7: version: there is no section [version r9]"))))
 		}
-		answersAfter(load, 20)
-		f.waitRevision(former)
-		Expect(f.behind(r1, f.modelAgents()...)).To(BeEmpty())
+		waitForResponses(load, 20)
+		f.waitRevision(active)
+		Expect(f.notLoaded(r1, f.modelAgents()...)).To(BeEmpty())
 
-		mended := f.publish(r2)
-		f.waitRevision(mended)
+		corrected := f.publish(r2)
+		f.waitRevision(corrected)
 		f.waitLoaded(r2)
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(HaveField("Config.Refused", BeEmpty()))
 		}
-		f.expectWhole(load.Stop())
-		f.expectNoReturn()
+		f.expectComplete(load.Stop())
+		f.expectNoRollback()
 	})
 
-	// The operator works with the client program alone: checks a text with a slip
-	// and the mended one, looks at the fleet, and sends a request. The client says
-	// of the text what the fleet would say, and ends with the code that
-	// docs/CLI.md names, so that scripts can go by it.
-	It("is checked, shown and used through the client program", func() {
+	// The operator uses only the command line client: checks a configuration
+	// with a mistake and the corrected one, shows the fleet, and sends a
+	// request. The client reports the same faults as the fleet, and exits with
+	// the codes of docs/CLI.md, so that scripts can rely on them.
+	It("is checked, shown and used with the command line client", func() {
 		entry := f.entries[0]
-		text := f.textOf(r2)
-		bad := f.writeText("bad.ini", strings.Replace(text, "version = "+r2.Name, "version = r9", 1))
-		code, stdout, _ := client("", "check", bad)
+		text := f.configNaming(r2)
+		bad := f.writeConfig("bad.ini", strings.Replace(text, "version = "+r2.Name, "version = r9", 1))
+		code, stdout, _ := runClient("", "check", bad)
 		Expect(code).To(Equal(3), "input refused")
 		Expect(stdout).To(Equal(bad + ":7: version: there is no section [version r9]\n"))
-		code, stdout, _ = client("", "check", f.writeText("fleet.ini", text))
+		code, stdout, _ = runClient("", "check", f.writeConfig("fleet.ini", text))
 		Expect(code).To(BeZero())
 		Expect(stdout).To(ContainSubstring("good: fleet ffsan, 3 services"))
 
-		code, stdout, stderr := client("", "status", "--ops", entry.Ops.String())
+		code, stdout, stderr := runClient("", "status", "--ops", entry.Ops.String())
 		Expect(code).To(BeZero(), stderr)
 		Expect(stdout).To(ContainSubstring(fmt.Sprintf("revision %d in force at %s", f.Config.Revision(), entry.Instance.ID)))
 		Expect(stdout).To(MatchRegexp(`%s +%s@\w+ +2 +2 +0 +0`, pool, r2.Name))
@@ -91,23 +92,24 @@
 		prompt := harness.Prompt{Prompt: "Read this fault log: E14", MaxTokens: 5}
 		body, err := json.Marshal(prompt)
 		Expect(err).NotTo(HaveOccurred())
-		code, stdout, stderr = client(string(body), "request", string(pool), "--body", "-", "--entry", entry.Instance.CallerAddr.String())
+		code, stdout, stderr = runClient(string(body), "request", string(pool), "--body", "-", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(BeZero(), stderr)
 		version, whole := harness.CheckAnswer([]byte(stdout), prompt)
 		Expect(whole).To(BeTrue(), stdout)
 		Expect(version).To(Equal(harness.VersionText(r2)))
 		Expect(stderr).To(ContainSubstring("outcome=ran status=200 version=" + version))
-		code, _, stderr = client("", "request", "no-such-service", "--entry", entry.Instance.CallerAddr.String())
+		code, _, stderr = runClient("", "request", "no-such-service", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(Equal(5), "not run: %s", stderr)
 	})
 
-	// The platform answers with an older text, as after a restore from an old
-	// copy. Nobody goes back to it. An agent and an entry that are started anew
-	// meanwhile are told the newer text by the others and take that.
-	It("never goes back to the older text of a stale platform", func() {
-		load := f.modelLoad(4, 8, pool, assist)
+	// The platform responds with an older configuration, as after a restore
+	// from an old backup. No process goes back to it. An agent and an entry
+	// that restart meanwhile get the newer configuration from the others and
+	// activate that.
+	It("never goes back to the older configuration of a stale platform", func() {
+		load := f.startModelLoad(4, 8, pool, assist)
 		newest := f.Config.Revision()
-		stale := newest - 2 // the bad text is between
+		stale := newest - 2 // the invalid configuration is in between
 		Expect(f.Config.SetStale(stale)).To(Succeed())
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(HaveField("Config.PlatformRevision", stale))
@@ -119,43 +121,45 @@
 		Expect(err).NotTo(HaveOccurred())
 		f.waitRevision(newest)
 		f.waitAdmitting()
-		answersAfter(load, 50)
-		f.expectWhole(load.Stop())
-		f.expectNoReturn()
-		Expect(f.Engines["pool-1"].Counters().Loads).To(Equal(loads), "loads of the engine whose agent started anew")
-		Expect(f.behind(r2, f.modelAgents()...)).To(BeEmpty())
+		waitForResponses(load, 50)
+		f.expectComplete(load.Stop())
+		f.expectNoRollback()
+		Expect(f.Engines["pool-1"].Counters().Loads).To(Equal(loads), "loads of the engine whose agent restarted")
+		Expect(f.notLoaded(r2, f.modelAgents()...)).To(BeEmpty())
 	})
 
-	// The configuration service and the instance list are down. Requests go on.
-	// An agent crashes and its supervisor starts it again on its ports. It knows
-	// nobody and cannot ask the platform; its former neighbours find it, tell it
-	// the text, and it serves again.
-	It("serves on without the platform, a restarted agent too", func() {
-		load := f.modelLoad(4, 8, pool, assist)
+	// The configuration service and the instance list are down. Requests are
+	// still served. An agent crashes and its supervisor restarts it on its
+	// ports. It knows no other process and cannot read from the platform. Its
+	// former neighbours find it and send it the configuration, and it serves
+	// again.
+	It("continues to serve without the platform, including a restarted agent", func() {
+		load := f.startModelLoad(4, 8, pool, assist)
 		f.setPlatformDown(true)
-		answersAfter(load, 50)
+		waitForResponses(load, 50)
 		_, err := f.Restart("pool-1")
 		Expect(err).NotTo(HaveOccurred())
 		f.waitRevision(f.Config.Revision())
 		f.waitAdmitting()
-		answersAfter(load, 50)
-		f.expectWhole(load.Stop())
+		waitForResponses(load, 50)
+		f.expectComplete(load.Stop())
 	})
 
-	// The origin and the weight store are down. Requests go on. An agent is
-	// started anew beside its engine, which still has its version: it serves that
-	// again and draws no byte. A new version then waits, while the former one is
-	// served; when the sources are back the fleet takes it.
-	It("serves on without origin and store, and draws nothing twice", func() {
-		load := f.modelLoad(4, 8, pool, assist)
+	// The origin and the weight store are down. Requests are still served. An
+	// agent is restarted while its engine still has its version: the agent
+	// serves that version again and fetches no byte. A new version then waits,
+	// while the previous one is served; once the sources are available again
+	// the fleet loads it.
+	It("continues to serve without origin and store, and fetches nothing twice", func() {
+		load := f.startModelLoad(4, 8, pool, assist)
 		f.setWeightsDown(true)
-		drawn := f.Origin.BytesSent() + f.Store.BytesSent()
+		fetched := f.Origin.BytesSent() + f.Store.BytesSent()
 		loads := f.Engines["pool-2"].Counters().Loads
 		restarted, err := f.RestartAgent("pool-2")
 		Expect(err).NotTo(HaveOccurred())
 		f.waitAdmitting()
-		answersAfter(load, 50)
-		Expect(f.Origin.BytesSent()+f.Store.BytesSent()).To(Equal(drawn), "bytes sent by the origin and the store")
+		waitForResponses(load, 50)
+		Expect(f.Origin.BytesSent()+f.Store.BytesSent()).To(Equal(fetched), "bytes sent by the origin and the store")
 		Expect(f.Engines["pool-2"].Counters().Loads).To(Equal(loads))
 		status, err := agentStatus(restarted)
 		Expect(err).NotTo(HaveOccurred())
@@ -165,13 +169,13 @@
 		for _, id := range f.modelAgents() {
 			Eventually(agentStatus).WithArguments(f.Process(id)).Should(HaveField("Target", r3), "%s", id)
 		}
-		answersAfter(load, 50)
-		Expect(f.behind(r2, f.modelAgents()...)).To(BeEmpty())
+		waitForResponses(load, 50)
+		Expect(f.notLoaded(r2, f.modelAgents()...)).To(BeEmpty())
 		f.setWeightsDown(false)
 		f.waitLoaded(r3)
 		f.waitAdmitting()
-		answersAfter(load, 20)
-		f.expectWhole(load.Stop())
+		waitForResponses(load, 20)
+		f.expectComplete(load.Stop())
 	})
 })
 
@@ -185,17 +189,17 @@
 	f.Store.SetDown(down)
 }
 
-var inForceLine = regexp.MustCompile(`event=text_in_force .*?revision=(\d+)`)
+var activeConfigLine = regexp.MustCompile(`event=text_in_force .*?revision=(\d+)`)
 
-// expectNoReturn checks in the logs, over restarts too, that no process has
-// gone back to an older text.
-func (f *testFleet) expectNoReturn() {
+// expectNoRollback checks in the logs, across restarts, that no process has
+// gone back to an older configuration.
+func (f *testFleet) expectNoRollback() {
 	GinkgoHelper()
-	for _, p := range f.all() {
+	for _, p := range f.allProcesses() {
 		log, err := os.ReadFile(p.Log)
 		Expect(err).NotTo(HaveOccurred())
 		var newest revision.Revision
-		for _, m := range inForceLine.FindAllStringSubmatch(string(log), -1) {
+		for _, m := range activeConfigLine.FindAllStringSubmatch(string(log), -1) {
 			number, err := strconv.ParseUint(m[1], 10, 64)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(revision.Revision(number)).To(BeNumerically(">=", newest), "%s", p.Instance.ID)
--- a/cmd/wholepath/session_test.go
+++ b/cmd/wholepath/session_test.go
@@ -19,12 +19,11 @@
 	"chivespindle.example/standin/harness"
 )
 
-// update writes the golden files anew; read the difference before it is
-// committed.
-var update = flag.Bool("update", false, "write golden files")
+// update rewrites the golden files. Review the difference before committing it.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// session is what goes over a caller's connections, one exchange after the
-// other, with everything that differs between two runs replaced by a name.
+// session is the transcript of a caller's connections, one exchange after the
+// other. Everything that differs between two runs is replaced by a name.
 type session struct {
 	fleet *testFleet
 	text  strings.Builder
@@ -37,11 +36,11 @@
 	body         string
 }
 
-// caller sends the exchanges of sessions.
-var caller = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+// callerHTTP is the HTTP client that sends the exchanges.
+var callerHTTP = &http.Client{Transport: &http.Transport{DisableCompression: true}}
 
-// do sends a request to an entry, writes down both sides and returns the
-// answer's body.
+// do sends a request to an entry, records both sides and returns the response
+// body.
 func (s *session) do(to *harness.Process, e exchange) string {
 	GinkgoHelper()
 	req, err := http.NewRequest(e.method, "http://"+to.Instance.CallerAddr.String()+e.path, strings.NewReader(e.body))
@@ -53,7 +52,7 @@
 	s.writeHeaders("> ", req.Header)
 	s.writeBody("> ", e.body)
 
-	resp, err := caller.Do(req)
+	resp, err := callerHTTP.Do(req)
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -84,15 +83,16 @@
 
 // What differs between two runs.
 var (
-	dateHeader = regexp.MustCompile(`(?m)^(. Date: ).*$`)
-	issuedKey  = regexp.MustCompile(`\b[\w-]+\.[0-9a-f]+\.\d{13}\.[0-9a-f]+\b`)
-	atServer   = regexp.MustCompile(`"reason":"orders-\d:`)
-	requestID  = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
-	bodyLength = regexp.MustCompile(`(?m)^(. Content-Length: ).*$`)
+	dateHeader   = regexp.MustCompile(`(?m)^(. Date: ).*$`)
+	issuedKey    = regexp.MustCompile(`\b[\w-]+\.[0-9a-f]+\.\d{13}\.[0-9a-f]+\b`)
+	serverReason = regexp.MustCompile(`"reason":"orders-\d:`)
+	requestID    = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
+	bodyLength   = regexp.MustCompile(`(?m)^(. Content-Length: ).*$`)
 )
 
-// normal is the session with names in place of dates, ids and addresses.
-func (s *session) normal() string {
+// normalized returns the transcript with names in place of dates, ids and
+// addresses.
+func (s *session) normalized() string {
 	text := s.text.String()
 	for _, p := range s.fleet.entries {
 		text = strings.ReplaceAll(text, p.Instance.CallerAddr.String(), "<address of "+string(p.Instance.ID)+">")
@@ -100,14 +100,14 @@
 	text = dateHeader.ReplaceAllString(text, "$1<date>")
 	text = bodyLength.ReplaceAllString(text, "$1<length>")
 	text = issuedKey.ReplaceAllString(text, "<key>")
-	text = atServer.ReplaceAllString(text, `"reason":"<server>:`)
+	text = serverReason.ReplaceAllString(text, `"reason":"<server>:`)
 	return requestID.ReplaceAllString(text, "<id>")
 }
 
 // expectGolden compares a session with the one in testdata.
 func (s *session) expectGolden(name string) {
 	GinkgoHelper()
-	got := []byte(s.normal())
+	got := []byte(s.normalized())
 	file := filepath.Join("testdata", name+".golden")
 	if *update {
 		Expect(os.WriteFile(file, got, 0o600)).To(Succeed())
--- a/cmd/wholepath/wholepath_suite_test.go
+++ b/cmd/wholepath/wholepath_suite_test.go
@@ -18,37 +18,38 @@
 	RunSpecs(t, "Whole path")
 }
 
-// Waits end when their condition holds. These bounds only end a run that would
-// never end, also on a machine with much else to do.
+// Waits end when their condition holds. waitTimeout only ends a run that would
+// never end, also on a heavily loaded machine.
 const (
-	patience = 90 * time.Second
-	look     = 50 * time.Millisecond
+	waitTimeout  = 90 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// programs is the folder of the built programs.
+// programs is the directory of the built programs.
 var programs string
 
-// starts begin the fleets of all Describes, so that their processes' first wait
-// for each other passes only once. A Describe waits for its own in a BeforeAll.
-var starts []func()
+// fleetStarts start the fleets of all Describes, so that their processes'
+// initial wait for each other passes only once. A Describe waits for its own
+// fleet in a BeforeAll.
+var fleetStarts []func()
 
-// startWithSuite lets start run when the suite begins.
-func startWithSuite(start func()) { starts = append(starts, start) }
+// startWithSuite registers start to run when the suite begins.
+func startWithSuite(start func()) { fleetStarts = append(fleetStarts, start) }
 
 var _ = BeforeSuite(func() {
-	SetDefaultEventuallyTimeout(patience)
-	SetDefaultEventuallyPollingInterval(look)
+	SetDefaultEventuallyTimeout(waitTimeout)
+	SetDefaultEventuallyPollingInterval(pollInterval)
 	programs = tempDir()
 	build := exec.Command("go", "build", "-o", programs+string(filepath.Separator), "chivespindle.example/cmd/...")
 	build.Stdout, build.Stderr = GinkgoWriter, GinkgoWriter
 	Expect(build.Run()).To(Succeed(), "build of the programs")
 	Expect(daemonPath()).To(BeAnExistingFile())
-	for _, start := range starts {
+	for _, start := range fleetStarts {
 		start()
 	}
 })
 
-// tempDir makes a folder that is removed after the suite.
+// tempDir creates a directory that is removed after the suite.
 func tempDir() string {
 	GinkgoHelper()
 	dir, err := os.MkdirTemp("", "wholepath-")
@@ -59,8 +60,8 @@
 
 func daemonPath() string { return filepath.Join(programs, "chivespindled") }
 
-// logTail returns the last lines of a log, without those of single requests
-// and spans.
+// logTail returns the last lines of a log, without those of single requests and
+// spans.
 func logTail(path string, lines int) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
