--- a/cmd/chivespindle/errors.go
+++ b/cmd/chivespindle/errors.go
@@ -52,7 +52,7 @@
 	switch {
 	case errorx.IsOfType(err, Usage):
 		return exitUsage
-	case errorx.IsOfType(err, RefusedInput), errorx.IsOfType(err, follow.TextRefused):
+	case errorx.IsOfType(err, RefusedInput), errorx.IsOfType(err, follow.ConfigRefused):
 		return exitRefused
 	case errorx.IsOfType(err, failure.Timeout):
 		return exitTimeout
--- a/cmd/chivespindle/explain_losses.go
+++ b/cmd/chivespindle/explain_losses.go
@@ -12,8 +12,8 @@
 // explainLosses prints, by time and by route, how many calls were not served as
 // their routes require, and why.
 func (c *client) explainLosses(window time.Duration, files []string) error {
-	counter := requestlog.NewAccount(window)
-	if err := c.readLogs(files, counter.Take); err != nil {
+	counter := requestlog.NewResultCounter(window)
+	if err := c.readLogs(files, counter.Add); err != nil {
 		return err
 	}
 	report := lossReport{Windows: counter.Windows(), Routes: counter.Routes()}
--- a/cmd/chivespindle/explain_request.go
+++ b/cmd/chivespindle/explain_request.go
@@ -11,12 +11,12 @@
 
 // explainRequest prints what the logs contain about a request.
 func (c *client) explainRequest(request, server string, files []string) error {
-	collector := requestlog.NewLog(request)
-	collector.AtServer(server)
-	if err := c.readLogs(files, collector.Take); err != nil {
+	collector := requestlog.NewCollector(request)
+	collector.SetServer(server)
+	if err := c.readLogs(files, collector.Add); err != nil {
 		return err
 	}
-	return c.print(requestReport{collector.Story()})
+	return c.print(requestReport{collector.Report()})
 }
 
 // readLogs calls handle for each event in the files, or in the standard input
@@ -61,7 +61,7 @@
 	return events, nil
 }
 
-type requestReport struct{ requestlog.Story }
+type requestReport struct{ requestlog.Report }
 
 const stepTime = "15:04:05.000"
 
--- a/cmd/chivespindle/follow.go
+++ b/cmd/chivespindle/follow.go
@@ -48,7 +48,7 @@
 			for _, name := range services {
 				options.Services = append(options.Services, fleet.ServiceName(name))
 			}
-			options.AtLeast = revision.Revision(minRevision)
+			options.MinRevision = revision.Revision(minRevision)
 			return c.follow(command.Context(), options, interval)
 		},
 		ValidArgsFunction: cobra.NoFileCompletions,
@@ -106,7 +106,7 @@
 			return err
 		}
 		if done {
-			return w.print(follow.Event{Kind: follow.Finished, Revision: w.follower.Revision()})
+			return w.print(follow.Event{Kind: follow.KindFinished, Revision: w.follower.Revision()})
 		}
 		if !w.client.sleep(ctx, w.pollInterval(interval)) {
 			return w.stopError(ctx)
@@ -153,7 +153,7 @@
 	if err == nil || wasUnanswered || ctx.Err() != nil {
 		return status, nil
 	}
-	return nil, w.print(follow.Event{Kind: follow.Unanswered, Reason: err.Error()})
+	return nil, w.print(follow.Event{Kind: follow.KindUnanswered, Reason: err.Error()})
 }
 
 // followLine is the JSON form of an event.
--- a/cmd/chivespindle/internal/callstream/callstream.go
+++ b/cmd/chivespindle/internal/callstream/callstream.go
@@ -24,9 +24,9 @@
 	"chivespindle.example/core/failure"
 )
 
-// Answer describes a response without its body. After a failure it holds what
+// Response describes a response without its body. After a failure it holds what
 // had been received by then.
-type Answer struct {
+type Response struct {
 	Entry     netip.AddrPort // tried last; zero if there was none
 	RequestID string         // of the request in the entry's log
 	Status    int            // of the backend server; 0 for a refusal
@@ -57,8 +57,8 @@
 // and copies the response body to out. It tries the next entry only if nothing
 // was sent. failure.OutcomeOf the error says whether the request ran. When ctx
 // ends, the connection is closed, which cancels the request.
-func (c *Client) Send(ctx context.Context, entries []netip.AddrPort, r callerclient.Request, out io.Writer) (Answer, error) {
-	var result Answer
+func (c *Client) Send(ctx context.Context, entries []netip.AddrPort, r callerclient.Request, out io.Writer) (Response, error) {
+	var result Response
 	err := failure.WithOutcome(failure.Unavailable.New("no entry address is known"), failure.NotRun)
 	for _, entry := range entries {
 		result, err = c.sendTo(ctx, entry, r, out)
@@ -72,8 +72,8 @@
 	return result, nil
 }
 
-func (c *Client) sendTo(ctx context.Context, entry netip.AddrPort, r callerclient.Request, out io.Writer) (Answer, *errorx.Error) {
-	result := Answer{Entry: entry}
+func (c *Client) sendTo(ctx context.Context, entry netip.AddrPort, r callerclient.Request, out io.Writer) (Response, *errorx.Error) {
+	result := Response{Entry: entry}
 	req, err := newRequest(ctx, entry, r)
 	if err != nil {
 		return result, failure.WithOutcome(failure.Invalid.Wrap(err, "request to %s", entry), failure.NotRun)
@@ -157,7 +157,7 @@
 
 // copyBody copies the body to out. Only the trailer proves that it is complete,
 // or the header if its status has no body.
-func copyBody(ctx context.Context, resp *http.Response, out io.Writer, result *Answer) *errorx.Error {
+func copyBody(ctx context.Context, resp *http.Response, out io.Writer, result *Response) *errorx.Error {
 	counter := &countingWriter{out: out}
 	_, err := io.Copy(counter, resp.Body)
 	result.Bytes = counter.written
--- a/cmd/chivespindle/internal/follow/event.go
+++ b/cmd/chivespindle/internal/follow/event.go
@@ -15,22 +15,22 @@
 
 // Kinds of events.
 const (
-	// RevisionInForce: the entry has another active configuration.
-	RevisionInForce Kind = "revision"
-	// TextIsRefused: the entry refuses a configuration newer than the active one.
-	TextIsRefused Kind = "refused"
-	// TextsConflict: there is another configuration under the active revision.
-	TextsConflict Kind = "conflict"
-	// ServiceChanged: the replica counts of a service have changed.
-	ServiceChanged Kind = "service"
-	// InstanceChanged: a replica is new or its state has changed.
-	InstanceChanged Kind = "instance"
-	// InstanceGone: a replica is no longer listed.
-	InstanceGone Kind = "gone"
-	// Finished: the rollout has finished.
-	Finished Kind = "finished"
-	// Unanswered: no entry responds at present.
-	Unanswered Kind = "unanswered"
+	// KindRevision: the entry has another active configuration.
+	KindRevision Kind = "revision"
+	// KindRefused: the entry refuses a configuration newer than the active one.
+	KindRefused Kind = "refused"
+	// KindConflict: there is another configuration under the active revision.
+	KindConflict Kind = "conflict"
+	// KindService: the replica counts of a service have changed.
+	KindService Kind = "service"
+	// KindInstance: a replica is new or its state has changed.
+	KindInstance Kind = "instance"
+	// KindGone: a replica is no longer listed.
+	KindGone Kind = "gone"
+	// KindFinished: the rollout has finished.
+	KindFinished Kind = "finished"
+	// KindUnanswered: no entry responds at present.
+	KindUnanswered Kind = "unanswered"
 )
 
 // Event is one change. Fields that do not apply to its kind are zero.
@@ -47,22 +47,22 @@
 // String returns the event as one line.
 func (e Event) String() string {
 	switch e.Kind {
-	case RevisionInForce:
+	case KindRevision:
 		if e.Revision == 0 {
 			return fmt.Sprintf("no text is in force at %s", e.Entry)
 		}
 		return fmt.Sprintf("revision %d of fleet %s is in force at %s", e.Revision, e.Fleet, e.Entry)
-	case TextIsRefused:
+	case KindRefused:
 		return fmt.Sprintf("%s refuses a text: %s", e.Entry, oneLine(e.Reason))
-	case TextsConflict:
+	case KindConflict:
 		return fmt.Sprintf("%s knows of another text under revision %d", e.Entry, e.Revision)
-	case ServiceChanged:
+	case KindService:
 		return e.Service.String()
-	case InstanceChanged:
+	case KindInstance:
 		return describeInstance(*e.Instance)
-	case InstanceGone:
+	case KindGone:
 		return fmt.Sprintf("%s %s: gone", e.Instance.Service, e.Instance.ID)
-	case Finished:
+	case KindFinished:
 		return fmt.Sprintf("finished: every replica serves revision %d", e.Revision)
 	default:
 		return oneLine(e.Reason)
--- a/cmd/chivespindle/internal/follow/follow.go
+++ b/cmd/chivespindle/internal/follow/follow.go
@@ -14,18 +14,18 @@
 	"chivespindle.example/core/status"
 )
 
-// TextRefused means that the fleet refuses the newest configuration, so that
+// ConfigRefused means that the fleet refuses the newest configuration, so that
 // the rollout will not start.
-var TextRefused = failure.Refused.NewSubtype("text")
+var ConfigRefused = failure.Refused.NewSubtype("text")
 
 // Options of a Follower.
 type Options struct {
 	// Services lists the services to follow; empty means all of the
 	// configuration.
 	Services []fleet.ServiceName
-	// AtLeast is the revision that must be active before a rollout can be
+	// MinRevision is the revision that must be active before a rollout can be
 	// finished; 0 means the highest revision seen.
-	AtLeast revision.Revision
+	MinRevision revision.Revision
 	// Instances adds an event for each change of one replica.
 	Instances bool
 }
@@ -49,7 +49,7 @@
 
 // New returns a Follower that has observed no status.
 func New(opts Options) *Follower {
-	return &Follower{opts: opts, highest: opts.AtLeast}
+	return &Follower{opts: opts, highest: opts.MinRevision}
 }
 
 // Observe processes the next status and returns what changed. A status with a
@@ -85,15 +85,15 @@
 func (f *Follower) observeConfig(s *status.Entry) []Event {
 	var events []Event
 	if s.Revision != f.revision || f.entry == "" {
-		events = append(events, Event{Kind: RevisionInForce, Entry: s.ID, Revision: s.Revision, Fleet: s.Config.Name})
+		events = append(events, Event{Kind: KindRevision, Entry: s.ID, Revision: s.Revision, Fleet: s.Config.Name})
 	}
 	for _, faults := range s.Config.Refused {
 		if !slices.Contains(f.refused, faults) {
-			events = append(events, Event{Kind: TextIsRefused, Entry: s.ID, Reason: faults})
+			events = append(events, Event{Kind: KindRefused, Entry: s.ID, Reason: faults})
 		}
 	}
 	if s.Config.Conflicts > f.conflicts {
-		events = append(events, Event{Kind: TextsConflict, Entry: s.ID, Revision: s.Revision})
+		events = append(events, Event{Kind: KindConflict, Entry: s.ID, Revision: s.Revision})
 	}
 	f.entry = s.ID
 	f.revision = s.Revision
@@ -118,7 +118,7 @@
 		f.progress[service.Service] = now
 		f.waiting = append(f.waiting, waiting...)
 		if now != before[service.Service] {
-			events = append(events, Event{Kind: ServiceChanged, Service: &now})
+			events = append(events, Event{Kind: KindService, Service: &now})
 		}
 	}
 	return events
@@ -133,13 +133,13 @@
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		now := members[id]
 		if before, known := f.members[id]; f.isRelevant(now) && (!known || hasChanged(before, now)) {
-			events = append(events, Event{Kind: InstanceChanged, Instance: &now})
+			events = append(events, Event{Kind: KindInstance, Instance: &now})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.members)) {
 		before := f.members[id]
 		if _, still := members[id]; f.isRelevant(before) && !still {
-			events = append(events, Event{Kind: InstanceGone, Instance: &before})
+			events = append(events, Event{Kind: KindGone, Instance: &before})
 		}
 	}
 	return events
@@ -158,14 +158,14 @@
 
 // Done reports whether every replica of the services, leaving ones excluded,
 // serves its target in the highest revision seen. A service without a replica
-// is not served. The error says why the rollout cannot finish: TextRefused,
+// is not served. The error says why the rollout cannot finish: ConfigRefused,
 // or failure.NotFound for a service that the configuration does not have.
 func (f *Follower) Done() (bool, error) {
 	if f.revision < f.highest {
 		// The platform's newest configuration may be one that was refused. One
 		// that is active at some process was not.
 		if len(f.refused) > 0 && f.platformRevision == f.highest {
-			return false, TextRefused.New("%s refuses revision %d: %s", f.entry, f.platformRevision, strings.Join(f.refused, "; "))
+			return false, ConfigRefused.New("%s refuses revision %d: %s", f.entry, f.platformRevision, strings.Join(f.refused, "; "))
 		}
 		return false, nil
 	}
--- a/cmd/chivespindle/internal/follow/follow_test.go
+++ b/cmd/chivespindle/internal/follow/follow_test.go
@@ -62,7 +62,7 @@
 		}), true),
 	Entry("a plain service serves", follow.Options{},
 		edited(newStatus(replica("a", fleet.Version{})), func(s *status.Entry) { s.Services[0].Target = fleet.Version{} }), true),
-	Entry("the required revision is not active", follow.Options{AtLeast: 5}, newStatus(replica("a", r3)), false),
+	Entry("the required revision is not active", follow.Options{MinRevision: 5}, newStatus(replica("a", r3)), false),
 	Entry("the platform has a higher revision", follow.Options{},
 		edited(newStatus(replica("a", r3)), func(s *status.Entry) { s.Config.PlatformRevision = 5 }), false),
 	Entry("a replica has a higher revision", follow.Options{},
@@ -94,12 +94,12 @@
 			Expect(done).To(BeFalse())
 			Expect(errorx.IsOfType(err, kind)).To(BeTrue(), "%v", err)
 		},
-		Entry("the configuration is refused", follow.Options{}, revision.Revision(5), []string{"fleet.ini:9: bad"}, follow.TextRefused),
+		Entry("the configuration is refused", follow.Options{}, revision.Revision(5), []string{"fleet.ini:9: bad"}, follow.ConfigRefused),
 		Entry("the configuration does not have the service", follow.Options{Services: []fleet.ServiceName{"nothing"}}, revision.Revision(4), nil, failure.NotFound),
 	)
 
 	It("waits for a configuration newer than a refused one", func() {
-		f := follow.New(follow.Options{AtLeast: 6})
+		f := follow.New(follow.Options{MinRevision: 6})
 		f.Observe(edited(newStatus(replica("a", r3)), func(s *status.Entry) {
 			s.Config.PlatformRevision = 5
 			s.Config.Refused = []string{"fleet.ini:9: bad"}
--- a/cmd/chivespindle/internal/requestlog/cause.go
+++ b/cmd/chivespindle/internal/requestlog/cause.go
@@ -19,7 +19,7 @@
 const precision = time.Millisecond
 
 // cause returns why the request ended as it did.
-func (l *Log) cause() string {
+func (l *Collector) cause() string {
 	if len(l.requestLines) == 0 {
 		return "No line names this request. A plain success has one line in fifty; an entry that is killed writes no more; " +
 			"what exceeds the bound of lines is counted in lines_left_out." + l.describeRestarts()
@@ -39,7 +39,7 @@
 
 // describeRestarts describes which processes restarted within the log: the
 // requests that they had in flight have no end in it.
-func (l *Log) describeRestarts() string {
+func (l *Collector) describeRestarts() string {
 	starts := make(map[string]int) // by instance
 	var first, last Line
 	for _, line := range l.processLines {
@@ -62,9 +62,9 @@
 		first.Instance, first.At.UTC().Format(time.TimeOnly), last.Instance, last.At.UTC().Format(time.TimeOnly))
 }
 
-func (l *Log) explainServed(last Line) string {
-	text := fmt.Sprintf("It was answered by a server, status %s, after %s.", last.Text("status"), age(last))
-	if failed, ok := l.lastRequestLine("server_error"); ok && failed.Text("status") == last.Text("status") {
+func (l *Collector) explainServed(last Line) string {
+	text := fmt.Sprintf("It was answered by a server, status %s, after %s.", last.Value("status"), age(last))
+	if failed, ok := l.lastRequestLine("server_error"); ok && failed.Value("status") == last.Value("status") {
 		return describeServerError(failed)
 	}
 	if attempts := last.Int("attempts"); attempts > 1 {
@@ -76,11 +76,11 @@
 // describeServerError describes an error response of the server itself.
 func describeServerError(failed Line) string {
 	return fmt.Sprintf("Its server failed: %s at %s answered %s itself, after %s (attempt %s).",
-		failed.Text("server"), failed.Text("addr"), failed.Text("status"), age(failed), failed.Text("attempts"))
+		failed.Value("server"), failed.Value("addr"), failed.Value("status"), age(failed), failed.Value("attempts"))
 }
 
 // explainUnfinished explains a request without a final line in the log.
-func (l *Log) explainUnfinished(last Line) string {
+func (l *Collector) explainUnfinished(last Line) string {
 	if last.Event == "server_error" {
 		return describeServerError(last)
 	}
@@ -98,12 +98,12 @@
 
 // explainRefused explains an error response of the entry itself, or a response
 // that it aborted.
-func (l *Log) explainRefused(last Line) string {
+func (l *Collector) explainRefused(last Line) string {
 	text := l.explainReason(last)
 	switch {
-	case last.Is("begun"):
+	case last.Bool("begun"):
 		return text + fmt.Sprintf(" A part of the answer had gone out, so its connection was cut after %s.", age(last))
-	case last.Is("may_have_run"):
+	case last.Bool("may_have_run"):
 		return text + " A server may have run it, so the answer promises nothing."
 	case last.Duration("retry_after") > 0:
 		return text + fmt.Sprintf(" It did not run; the caller was told to come back in %s.",
@@ -113,8 +113,8 @@
 	}
 }
 
-func (l *Log) explainReason(last Line) string {
-	switch reason := last.Text("reason"); reason {
+func (l *Collector) explainReason(last Line) string {
+	switch reason := last.Value("reason"); reason {
 	case "full":
 		return l.explainFull(last)
 	case "no_place":
@@ -148,7 +148,7 @@
 }
 
 // explainFull explains a refusal because of load.
-func (l *Log) explainFull(last Line) string {
+func (l *Collector) explainFull(last Line) string {
 	text := "Too busy: no engine would have begun in time."
 	if placed, ok := l.lastRequestLine("not_placed"); ok {
 		text = fmt.Sprintf("Too busy: of the engines that could take it, %d in all, the best would have begun after %s, longer than may wait.",
@@ -165,10 +165,10 @@
 
 // explainNoPlace explains a refusal although an engine would have begun in
 // time.
-func (l *Log) explainNoPlace(last Line) string {
+func (l *Collector) explainNoPlace(last Line) string {
 	placed, _ := l.lastRequestLine("not_placed")
 	text := fmt.Sprintf("The best of %d engines had no room for a request of %d tokens.", placed.Int("usable"), placed.Int("prompt"))
-	if placed.Is("returned") {
+	if placed.Bool("returned") {
 		text = fmt.Sprintf("It came back late, and the places that late requests may take were taken at all %d engines.",
 			placed.Int("usable"))
 	}
@@ -179,7 +179,7 @@
 }
 
 // describeEngines describes the state of the engines as the entry knew it.
-func (l *Log) describeEngines(last Line) string {
+func (l *Collector) describeEngines(last Line) string {
 	known := l.countEngines(last)
 	if known.total == 0 {
 		return " The entry knew no agent."
@@ -195,7 +195,7 @@
 
 // countEngines counts the engines by what agents had reported to the entry
 // since its start.
-func (l *Log) countEngines(last Line) engineCount {
+func (l *Collector) countEngines(last Line) engineCount {
 	state := make(map[string]Line) // by address
 	for _, line := range l.processLines {
 		if line.Instance != last.Instance || line.At.After(last.At) {
@@ -205,39 +205,39 @@
 		case "started":
 			clear(state)
 		case "replica":
-			state[line.Text("addr")] = line
+			state[line.Value("addr")] = line
 		}
 	}
 	count := engineCount{total: len(state)}
 	for _, line := range state {
 		switch {
-		case line.Is("down"):
+		case line.Bool("down"):
 			count.unreachable++
-		case line.Is("changing"):
+		case line.Bool("changing"):
 			count.reloading++
-		case line.Text("loaded") == "0":
+		case line.Value("loaded") == "0":
 			count.empty++
 		}
 	}
 	return count
 }
 
-func (l *Log) explainTooLong() string {
+func (l *Collector) explainTooLong() string {
 	placed, _ := l.lastRequestLine("not_placed")
 	return fmt.Sprintf("It came back late: its answer, of some %d tokens by the caller's estimate, would not have been "+
 		"whole in the %s that the caller still waited.", placed.Int("expected"), placed.Duration("left").Round(precision))
 }
 
 // explainQuarantined explains why a request is not sent to any server.
-func (l *Log) explainQuarantined() string {
+func (l *Collector) explainQuarantined() string {
 	placed, _ := l.lastRequestLine("not_placed")
 	return fmt.Sprintf("It is quarantined until %s: requests with this content (fingerprint %s) were in flight as the servers %s crashed, "+
-		"and none succeeded in between.", placed.Text("until"), placed.Text("fingerprint"), placed.Text("servers"))
+		"and none succeeded in between.", placed.Value("until"), placed.Value("fingerprint"), placed.Value("servers"))
 }
 
 // explainNoConfig explains a refusal by an entry without a reliable
 // configuration.
-func (l *Log) explainNoConfig(last Line) string {
+func (l *Collector) explainNoConfig(last Line) string {
 	if woke, ok := l.lastProcessLine(last.Instance, "woke", last.At); ok && last.At.Sub(woke.At) < contextBefore {
 		return fmt.Sprintf("The entry had stood still for %s until %s before, and had not read the platform again.",
 			woke.Duration("after").Round(precision), last.At.Sub(woke.At).Round(precision))
@@ -245,7 +245,7 @@
 	if lost, ok := l.platformLoss(last); ok {
 		silent := last.At.Sub(lost.At) + lost.Duration("heard_ago")
 		return fmt.Sprintf("The entry had heard neither the platform for %s nor a peer, and could not tell what is configured: %s.",
-			silent.Round(precision), lost.Text("error"))
+			silent.Round(precision), lost.Value("error"))
 	}
 	if started, ok := l.lastProcessLine(last.Instance, "started", last.At); ok {
 		return fmt.Sprintf("The entry had started %s before and knew no configuration yet.", last.At.Sub(started.At).Round(precision))
@@ -256,7 +256,7 @@
 // platformLoss returns the line since which the platform had not responded to
 // the entry, and false if it had responded again, or the entry had restarted,
 // since.
-func (l *Log) platformLoss(last Line) (Line, bool) {
+func (l *Collector) platformLoss(last Line) (Line, bool) {
 	lost, ok := l.lastProcessLine(last.Instance, "platform_lost", last.At)
 	for _, event := range []string{"platform_regained", "started"} {
 		since, found := l.lastProcessLine(last.Instance, event, last.At)
@@ -266,9 +266,9 @@
 }
 
 // explainNotConfigured explains a refusal by what the configuration lacks.
-func (l *Log) explainNotConfigured(last Line) string {
+func (l *Collector) explainNotConfigured(last Line) string {
 	what := "route for its host and path"
-	if last.Text("reason") == "no_key" {
+	if last.Value("reason") == "no_key" {
 		what = "key like the caller's"
 	}
 	active, ok := l.lastProcessLine(last.Instance, "config_in_force", last.At)
@@ -276,10 +276,10 @@
 		return fmt.Sprintf("The configuration in force has no %s.", what)
 	}
 	return fmt.Sprintf("Configuration %s, in force there for %s, has no %s.",
-		active.Text("version"), last.At.Sub(active.At).Round(precision), what)
+		active.Value("version"), last.At.Sub(active.At).Round(precision), what)
 }
 
-func (l *Log) explainTimeout(last Line) string {
+func (l *Collector) explainTimeout(last Line) string {
 	text := fmt.Sprintf("The time of its caller, or of its route, was up after %s.", age(last))
 	if _, held := l.lastRequestLine("held"); held && last.Int("attempts") == 0 {
 		return text + " It had waited at the entry for an engine." + l.describeEngines(last)
@@ -290,17 +290,17 @@
 		return text
 	case failed.Int("last_event") < 0:
 		return text + fmt.Sprintf(" Server %s, expected to begin within %s, had given nothing.",
-			failed.Text("server"), failed.Duration("predicted").Round(precision))
+			failed.Value("server"), failed.Duration("predicted").Round(precision))
 	default:
-		return text + fmt.Sprintf(" Server %s had written up to event %s.", failed.Text("server"), failed.Text("last_event"))
+		return text + fmt.Sprintf(" Server %s had written up to event %s.", failed.Value("server"), failed.Value("last_event"))
 	}
 }
 
 // explainServerFailed explains a failure of the server that had the request.
-func (l *Log) explainServerFailed(last Line) string {
+func (l *Collector) explainServerFailed(last Line) string {
 	failed, ok := l.lastRequestLine("attempt_failed")
 	if !ok {
-		return fmt.Sprintf("A server failed (%s).", last.Text("reason"))
+		return fmt.Sprintf("A server failed (%s).", last.Value("reason"))
 	}
 	text := l.describeFailure(failed)
 	text = strings.ToUpper(text[:1]) + text[1:] + "."
@@ -310,30 +310,30 @@
 	return text + l.describeAgent(failed)
 }
 
-func (l *Log) describeLastFailure() string {
+func (l *Collector) describeLastFailure() string {
 	if failed, ok := l.lastRequestLine("attempt_failed"); ok {
 		return l.describeFailure(failed)
 	}
 	if failed, ok := l.lastRequestLine("server_error"); ok {
-		return fmt.Sprintf("server %s had answered %s itself", failed.Text("server"), failed.Text("status"))
+		return fmt.Sprintf("server %s had answered %s itself", failed.Value("server"), failed.Value("status"))
 	}
 	if declined, ok := l.lastRequestLine("attempt_declined"); ok {
-		return fmt.Sprintf("server %s had said that it did not run it", declined.Text("server"))
+		return fmt.Sprintf("server %s had said that it did not run it", declined.Value("server"))
 	}
 	return "the log has no lines of the other attempts"
 }
 
 // describeFailure describes one failed attempt.
-func (l *Log) describeFailure(failed Line) string {
+func (l *Collector) describeFailure(failed Line) string {
 	return fmt.Sprintf("server %s at %s failed after %s: %s",
-		failed.Text("server"), failed.Text("addr"), age(failed), failed.Text("error"))
+		failed.Value("server"), failed.Value("addr"), age(failed), failed.Value("error"))
 }
 
-func (l *Log) countOtherFailures(failed Line) int {
+func (l *Collector) countOtherFailures(failed Line) int {
 	count := 0
 	for _, line := range l.otherFailures {
 		apart := line.At.Sub(failed.At).Abs()
-		if line.Text("server") == failed.Text("server") && apart <= sameFaultWindow {
+		if line.Value("server") == failed.Value("server") && apart <= sameFaultWindow {
 			count++
 		}
 	}
@@ -341,8 +341,8 @@
 }
 
 // describeAgent describes what the agent of a server logged around its failure.
-func (l *Log) describeAgent(failed Line) string {
-	agent := l.agentAt(failed.Text("addr"))
+func (l *Collector) describeAgent(failed Line) string {
+	agent := l.agentAt(failed.Value("addr"))
 	if agent == "" {
 		return ""
 	}
@@ -366,7 +366,7 @@
 }
 
 // lastRequestLine returns the request's last line of an event.
-func (l *Log) lastRequestLine(event string) (Line, bool) {
+func (l *Collector) lastRequestLine(event string) (Line, bool) {
 	for i := len(l.requestLines) - 1; i >= 0; i-- {
 		if l.requestLines[i].Event == event {
 			return l.requestLines[i], true
--- a/cmd/chivespindle/internal/requestlog/leaving.go
+++ b/cmd/chivespindle/internal/requestlog/leaving.go
@@ -24,14 +24,14 @@
 	previous Line
 }
 
-// AtServer names a server that the request reached, for requests whose own
+// SetServer names a server that the request reached, for requests whose own
 // lines name none: of plain successes, only one in fifty is logged.
-func (l *Log) AtServer(server string) { l.server = server }
+func (l *Collector) SetServer(server string) { l.server = server }
 
 // explainLeaving describes which server lists the entries used, if the request
 // reached a server that another entry knew to be leaving. It returns "" if none
 // did.
-func (l *Log) explainLeaving() string {
+func (l *Collector) explainLeaving() string {
 	var parts []string
 	for _, server := range l.reachedServers() {
 		parts = append(parts, l.explainLeavingOf(server))
@@ -41,14 +41,14 @@
 
 // reachedServers returns the servers that the request is known to have been
 // sent to.
-func (l *Log) reachedServers() []string {
+func (l *Collector) reachedServers() []string {
 	var servers []string
 	if l.server != "" {
 		servers = append(servers, l.server)
 	}
 	for _, line := range l.requestLines {
 		for _, key := range []string{"server", "to"} {
-			if s := line.Text(key); s != "" && !slices.Contains(servers, s) {
+			if s := line.Value(key); s != "" && !slices.Contains(servers, s) {
 				servers = append(servers, s)
 			}
 		}
@@ -56,7 +56,7 @@
 	return servers
 }
 
-func (l *Log) explainLeavingOf(server string) string {
+func (l *Collector) explainLeavingOf(server string) string {
 	all := l.leaveNotices(server)
 	if len(all) == 0 {
 		return ""
@@ -102,11 +102,11 @@
 
 // leaveNotices returns, in order of time, when each entry first learned that a
 // server is leaving.
-func (l *Log) leaveNotices(server string) []notice {
+func (l *Collector) leaveNotices(server string) []notice {
 	seen := make(map[string]bool)
 	var all []notice
 	for _, line := range l.processLines {
-		if line.Event != eventServerLeaves && line.Event != eventServerRemoved || line.Text("server") != server || seen[line.Instance] {
+		if line.Event != eventServerLeaves && line.Event != eventServerRemoved || line.Value("server") != server || seen[line.Instance] {
 			continue
 		}
 		seen[line.Instance] = true
@@ -119,7 +119,7 @@
 
 // describeSource describes the server list from which an entry learned that a
 // server is leaving.
-func (l *Log) describeSource(line Line) string {
+func (l *Collector) describeSource(line Line) string {
 	list, ok := l.lastProcessLine(line.Instance, eventServersAdopted, line.At)
 	if !ok {
 		return ""
@@ -140,10 +140,10 @@
 
 // describeServerList describes the adoption of a server list.
 func describeServerList(line Line) string {
-	source := line.Text("source")
-	if from := line.Text("from"); from != "" {
+	source := line.Value("source")
+	if from := line.Value("from"); from != "" {
 		source += " " + from
 	}
 	return fmt.Sprintf("revision %s of %s, read %s before it was adopted at %s",
-		line.Text("revision"), source, line.Duration("reading_age").Round(precision), line.At.UTC().Format(stepTime))
+		line.Value("revision"), source, line.Duration("reading_age").Round(precision), line.At.UTC().Format(stepTime))
 }
--- a/cmd/chivespindle/internal/requestlog/leaving_test.go
+++ b/cmd/chivespindle/internal/requestlog/leaving_test.go
@@ -19,11 +19,11 @@
 	const delay = "entry-1 knew it 4s after that, and went by revision 40 of peer 10.0.0.2, read 300ms before it was adopted at 07:08:01.000 until then."
 
 	cause := func(server, text string) string {
-		log := requestlog.NewLog("a")
-		log.AtServer(server)
-		_, err := requestlog.Read(strings.NewReader(text), log.Take)
+		log := requestlog.NewCollector("a")
+		log.SetServer(server)
+		_, err := requestlog.Read(strings.NewReader(text), log.Add)
 		Expect(err).NotTo(HaveOccurred())
-		return log.Story().Cause
+		return log.Report().Cause
 	}
 
 	// Guards against a report that does not say which server list an entry
--- a/cmd/chivespindle/internal/requestlog/line.go
+++ b/cmd/chivespindle/internal/requestlog/line.go
@@ -37,8 +37,8 @@
 	fields   []field
 }
 
-// Text returns the value of a key, or "" if the line does not have it.
-func (l Line) Text(key string) string {
+// Value returns the value of a key, or "" if the line does not have it.
+func (l Line) Value(key string) string {
 	i := slices.IndexFunc(l.fields, func(f field) bool { return f.key == key })
 	if i < 0 {
 		return ""
@@ -48,7 +48,7 @@
 
 // Int returns the value of a key as a number, or 0 if there is none.
 func (l Line) Int(key string) int {
-	n, err := strconv.Atoi(l.Text(key))
+	n, err := strconv.Atoi(l.Value(key))
 	if err != nil {
 		return 0
 	}
@@ -57,15 +57,15 @@
 
 // Duration returns the value of a key as a duration, or 0 if there is none.
 func (l Line) Duration(key string) time.Duration {
-	d, err := time.ParseDuration(l.Text(key))
+	d, err := time.ParseDuration(l.Value(key))
 	if err != nil {
 		return 0
 	}
 	return d
 }
 
-// Is reports whether the value of a key is "true".
-func (l Line) Is(key string) bool { return l.Text(key) == "true" }
+// Bool reports whether the value of a key is "true".
+func (l Line) Bool(key string) bool { return l.Value(key) == "true" }
 
 // Details returns the keys that are specific to the event, as they were
 // written.
@@ -119,12 +119,12 @@
 	if decoder.Err() != nil {
 		return line, false
 	}
-	at, err := time.Parse(time.RFC3339, line.Text(keyTime))
+	at, err := time.Parse(time.RFC3339, line.Value(keyTime))
 	if err != nil {
 		return line, false
 	}
 	line.At = at
-	line.Event = line.Text(keyEvent)
-	line.Instance = line.Text(keyInstance)
+	line.Event = line.Value(keyEvent)
+	line.Instance = line.Value(keyInstance)
 	return line, line.Event != ""
 }
--- a/cmd/chivespindle/internal/requestlog/losses.go
+++ b/cmd/chivespindle/internal/requestlog/losses.go
@@ -39,8 +39,8 @@
 	Losses []Loss `json:"losses"`
 }
 
-// Account sums the results of calls, which entries log every second.
-type Account struct {
+// ResultCounter sums the results of calls, which entries log every second.
+type ResultCounter struct {
 	window  time.Duration
 	windows map[time.Time]*resultCounts
 	routes  map[string]*resultCounts
@@ -54,20 +54,20 @@
 	totalExcess time.Duration // sum over the calls
 }
 
-// NewAccount returns an empty counter for windows of the given length.
-func NewAccount(window time.Duration) *Account {
-	return &Account{window: window, windows: make(map[time.Time]*resultCounts), routes: make(map[string]*resultCounts)}
+// NewResultCounter returns an empty counter for windows of the given length.
+func NewResultCounter(window time.Duration) *ResultCounter {
+	return &ResultCounter{window: window, windows: make(map[time.Time]*resultCounts), routes: make(map[string]*resultCounts)}
 }
 
-// Take counts a line; lines of other events are ignored. A line reports on the
+// Add counts a line; lines of other events are ignored. A line reports on the
 // time span before it, which is counted in the window of its middle.
-func (a *Account) Take(line Line) {
+func (a *ResultCounter) Add(line Line) {
 	if line.Event != eventCallResults {
 		return
 	}
 	start := line.At.Add(-line.Duration("span") / 2).Truncate(a.window)
 	countsOf(a.windows, start).add(line)
-	countsOf(a.routes, line.Text("route")).add(line)
+	countsOf(a.routes, line.Value("route")).add(line)
 }
 
 func countsOf[K comparable](all map[K]*resultCounts, key K) *resultCounts {
@@ -78,7 +78,7 @@
 }
 
 func (c *resultCounts) add(line Line) {
-	result := line.Text("result")
+	result := line.Value("result")
 	if c.results[result] == nil {
 		c.results[result] = &resultCount{}
 	}
@@ -105,7 +105,7 @@
 }
 
 // Windows returns the results by time.
-func (a *Account) Windows() []Window {
+func (a *ResultCounter) Windows() []Window {
 	var all []Window
 	for from, c := range a.windows {
 		w := Window{From: from}
@@ -117,7 +117,7 @@
 }
 
 // Routes returns the results by route, the one with the most losses first.
-func (a *Account) Routes() []RouteLosses {
+func (a *ResultCounter) Routes() []RouteLosses {
 	var all []RouteLosses
 	for route, c := range a.routes {
 		r := RouteLosses{Route: route}
--- a/cmd/chivespindle/internal/requestlog/report.go
+++ b/cmd/chivespindle/internal/requestlog/report.go
@@ -26,8 +26,8 @@
 	"server_leaving", "version_time_over", "outdated_work_ended",
 }
 
-// Story describes what happened to a request.
-type Story struct {
+// Report describes what happened to a request.
+type Report struct {
 	Request string `json:"request"`
 	Steps   []Step `json:"steps"`
 	// Cause says in a few sentences why the request ended as it did.
@@ -45,21 +45,21 @@
 	Own bool `json:"own"`
 }
 
-// Log collects the lines that may belong to the report of one request.
-type Log struct {
+// Collector collects the lines that may belong to the report of one request.
+type Collector struct {
 	request       string
-	server        string // given with AtServer, "" if none
+	server        string // given with SetServer, "" if none
 	requestLines  []Line // of the request
 	processLines  []Line // about processes, not about a request
 	otherFailures []Line // failed attempts of other requests
 }
 
-// NewLog returns a collector for one request.
-func NewLog(request string) *Log { return &Log{request: request} }
+// NewCollector returns a collector for one request.
+func NewCollector(request string) *Collector { return &Collector{request: request} }
 
-// Take adds a line.
-func (l *Log) Take(line Line) {
-	switch request := line.Text(keyRequest); {
+// Add adds a line.
+func (l *Collector) Add(line Line) {
+	switch request := line.Value(keyRequest); {
 	case request == l.request:
 		l.requestLines = append(l.requestLines, line)
 	case request != "":
@@ -71,12 +71,12 @@
 	}
 }
 
-// Story builds the report from the lines added.
-func (l *Log) Story() Story {
+// Report builds the report from the lines added.
+func (l *Collector) Report() Report {
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
 	slices.SortStableFunc(l.requestLines, byTime)
 	slices.SortStableFunc(l.processLines, byTime)
-	s := Story{Request: l.request, Cause: l.cause() + l.explainLeaving()}
+	s := Report{Request: l.request, Cause: l.cause() + l.explainLeaving()}
 	if len(l.requestLines) == 0 {
 		return s
 	}
@@ -85,7 +85,7 @@
 	for _, line := range lines {
 		s.Steps = append(s.Steps, Step{
 			At: line.At, Instance: line.Instance, Event: line.Event, Details: line.Details(),
-			Own: line.Text(keyRequest) == l.request,
+			Own: line.Value(keyRequest) == l.request,
 		})
 	}
 	return s
@@ -94,12 +94,12 @@
 // surroundingLines returns the lines that the entry and the agents of the
 // servers that the request was sent to logged about themselves around the
 // request.
-func (l *Log) surroundingLines() []Line {
+func (l *Collector) surroundingLines() []Line {
 	first, last := l.requestLines[0], l.requestLines[len(l.requestLines)-1]
 	var servers []string
 	for _, line := range l.requestLines {
 		if line.Event == "attempt_failed" {
-			servers = append(servers, l.agentAt(line.Text("addr")))
+			servers = append(servers, l.agentAt(line.Value("addr")))
 		}
 	}
 	var lines []Line
@@ -118,13 +118,13 @@
 
 // agentAt returns the instance of the agent of the server at an address, or ""
 // if the log does not have it.
-func (l *Log) agentAt(addr string) string {
+func (l *Collector) agentAt(addr string) string {
 	server, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return ""
 	}
 	for _, line := range l.processLines {
-		peer, err := netip.ParseAddrPort(line.Text("peer"))
+		peer, err := netip.ParseAddrPort(line.Value("peer"))
 		if line.Event == "started" && err == nil && peer.Addr() == server.Addr() {
 			return line.Instance
 		}
@@ -134,7 +134,7 @@
 
 // lastProcessLine returns an instance's last line of an event up to a time, and
 // whether there is one.
-func (l *Log) lastProcessLine(instance, event string, until time.Time) (Line, bool) {
+func (l *Collector) lastProcessLine(instance, event string, until time.Time) (Line, bool) {
 	var found Line
 	for _, line := range l.processLines {
 		if line.Instance == instance && line.Event == event && !line.At.After(until) {
--- a/cmd/chivespindle/internal/requestlog/requestlog_test.go
+++ b/cmd/chivespindle/internal/requestlog/requestlog_test.go
@@ -26,7 +26,7 @@
 		Expect(lines[0].At).To(Equal(time.Date(2031, 5, 6, 7, 8, 9, 123e6, time.UTC)))
 		Expect(lines[0].Event).To(Equal("platform_lost"))
 		Expect(lines[0].Instance).To(Equal("entry-1"))
-		Expect(lines[0].Text("error")).To(Equal(`a "b" c`))
+		Expect(lines[0].Value("error")).To(Equal(`a "b" c`))
 		Expect(lines[0].Duration("heard_ago")).To(Equal(1200 * time.Millisecond))
 		Expect(lines[0].Details()).To(Equal(`error="a \"b\" c" heard_ago=1.2s`))
 	})
@@ -59,21 +59,21 @@
 	})
 })
 
-var _ = Describe("Log", func() {
+var _ = Describe("Collector", func() {
 	// The logs of several processes are read one file after the other.
 	It("sorts lines by time, whatever the order of the files", func() {
-		log := requestlog.NewLog("a")
+		log := requestlog.NewCollector("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:11Z event=refused instance=entry-1 request=a reason=full code=unavailable",
 			"ts=2031-05-06T07:08:10Z event=held instance=entry-1 request=a reason=full",
 			"ts=2031-05-06T07:08:09Z event=started instance=entry-1 role=entry",
 			"ts=2031-05-06T07:08:09Z event=started instance=entry-2 role=entry",
 		} {
-			_, err := requestlog.Read(strings.NewReader(text), log.Take)
+			_, err := requestlog.Read(strings.NewReader(text), log.Add)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		var events []string
-		for _, step := range log.Story().Steps {
+		for _, step := range log.Report().Steps {
 			events = append(events, step.Event)
 		}
 		Expect(events).To(Equal([]string{"started", "held", "refused"}))
@@ -83,7 +83,7 @@
 	// engine whose version had expired, and only the agent logs that the engine
 	// still had work in progress.
 	It("shows what an agent logged about an outdated engine, along with the withdrawal", func() {
-		log := requestlog.NewLog("a")
+		log := requestlog.NewCollector("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:01Z event=started instance=agent-1 role=agent peer=10.0.1.1:7700",
 			"ts=2031-05-06T07:08:08Z event=attempt_failed instance=entry-1 request=a age=1.6s attempts=1 server=i-1 addr=10.0.1.1:80 " +
@@ -92,10 +92,10 @@
 			"ts=2031-05-06T07:08:08.3Z event=version_time_over instance=agent-1 loaded=2 after=10ms queued=1 running=0",
 			"ts=2031-05-06T07:08:08.4Z event=outdated_work_ended instance=agent-1 loaded=2 holds=3 after=110ms",
 		} {
-			_, err := requestlog.Read(strings.NewReader(text), log.Take)
+			_, err := requestlog.Read(strings.NewReader(text), log.Add)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		story := log.Story()
+		story := log.Report()
 		var events []string
 		for _, step := range story.Steps {
 			events = append(events, step.Event)
@@ -106,16 +106,16 @@
 	})
 
 	It("names the crashes that put a request in quarantine", func() {
-		log := requestlog.NewLog("a")
+		log := requestlog.NewCollector("a")
 		for _, text := range []string{
 			"ts=2031-05-06T07:08:08Z event=not_placed instance=entry-1 request=a reason=quarantined fingerprint=352bd266dae5 " +
 				"servers=i-1,i-2,i-3 until=2031-05-06T08:08:07Z",
 			"ts=2031-05-06T07:08:08Z event=refused instance=entry-1 request=a code=unavailable reason=quarantined retry_after=59m59s",
 		} {
-			_, err := requestlog.Read(strings.NewReader(text), log.Take)
+			_, err := requestlog.Read(strings.NewReader(text), log.Add)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(log.Story().Cause).To(And(ContainSubstring("quarantined until 2031-05-06T08:08:07Z"),
+		Expect(log.Report().Cause).To(And(ContainSubstring("quarantined until 2031-05-06T08:08:07Z"),
 			ContainSubstring("fingerprint 352bd266dae5"), ContainSubstring("i-1,i-2,i-3 crashed"), ContainSubstring("did not run")))
 	})
 })
--- a/cmd/chivespindle/request.go
+++ b/cmd/chivespindle/request.go
@@ -183,7 +183,7 @@
 	outcome failure.Outcome
 }
 
-func (r *callReport) setResponse(a callstream.Answer) {
+func (r *callReport) setResponse(a callstream.Response) {
 	r.Status = a.Status
 	r.Version = a.Version
 	r.RequestID = a.RequestID
