--- a/adapters/peer/bench_test.go
+++ b/adapters/peer/bench_test.go
@@ -39,9 +39,9 @@
 
 const chunkSize = 4 << 20
 
-// sendChunk answers any message with a chunk, in frames of len(data).
+// sendChunk responds to any message with a chunk in frames of len(data).
 func sendChunk(s *peer.Stream, data []byte) {
-	_ = s.Recv(&note{})
+	_ = s.Recv(&testMessage{})
 	for range chunkSize / len(data) {
 		if s.SendBytes(data) != nil {
 			return
@@ -49,14 +49,14 @@
 	}
 }
 
-// fetchChunk asks for one chunk.
+// fetchChunk requests one chunk.
 func fetchChunk(client *peer.Endpoint, addr netip.AddrPort, buf []byte) error {
 	s, err := client.Open(context.Background(), addr, "", peer.KindChunk)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	err = s.Send(note{})
+	err = s.Send(testMessage{})
 	for err == nil {
 		_, err = s.RecvBytes(buf)
 	}
@@ -86,8 +86,9 @@
 	}
 }
 
-// BenchmarkExchangeBesideChunks asks as BenchmarkExchange, while chunks flow
-// over the same connection in the direction of the answers.
+// BenchmarkExchangeBesideChunks measures an exchange as BenchmarkExchange does,
+// while chunks are transferred over the same connection in the direction of the
+// responses.
 func BenchmarkExchangeBesideChunks(b *testing.B) {
 	data := make([]byte, peer.MaxRawFrame)
 	server, client := benchPair(b, func(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
@@ -106,7 +107,7 @@
 		})
 	}
 	for b.Loop() {
-		if _, err := ask(client, server.Addr(), peer.KindRequest, "x"); err != nil {
+		if _, err := roundTrip(client, server.Addr(), peer.KindRequest, "x"); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -114,22 +115,22 @@
 	chunks.Wait()
 }
 
-// BenchmarkExchange asks and gets an answer on a standing connection.
+// BenchmarkExchange measures a request and its response on an open connection.
 func BenchmarkExchange(b *testing.B) {
 	server, client := benchPair(b, echo)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ask(client, server.Addr(), peer.KindRequest, "x"); err != nil {
+		if _, err := roundTrip(client, server.Addr(), peer.KindRequest, "x"); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkHandshake makes a connection for each exchange.
+// BenchmarkHandshake dials a new connection for each exchange.
 func BenchmarkHandshake(b *testing.B) {
 	server, client := benchPair(b, echo)
 	for b.Loop() {
-		if _, err := ask(client, server.Addr(), peer.KindRequest, "x"); err != nil {
+		if _, err := roundTrip(client, server.Addr(), peer.KindRequest, "x"); err != nil {
 			b.Fatal(err)
 		}
 		client.DropConnections()
--- a/adapters/peer/contract_test.go
+++ b/adapters/peer/contract_test.go
@@ -19,7 +19,7 @@
 	"chivespindle.example/core/fleet"
 )
 
-func beOfType(want *errorx.Type) types.GomegaMatcher {
+func beFailureOfType(want *errorx.Type) types.GomegaMatcher {
 	return gcustom.MakeMatcher(func(err error) (bool, error) {
 		return errorx.IsOfType(err, want), nil
 	}).WithTemplate("Expected\n{{.FormattedActual}}\n{{.To}} be a failure of type " + want.FullName())
@@ -28,34 +28,34 @@
 var _ = ginkgo.Describe("an exchange", func() {
 	ginkgo.BeforeEach(checkLeaks)
 
-	ginkgo.It("echoes messages, all fields whole, over one connection", func() {
+	ginkgo.It("preserves all fields of messages and reuses one connection", func() {
 		p := newPair(echo, nil)
 		s := p.open(peer.KindRequest)
-		sent := note{Text: "hello", Version: fleet.Version{Name: "v1", Manifest: fleet.DigestOf([]byte("x"))}}
+		sent := testMessage{Text: "hello", Version: fleet.Version{Name: "v1", Manifest: fleet.DigestOf([]byte("x"))}}
 		gomega.Expect(s.Send(sent)).To(gomega.Succeed())
-		var got note
+		var got testMessage
 		gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 		gomega.Expect(got).To(gomega.Equal(sent))
 		gomega.Expect(s.Peer()).To(gomega.Equal(keys.Identity{ID: "agent-1", Role: fleet.RoleAgent}))
 		for i := range 20 {
 			text := fmt.Sprint("again ", i)
-			gomega.Expect(ask(p.client, p.server.Addr(), peer.KindReport, text)).To(gomega.Equal(text))
+			gomega.Expect(roundTrip(p.client, p.server.Addr(), peer.KindReport, text)).To(gomega.Equal(text))
 		}
 		gomega.Expect(p.count("connections_opened+side=dialled")()).To(gomega.BeEquivalentTo(1))
 		gomega.Expect(p.count("streams_served+kind=report")()).To(gomega.BeEquivalentTo(20))
 	})
 
-	ginkgo.It("carries many frames each way at the same time", func() {
+	ginkgo.It("transfers many frames in both directions at the same time", func() {
 		const frames = 2000
 		p := newPair(echo, nil)
 		s := p.open(peer.KindGossip)
 		go func() {
 			for i := range frames {
-				_ = s.Send(note{Text: fmt.Sprint(i)})
+				_ = s.Send(testMessage{Text: fmt.Sprint(i)})
 			}
 			_ = s.CloseSend()
 		}()
-		var got note
+		var got testMessage
 		for i := range frames {
 			gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 			gomega.Expect(got.Text).To(gomega.Equal(fmt.Sprint(i)))
@@ -64,96 +64,96 @@
 		gomega.Eventually(s.Context().Done()).Should(gomega.BeClosed())
 	})
 
-	ginkgo.It("carries raw frames up to the bound, behind a message", func() {
+	ginkgo.It("transfers raw frames up to the size limit after a message", func() {
 		chunk := bytes.Repeat([]byte{7}, peer.MaxRawFrame)
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			_ = s.Recv(&note{})
-			_ = s.Send(note{Text: "follows"})
+			_ = s.Recv(&testMessage{})
+			_ = s.Send(testMessage{Text: "follows"})
 			_ = s.SendBytes(chunk)
 			_ = s.SendBytes(nil)
 		}, nil)
 		s := p.open(peer.KindChunk)
-		gomega.Expect(s.Send(note{})).To(gomega.Succeed())
-		gomega.Expect(s.Recv(&note{})).To(gomega.Succeed())
+		gomega.Expect(s.Send(testMessage{})).To(gomega.Succeed())
+		gomega.Expect(s.Recv(&testMessage{})).To(gomega.Succeed())
 		gomega.Expect(s.RecvBytes(make([]byte, 0, 10))).To(gomega.Equal(chunk))
 		gomega.Expect(s.RecvBytes(nil)).To(gomega.BeEmpty())
 		_, err := s.RecvBytes(nil)
 		gomega.Expect(err).To(gomega.MatchError(io.EOF))
-		gomega.Expect(s.SendBytes(append(chunk, 0))).To(beOfType(peer.TooLarge))
+		gomega.Expect(s.SendBytes(append(chunk, 0))).To(beFailureOfType(peer.TooLarge))
 	})
 
 	ginkgo.It("delivers a one-way message that its sender closes", func() {
 		got := make(chan string, 1)
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			var n note
+			var n testMessage
 			_ = s.Recv(&n)
 			got <- n.Text
 		}, nil)
 		s := p.open(peer.KindGossip)
-		gomega.Expect(s.Send(note{Text: "one way"})).To(gomega.Succeed())
+		gomega.Expect(s.Send(testMessage{Text: "one way"})).To(gomega.Succeed())
 		s.Close()
-		gomega.Eventually(got, patience).Should(gomega.Receive(gomega.Equal("one way")))
+		gomega.Eventually(got, waitTimeout).Should(gomega.Receive(gomega.Equal("one way")))
 	})
 
-	// A server answers without reading the rest of a long request. The client's
-	// sends fail from some point on, its end of sending is no failure, and it
-	// gets the answer.
-	ginkgo.It("brings an answer that was given before the request was read", func() {
+	// A server responds without reading the rest of a long request. The
+	// client's sends fail from some point on, CloseSend reports no failure, and
+	// the client receives the response.
+	ginkgo.It("receives a response that was sent before the request was read", func() {
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			_ = s.Send(note{Text: "no"})
+			_ = s.Send(testMessage{Text: "no"})
 		}, nil)
 		s := p.open(peer.KindRequest)
-		gomega.Eventually(func() error { return s.SendBytes(make([]byte, 1000)) }, patience).Should(beOfType(peer.Aborted))
-		var got note
+		gomega.Eventually(func() error { return s.SendBytes(make([]byte, 1000)) }, waitTimeout).Should(beFailureOfType(peer.Aborted))
+		var got testMessage
 		gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 		gomega.Expect(got.Text).To(gomega.Equal("no"))
 		gomega.Expect(s.Recv(&got)).To(gomega.MatchError(io.EOF))
-		quick := p.open(peer.KindRequest)
-		gomega.Expect(quick.Send(note{})).To(gomega.Succeed())
-		gomega.Expect(quick.Recv(&got)).To(gomega.Succeed())
-		gomega.Expect(quick.Recv(&got)).To(gomega.MatchError(io.EOF))
-		gomega.Expect(quick.CloseSend()).To(gomega.Succeed())
+		unread := p.open(peer.KindRequest)
+		gomega.Expect(unread.Send(testMessage{})).To(gomega.Succeed())
+		gomega.Expect(unread.Recv(&got)).To(gomega.Succeed())
+		gomega.Expect(unread.Recv(&got)).To(gomega.MatchError(io.EOF))
+		gomega.Expect(unread.CloseSend()).To(gomega.Succeed())
 	})
 
-	ginkgo.It("lets the peer speak first", func() {
+	ginkgo.It("lets the peer send first", func() {
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			_ = s.Send(note{Text: "first"})
+			_ = s.Send(testMessage{Text: "first"})
 		}, nil)
 		s := p.open(peer.KindStatus)
-		var got note
+		var got testMessage
 		gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 		gomega.Expect(got.Text).To(gomega.Equal("first"))
 	})
 
-	ginkgo.It("refuses a message over the bound on either side", func() {
+	ginkgo.It("refuses a message over the size limit on either side", func() {
 		failed := make(chan error, 1)
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			failed <- s.Recv(&note{})
+			failed <- s.Recv(&testMessage{})
 		}, func(server, _ *peer.Options) { server.MaxMessage = 1000 })
 		s := p.open(peer.KindConfig)
-		gomega.Expect(s.Send(note{Text: string(make([]byte, peer.DefaultMaxMessage))})).To(beOfType(peer.TooLarge))
-		gomega.Expect(s.Send(note{Text: string(make([]byte, 2000))})).To(gomega.Succeed())
-		gomega.Eventually(failed, patience).Should(gomega.Receive(beOfType(peer.TooLarge)))
-		gomega.Eventually(s.Context().Done(), patience).Should(gomega.BeClosed())
+		gomega.Expect(s.Send(testMessage{Text: string(make([]byte, peer.DefaultMaxMessage))})).To(beFailureOfType(peer.TooLarge))
+		gomega.Expect(s.Send(testMessage{Text: string(make([]byte, 2000))})).To(gomega.Succeed())
+		gomega.Eventually(failed, waitTimeout).Should(gomega.Receive(beFailureOfType(peer.TooLarge)))
+		gomega.Eventually(s.Context().Done(), waitTimeout).Should(gomega.BeClosed())
 	})
 
-	ginkgo.It("refuses a raw frame where a message is due", func() {
+	ginkgo.It("refuses a raw frame where a message is expected", func() {
 		failed := make(chan error, 1)
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			failed <- s.Recv(&note{})
+			failed <- s.Recv(&testMessage{})
 		}, nil)
 		sent := p.open(peer.KindChunk).SendBytes([]byte{1})
-		gomega.Eventually(failed, patience).Should(gomega.Receive(beOfType(failure.Corrupt)))
-		if sent != nil { // the refusal may come before all of the frame was written
-			gomega.Expect(sent).To(beOfType(failure.Unavailable))
+		gomega.Eventually(failed, waitTimeout).Should(gomega.Receive(beFailureOfType(failure.Corrupt)))
+		if sent != nil { // the refusal may arrive before the complete frame was written
+			gomega.Expect(sent).To(beFailureOfType(failure.Unavailable))
 		}
 	})
 
-	// A server is in the middle of a long answer when the caller gives up. The
-	// client aborts the stream: the server's context ends and its sends fail.
-	// What was on its way is dropped, so that the next exchange on the same
-	// connection gets its own answer and nothing else.
-	ginkgo.It("drops the rest of an aborted answer", func() {
+	// The caller cancels while a server sends a long response. The client
+	// aborts the stream: the server's context ends and its sends fail. Data in
+	// flight is discarded, so that the next exchange on the same connection
+	// receives only its own response.
+	ginkgo.It("discards the rest of an aborted response", func() {
 		ended := make(chan error, 1)
 		p := newPair(func(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
 			if kind != peer.KindChunk {
@@ -171,53 +171,53 @@
 		_, err := s.RecvBytes(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		s.Abort()
-		gomega.Eventually(ended, patience).Should(gomega.Receive(beOfType(peer.Aborted)))
+		gomega.Eventually(ended, waitTimeout).Should(gomega.Receive(beFailureOfType(peer.Aborted)))
 		_, err = s.RecvBytes(nil)
-		gomega.Expect(err).To(beOfType(peer.Aborted))
-		gomega.Expect(ask(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
+		gomega.Expect(err).To(beFailureOfType(peer.Aborted))
+		gomega.Expect(roundTrip(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
 		gomega.Expect(p.count("connections_opened+side=dialled")()).To(gomega.BeEquivalentTo(1))
 	})
 
 	ginkgo.It("is aborted when the context given to Open ends", func() {
-		entered, left := make(chan struct{}), make(chan struct{})
+		entered, ended := make(chan struct{}), make(chan struct{})
 		p := newPair(func(ctx context.Context, from keys.Identity, kind peer.Kind, s *peer.Stream) {
 			close(entered)
-			hold(ctx, from, kind, s)
-			close(left)
+			waitForEnd(ctx, from, kind, s)
+			close(ended)
 		}, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		s, err := p.client.Open(ctx, p.server.Addr(), "agent-1", peer.KindRequest)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		gomega.Expect(s.Send(note{})).To(gomega.Succeed())
-		gomega.Eventually(entered, patience).Should(gomega.BeClosed())
+		gomega.Expect(s.Send(testMessage{})).To(gomega.Succeed())
+		gomega.Eventually(entered, waitTimeout).Should(gomega.BeClosed())
 		cancel()
-		gomega.Expect(s.Recv(&note{})).To(beOfType(peer.Aborted))
-		gomega.Eventually(left, patience).Should(gomega.BeClosed())
+		gomega.Expect(s.Recv(&testMessage{})).To(beFailureOfType(peer.Aborted))
+		gomega.Eventually(ended, waitTimeout).Should(gomega.BeClosed())
 	})
 
-	ginkgo.It("tells a slow peer by the progress deadline, and goes on after it", func() {
-		answer := make(chan struct{})
+	ginkgo.It("reports a slow peer by the stall timeout and continues afterwards", func() {
+		respond := make(chan struct{})
 		p := newPair(func(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-			<-answer
-			_ = s.Send(note{Text: "late"})
+			<-respond
+			_ = s.Send(testMessage{Text: "late"})
 		}, nil)
 		s := p.open(peer.KindRequest)
 		s.SetStall(20 * time.Millisecond)
-		gomega.Expect(s.Recv(&note{})).To(beOfType(failure.Timeout))
-		close(answer)
-		s.SetStall(patience)
-		var got note
+		gomega.Expect(s.Recv(&testMessage{})).To(beFailureOfType(failure.Timeout))
+		close(respond)
+		s.SetStall(waitTimeout)
+		var got testMessage
 		gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 		gomega.Expect(got.Text).To(gomega.Equal("late"))
 	})
 
-	ginkgo.It("is given up by Open when the peer's bound of streams is reached", func() {
-		p := newPair(hold, func(server, client *peer.Options) {
+	ginkgo.It("fails in Open while the peer's stream limit is reached", func() {
+		p := newPair(waitForEnd, func(server, client *peer.Options) {
 			server.MaxStreams = 1
 			client.HandshakeTimeout = 500 * time.Millisecond
 		})
 		first := p.open(peer.KindRequest)
-		gomega.Expect(first.Send(note{})).To(gomega.Succeed())
+		gomega.Expect(first.Send(testMessage{})).To(gomega.Succeed())
 		_, err := p.client.Open(context.Background(), p.server.Addr(), "", peer.KindRequest)
 		expectNotRun(err)
 		first.Abort()
@@ -227,6 +227,6 @@
 				s.Abort()
 			}
 			return err
-		}, patience).Should(gomega.Succeed())
+		}, waitTimeout).Should(gomega.Succeed())
 	})
 })
--- a/adapters/peer/dial.go
+++ b/adapters/peer/dial.go
@@ -13,58 +13,57 @@
 	"chivespindle.example/core/fleet"
 )
 
-// openAttempts is how often Open looks for a connection: the one at hand may
-// turn out to be dead, or to lead to the address's former instance. Nothing
-// was sent on it then, so a second one may be tried.
+// openAttempts is how often Open tries a connection: a pooled one may turn out
+// to be dead, or to lead to the former instance at the address. Nothing was
+// sent on it in these cases, so a second one may be tried.
 const openAttempts = 2
 
-// Open opens a stream to the instance want at addr, or to whichever answers
-// there if want is "". It uses the connection to addr if there is one, and
-// makes one if not; concurrent callers make only one. It takes at most the
-// handshake timeout.
+// Open opens a stream to the instance want at addr, or to whichever instance
+// responds there if want is "". It reuses the connection to addr or dials one;
+// concurrent callers share one dial. It takes at most the handshake timeout.
 //
 // Each failure is a failure.Unavailable (WrongPeer if another instance
-// answers) with the outcome failure.NotRun, since nothing of the request was
-// sent. When ctx ends, also later, the stream is aborted.
+// responds) with the outcome failure.NotRun, since nothing of the request was
+// sent. When ctx ends, even after Open has returned, the stream is aborted.
 func (e *Endpoint) Open(ctx context.Context, addr netip.AddrPort, want fleet.InstanceID, kind Kind) (*Stream, error) {
-	traffic, known := e.metrics.kinds[kind]
-	if !known {
-		return nil, notOpened(failure.Internal.New("no such kind of stream: %d", kind))
+	traffic, ok := e.metrics.kinds[kind]
+	if !ok {
+		return nil, withNotRun(failure.Internal.New("no such kind of stream: %d", kind))
 	}
 	addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
-	waiting, cancel := context.WithTimeout(ctx, e.opts.HandshakeTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, e.opts.HandshakeTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for range openAttempts {
-		l, fresh, err := e.pool.get(waiting, addr)
+		c, isNew, err := e.pool.get(openCtx, addr)
 		if err != nil {
 			return nil, openFailure(err, addr)
 		}
-		raw, err := e.openOn(waiting, l, want)
+		raw, err := e.openStream(openCtx, c, want)
 		if err == nil {
 			traffic.opened.Inc(1)
-			return newStream(ctx, raw, l, kind, e.opts.MaxMessage, traffic), nil
+			return newStream(ctx, raw, c, kind, e.opts.MaxMessage, traffic), nil
 		}
-		last = openFailure(err, addr)
-		if fresh || waiting.Err() != nil {
+		lastErr = openFailure(err, addr)
+		if isNew || openCtx.Err() != nil {
 			break
 		}
-		e.pool.forget(l)
+		e.pool.remove(c)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// openOn opens a QUIC stream on one connection.
-func (e *Endpoint) openOn(ctx context.Context, l *link, want fleet.InstanceID) (*quic.Stream, error) {
-	if want != "" && l.peer.ID != want {
-		return nil, WrongPeer.New("%s answers, not %s", l.peer, want)
+// openStream opens a QUIC stream on one connection.
+func (e *Endpoint) openStream(ctx context.Context, c *connection, want fleet.InstanceID) (*quic.Stream, error) {
+	if want != "" && c.peer.ID != want {
+		return nil, WrongPeer.New("%s answers, not %s", c.peer, want)
 	}
-	if !l.acquire() {
+	if !c.acquire() {
 		return nil, ConnectionLost.New("the connection is being closed")
 	}
-	raw, err := l.conn.OpenStreamSync(ctx)
+	raw, err := c.quic.OpenStreamSync(ctx)
 	if err != nil {
-		l.release()
+		c.release()
 		return nil, err
 	}
 	return raw, nil
@@ -75,12 +74,12 @@
 	if known := errorx.Cast(err); known != nil && known.IsOfType(failure.Unavailable) {
 		kind = known.Type()
 	}
-	return notOpened(kind.Wrap(err, "open a stream to %s", addr))
+	return withNotRun(kind.Wrap(err, "open a stream to %s", addr))
 }
 
-// dial makes a connection. It lasts at most the handshake timeout.
-func (e *Endpoint) dial(addr netip.AddrPort) (*link, error) {
-	if !e.begin() {
+// dial establishes a connection. It takes at most the handshake timeout.
+func (e *Endpoint) dial(addr netip.AddrPort) (*connection, error) {
+	if !e.addWork() {
 		return nil, context.Cause(e.ctx)
 	}
 	defer e.work.Done()
@@ -93,15 +92,15 @@
 		e.opts.Logger.Debug("peer_dial_failed", zap.Stringer("addr", addr), zap.Error(err))
 		return nil, err
 	}
-	l, err := newLink(conn, true, generation)
+	c, err := newConnection(conn, true, generation)
 	if err != nil {
 		_ = conn.CloseWithError(connRefused, "")
 		return nil, err
 	}
-	l.addr = addr
-	if !e.register(l) {
+	c.addr = addr
+	if !e.register(c) {
 		_ = conn.CloseWithError(connClosing, "")
 		return nil, context.Cause(e.ctx)
 	}
-	return l, nil
+	return c, nil
 }
--- a/adapters/peer/endpoint.go
+++ b/adapters/peer/endpoint.go
@@ -17,10 +17,10 @@
 	"chivespindle.example/core/failure"
 )
 
-// Flow-control windows, in bytes: what a peer may send that the reader has not
-// taken yet, which is what a connection can cost in memory at worst. They grow
-// from the initial to the maximal value only on connections whose reader keeps
-// up and whose round trip needs it.
+// Flow-control windows, in bytes: how much a peer may send before the reader
+// has consumed it, which bounds the memory of a connection. They grow from the
+// initial to the maximal value only on connections whose reader keeps up and
+// whose round-trip time needs it.
 const (
 	initialStreamWindow     = 128 << 10
 	maxStreamWindow         = 2 << 20
@@ -28,40 +28,42 @@
 	maxConnectionWindow     = 4 << 20
 )
 
-// wantedBuffer is the socket buffer that quic-go asks for, in bytes. The kernel
-// reports twice of what it grants.
-const wantedBuffer = 7 << 20
+// wantedBufferBytes is the socket buffer that quic-go requests. The kernel
+// reports twice the size that it grants.
+const wantedBufferBytes = 7 << 20
 
-// quietBufferWarning is quic-go's switch for a line that it prints through
-// package log when the kernel caps the socket buffer.
-const quietBufferWarning = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
+// disableBufferWarningEnv is the environment variable that disables a warning
+// that quic-go prints through package log when the kernel caps the socket
+// buffer.
+const disableBufferWarningEnv = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
 // Endpoint is both client and server over one UDP socket.
 type Endpoint struct {
-	opts      Options
-	socket    *net.UDPConn
-	addr      netip.AddrPort
-	transport *quic.Transport
-	listener  *quic.Listener // nil without a Handler
-	gate      *gate
-	pool      *pool
-	metrics   *metrics
+	opts       Options
+	socket     *net.UDPConn
+	addr       netip.AddrPort
+	transport  *quic.Transport
+	listener   *quic.Listener // nil without a Handler
+	handshakes *handshakeLimiter
+	pool       *pool
+	metrics    *metrics
 
-	ctx    context.Context // ends with Close
+	ctx    context.Context // canceled by Close
 	cancel context.CancelCauseFunc
 
-	mu       sync.Mutex
-	links    map[*link]struct{}
-	closed   bool
-	draining bool           // accepted connections take no streams
-	work     sync.WaitGroup // dials, connections and handlers; grows only while not closed
+	mu          sync.Mutex
+	connections map[*connection]struct{}
+	closed      bool
+	draining    bool           // accepted connections take no new streams
+	work        sync.WaitGroup // dials, connections and handlers; added to only while not closed
 
 	closeOnce sync.Once
 }
 
 // New binds the UDP socket and starts to listen if there is a Handler. Peers
 // are served once Run is called. The address is bound exclusively: a second
-// process on it fails with AddressInUse, also while the first is paused.
+// process that binds it fails with AddressInUse, even while the first is
+// suspended.
 func New(opts Options) (*Endpoint, error) {
 	opts, err := opts.withDefaults()
 	if err != nil {
@@ -75,20 +77,20 @@
 		return nil, failure.Invalid.Wrap(err, "listen on UDP address %s", opts.Listen)
 	}
 	e := &Endpoint{
-		opts:    opts,
-		socket:  socket,
-		addr:    addrPortOf(socket.LocalAddr()),
-		gate:    newGate(),
-		metrics: newMetrics(opts.Metrics, opts.Logger),
-		links:   make(map[*link]struct{}),
+		opts:        opts,
+		socket:      socket,
+		addr:        addrPortOf(socket.LocalAddr()),
+		handshakes:  newHandshakeLimiter(),
+		metrics:     newMetrics(opts.Metrics, opts.Logger),
+		connections: make(map[*connection]struct{}),
 	}
 	e.ctx, e.cancel = context.WithCancelCause(context.Background())
 	e.pool = newPool(e.dial)
-	e.gate.generation = opts.Keys.Generation
-	e.gate.onLimit = func(from netip.AddrPort) {
+	e.handshakes.generation = opts.Keys.Generation
+	e.handshakes.onLimitReached = func(from netip.AddrPort) {
 		e.metrics.refused(refusedHandshakeLimit, zap.Stringer("from", from))
 	}
-	e.gate.onFailed = e.handshakeFailed
+	e.handshakes.onFailed = e.handshakeFailed
 	if err := e.listen(); err != nil {
 		_ = socket.Close()
 		return nil, err
@@ -103,18 +105,18 @@
 	return e.opts.Socket(e.socket)
 }
 
-// listen makes the QUIC transport. The key of stateless resets comes from the
-// private key, so that a restarted process can tell its peers at once that
-// their old connections are gone; with a random key they would find out by
-// their idle timeout.
+// listen creates the QUIC transport. The key of stateless resets is derived
+// from the private key, so that a restarted process can reset its peers' old
+// connections at once; with a random key the peers would notice only at their
+// idle timeout.
 func (e *Endpoint) listen() error {
-	_ = os.Setenv(quietBufferWarning, "true") // fails only on a malformed name
+	_ = os.Setenv(disableBufferWarningEnv, "true") // fails only on a malformed name
 	resetKey := quic.StatelessResetKey(e.opts.Keys.Secret("stateless reset"))
 	e.transport = &quic.Transport{
 		Conn:                e.packetConn(),
 		StatelessResetKey:   &resetKey,
-		VerifySourceAddress: e.gate.verifySource,
-		ConnContext:         e.gate.admit,
+		VerifySourceAddress: e.handshakes.verifySource,
+		ConnContext:         e.handshakes.admit,
 	}
 	if e.opts.Handler == nil {
 		return nil
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// warnSmallBuffer says in a line of ours what quic-go would print: with a small
+// warnSmallBuffer logs as an event what quic-go would print: with a small
 // buffer the kernel drops packets of a burst, which shows as slow transfers.
 func (e *Endpoint) warnSmallBuffer() {
 	raw, err := e.socket.SyscallConn()
@@ -139,8 +141,8 @@
 	_ = raw.Control(func(fd uintptr) {
 		size, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
 	})
-	if err == nil && size < wantedBuffer {
-		e.opts.Logger.Warn("udp_buffer_small", zap.Int("bytes", size), zap.Int("wanted", wantedBuffer),
+	if err == nil && size < wantedBufferBytes {
+		e.opts.Logger.Warn("udp_buffer_small", zap.Int("bytes", size), zap.Int("wanted", wantedBufferBytes),
 			zap.String("hint", "raise net.core.rmem_max"))
 	}
 }
@@ -170,8 +172,9 @@
 	return conf
 }
 
-// clientConfig sends keep-alives from the dialling side only: one side's
-// questions and the other's answers keep both from timing out.
+// clientConfig enables keep-alives on the dialling side only: its packets and
+// the peer's acknowledgements keep the connection from timing out on both
+// sides.
 func (e *Endpoint) clientConfig() *quic.Config {
 	conf := e.baseConfig()
 	conf.KeepAlivePeriod = e.opts.KeepAlive
@@ -179,17 +182,17 @@
 	return conf
 }
 
-// Addr returns the UDP address that the endpoint holds.
+// Addr returns the UDP address that the endpoint is bound to.
 func (e *Endpoint) Addr() netip.AddrPort { return e.addr }
 
 // Run accepts connections and closes unused ones until ctx ends or Close is
-// called; it returns nil then. In both cases the endpoint is closed when Run
-// returns. It fails with failure.Unavailable if the socket breaks.
+// called, and returns nil then. The endpoint is closed when Run returns. It
+// fails with failure.Unavailable if the socket fails.
 func (e *Endpoint) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.Close() })
 	defer stop()
 	defer e.Close()
-	if !e.begin() {
+	if !e.addWork() {
 		return nil
 	}
 	go e.sweep()
@@ -205,34 +208,35 @@
 		if err != nil {
 			return failure.Unavailable.Wrap(err, "accept connections on %s", e.addr)
 		}
-		e.accept(conn, e.gate.completed(conn.Context()))
+		e.accept(conn, e.handshakes.completed(conn.Context()))
 	}
 }
 
-// Close tells the peers, ends all connections and streams, releases the
-// address and waits for the handlers. What was sent but has not arrived is
-// lost; see Drain. It must not be called by a handler.
+// Close notifies the peers, ends all connections and streams, releases the
+// address and waits for the handlers. Data that was sent but not yet delivered
+// is lost; see Drain. It must not be called by a handler.
 func (e *Endpoint) Close() error {
-	e.closeOnce.Do(e.shutDown)
+	e.closeOnce.Do(e.shutdown)
 	return nil
 }
 
-// refuseWork has all later work fail, and returns the links that there are. The
-// reason is there from the moment on at which work is refused: a dial that found
-// none gave neither a connection nor a failure.
-func (e *Endpoint) refuseWork() []*link {
+// markClosed makes all later work fail, and returns the existing connections.
+// The context is canceled with the Closed failure under the same lock: a dial
+// that is refused reads its error from there, and without it would return
+// neither a connection nor an error.
+func (e *Endpoint) markClosed() []*connection {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
 	e.cancel(Closed.New("endpoint %s was closed", e.addr))
-	return slices.Collect(maps.Keys(e.links))
+	return slices.Collect(maps.Keys(e.connections))
 }
 
-func (e *Endpoint) shutDown() {
-	links := e.refuseWork()
+func (e *Endpoint) shutdown() {
+	connections := e.markClosed()
 	var closing sync.WaitGroup
-	for _, l := range links {
-		closing.Go(func() { _ = l.conn.CloseWithError(connClosing, "") })
+	for _, c := range connections {
+		closing.Go(func() { _ = c.quic.CloseWithError(connClosing, "") })
 	}
 	closing.Wait()
 	if e.listener != nil {
@@ -243,9 +247,9 @@
 	e.work.Wait()
 }
 
-// begin counts one more piece of work that Close waits for. It returns false
-// once the endpoint is closed.
-func (e *Endpoint) begin() bool {
+// addWork adds one task that Close waits for. It returns false once the
+// endpoint is closed.
+func (e *Endpoint) addWork() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
@@ -256,37 +260,37 @@
 }
 
 // register adds a connection. It returns false once the endpoint is closed.
-func (e *Endpoint) register(l *link) bool {
+func (e *Endpoint) register(c *connection) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return false
 	}
-	e.links[l] = struct{}{}
-	if e.draining && !l.dialled {
-		l.retire()
+	e.connections[c] = struct{}{}
+	if e.draining && !c.dialled {
+		c.retire()
 	}
-	e.side(l).opened.Inc(1)
-	context.AfterFunc(l.conn.Context(), func() { e.unregister(l) })
+	e.sideMetrics(c).opened.Inc(1)
+	context.AfterFunc(c.quic.Context(), func() { e.unregister(c) })
 	return true
 }
 
-func (e *Endpoint) unregister(l *link) {
-	if l.dialled {
-		e.pool.forget(l)
+func (e *Endpoint) unregister(c *connection) {
+	if c.dialled {
+		e.pool.remove(c)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.links, l)
-	e.side(l).closed.Inc(1)
-	if l.dialled {
-		e.opts.Logger.Debug("peer_connection_closed", zap.Stringer("peer", l.peer), zap.Stringer("addr", l.addr),
-			zap.NamedError("cause", context.Cause(l.conn.Context())))
+	delete(e.connections, c)
+	e.sideMetrics(c).closed.Inc(1)
+	if c.dialled {
+		e.opts.Logger.Debug("peer_connection_closed", zap.Stringer("peer", c.peer), zap.Stringer("addr", c.addr),
+			zap.NamedError("cause", context.Cause(c.quic.Context())))
 	}
 }
 
-func (e *Endpoint) side(l *link) sideMetrics {
-	if l.dialled {
+func (e *Endpoint) sideMetrics(c *connection) sideMetrics {
+	if c.dialled {
 		return e.metrics.dialled
 	}
 	return e.metrics.accepted
--- a/adapters/peer/errors.go
+++ b/adapters/peer/errors.go
@@ -14,71 +14,73 @@
 // Failures of this package, beside failure.Unavailable, Timeout, Refused and
 // Corrupt.
 var (
-	// AddressInUse: another process holds the UDP address.
+	// AddressInUse: another process has bound the UDP address.
 	AddressInUse = failure.Invalid.NewSubtype("address_in_use")
-	// WrongPeer: another instance than the wanted one answers at the address.
+	// WrongPeer: an instance other than the requested one responds at the
+	// address.
 	WrongPeer = failure.Unavailable.NewSubtype("wrong_peer")
-	// ConnectionLost: the connection ended while the exchange ran.
+	// ConnectionLost: the connection ended during the exchange.
 	ConnectionLost = failure.Unavailable.NewSubtype("connection_lost")
-	// Aborted: this side or the other gave the exchange up.
+	// Aborted: the exchange was aborted by this side or by the peer.
 	Aborted = failure.Unavailable.NewSubtype("stream_aborted")
-	// TooLarge: a frame is over its bound.
+	// TooLarge: a frame exceeds its size limit.
 	TooLarge = failure.Namespace.NewType("frame_too_large")
 	// Closed: the endpoint was closed.
 	Closed = failure.Unavailable.NewSubtype("endpoint_closed")
 )
 
-// Codes on streams, part of the wire format.
+// Stream error codes, part of the wire format.
 const (
-	streamFinished quic.StreamErrorCode = 0 // the reader needs no more
-	streamAborted  quic.StreamErrorCode = 1 // the exchange was given up
+	streamFinished quic.StreamErrorCode = 0 // the reader needs no more data
+	streamAborted  quic.StreamErrorCode = 1 // the exchange was aborted
 	streamRefused  quic.StreamErrorCode = 2 // the role may not open this kind; no handler saw it
-	streamCorrupt  quic.StreamErrorCode = 3 // the frames cannot be read
+	streamCorrupt  quic.StreamErrorCode = 3 // the frames cannot be decoded
 	streamRetired  quic.StreamErrorCode = 4 // the connection takes no new streams; no handler saw it
 )
 
-// Codes on connections, part of the wire format.
+// Connection error codes, part of the wire format.
 const (
-	connClosing quic.ApplicationErrorCode = 0 // the process ends
-	connUnused  quic.ApplicationErrorCode = 1 // no stream for a while
-	connRefused quic.ApplicationErrorCode = 2 // the certificate is not accepted any more
+	connClosing quic.ApplicationErrorCode = 0 // the process is stopping
+	connUnused  quic.ApplicationErrorCode = 1 // no stream for UnusedTimeout
+	connRefused quic.ApplicationErrorCode = 2 // the peer's certificate is not accepted
 )
 
-// notOpened makes the failure of Open: nothing of the request was sent.
-func notOpened(err *errorx.Error) error {
+// withNotRun marks a failure before any part of the request was sent.
+func withNotRun(err *errorx.Error) error {
 	return failure.WithOutcome(err, failure.NotRun)
 }
 
-// streamFailure turns an error of quic-go into a failure of the system.
+// streamFailure converts an error of quic-go into a failure of the system.
 //
-// Outcomes are Unknown but for the cases in which the other side itself says
-// that no handler saw the stream: it refused the kind, it takes no new streams
-// on the connection, or it refused the connection during the handshake. TLS 1.3
-// lets a client send before the server has judged its certificate, so the last
-// reaches the client here.
-func streamFailure(err error, doing string) error {
+// The outcome is Unknown except where the peer itself reports that no handler
+// saw the stream: it refused the kind, it accepts no new streams on the
+// connection, or it refused the connection during the handshake. TLS 1.3 lets a
+// client send before the server has verified its certificate, so the last case
+// can reach the client after the stream was opened.
+func streamFailure(err error, operation string) error {
 	if known := errorx.Cast(err); known != nil {
 		return known
 	}
 	if streamErr, ok := errors.AsType[*quic.StreamError](err); ok {
 		if streamErr.Remote && streamErr.ErrorCode == streamRefused {
-			return notOpened(failure.Refused.Wrap(err, "%s: the peer refused the stream", doing))
+			return withNotRun(failure.Refused.Wrap(err, "%s: the peer refused the stream", operation))
 		}
 		if isRetired(streamErr) {
-			return notOpened(ConnectionLost.Wrap(err, "%s: the peer takes no new streams on this connection", doing))
+			return withNotRun(ConnectionLost.Wrap(err, "%s: the peer takes no new streams on this connection", operation))
 		}
-		return Aborted.Wrap(err, "%s", doing)
+		return Aborted.Wrap(err, "%s", operation)
 	}
-	if transportErr, ok := errors.AsType[*quic.TransportError](err); ok && refusedHandshake(transportErr) {
-		return notOpened(ConnectionLost.Wrap(err, "%s: the peer refused the connection", doing))
+	if transportErr, ok := errors.AsType[*quic.TransportError](err); ok && isHandshakeRefusal(transportErr) {
+		return withNotRun(ConnectionLost.Wrap(err, "%s: the peer refused the connection", operation))
 	}
 	if isStreamDeadline(err) {
-		return failure.Timeout.Wrap(err, "%s: no progress in time", doing)
+		return failure.Timeout.Wrap(err, "%s: no progress in time", operation)
 	}
-	return ConnectionLost.Wrap(err, "%s", doing)
+	return ConnectionLost.Wrap(err, "%s", operation)
 }
 
-// isFinished tells a peer that reads no more from one that gave up.
+// isFinished reports whether err means that the peer needs no more data, as
+// opposed to an aborted exchange.
 func isFinished(err error) bool {
 	streamErr, ok := errors.AsType[*quic.StreamError](err)
 	return ok && streamErr.Remote && streamErr.ErrorCode == streamFinished
@@ -88,12 +90,12 @@
 	return err.Remote && err.ErrorCode == streamRetired
 }
 
-func refusedHandshake(err *quic.TransportError) bool {
+func isHandshakeRefusal(err *quic.TransportError) bool {
 	return err.Remote && (err.ErrorCode.IsCryptoError() || err.ErrorCode == quic.ConnectionRefused)
 }
 
-// isStreamDeadline tells the deadline of one stream from the timeouts of a
-// connection, which satisfy net.Error, too.
+// isStreamDeadline reports whether err is the deadline of one stream. Timeouts
+// of the connection satisfy net.Error, too, and are excluded.
 func isStreamDeadline(err error) bool {
 	if _, ok := errors.AsType[*quic.IdleTimeoutError](err); ok {
 		return false
--- a/adapters/peer/frame.go
+++ b/adapters/peer/frame.go
@@ -11,12 +11,12 @@
 	"chivespindle.example/core/failure"
 )
 
-// A frame is four bytes of header, big endian, then the payload. The top byte
-// of the header is the frame's type, the lower three are the length.
+// A frame is a header of four bytes, big endian, and the payload. The top byte
+// of the header is the frame's type, the lower three are the payload's length.
 const (
-	headerSize     = 4
-	lengthBits     = 24
-	maxFrameLength = 1<<lengthBits - 1
+	headerBytes   = 4
+	lengthBits    = 24
+	maxFrameBytes = 1<<lengthBits - 1
 
 	// MaxRawFrame is the largest payload of SendBytes.
 	MaxRawFrame = 256 << 10
@@ -26,18 +26,19 @@
 
 const (
 	frameMessage frameType = 1 // one CBOR item
-	frameRaw     frameType = 2 // bytes as they are
+	frameRaw     frameType = 2 // raw bytes
 )
 
-// Bounds of what one message may make the decoder build.
+// Limits on the values that the decoder builds from one message.
 const (
 	maxNesting  = 16
 	maxElements = 1 << 16
 )
 
-// readStep is how much of a frame is asked for at a time, so that a header
-// that promises a megabyte costs a megabyte only when the bytes come.
-const readStep = 64 << 10
+// readStepBytes is how much of a frame is buffered at a time, so that memory is
+// allocated only for bytes that arrive and not for the length that a header
+// claims.
+const readStepBytes = 64 << 10
 
 var (
 	encoder = mustMode(cbor.EncOptions{
@@ -52,7 +53,7 @@
 	}.DecMode())
 )
 
-// mustMode fails only when the constants above contradict each other.
+// mustMode panics only if the options above contradict each other.
 func mustMode[T any](mode T, err error) T {
 	if err != nil {
 		panic(failure.Internal.Wrap(err, "CBOR options"))
@@ -60,58 +61,59 @@
 	return mode
 }
 
-func header(kind frameType, length int) [headerSize]byte {
-	var out [headerSize]byte
-	binary.BigEndian.PutUint32(out[:], uint32(kind)<<lengthBits|uint32(length))
-	return out
+func frameHeader(kind frameType, length int) [headerBytes]byte {
+	var encoded [headerBytes]byte
+	binary.BigEndian.PutUint32(encoded[:], uint32(kind)<<lengthBits|uint32(length))
+	return encoded
 }
 
-// appendMessage adds the frame of one CBOR message to buf.
+// appendMessage appends one CBOR message as a frame to buf. On failure, buf is
+// unchanged.
 func appendMessage(buf *bytes.Buffer, v any, limit int) error {
 	start := buf.Len()
-	buf.Write(make([]byte, headerSize))
+	buf.Write(make([]byte, headerBytes))
 	if err := encoder.MarshalToBuffer(v, buf); err != nil {
 		buf.Truncate(start)
 		return failure.Internal.Wrap(err, "encode a message of type %T", v)
 	}
-	length := buf.Len() - start - headerSize
+	length := buf.Len() - start - headerBytes
 	if length > limit {
 		buf.Truncate(start)
 		return TooLarge.New("message of type %T takes %d bytes, the limit is %d", v, length, limit)
 	}
-	head := header(frameMessage, length)
+	head := frameHeader(frameMessage, length)
 	copy(buf.Bytes()[start:], head[:])
 	return nil
 }
 
-// readHeader returns the length of the next frame. It is io.EOF when the
-// other side finished between two frames, Corrupt when the frame is of another
-// type and TooLarge above the limit.
+// readHeader returns the payload length of the next frame. The error is io.EOF
+// when the peer finished sending between two frames, Corrupt when the frame has
+// another type, and TooLarge above the limit.
 func readHeader(r io.Reader, want frameType, limit int) (int, error) {
-	var raw [headerSize]byte
+	var raw [headerBytes]byte
 	if _, err := io.ReadFull(r, raw[:]); err != nil {
 		return 0, err
 	}
-	word := binary.BigEndian.Uint32(raw[:])
-	if got := frameType(word >> lengthBits); got != want {
+	header := binary.BigEndian.Uint32(raw[:])
+	if got := frameType(header >> lengthBits); got != want {
 		return 0, failure.Corrupt.New("frame has type %d, expected %d", got, want)
 	}
-	length := int(word & maxFrameLength)
+	length := int(header & maxFrameBytes)
 	if length > limit {
 		return 0, TooLarge.New("frame of %d bytes, the limit is %d", length, limit)
 	}
 	return length, nil
 }
 
-// readMessage reads one CBOR frame into v, by way of buf, and returns the
-// bytes that it took.
+// readMessage reads one CBOR frame into v, using buf as scratch space, and
+// returns the size of the frame in bytes.
 func readMessage(r io.Reader, buf *bytes.Buffer, v any, limit int) (int, error) {
 	length, err := readHeader(r, frameMessage, limit)
 	if err != nil {
 		return 0, err
 	}
 	for buf.Len() < length {
-		step := min(length-buf.Len(), readStep)
+		step := min(length-buf.Len(), readStepBytes)
 		if _, err := io.CopyN(buf, r, int64(step)); err != nil {
 			return 0, truncated(err)
 		}
@@ -119,10 +121,11 @@
 	if err := decoder.Unmarshal(buf.Bytes(), v); err != nil {
 		return 0, failure.Corrupt.Wrap(err, "decode a message of type %T", v)
 	}
-	return headerSize + length, nil
+	return headerBytes + length, nil
 }
 
-// readRaw reads one raw frame into buf, or into a new slice if buf is short.
+// readRaw reads one raw frame into buf, or into a new slice if buf is too
+// small.
 func readRaw(r io.Reader, buf []byte) ([]byte, error) {
 	length, err := readHeader(r, frameRaw, MaxRawFrame)
 	if err != nil {
@@ -138,8 +141,8 @@
 	return buf, nil
 }
 
-// truncated turns the end of the stream inside a frame into a failure, since
-// io.EOF means a proper end to the caller.
+// truncated converts the end of the stream inside a frame into a failure, since
+// io.EOF tells callers that the stream ended properly.
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return failure.Corrupt.New("the stream ended inside a frame")
--- a/adapters/peer/frame_test.go
+++ b/adapters/peer/frame_test.go
@@ -12,24 +12,24 @@
 	"chivespindle.example/core/failure"
 )
 
-// FuzzFrames gives any bytes to the frame decoder. It must neither panic nor
-// return more than the limit, and each failure must be of a known type. A frame
-// that was read is the same frame when it is written again.
+// FuzzFrames passes arbitrary bytes to the frame decoder. It must neither panic
+// nor return more than the limit, and each failure must be of a known type. A
+// decoded frame must encode to the same bytes.
 func FuzzFrames(f *testing.F) {
 	const limit = 1000
 	var good bytes.Buffer
 	if err := appendMessage(&good, map[int]any{1: "text", 2: []int{1, 2, 3}, 3: []byte{4}}, limit); err != nil {
 		f.Fatal(err)
 	}
-	raw := header(frameRaw, 3)
+	raw := frameHeader(frameRaw, 3)
 	f.Add(good.Bytes())
 	f.Add(good.Bytes()[:good.Len()-1])
 	f.Add(append(raw[:], 1, 2, 3))
-	f.Add([]byte{1, 0xff, 0xff, 0xff, 0})                                 // too long
-	f.Add([]byte{1, 0, 0, 5, 0x9b, 0xff, 0xff, 0xff, 0xff})               // array of very many
-	f.Add(append([]byte{1, 0, 0, 40}, bytes.Repeat([]byte{0x81}, 40)...)) // deep nesting
+	f.Add([]byte{1, 0xff, 0xff, 0xff, 0})                                 // length above the limit
+	f.Add([]byte{1, 0, 0, 5, 0x9b, 0xff, 0xff, 0xff, 0xff})               // huge array length
+	f.Add(append([]byte{1, 0, 0, 40}, bytes.Repeat([]byte{0x81}, 40)...)) // nested too deeply
 	f.Add([]byte{1, 0, 0, 2, 0x9f, 0xff})                                 // indefinite length
-	f.Add([]byte{1, 0, 0, 5, 0xa2, 1, 1, 1, 1})                           // key twice
+	f.Add([]byte{1, 0, 0, 5, 0xa2, 1, 1, 1, 1})                           // duplicate key
 	f.Fuzz(func(t *testing.T, input []byte) {
 		g := gomega.NewWithT(t)
 		expectKnown := func(err error) {
@@ -44,8 +44,8 @@
 		if _, err := readMessage(bytes.NewReader(input), new(bytes.Buffer), &typed, limit); err != nil {
 			expectKnown(err)
 		}
-		var loose any
-		if _, err := readMessage(bytes.NewReader(input), new(bytes.Buffer), &loose, limit); err != nil {
+		var untyped any
+		if _, err := readMessage(bytes.NewReader(input), new(bytes.Buffer), &untyped, limit); err != nil {
 			expectKnown(err)
 		}
 		payload, err := readRaw(bytes.NewReader(input), nil)
@@ -53,7 +53,7 @@
 			expectKnown(err)
 			return
 		}
-		head := header(frameRaw, len(payload))
+		head := frameHeader(frameRaw, len(payload))
 		g.Expect(bytes.HasPrefix(input, append(head[:], payload...))).To(gomega.BeTrue())
 	})
 }
--- a/adapters/peer/helpers_test.go
+++ b/adapters/peer/helpers_test.go
@@ -23,11 +23,11 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// patience bounds the wait for something that must happen.
-const patience = 10 * time.Second
+// waitTimeout bounds the wait for an expected event.
+const waitTimeout = 10 * time.Second
 
-// note is the message that the tests exchange.
-type note struct {
+// testMessage is the message that the tests exchange.
+type testMessage struct {
 	Text    string        `cbor:"1,keyasint"`
 	Version fleet.Version `cbor:"2,keyasint"`
 }
@@ -38,10 +38,10 @@
 	f(ctx, from, kind, s)
 }
 
-// echo sends each note back until the peer finishes.
+// echo returns each message until the peer finishes sending.
 func echo(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
 	for {
-		var got note
+		var got testMessage
 		if err := s.Recv(&got); err != nil {
 			return
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// hold takes a note and then waits for the end of the exchange.
-func hold(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
-	_ = s.Recv(&note{})
+// waitForEnd receives a message and then waits for the end of the exchange.
+func waitForEnd(ctx context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
+	_ = s.Recv(&testMessage{})
 	<-ctx.Done()
 }
 
@@ -61,7 +61,7 @@
 func checkLeaks() {
 	before := goleak.IgnoreCurrent()
 	ginkgo.DeferCleanup(func() {
-		gomega.Eventually(func() error { return goleak.Find(before) }, patience).Should(gomega.Succeed())
+		gomega.Eventually(func() error { return goleak.Find(before) }, waitTimeout).Should(gomega.Succeed())
 	})
 }
 
@@ -72,7 +72,7 @@
 	return authority
 }
 
-// loadFiles issues and loads a certificate.
+// loadFiles issues a certificate, writes its files and loads them.
 func loadFiles(authority *pki.Authority, dir string, role fleet.Role, id fleet.InstanceID) *keys.Store {
 	ginkgo.GinkgoHelper()
 	files, err := authority.WriteFiles(dir, role, id)
@@ -82,7 +82,7 @@
 	return store
 }
 
-func storeOf(authority *pki.Authority, role fleet.Role, id fleet.InstanceID) *keys.Store {
+func newStore(authority *pki.Authority, role fleet.Role, id fleet.InstanceID) *keys.Store {
 	ginkgo.GinkgoHelper()
 	return loadFiles(authority, ginkgo.GinkgoT().TempDir(), role, id)
 }
@@ -100,25 +100,25 @@
 	go func() { done <- endpoint.Run(ctx) }()
 	ginkgo.DeferCleanup(func() {
 		cancel()
-		gomega.Eventually(done, patience).Should(gomega.Receive(gomega.BeNil()))
+		gomega.Eventually(done, waitTimeout).Should(gomega.Receive(gomega.BeNil()))
 	})
 	return endpoint
 }
 
-// pair is an agent that serves and an entry that asks.
+// pair is an agent that serves and an entry that sends requests.
 type pair struct {
 	authority  *pki.Authority
 	serverKeys *keys.Store
 	server     *peer.Endpoint
 	client     *peer.Endpoint
-	counts     tally.TestScope // of both
+	metrics    tally.TestScope // of both endpoints
 }
 
 func newPair(handler handlerFunc, change func(server, client *peer.Options)) pair {
 	ginkgo.GinkgoHelper()
-	p := pair{authority: newAuthority(), counts: tally.NewTestScope("", nil)}
-	server := peer.Options{Keys: storeOf(p.authority, fleet.RoleAgent, "agent-1"), Handler: handler, Metrics: p.counts}
-	client := peer.Options{Keys: storeOf(p.authority, fleet.RoleEntry, "entry-1"), Metrics: p.counts}
+	p := pair{authority: newAuthority(), metrics: tally.NewTestScope("", nil)}
+	server := peer.Options{Keys: newStore(p.authority, fleet.RoleAgent, "agent-1"), Handler: handler, Metrics: p.metrics}
+	client := peer.Options{Keys: newStore(p.authority, fleet.RoleEntry, "entry-1"), Metrics: p.metrics}
 	if change != nil {
 		change(&server, &client)
 	}
@@ -137,10 +137,11 @@
 	return s
 }
 
-// count returns one counter, by its name and tags as tally prints them.
+// count returns the value of one counter, by its name and tags in tally's
+// format.
 func (p pair) count(name string) func() int64 {
 	return func() int64 {
-		counter, ok := p.counts.Snapshot().Counters()[name]
+		counter, ok := p.metrics.Snapshot().Counters()[name]
 		if !ok {
 			return 0
 		}
@@ -148,25 +149,25 @@
 	}
 }
 
-// ask sends one note and returns the answer.
-func ask(client *peer.Endpoint, addr netip.AddrPort, kind peer.Kind, text string) (string, error) {
+// roundTrip sends one message and returns the text of the response.
+func roundTrip(client *peer.Endpoint, addr netip.AddrPort, kind peer.Kind, text string) (string, error) {
 	s, err := client.Open(context.Background(), addr, "", kind)
 	if err != nil {
 		return "", err
 	}
 	defer s.Abort()
-	s.SetStall(patience)
-	if err := s.Send(note{Text: text}); err != nil {
+	s.SetStall(waitTimeout)
+	if err := s.Send(testMessage{Text: text}); err != nil {
 		return "", err
 	}
 	if err := s.CloseSend(); err != nil {
 		return "", err
 	}
-	var got note
+	var got testMessage
 	if err := s.Recv(&got); err != nil {
 		return "", err
 	}
-	if err := s.Recv(&note{}); !errors.Is(err, io.EOF) {
+	if err := s.Recv(&testMessage{}); !errors.Is(err, io.EOF) {
 		return "", err
 	}
 	return got.Text, nil
@@ -175,17 +176,17 @@
 // expectNotRun checks the type and the outcome of a failed Open.
 func expectNotRun(err error) {
 	ginkgo.GinkgoHelper()
-	gomega.Expect(err).To(beOfType(failure.Unavailable))
+	gomega.Expect(err).To(beFailureOfType(failure.Unavailable))
 	gomega.Expect(failure.OutcomeOf(err)).To(gomega.Equal(failure.NotRun))
 }
 
-// relay forwards datagrams between one client and a server. While cut, it
+// relay forwards datagrams between one client and a server. While blocked, it
 // drops them, as a stalled link does.
 type relay struct {
-	front *net.UDPConn
-	back  *net.UDPConn
-	cut   atomic.Bool
-	peer  atomic.Pointer[netip.AddrPort]
+	front   *net.UDPConn
+	back    *net.UDPConn
+	blocked atomic.Bool
+	client  atomic.Pointer[netip.AddrPort]
 }
 
 func newRelay(to netip.AddrPort) *relay {
@@ -196,7 +197,7 @@
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	r := &relay{front: front, back: back}
 	go r.forward()
-	go r.answer()
+	go r.forwardReplies()
 	ginkgo.DeferCleanup(func() { _ = front.Close(); _ = back.Close() })
 	return r
 }
@@ -210,22 +211,22 @@
 		if err != nil {
 			return
 		}
-		r.peer.Store(&from)
-		if !r.cut.Load() {
+		r.client.Store(&from)
+		if !r.blocked.Load() {
 			_, _ = r.back.Write(buf[:n])
 		}
 	}
 }
 
-func (r *relay) answer() {
+func (r *relay) forwardReplies() {
 	buf := make([]byte, 1<<16)
 	for {
 		n, err := r.back.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err == nil && !r.cut.Load() {
-			_, _ = r.front.WriteToUDPAddrPort(buf[:n], *r.peer.Load())
+		if err == nil && !r.blocked.Load() {
+			_, _ = r.front.WriteToUDPAddrPort(buf[:n], *r.client.Load())
 		}
 	}
 }
--- a/adapters/peer/metrics.go
+++ b/adapters/peer/metrics.go
@@ -8,27 +8,28 @@
 	"golang.org/x/time/rate"
 )
 
-// Reasons of refusals, a tag of the counter "refusals" and a field in logs.
+// Reasons of refusals: a tag of the counter "refusals" and a field of the log
+// event.
 const (
-	refusedHandshakeFailed = "handshake"       // certificate missing or not accepted, or the peer gave up
-	refusedHandshakeLimit  = "handshake_limit" // too many unfinished handshakes
-	refusedRole            = "role"            // Options.Allow said no
-	refusedKind            = "kind"            // no such kind
-	refusedCertificate     = "certificate"     // accepted once, but not any more
+	refusedHandshakeFailed = "handshake"       // certificate missing or not accepted, or the peer disconnected
+	refusedHandshakeLimit  = "handshake_limit" // too many pending handshakes
+	refusedRole            = "role"            // refused by Options.Allow
+	refusedKind            = "kind"            // unknown kind
+	refusedCertificate     = "certificate"     // accepted before, but not since the keys were reloaded or it expired
 )
 
-// Strangers cause refusals at any rate they like, so only some are logged.
-// The counter has them all.
+// Unauthenticated peers can cause refusals at any rate, so the log is
+// rate-limited. The counter includes all of them.
 const (
 	refusalLogsPerSecond = 5
-	refusalLogsBurst     = 20
+	refusalLogBurst      = 20
 )
 
-// metrics are the endpoint's counters. Sides are "dialled" and "accepted".
+// metrics are the endpoint's counters. The sides are "dialled" and "accepted".
 type metrics struct {
 	scope      tally.Scope
 	logger     *zap.Logger
-	logs       *rate.Limiter
+	logLimiter *rate.Limiter
 	dialled    sideMetrics
 	accepted   sideMetrics
 	dialFailed tally.Counter
@@ -52,7 +53,7 @@
 	m := &metrics{
 		scope:      scope,
 		logger:     logger,
-		logs:       rate.NewLimiter(rate.Every(time.Second/refusalLogsPerSecond), refusalLogsBurst),
+		logLimiter: rate.NewLimiter(rate.Every(time.Second/refusalLogsPerSecond), refusalLogBurst),
 		dialled:    newSideMetrics(scope, "dialled"),
 		accepted:   newSideMetrics(scope, "accepted"),
 		dialFailed: scope.Counter("dials_failed"),
@@ -84,19 +85,19 @@
 
 func (m *metrics) refused(reason string, fields ...zap.Field) {
 	m.scope.Tagged(map[string]string{"reason": reason}).Counter("refusals").Inc(1)
-	if !m.logs.Allow() {
+	if !m.logLimiter.Allow() {
 		return
 	}
 	m.logger.Warn("peer_refused", append([]zap.Field{zap.String("reason", reason)}, fields...)...)
 }
 
-// outdated notes that a connection takes no new streams any more. For a
-// dialled one that is the usual effect of a reload, for an accepted one it is
+// outdated records that a connection takes no new streams any more. For a
+// dialled one that is the normal effect of a reload, for an accepted one it is
 // a refusal.
-func (m *metrics) outdated(l *link) {
-	if !l.dialled {
-		m.refused(refusedCertificate, zap.Stringer("peer", l.peer), zap.Stringer("from", l.addr))
+func (m *metrics) outdated(c *connection) {
+	if !c.dialled {
+		m.refused(refusedCertificate, zap.Stringer("peer", c.peer), zap.Stringer("from", c.addr))
 		return
 	}
-	m.logger.Info("peer_connection_outdated", zap.Stringer("peer", l.peer), zap.Stringer("addr", l.addr))
+	m.logger.Info("peer_connection_outdated", zap.Stringer("peer", c.peer), zap.Stringer("addr", c.addr))
 }
--- a/adapters/peer/pack.go
+++ b/adapters/peer/pack.go
@@ -8,8 +8,9 @@
 	"chivespindle.example/core/failure"
 )
 
-// Pack returns a message that is large and the same for many peers, such as a
-// configuration, encoded as Send does and compressed. It is sent by SendBytes.
+// Pack encodes v as Send does and compresses the result. It is meant for large
+// messages that are the same for many peers, such as a configuration. The
+// result is sent with SendBytes.
 func Pack(v any) ([]byte, error) {
 	var raw, packed bytes.Buffer
 	if err := encoder.MarshalToBuffer(v, &raw); err != nil {
@@ -28,15 +29,15 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack reads what Pack returned into v. A message that takes more than most
-// bytes uncompressed is TooLarge: a few kilobytes may stand for gigabytes.
-func Unpack(packed []byte, v any, most int) error {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(most)+1))
+// Unpack decodes the result of Pack into v. A message of more than maxBytes
+// uncompressed bytes is TooLarge: a few kilobytes may decompress to gigabytes.
+func Unpack(packed []byte, v any, maxBytes int) error {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(maxBytes)+1))
 	if err != nil {
 		return failure.Corrupt.Wrap(err, "decompress a message of type %T", v)
 	}
-	if len(raw) > most {
-		return TooLarge.New("message of type %T takes over %d bytes uncompressed", v, most)
+	if len(raw) > maxBytes {
+		return TooLarge.New("message of type %T takes over %d bytes uncompressed", v, maxBytes)
 	}
 	if err := decoder.Unmarshal(raw, v); err != nil {
 		return failure.Corrupt.Wrap(err, "decode a message of type %T", v)
--- a/adapters/peer/pack_test.go
+++ b/adapters/peer/pack_test.go
@@ -13,31 +13,31 @@
 
 var _ = Describe("Packed messages", func() {
 	type message struct{ Names []string }
-	const most = 1 << 20
+	const maxBytes = 1 << 20
 
-	It("come back as they were", func() {
+	It("are decoded to the original value", func() {
 		packed, err := peer.Pack(message{Names: []string{"a", "b"}})
 		Expect(err).NotTo(HaveOccurred())
-		var back message
-		Expect(peer.Unpack(packed, &back, most)).To(Succeed())
-		Expect(back.Names).To(Equal([]string{"a", "b"}))
+		var decoded message
+		Expect(peer.Unpack(packed, &decoded, maxBytes)).To(Succeed())
+		Expect(decoded.Names).To(Equal([]string{"a", "b"}))
 	})
 
-	// A peer that is faulty sends a few kilobytes that stand for far more than a
-	// process may hold.
-	It("are refused where they stand for more than is allowed", func() {
-		packed, err := peer.Pack(message{Names: []string{string(bytes.Repeat([]byte("a"), 2*most))}})
+	// Guards against a faulty peer whose message of a few kilobytes
+	// decompresses to more than a process can hold.
+	It("are refused if their uncompressed size exceeds the limit", func() {
+		packed, err := peer.Pack(message{Names: []string{string(bytes.Repeat([]byte("a"), 2*maxBytes))}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(len(packed)).To(BeNumerically("<", most/100))
-		var back message
-		Expect(errorx.IsOfType(peer.Unpack(packed, &back, most), peer.TooLarge)).To(BeTrue())
+		Expect(len(packed)).To(BeNumerically("<", maxBytes/100))
+		var decoded message
+		Expect(errorx.IsOfType(peer.Unpack(packed, &decoded, maxBytes), peer.TooLarge)).To(BeTrue())
 	})
 
-	It("are refused where they are cut or no such message", func() {
+	It("are refused if they are truncated or malformed", func() {
 		packed, err := peer.Pack(message{Names: []string{"a"}})
 		Expect(err).NotTo(HaveOccurred())
-		var back message
-		Expect(errorx.IsOfType(peer.Unpack(packed[:len(packed)-3], &back, most), failure.Corrupt)).To(BeTrue())
-		Expect(errorx.IsOfType(peer.Unpack([]byte("hello"), &back, most), failure.Corrupt)).To(BeTrue())
+		var decoded message
+		Expect(errorx.IsOfType(peer.Unpack(packed[:len(packed)-3], &decoded, maxBytes), failure.Corrupt)).To(BeTrue())
+		Expect(errorx.IsOfType(peer.Unpack([]byte("hello"), &decoded, maxBytes), failure.Corrupt)).To(BeTrue())
 	})
 })
--- a/adapters/peer/peer.go
+++ b/adapters/peer/peer.go
@@ -1,14 +1,14 @@
 // Package peer is the transport between the system's own processes: QUIC with
-// certificates on both sides, one stream per exchange, CBOR messages and raw
-// bytes in length-prefixed frames.
+// mutual TLS, one stream per exchange, CBOR messages and raw bytes in
+// length-prefixed frames.
 //
-// An Endpoint is client and server over one UDP socket. Connections are made
-// on demand, one per address, kept while they are in use, and closed by the
-// side that dialled them once they have been unused for a while. Only the
-// dialling side opens streams.
+// An Endpoint is client and server over one UDP socket. Connections are dialled
+// on demand, one per address, and reused. The dialling side closes a connection
+// that has had no streams for UnusedTimeout. Only the dialling side opens
+// streams.
 //
-// On the wire, the first byte of each stream is its Kind. Frames follow in
-// both directions, see frame.go. The reasons and the measurements are in
+// On the wire, the first byte of each stream is its Kind. Frames follow in both
+// directions, see frame.go. The design and its measurements are described in
 // docs/design/peer-transport.md.
 package peer
 
@@ -26,17 +26,17 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Kind tells what an exchange is about. It is the first byte on each stream.
+// Kind is the purpose of an exchange. It is the first byte of each stream.
 type Kind uint8
 
 // The kinds of exchange. The values are part of the wire format.
 const (
 	KindGossip  Kind = 1 // membership and load between processes
-	KindConfig  Kind = 2 // changes of the operator's text
-	KindChunk   Kind = 3 // weights
-	KindRequest Kind = 4 // a caller's request and its answer
+	KindConfig  Kind = 2 // changes of the operator's configuration
+	KindChunk   Kind = 3 // chunks of model weights
+	KindRequest Kind = 4 // a caller's request and its response
 	KindReport  Kind = 5 // state of a backend server and its engine
-	KindStatus  Kind = 6 // what an operator sees
+	KindStatus  Kind = 6 // status queries of an operator
 )
 
 var kindNames = map[Kind]string{
@@ -48,7 +48,7 @@
 	KindStatus:  "status",
 }
 
-// String returns the word used in logs and metrics.
+// String returns the name used in logs and metrics.
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -56,9 +56,9 @@
 	return "unknown"
 }
 
-// urgencies order the kinds on one connection, 0 first, as in RFC 9218. A
-// chunk of weights and a live request to the same peer share a connection;
-// without an order, the request would wait behind megabytes of the chunk.
+// urgencies order the kinds on one connection, 0 first, as in RFC 9218. A chunk
+// of weights and a live request to the same peer share a connection; without
+// priorities, the request would wait behind megabytes of the chunk.
 var urgencies = map[Kind]int8{
 	KindRequest: 1,
 	KindConfig:  2,
@@ -81,9 +81,9 @@
 // Handler serves the streams that peers open.
 type Handler interface {
 	// ServeStream serves one exchange and returns when it is done. The stream
-	// is then closed: what was sent is still delivered, what still arrives is
-	// dropped. ctx ends with the stream, the connection or the endpoint; the
-	// handler must return soon after, since Close waits for it.
+	// is then closed: data already sent is still delivered, data still arriving
+	// is discarded. ctx ends with the stream, the connection or the endpoint;
+	// the handler must return soon after, since Close waits for it.
 	ServeStream(ctx context.Context, from keys.Identity, kind Kind, s *Stream)
 }
 
@@ -91,7 +91,8 @@
 type Options struct {
 	// Listen is the UDP address, used for accepting and dialling.
 	Listen netip.AddrPort
-	// Keys holds the own certificate and the authority. Required.
+	// Keys holds the endpoint's own certificate and the trusted authorities.
+	// Required.
 	Keys *keys.Store
 	// Handler serves streams of peers. Without one, the endpoint accepts no
 	// connections.
@@ -99,33 +100,33 @@
 	// Logger and Metrics may be nil.
 	Logger  *zap.Logger
 	Metrics tally.Scope
-	// IdleTimeout is how long nothing may arrive on a connection until it is
-	// taken for dead.
+	// IdleTimeout closes a connection on which nothing has arrived for this
+	// long.
 	IdleTimeout time.Duration
-	// KeepAlive is how often the dialling side of a quiet connection asks
-	// whether the other is there. It must be less than half of IdleTimeout.
+	// KeepAlive is the interval of keep-alive packets that the dialling side
+	// sends on an idle connection. It must be at most half of IdleTimeout.
 	KeepAlive time.Duration
-	// HandshakeTimeout bounds the making of a connection, and the whole of
-	// Open.
+	// HandshakeTimeout bounds establishing a connection, and all of Open.
 	HandshakeTimeout time.Duration
-	// UnusedTimeout is how long a dialled connection is kept without streams.
+	// UnusedTimeout is how long a dialled connection without streams is kept
+	// open.
 	UnusedTimeout time.Duration
 	// MaxStreams bounds the streams that one peer may have open at a time on
-	// one connection. Open waits while the other side's bound is reached.
+	// one connection. Open waits while the peer's limit is reached.
 	MaxStreams int
-	// MaxMessage bounds one CBOR message, in bytes, both ways.
+	// MaxMessage bounds one CBOR message, in bytes, in both directions.
 	MaxMessage int
 	// Allow decides whether a peer may open a stream of a kind. Nil means
 	// DefaultAllow.
 	Allow func(from keys.Identity, kind Kind) bool
-	// Socket, if set, returns what stands for the bound socket, such as a link
-	// of limited rate or one that is cut, in a measurement. Nil means the
-	// socket itself.
+	// Socket, if set, wraps the bound socket, for example to limit its rate or
+	// to simulate a partition in a measurement. Nil means that the socket is
+	// used as it is.
 	Socket func(*net.UDPConn) net.PacketConn
 }
 
-// DefaultAllow lets entries and agents open every kind, and an operator, who
-// is only a reader, KindStatus.
+// DefaultAllow lets entries and agents open streams of every kind, and
+// operators, who have read access only, KindStatus.
 func DefaultAllow(from keys.Identity, kind Kind) bool {
 	switch from.Role {
 	case fleet.RoleEntry, fleet.RoleAgent:
@@ -153,8 +154,8 @@
 	if o.KeepAlive > o.IdleTimeout/2 {
 		return o, failure.Invalid.New("keep-alive %s must be at most half of the idle timeout %s", o.KeepAlive, o.IdleTimeout)
 	}
-	if o.MaxMessage > maxFrameLength {
-		return o, failure.Invalid.New("message bound %d must be at most %d bytes", o.MaxMessage, maxFrameLength)
+	if o.MaxMessage > maxFrameBytes {
+		return o, failure.Invalid.New("message bound %d must be at most %d bytes", o.MaxMessage, maxFrameBytes)
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/adapters/peer/peermeasure/count.go
+++ b/adapters/peer/peermeasure/count.go
@@ -17,8 +17,8 @@
 	"chivespindle.example/core/failure"
 )
 
-// headerBytes is what UDP and IPv4 add to each packet.
-const headerBytes = 28
+// packetHeaderBytes is the size of the UDP and IPv4 headers of each packet.
+const packetHeaderBytes = 28
 
 func newCountCommand() *cobra.Command {
 	var f flags
@@ -48,7 +48,7 @@
 	if err != nil {
 		return failure.Invalid.Wrap(err, "--listen")
 	}
-	endpoint, err := newEndpoint(ctx, store, listen, f.alive)
+	endpoint, err := newEndpoint(ctx, store, listen, f.keepAlive)
 	if err != nil {
 		return err
 	}
@@ -56,10 +56,10 @@
 	if err := connect(ctx, endpoint, f); err != nil {
 		return err
 	}
-	pause(ctx, idle) // handshakes and path probes end, buffers go back
+	sleep(ctx, idle) // handshakes and path probes complete, buffers are released
 	after := memoryNow()
 	start, cpuStart := endpoint.Stats(), cpuNow()
-	pause(ctx, idle)
+	sleep(ctx, idle)
 	end, cpuEnd := endpoint.Stats(), cpuNow()
 	if ctx.Err() != nil {
 		return failure.Unavailable.Wrap(ctx.Err(), "interrupted before the measurement was done")
@@ -75,11 +75,12 @@
 	return nil
 }
 
-// connect dials the other process's endpoints, or waits until they dialled.
+// connect dials the other process's endpoints, or waits until they have
+// dialled.
 func connect(ctx context.Context, endpoint *peer.Endpoint, f flags) error {
 	if f.dial == "" {
 		for endpoint.Stats().Accepted < f.count && ctx.Err() == nil {
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 		return nil
 	}
@@ -88,42 +89,42 @@
 		return failure.Invalid.Wrap(err, "--dial")
 	}
 	for i := range f.count {
-		if err := exchange(ctx, endpoint, nth(first, i)); err != nil {
+		if err := exchange(ctx, endpoint, addrWithPortOffset(first, i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// traffic returns the bytes on the wire, both ways.
+// traffic returns the bytes on the wire in both directions.
 func traffic(s peer.Stats) uint64 {
-	return s.BytesSent + s.BytesReceived + headerBytes*(s.PacketsSent+s.PacketsReceived)
+	return s.BytesSent + s.BytesReceived + packetHeaderBytes*(s.PacketsSent+s.PacketsReceived)
 }
 
-// memory is in bytes.
+// memory is the memory usage in bytes.
 type memory struct {
-	heap  int // live objects
+	heap  int // live heap objects
 	stack int
-	rss   int // resident, as the kernel counts it
+	rss   int // resident set size
 }
 
 func memoryNow() memory {
 	runtime.GC()
-	runtime.GC() // the first one only empties the pools halfway
+	runtime.GC() // sync.Pool keeps its objects for one more collection
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return memory{heap: int(stats.HeapAlloc), stack: int(stats.StackInuse), rss: residentNow()}
 }
 
-// residentNow reads the resident size from the kernel, 0 where it does not
-// tell.
+// residentNow returns the resident set size, 0 where the kernel does not report
+// it.
 func residentNow() int {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/adapters/peer/peermeasure/hold.go
+++ b/adapters/peer/peermeasure/hold.go
@@ -29,9 +29,9 @@
 	return command
 }
 
-// numbered puts i in the place of "%d" in the paths. Each endpoint needs a
-// certificate of its own, since crypto/tls keeps equal ones only once.
-func numbered(files keys.Files, i int) keys.Files {
+// withIndex replaces "%d" in the paths by i. Each endpoint needs a certificate
+// of its own, since crypto/tls stores identical ones only once.
+func withIndex(files keys.Files, i int) keys.Files {
 	files.Certificate = strings.ReplaceAll(files.Certificate, "%d", strconv.Itoa(i))
 	files.Key = strings.ReplaceAll(files.Key, "%d", strconv.Itoa(i))
 	return files
@@ -44,11 +44,11 @@
 		return failure.Invalid.Wrap(err, "--first")
 	}
 	for i := range f.count {
-		store, err := keys.Load(numbered(f.files, i))
+		store, err := keys.Load(withIndex(f.files, i))
 		if err != nil {
 			return err
 		}
-		endpoint, err := newEndpoint(ctx, store, nth(first, i), f.alive)
+		endpoint, err := newEndpoint(ctx, store, addrWithPortOffset(first, i), f.keepAlive)
 		if err != nil {
 			return err
 		}
--- a/adapters/peer/peermeasure/main.go
+++ b/adapters/peer/peermeasure/main.go
@@ -1,7 +1,7 @@
-// Command peermeasure measures what idle connections between processes cost:
-// memory for each, and bytes a second for each. It takes two processes, so
-// that only one side's memory is counted. One holds many endpoints, the other
-// is the single one that is measured:
+// Command peermeasure measures the cost of idle connections between processes:
+// the memory and the traffic of each. It takes two processes, so that only one
+// side's memory is counted. One holds many endpoints, the other is the single
+// endpoint that is measured:
 //
 //	peermeasure hold  --first 127.0.0.1:21000 --count 400 ...
 //	peermeasure count --listen 127.0.0.1:20000 --dial 127.0.0.1:21000 --count 400 ...
@@ -11,7 +11,7 @@
 //	peermeasure count --listen 127.0.0.1:20000 --count 400 ...
 //	peermeasure hold  --first 127.0.0.1:21000 --dial 127.0.0.1:20000 --count 400 ...
 //
-// accepted ones. It prints lines of key=value pairs.
+// measures accepted ones. It prints lines of key=value pairs.
 package main
 
 import (
@@ -28,15 +28,15 @@
 	"chivespindle.example/adapters/peer"
 )
 
-// unusedTimeout keeps idle connections for as long as anyone measures.
-const unusedTimeout = 24 * time.Hour
+// measureUnusedTimeout keeps idle connections open for the whole measurement.
+const measureUnusedTimeout = 24 * time.Hour
 
-// flags are those of both commands.
+// flags are the flags that both commands share.
 type flags struct {
-	files keys.Files
-	dial  string
-	count int
-	alive time.Duration
+	files     keys.Files
+	dial      string
+	count     int
+	keepAlive time.Duration
 }
 
 func (f *flags) register(command *cobra.Command) {
@@ -46,7 +46,7 @@
 	set.StringVar(&f.files.Key, "key", "", "PEM file")
 	set.StringVar(&f.dial, "dial", "", "address to dial; empty to accept")
 	set.IntVar(&f.count, "count", 100, "number of connections")
-	set.DurationVar(&f.alive, "keep-alive", peer.DefaultKeepAlive, "keep-alive of the dialling side")
+	set.DurationVar(&f.keepAlive, "keep-alive", peer.DefaultKeepAlive, "keep-alive of the dialling side")
 }
 
 func main() {
@@ -77,13 +77,13 @@
 	}
 }
 
-func newEndpoint(ctx context.Context, store *keys.Store, listen netip.AddrPort, alive time.Duration) (*peer.Endpoint, error) {
+func newEndpoint(ctx context.Context, store *keys.Store, listen netip.AddrPort, keepAlive time.Duration) (*peer.Endpoint, error) {
 	endpoint, err := peer.New(peer.Options{
 		Listen:        listen,
 		Keys:          store,
 		Handler:       echo{},
-		KeepAlive:     alive,
-		UnusedTimeout: unusedTimeout,
+		KeepAlive:     keepAlive,
+		UnusedTimeout: measureUnusedTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -96,7 +96,8 @@
 	return endpoint, nil
 }
 
-// exchange makes the connection to addr and uses it once, as a real one is.
+// exchange connects to addr and performs one exchange, so that the connection
+// is in the state of one that has been used.
 func exchange(ctx context.Context, endpoint *peer.Endpoint, addr netip.AddrPort) error {
 	s, err := endpoint.Open(ctx, addr, "", peer.KindGossip)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return s.Recv(&answer)
 }
 
-// nth returns the address i ports after first.
-func nth(first netip.AddrPort, i int) netip.AddrPort {
+// addrWithPortOffset returns the address i ports after first.
+func addrWithPortOffset(first netip.AddrPort, i int) netip.AddrPort {
 	return netip.AddrPortFrom(first.Addr(), first.Port()+uint16(i))
 }
--- a/adapters/peer/serve.go
+++ b/adapters/peer/serve.go
@@ -9,65 +9,66 @@
 	"go.uber.org/zap"
 )
 
-// accept starts to serve a connection whose handshake is done.
+// accept starts to serve a connection whose handshake is complete.
 func (e *Endpoint) accept(conn *quic.Conn, generation uint64) {
-	l, err := newLink(conn, false, generation)
-	if err != nil || !e.register(l) {
+	c, err := newConnection(conn, false, generation)
+	if err != nil || !e.register(c) {
 		_ = conn.CloseWithError(connRefused, "")
 		return
 	}
-	if !e.begin() {
+	if !e.addWork() {
 		return
 	}
 	go func() {
 		defer e.work.Done()
-		e.serveConnection(l)
+		e.serveConnection(c)
 	}()
 }
 
-func (e *Endpoint) serveConnection(l *link) {
+func (e *Endpoint) serveConnection(c *connection) {
 	for {
-		raw, err := l.conn.AcceptStream(e.ctx)
+		raw, err := c.quic.AcceptStream(e.ctx)
 		if err != nil {
 			return
 		}
-		if !e.begin() {
+		if !e.addWork() {
 			return
 		}
 		go func() {
 			defer e.work.Done()
-			e.serveStream(l, raw)
+			e.serveStream(c, raw)
 		}()
 	}
 }
 
-func (e *Endpoint) serveStream(l *link, raw *quic.Stream) {
+func (e *Endpoint) serveStream(c *connection, raw *quic.Stream) {
 	kind, err := e.readKind(raw)
 	if err != nil {
-		refuse(raw, streamAborted)
+		rejectStream(raw, streamAborted)
 		return
 	}
-	if reason := e.refusal(l, kind); reason != "" {
-		e.metrics.refused(reason, zap.Stringer("peer", l.peer), zap.Stringer("from", l.addr), zap.Stringer("kind", kind))
-		refuse(raw, streamRefused)
+	if reason := e.refusal(c, kind); reason != "" {
+		e.metrics.refused(reason, zap.Stringer("peer", c.peer), zap.Stringer("from", c.addr), zap.Stringer("kind", kind))
+		rejectStream(raw, streamRefused)
 		return
 	}
-	if !l.acquire() {
-		refuse(raw, streamRetired)
+	if !c.acquire() {
+		rejectStream(raw, streamRetired)
 		return
 	}
 	traffic := e.metrics.kinds[kind]
 	traffic.served.Inc(1)
-	// The connection's end ends the stream, so it needs no parent. With one, Close
-	// would reset the streams before it says that the process ends.
-	s := newStream(context.Background(), raw, l, kind, e.opts.MaxMessage, traffic)
-	s.kindSent = true // only the side that opens a stream sends it
+	// The stream ends with its connection, so it needs no parent context. With
+	// the endpoint's context as parent, Close would reset the streams before it
+	// reports to the peers that the process is stopping.
+	s := newStream(context.Background(), raw, c, kind, e.opts.MaxMessage, traffic)
+	s.kindSent = true // the kind is sent only by the side that opens the stream
 	defer s.Close()
-	e.opts.Handler.ServeStream(s.ctx, l.peer, kind, s)
+	e.opts.Handler.ServeStream(s.ctx, c.peer, kind, s)
 }
 
-// readKind waits for the first byte only briefly, since a stream without one
-// holds a goroutine here.
+// readKind reads the first byte within HandshakeTimeout, since a stream without
+// one occupies a goroutine.
 func (e *Endpoint) readKind(raw *quic.Stream) (Kind, error) {
 	_ = raw.SetReadDeadline(time.Now().Add(e.opts.HandshakeTimeout)) // never fails
 	var first [1]byte
@@ -75,18 +76,18 @@
 	return Kind(first[0]), err
 }
 
-// refusal returns why a stream is refused, "" if it is not.
-func (e *Endpoint) refusal(l *link, kind Kind) string {
+// refusal returns the reason for which a stream is refused, or "".
+func (e *Endpoint) refusal(c *connection, kind Kind) string {
 	if _, known := kindNames[kind]; !known {
 		return refusedKind
 	}
-	if !e.opts.Allow(l.peer, kind) {
+	if !e.opts.Allow(c.peer, kind) {
 		return refusedRole
 	}
 	return ""
 }
 
-func refuse(raw *quic.Stream, code quic.StreamErrorCode) {
+func rejectStream(raw *quic.Stream, code quic.StreamErrorCode) {
 	raw.CancelRead(code)
 	raw.CancelWrite(code)
 }
--- a/adapters/peer/sweep.go
+++ b/adapters/peer/sweep.go
@@ -8,10 +8,10 @@
 	"chivespindle.example/core/failure"
 )
 
-// sweepInterval is how often connections are looked through.
 const sweepInterval = time.Second
 
-// sweep closes unused connections until the endpoint is closed.
+// sweep closes unused connections, and retires outdated ones, until the
+// endpoint is closed.
 func (e *Endpoint) sweep() {
 	defer e.work.Done()
 	ticker := time.NewTicker(sweepInterval)
@@ -28,9 +28,9 @@
 
 func (e *Endpoint) sweepOnce(now time.Time) {
 	dialled, accepted := 0, 0
-	for _, l := range e.snapshot() {
-		e.sweepLink(l, now)
-		if l.dialled {
+	for _, c := range e.liveConnections() {
+		e.sweepConnection(c, now)
+		if c.dialled {
 			dialled++
 		} else {
 			accepted++
@@ -40,43 +40,43 @@
 	e.metrics.accepted.live.Update(float64(accepted))
 }
 
-// sweepLink retires an outdated connection, and closes one that nothing uses.
-// An accepted connection that is not outdated is left to the side that dialled
-// it.
-func (e *Endpoint) sweepLink(l *link, now time.Time) {
-	if l.outdated(e.opts.Keys, now) && l.retire() {
-		e.metrics.outdated(l)
+// sweepConnection retires an outdated connection, and closes one that is
+// unused. An accepted connection that is not outdated is closed only by the
+// side that dialled it.
+func (e *Endpoint) sweepConnection(c *connection, now time.Time) {
+	if c.outdated(e.opts.Keys, now) && c.retire() {
+		e.metrics.outdated(c)
 	}
 	unused := e.opts.UnusedTimeout
-	if !l.dialled {
+	if !c.dialled {
 		unused = math.MaxInt64
 	}
-	if l.retireIfUnused(now, unused) {
-		_ = l.conn.CloseWithError(connUnused, "")
+	if c.retireIfUnused(now, unused) {
+		_ = c.quic.CloseWithError(connUnused, "")
 	}
 }
 
-func (e *Endpoint) snapshot() []*link {
+func (e *Endpoint) liveConnections() []*connection {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	links := make([]*link, 0, len(e.links))
-	for l := range e.links {
-		links = append(links, l)
+	connections := make([]*connection, 0, len(e.connections))
+	for c := range e.connections {
+		connections = append(connections, c)
 	}
-	return links
+	return connections
 }
 
-// drainInterval is how often Drain looks whether streams still run.
+// drainInterval is how often Drain checks for running streams.
 const drainInterval = 20 * time.Millisecond
 
-// Drain prepares a planned stop. From its call on, peers' new streams are
-// refused with the outcome failure.NotRun, while those that run go on. It
-// returns once the last has ended and its answer had a second to arrive, or
-// with failure.Timeout when ctx ends before. Open still works. Call Close, or
-// end the context of Run, afterwards.
+// Drain prepares a planned stop. From its call on, new streams of peers are
+// refused with the outcome failure.NotRun, while running ones continue. It
+// returns once the last stream has ended and its response had closeDelay to
+// arrive, or with failure.Timeout when ctx ends before. Open still works. Call
+// Close, or end the context of Run, afterwards.
 //
-// An answer that the peer is slower to read than that, and that is larger than
-// the flow-control window, may lose its end.
+// A response that is larger than the flow-control window, and that the peer
+// takes longer than closeDelay to read, may be truncated.
 func (e *Endpoint) Drain(ctx context.Context) error {
 	e.mu.Lock()
 	e.draining = true
@@ -101,20 +101,20 @@
 func (e *Endpoint) drainStep() int {
 	running := 0
 	now := time.Now()
-	for _, l := range e.snapshot() {
-		if l.dialled {
+	for _, c := range e.liveConnections() {
+		if c.dialled {
 			continue
 		}
-		l.retire()
-		if !l.retireIfUnused(now, linger) {
+		c.retire()
+		if !c.retireIfUnused(now, closeDelay) {
 			running++
 		}
 	}
 	return running
 }
 
-// Stats is what an endpoint's live connections have cost so far. Bytes and
-// packets are those of QUIC, without the headers of UDP and IP.
+// Stats are the totals over an endpoint's live connections. Bytes and packets
+// are those of QUIC, without the headers of UDP and IP.
 type Stats struct {
 	Dialled         int
 	Accepted        int
@@ -124,17 +124,17 @@
 	PacketsReceived uint64
 }
 
-// Stats sums up over the live connections. A closed connection takes its part
-// of the sums with it.
+// Stats returns the totals over the live connections. Closed connections are
+// not included.
 func (e *Endpoint) Stats() Stats {
 	var sum Stats
-	for _, l := range e.snapshot() {
-		if l.dialled {
+	for _, c := range e.liveConnections() {
+		if c.dialled {
 			sum.Dialled++
 		} else {
 			sum.Accepted++
 		}
-		stats := l.conn.ConnectionStats()
+		stats := c.quic.ConnectionStats()
 		sum.BytesSent += stats.BytesSent
 		sum.BytesReceived += stats.BytesReceived
 		sum.PacketsSent += stats.PacketsSent
--- a/adapters/peer/trust_test.go
+++ b/adapters/peer/trust_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	refusedHandshake = "refusals+reason=handshake"
-	servedRequests   = "streams_served+kind=request"
+	isHandshakeRefusal = "refusals+reason=handshake"
+	servedRequests     = "streams_served+kind=request"
 )
 
-// pairOf signs a certificate that a Store would not load.
-func pairOf(authority *pki.Authority, t pki.Template) *tls.Certificate {
+// signCertificate issues a certificate that a Store would not load.
+func signCertificate(authority *pki.Authority, t pki.Template) *tls.Certificate {
 	ginkgo.GinkgoHelper()
 	certPEM, keyPEM, err := authority.Sign(t)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -33,35 +33,36 @@
 	return &out
 }
 
-// strange is a certificate that peers must refuse; nil shows none.
-type strange func(own *pki.Authority) *tls.Certificate
+// badCertificate returns a certificate that peers must refuse, or an empty one
+// to present none.
+type badCertificate func(own *pki.Authority) *tls.Certificate
 
-var strangers = map[string]strange{
+var badCertificates = map[string]badCertificate{
 	"no certificate": func(*pki.Authority) *tls.Certificate { return &tls.Certificate{} },
 	"another authority": func(*pki.Authority) *tls.Certificate {
-		return pairOf(newAuthority(), pki.Template{Identity: keys.Identity{ID: "x", Role: fleet.RoleEntry}})
+		return signCertificate(newAuthority(), pki.Template{Identity: keys.Identity{ID: "x", Role: fleet.RoleEntry}})
 	},
 	"an expired certificate": func(own *pki.Authority) *tls.Certificate {
-		return pairOf(own, pki.Template{
+		return signCertificate(own, pki.Template{
 			Identity: keys.Identity{ID: "x", Role: fleet.RoleEntry},
 			NotAfter: time.Now().Add(-time.Minute),
 		})
 	},
 	"no role": func(own *pki.Authority) *tls.Certificate {
-		return pairOf(own, pki.Template{URIs: []*url.URL{}})
+		return signCertificate(own, pki.Template{URIs: []*url.URL{}})
 	},
 	"two roles": func(own *pki.Authority) *tls.Certificate {
-		return pairOf(own, pki.Template{URIs: []*url.URL{
+		return signCertificate(own, pki.Template{URIs: []*url.URL{
 			{Scheme: "urn", Opaque: "chivespindle:entry:x"}, {Scheme: "urn", Opaque: "chivespindle:agent:x"},
 		}})
 	},
 }
 
-// dialAs connects as a stranger, who believes everything, and sends a request.
-// It returns when the connection has ended.
+// dialAs connects with the given certificate, without verifying the server, and
+// sends a request. It returns when the connection has ended.
 func dialAs(addr netip.AddrPort, cert *tls.Certificate) {
 	ginkgo.GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	conn, err := quic.DialAddr(ctx, addr.String(), &tls.Config{
 		InsecureSkipVerify: true,
@@ -79,27 +80,27 @@
 	select {
 	case <-conn.Context().Done():
 	case <-ctx.Done():
-		ginkgo.Fail("the stranger was let in")
+		ginkgo.Fail("the connection with a bad certificate was not closed")
 	}
 }
 
-var _ = ginkgo.Describe("who is who", func() {
+var _ = ginkgo.Describe("authentication", func() {
 	ginkgo.BeforeEach(checkLeaks)
 
-	// A stranger connects and sends a request at once, as TLS 1.3 allows. The
-	// server ends the connection when it sees the certificate; no handler sees
-	// the request, and the refusal is counted.
-	ginkgo.DescribeTable("a server gives nothing to a client with", func(name string) {
+	// An unauthenticated client connects and sends a request at once, as TLS
+	// 1.3 allows. The server ends the connection when it sees the certificate;
+	// no handler sees the request, and the refusal is counted.
+	ginkgo.DescribeTable("a server refuses a client with", func(name string) {
 		p := newPair(echo, nil)
-		dialAs(p.server.Addr(), strangers[name](p.authority))
-		gomega.Eventually(p.count(refusedHandshake), patience).Should(gomega.BeEquivalentTo(1))
+		dialAs(p.server.Addr(), badCertificates[name](p.authority))
+		gomega.Eventually(p.count(isHandshakeRefusal), waitTimeout).Should(gomega.BeEquivalentTo(1))
 		gomega.Expect(p.count(servedRequests)()).To(gomega.BeZero())
-		gomega.Expect(ask(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
-	}, strangerEntries())
+		gomega.Expect(roundTrip(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
+	}, badCertificateEntries())
 
 	ginkgo.DescribeTable("a client sends nothing to a server with", func(name string) {
 		p := newPair(echo, nil)
-		cert := strangers[name](p.authority)
+		cert := badCertificates[name](p.authority)
 		listener, err := quic.ListenAddr(loopback.String(), &tls.Config{
 			NextProtos:     []string{keys.Protocol},
 			GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil },
@@ -108,25 +109,25 @@
 		defer listener.Close()
 		_, err = p.client.Open(context.Background(), netip.MustParseAddrPort(listener.Addr().String()), "", peer.KindRequest)
 		expectNotRun(err)
-	}, strangerEntries())
+	}, badCertificateEntries())
 
-	ginkgo.It("a client whose certificate the server refuses learns that nothing was run", func() {
+	ginkgo.It("a client whose certificate the server refuses gets the outcome NotRun", func() {
 		p := newPair(echo, nil)
-		stranger := start(peer.Options{Keys: storeOf(newAuthority(), fleet.RoleEntry, "x")})
-		_, err := ask(stranger, p.server.Addr(), peer.KindRequest, "mine")
+		untrusted := start(peer.Options{Keys: newStore(newAuthority(), fleet.RoleEntry, "x")})
+		_, err := roundTrip(untrusted, p.server.Addr(), peer.KindRequest, "mine")
 		expectNotRun(err)
 	})
 
-	ginkgo.DescribeTable("a role may open only its kinds", func(role fleet.Role, kind peer.Kind, allowed bool) {
+	ginkgo.DescribeTable("a role may open only the kinds it is allowed", func(role fleet.Role, kind peer.Kind, allowed bool) {
 		p := newPair(echo, nil)
-		client := start(peer.Options{Keys: storeOf(p.authority, role, "x")})
-		got, err := ask(client, p.server.Addr(), kind, "mine")
+		client := start(peer.Options{Keys: newStore(p.authority, role, "x")})
+		got, err := roundTrip(client, p.server.Addr(), kind, "mine")
 		if allowed {
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
 			gomega.Expect(got).To(gomega.Equal("mine"))
 			return
 		}
-		gomega.Expect(err).To(beOfType(failure.Refused))
+		gomega.Expect(err).To(beFailureOfType(failure.Refused))
 		gomega.Expect(failure.OutcomeOf(err)).To(gomega.Equal(failure.NotRun))
 		gomega.Expect(p.count("refusals+reason=role")()).To(gomega.BeEquivalentTo(1))
 	},
@@ -138,11 +139,11 @@
 		ginkgo.Entry("entry, request", fleet.RoleEntry, peer.KindRequest, true),
 	)
 
-	ginkgo.It("a wanted id that differs is not opened, and does not disturb the right one", func() {
+	ginkgo.It("Open fails for another instance ID, and the connection stays usable for the right one", func() {
 		p := newPair(echo, nil)
 		for range 2 {
 			_, err := p.client.Open(context.Background(), p.server.Addr(), "agent-2", peer.KindRequest)
-			gomega.Expect(err).To(beOfType(peer.WrongPeer))
+			gomega.Expect(err).To(beFailureOfType(peer.WrongPeer))
 			expectNotRun(err)
 		}
 		s, err := p.client.Open(context.Background(), p.server.Addr(), "agent-1", peer.KindRequest)
@@ -150,35 +151,35 @@
 		s.Abort()
 	})
 
-	// Strangers hold every place for unfinished handshakes. The next connection
-	// is refused before its certificates are looked at; the caller is told at
-	// once that nothing was run. Each datagram of its handshake counts as one
-	// refusal. When a place is free, it gets in.
-	ginkgo.It("strangers' handshakes are bounded", func() {
+	// The limit of pending handshakes is reached. The next connection is
+	// refused before its certificates are verified, and the caller gets the
+	// outcome NotRun at once. Each datagram of its handshake counts as one
+	// refusal. Once one is free, the connection is accepted.
+	ginkgo.It("pending handshakes are bounded", func() {
 		p := newPair(echo, nil)
-		p.server.FillGate(0)
+		p.server.SetFreeHandshakes(0)
 		_, err := p.client.Open(context.Background(), p.server.Addr(), "", peer.KindRequest)
 		expectNotRun(err)
 		gomega.Expect(p.count("refusals+reason=handshake_limit")()).To(gomega.BeNumerically(">=", 1))
-		p.server.FillGate(1)
-		gomega.Expect(ask(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
+		p.server.SetFreeHandshakes(1)
+		gomega.Expect(roundTrip(p.client, p.server.Addr(), peer.KindRequest, "mine")).To(gomega.Equal("mine"))
 	})
 
-	// The operator replaces the authority while an answer runs. The running
-	// exchange goes on over the old connection. New ones go over a connection
-	// made with the new files. A peer that still shows the old authority's
-	// certificate is refused, also on the connection that it has.
-	ginkgo.It("keys are replaced while streams run", func() {
+	// The operator replaces the authority during an exchange. The running
+	// exchange continues over the old connection. New ones use a connection
+	// made with the new files. A peer that still presents a certificate of the
+	// old authority is refused, even on its existing connection.
+	ginkgo.It("keys can be replaced while streams run", func() {
 		old, next := newAuthority(), newAuthority()
 		serverDir, clientDir := ginkgo.GinkgoT().TempDir(), ginkgo.GinkgoT().TempDir()
 		serverKeys := loadFiles(old, serverDir, fleet.RoleAgent, "agent-1")
 		clientKeys := loadFiles(old, clientDir, fleet.RoleEntry, "entry-1")
 		p := newPair(echo, func(server, client *peer.Options) { server.Keys, client.Keys = serverKeys, clientKeys })
-		left := start(peer.Options{Keys: storeOf(old, fleet.RoleEntry, "entry-2")})
-		gomega.Expect(ask(left, p.server.Addr(), peer.KindRequest, "before")).To(gomega.Equal("before"))
+		oldAuthorityClient := start(peer.Options{Keys: newStore(old, fleet.RoleEntry, "entry-2")})
+		gomega.Expect(roundTrip(oldAuthorityClient, p.server.Addr(), peer.KindRequest, "before")).To(gomega.Equal("before"))
 		running := p.open(peer.KindRequest)
-		gomega.Expect(running.Send(note{Text: "1"})).To(gomega.Succeed())
-		gomega.Expect(running.Recv(&note{})).To(gomega.Succeed())
+		gomega.Expect(running.Send(testMessage{Text: "1"})).To(gomega.Succeed())
+		gomega.Expect(running.Recv(&testMessage{})).To(gomega.Succeed())
 
 		loadFiles(next, serverDir, fleet.RoleAgent, "agent-1")
 		loadFiles(next, clientDir, fleet.RoleEntry, "entry-1")
@@ -187,20 +188,20 @@
 		p.server.Sweep(time.Now())
 		p.client.Sweep(time.Now())
 
-		gomega.Expect(running.Send(note{Text: "2"})).To(gomega.Succeed())
-		gomega.Expect(running.Recv(&note{})).To(gomega.Succeed())
-		gomega.Expect(ask(p.client, p.server.Addr(), peer.KindRequest, "after")).To(gomega.Equal("after"))
-		_, err := ask(left, p.server.Addr(), peer.KindRequest, "after")
+		gomega.Expect(running.Send(testMessage{Text: "2"})).To(gomega.Succeed())
+		gomega.Expect(running.Recv(&testMessage{})).To(gomega.Succeed())
+		gomega.Expect(roundTrip(p.client, p.server.Addr(), peer.KindRequest, "after")).To(gomega.Equal("after"))
+		_, err := roundTrip(oldAuthorityClient, p.server.Addr(), peer.KindRequest, "after")
 		expectNotRun(err)
 		running.Abort()
-		p.client.Sweep(time.Now().Add(peer.Linger))
-		gomega.Eventually(func() int { return p.client.Stats().Dialled }, patience).Should(gomega.Equal(1))
+		p.client.Sweep(time.Now().Add(peer.CloseDelay))
+		gomega.Eventually(func() int { return p.client.Stats().Dialled }, waitTimeout).Should(gomega.Equal(1))
 	})
 })
 
-func strangerEntries() []ginkgo.TableEntry {
+func badCertificateEntries() []ginkgo.TableEntry {
 	var out []ginkgo.TableEntry
-	for name := range strangers {
+	for name := range badCertificates {
 		out = append(out, ginkgo.Entry(name, name))
 	}
 	return out
