--- a/adapters/exchange/exchange.go
+++ b/adapters/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange sends HTTP/1.1 requests over kept connections, each request
-// exactly as often as it is told to.
+// Package exchange sends HTTP/1.1 requests over pooled connections, one attempt
+// for each call of Do.
 //
-// The transport of net/http sends a request a second time by itself when a
-// kept connection dies under it and the method looks safe. Here the operator's
-// configuration says what may be repeated, so the connections are kept by this
-// package and only the messages are written and read by net/http.
+// The transport of net/http retries a request by itself when a reused
+// connection breaks and the method is idempotent. Here the operator's
+// configuration decides which requests may be retried, so this package pools
+// the connections itself and uses net/http only to write and read messages.
 package exchange
 
 import (
@@ -27,105 +27,106 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection: several round trips, and
-	// less than a caller's patience.
+	// dialTimeout bounds establishing a connection: it allows several round
+	// trips, and is shorter than the time that a caller waits.
 	dialTimeout = 700 * time.Millisecond
-	// refusalTimeout bounds the check whether a server refuses connections.
-	refusalTimeout = 200 * time.Millisecond
-	// acceptedFor is how long a new connection must stay open to show that its server
-	// has not just ended.
-	acceptedFor = 10 * time.Millisecond
-	// writeTimeout bounds the sending of a request whose server does not read.
+	// probeTimeout bounds the check whether a server refuses connections.
+	probeTimeout = 200 * time.Millisecond
+	// openCheckTime is how long a new connection must stay open to show that
+	// the server's process is not ending.
+	openCheckTime = 10 * time.Millisecond
+	// writeTimeout bounds the sending of a request to a server that does not
+	// read.
 	writeTimeout = 2 * time.Second
-	// keptFor is how long an unused connection is kept if the server told no
-	// time of its own.
-	keptFor = 4 * time.Second
-	// keepMargin is taken off the time that the server told, so that a request
-	// does not meet the server's close on its way.
-	keepMargin = 1500 * time.Millisecond
-	// maxKept bounds the unused connections to a server of which nothing is
-	// known yet.
-	maxKept = 32
-	// readBuffer fits the header of an answer and some events.
-	readBuffer = 4 << 10
-	// userTimeout ends a connection whose other side has vanished.
-	userTimeout = 3 * time.Second
+	// defaultIdleTimeout is how long an idle connection is pooled if the server
+	// advertises no timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the server's advertised timeout, so
+	// that a request is not sent while the server closes the connection.
+	idleTimeoutMargin = 1500 * time.Millisecond
+	// defaultMaxIdle bounds the idle connections to each server before the
+	// first Keep.
+	defaultMaxIdle = 32
+	// readBufferBytes is enough for the header of a response and some events.
+	readBufferBytes = 4 << 10
+	// unacknowledgedTimeout ends a connection whose peer has vanished.
+	unacknowledgedTimeout = 3 * time.Second
 )
 
-// Pool keeps the connections to servers. It is safe for concurrent use.
+// Pool is a pool of connections to servers. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	mu     sync.Mutex
-	kept   map[netip.AddrPort][]*conn
-	// most bounds the unused connections to each server; nil before the first
+	idle   map[netip.AddrPort][]*conn
+	// maxIdle bounds the idle connections to each server; nil before the first
 	// Keep.
-	most map[netip.AddrPort]int
-	// dialled counts the connections that were made.
+	maxIdle map[netip.AddrPort]int
+	// dialled counts the established connections.
 	dialled int64
 }
 
 // New returns a pool without connections.
 func New() *Pool {
 	return &Pool{
-		dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout},
-		kept:   make(map[netip.AddrPort][]*conn),
+		dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setTCPUserTimeout},
+		idle:   make(map[netip.AddrPort][]*conn),
 	}
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
-const tcpUserTimeout = 18
+// optTCPUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define.
+const optTCPUserTimeout = 18
 
-// setUserTimeout makes the kernel give up a connection on which sent bytes
-// stay unacknowledged: a partition closes nothing.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setTCPUserTimeout makes the kernel close a connection on which sent bytes
+// stay unacknowledged: a network partition closes nothing by itself.
+func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, int(unacknowledgedTimeout/time.Millisecond))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optErr)
 }
 
-// conn is one connection, used for one exchange at a time.
+// conn is a connection, used for one exchange at a time.
 type conn struct {
 	net.Conn
-	addr  netip.AddrPort
-	in    *bufio.Reader
-	out   *bufio.Writer
-	until time.Time // when it is used no more
+	addr      netip.AddrPort
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleUntil time.Time // not reused after this time
 }
 
-// Dialled returns how many connections were made.
+// Dialled returns the number of connections established so far.
 func (p *Pool) Dialled() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialled
 }
 
-// take returns a kept connection that is still quiet, or makes one.
-func (p *Pool) take(ctx context.Context, addr netip.AddrPort) (*conn, error) {
+// get returns an idle connection on which nothing has arrived, or dials one.
+func (p *Pool) get(ctx context.Context, addr netip.AddrPort) (*conn, error) {
 	for {
-		c := p.pop(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if time.Now().Before(c.until) && c.isQuiet() {
+		if time.Now().Before(c.idleUntil) && c.isIdle() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
 }
 
-// pop returns the connection that was used last: it is the one whose server is
-// least about to close it.
-func (p *Pool) pop(addr netip.AddrPort) *conn {
+// popIdle returns the most recently used idle connection: it is the one that
+// the server will close last.
+func (p *Pool) popIdle(addr netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.kept[addr]
-	if len(kept) == 0 {
+	idle := p.idle[addr]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.kept[addr] = kept[:len(kept)-1]
+	c := idle[len(idle)-1]
+	p.idle[addr] = idle[:len(idle)-1]
 	return c
 }
 
@@ -137,7 +138,7 @@
 	return c, nil
 }
 
-// connect makes a connection. Its failure is that of the dialer.
+// connect dials. Its error is the dialer's, without an outcome.
 func (p *Pool) connect(ctx context.Context, addr netip.AddrPort) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
@@ -148,18 +149,20 @@
 	p.mu.Unlock()
 	return &conn{
 		Conn: raw, addr: addr,
-		in:  bufio.NewReaderSize(raw, readBuffer),
-		out: bufio.NewWriter(raw),
+		reader: bufio.NewReaderSize(raw, readBufferBytes),
+		writer: bufio.NewWriter(raw),
 	}, nil
 }
 
-// Refuses reports whether nothing accepts connections at addr; known is false if
-// that was not found out within refusalTimeout. A connection that is made is kept.
+// Refuses reports whether connections to addr are refused; known is false if
+// that could not be determined within probeTimeout. A connection that is
+// established is pooled.
 //
-// A process that ends closes its connections a moment before or after its listener.
-// One that is made in between breaks at once, and the next one is refused.
+// A process that ends closes its connections shortly before or after its
+// listener. A connection that is accepted in between breaks at once, and the
+// next one is refused.
 func (p *Pool) Refuses(ctx context.Context, addr netip.AddrPort) (refuses, known bool) {
-	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	const tries = 2
 	for range tries {
@@ -177,77 +180,81 @@
 	return false, false
 }
 
-// staysOpen reports whether a new connection is open and quiet for a moment.
+// staysOpen reports whether a new connection stays open and idle for
+// openCheckTime.
 func (c *conn) staysOpen() bool {
-	_ = c.SetReadDeadline(time.Now().Add(acceptedFor))
-	_, err := c.in.Peek(1)
+	_ = c.SetReadDeadline(time.Now().Add(openCheckTime))
+	_, err := c.reader.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// put keeps a connection whose exchange is over.
-func (p *Pool) put(c *conn, told time.Duration) {
-	life := keptFor
-	if told > 0 {
-		life = told - keepMargin
+// put returns a connection to the pool after an exchange. serverTimeout is the
+// idle timeout that the server advertised, 0 if none.
+func (p *Pool) put(c *conn, serverTimeout time.Duration) {
+	idleTimeout := defaultIdleTimeout
+	if serverTimeout > 0 {
+		idleTimeout = serverTimeout - idleTimeoutMargin
 	}
-	if life <= 0 || c.in.Buffered() > 0 {
+	if idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	c.until = time.Now().Add(life)
+	c.idleUntil = time.Now().Add(idleTimeout)
 	_ = c.SetDeadline(time.Time{}) // never fails on an open connection
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.kept[c.addr]) >= p.mostTo(c.addr) {
+	if len(p.idle[c.addr]) >= p.maxIdleTo(c.addr) {
 		_ = c.Close()
 		return
 	}
-	p.kept[c.addr] = append(p.kept[c.addr], c)
+	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-func (p *Pool) mostTo(addr netip.AddrPort) int {
-	if p.most == nil {
-		return maxKept
+func (p *Pool) maxIdleTo(addr netip.AddrPort) int {
+	if p.maxIdle == nil {
+		return defaultMaxIdle
 	}
-	return p.most[addr]
+	return p.maxIdle[addr]
 }
 
-// Keep tells how many unused connections to each server are kept. Those beyond
-// are closed: a server resets the connections that exceed what it accepts from
-// all callers together, so unused ones take the place of others' requests. Those
-// to servers that are not listed go too, so that a later server at the same
-// address is not met on its predecessor's.
-func (p *Pool) Keep(most map[netip.AddrPort]int) {
+// Keep sets the maximal number of idle connections to each server. Excess ones
+// are closed: a server resets connections beyond the number that it accepts
+// from all callers together, so idle ones would displace those of other
+// requests. Connections to servers that are not listed are closed too, so that
+// a later server at the same address does not get requests over its
+// predecessor's connections.
+func (p *Pool) Keep(maxIdle map[netip.AddrPort]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
-	for addr, kept := range p.kept {
-		stay := min(len(kept), most[addr])
-		for _, c := range kept[:len(kept)-stay] {
+	p.maxIdle = maxIdle
+	for addr, idle := range p.idle {
+		remaining := min(len(idle), maxIdle[addr])
+		for _, c := range idle[:len(idle)-remaining] {
 			_ = c.Close()
 		}
-		p.kept[addr] = slices.Clone(kept[len(kept)-stay:])
-		if stay == 0 {
-			delete(p.kept, addr)
+		p.idle[addr] = slices.Clone(idle[len(idle)-remaining:])
+		if remaining == 0 {
+			delete(p.idle, addr)
 		}
 	}
 }
 
-// Drop closes the unused connections to a server whose process was replaced.
+// Drop closes the idle connections to a server whose process was replaced.
 func (p *Pool) Drop(addr netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.kept[addr] {
+	for _, c := range p.idle[addr] {
 		_ = c.Close()
 	}
-	delete(p.kept, addr)
+	delete(p.idle, addr)
 }
 
-// isQuiet reports whether nothing came since the last exchange. A server that
-// closed the connection, or sent an answer too many, shows here, before a
-// request is sent that may run and whose answer cannot be told from the other.
-func (c *conn) isQuiet() bool {
-	if c.in.Buffered() > 0 {
+// isIdle reports whether nothing has arrived since the last exchange. If the
+// server closed the connection or sent an extra response, that is detected
+// here, before a request is sent that may be executed and whose response could
+// not be told from the extra one.
+func (c *conn) isIdle() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	tcp, ok := c.Conn.(*net.TCPConn)
@@ -268,75 +275,76 @@
 	return err == nil && quiet
 }
 
-// Response is an answer whose header was read. Close must be called.
+// Response is a response whose header has been read. Close must be called.
 type Response struct {
 	*http.Response
-	pool *Pool
-	conn *conn
-	body *bodyReader
-	stop func() bool
+	pool      *Pool
+	conn      *conn
+	body      *bodyReader
+	stopAbort func() bool
 }
 
-// bodyReader notes when the end of a body was read.
+// bodyReader records whether the end of the body was read.
 type bodyReader struct {
 	io.ReadCloser
-	atEnd bool
+	reachedEnd bool
 }
 
 // Read implements io.Reader.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.atEnd = b.atEnd || errors.Is(err, io.EOF)
+	b.reachedEnd = b.reachedEnd || errors.Is(err, io.EOF)
 	return n, err
 }
 
 // Do sends a request once to the server at addr and reads the header of the
-// answer, until by at the latest. The request is made once a connection is there:
-// it may tell a time that is left. Ending ctx closes the connection, so that the
-// server stops its work.
+// response, until deadline at the latest. request is called once a connection
+// is available, since the request may contain the time left. When ctx ends, the
+// connection is closed, so that the server can stop its work.
 //
-// A failure's outcome is failure.NotRun only if no byte of the request was
+// The outcome of a failure is failure.NotRun only if no byte of the request was
 // sent.
-func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, request func() *http.Request, by time.Time) (*Response, error) {
+func (p *Pool) Do(ctx context.Context, addr netip.AddrPort, request func() *http.Request, deadline time.Time) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, failure.WithOutcome(failure.Unavailable.Wrap(err, "not sent to %s", addr), failure.NotRun)
 	}
-	c, err := p.take(ctx, addr)
+	c, err := p.get(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	if !time.Now().Before(by) {
+	if !time.Now().Before(deadline) {
 		p.put(c, 0)
 		return nil, failure.WithOutcome(failure.Timeout.New("no time was left when %s was reached", addr), failure.NotRun)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	fail := func(err error, doing string) (*Response, error) {
-		stop()
+	stopAbort := context.AfterFunc(ctx, func() { _ = c.Close() })
+	fail := func(err error, operation string) (*Response, error) {
+		stopAbort()
 		_ = c.Close()
-		return nil, failure.WithOutcome(kindOf(err).Wrap(err, "%s %s", doing, addr), failure.Unknown)
+		return nil, failure.WithOutcome(failureType(err).Wrap(err, "%s %s", operation, addr), failure.Unknown)
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	r := request()
-	if err := r.Write(c.out); err != nil {
+	if err := r.Write(c.writer); err != nil {
 		return fail(err, "send to")
 	}
-	if err := c.out.Flush(); err != nil {
+	if err := c.writer.Flush(); err != nil {
 		return fail(err, "send to")
 	}
-	_ = c.SetReadDeadline(by)
-	response, err := readFinal(c.in, r)
-	if err != nil && !time.Now().Before(by) {
-		// Of a line that was cut by the deadline net/http says that it is malformed.
+	_ = c.SetReadDeadline(deadline)
+	response, err := readFinalResponse(c.reader, r)
+	if err != nil && !time.Now().Before(deadline) {
+		// net/http reports a line that was truncated by the deadline as
+		// malformed.
 		err = errors.Join(os.ErrDeadlineExceeded, err)
 	}
 	if err != nil {
 		return fail(err, "read from")
 	}
-	return newResponse(p, c, response, stop), nil
+	return newResponse(p, c, response, stopAbort), nil
 }
 
-func newResponse(p *Pool, c *conn, response *http.Response, stop func() bool) *Response {
-	r := &Response{Response: response, pool: p, conn: c, stop: stop}
+func newResponse(p *Pool, c *conn, response *http.Response, stopAbort func() bool) *Response {
+	r := &Response{Response: response, pool: p, conn: c, stopAbort: stopAbort}
 	if response.Body != http.NoBody {
 		r.body = &bodyReader{ReadCloser: response.Body}
 		response.Body = r.body
@@ -344,8 +352,8 @@
 	return r
 }
 
-// readFinal passes over interim answers.
-func readFinal(in *bufio.Reader, r *http.Request) (*http.Response, error) {
+// readFinalResponse skips interim (1xx) responses.
+func readFinalResponse(in *bufio.Reader, r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(in, r)
 		if err != nil || response.StatusCode >= http.StatusOK {
@@ -355,44 +363,46 @@
 }
 
 // SetDeadline bounds the reads of the body.
-func (r *Response) SetDeadline(by time.Time) { _ = r.conn.SetReadDeadline(by) }
-
-// Close ends the exchange. With keep the connection is used again, unless the
-// server said that it closes it or the end of the body has not been read. told is
-// for how long the server keeps it, 0 if it did not say.
-func (r *Response) Close(keep bool, told time.Duration) {
-	atEnd := r.body == nil || r.body.atEnd && r.EndIsFramed()
-	if !r.stop() || !keep || r.Response.Close || !atEnd {
+func (r *Response) SetDeadline(deadline time.Time) { _ = r.conn.SetReadDeadline(deadline) }
+
+// Close ends the exchange. With reuse the connection is returned to the pool,
+// unless the server closes it or the end of the body has not been read.
+// serverTimeout is the idle timeout that the server advertised, 0 if none.
+func (r *Response) Close(reuse bool, serverTimeout time.Duration) {
+	atEnd := r.body == nil || r.body.reachedEnd && r.EndIsFramed()
+	if !r.stopAbort() || !reuse || r.Response.Close || !atEnd {
 		_ = r.conn.Close()
 		return
 	}
-	r.pool.put(r.conn, told)
+	r.pool.put(r.conn, serverTimeout)
 }
 
-// EndIsFramed reports whether the sender marks the end of the body; see the function.
+// EndIsFramed reports whether the sender marks the end of the body; see the
+// function EndIsFramed.
 func (r *Response) EndIsFramed() bool { return EndIsFramed(r.Response) }
 
-// EndIsFramed reports whether the sender marks the end of the body, by a length or by
-// chunks, or sends none. Otherwise the body ends with its connection, and io.EOF does
-// not tell a complete body from one whose sender was killed.
+// EndIsFramed reports whether the sender marks the end of the body, by a length
+// or by chunked encoding, or sends none. Otherwise the body ends with its
+// connection, and io.EOF does not distinguish a complete body from one whose
+// sender was killed.
 func EndIsFramed(r *http.Response) bool {
 	return r.Body == http.NoBody || r.ContentLength >= 0 ||
 		len(r.TransferEncoding) > 0 && r.TransferEncoding[0] == "chunked"
 }
 
-// kindOf tells silence from a connection that broke.
-func kindOf(err error) *errorx.Type {
+// failureType distinguishes a timeout from a broken connection.
+func failureType(err error) *errorx.Type {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return failure.Timeout
 	}
 	return failure.Unavailable
 }
 
-// Failure types the failure of a read of the body: failure.Timeout for
-// silence, else failure.Unavailable. io.EOF is returned as it is.
+// Failure classifies an error of reading the body: failure.Timeout if nothing
+// arrived in time, else failure.Unavailable. io.EOF is returned as it is.
 func Failure(err error) error {
 	if errors.Is(err, io.EOF) {
 		return err
 	}
-	return failure.WithOutcome(kindOf(err).Wrap(err, "read the answer"), failure.Unknown)
+	return failure.WithOutcome(failureType(err).Wrap(err, "read the answer"), failure.Unknown)
 }
--- a/adapters/exchange/exchange_test.go
+++ b/adapters/exchange/exchange_test.go
@@ -19,18 +19,20 @@
 	"chivespindle.example/core/failure"
 )
 
-// patience bounds what must happen soon.
-const patience = 5 * time.Second
+// waitTimeout bounds the wait for an expected event.
+const waitTimeout = 5 * time.Second
 
-// server answers each request on a connection by script, and counts both.
+// server responds to each request on a connection by a script, and counts
+// connections and requests.
 type server struct {
 	listener    net.Listener
 	connections atomic.Int64
 	requests    atomic.Int64
 }
 
-// serve starts a server whose script gets each request, its connection and its
-// number on the connection. The script returns false to close.
+// serve starts a server whose script receives each request, its connection and
+// its index on the connection. The script returns false to close the
+// connection.
 func serve(script func(c net.Conn, r *http.Request, n int) bool) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -43,13 +45,13 @@
 				return
 			}
 			s.connections.Add(1)
-			go s.answer(c, script)
+			go s.serveConn(c, script)
 		}
 	}()
 	return s
 }
 
-func (s *server) answer(c net.Conn, script func(net.Conn, *http.Request, int) bool) {
+func (s *server) serveConn(c net.Conn, script func(net.Conn, *http.Request, int) bool) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -67,25 +69,25 @@
 
 func (s *server) addr() netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
-func say(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
+func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
 const (
-	ok       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-	inChunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
+	okResponse      = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+	chunkedResponse = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
 )
 
-func get() *http.Request {
+func newRequest() *http.Request {
 	return &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: "/x"}, Host: "a.example", Header: http.Header{},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 }
 
-func soon() time.Time { return time.Now().Add(patience) }
+func waitDeadline() time.Time { return time.Now().Add(waitTimeout) }
 
-// whole runs one exchange to its end and returns the body.
-func whole(p *exchange.Pool, s *server) (string, error) {
-	r, err := p.Do(context.Background(), s.addr(), get, soon())
+// roundTrip completes one exchange and returns the body.
+func roundTrip(p *exchange.Pool, s *server) (string, error) {
+	r, err := p.Do(context.Background(), s.addr(), newRequest, waitDeadline())
 	if err != nil {
 		return "", err
 	}
@@ -98,132 +100,133 @@
 }
 
 var _ = Describe("Pool", func() {
-	It("keeps its connections", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	It("reuses its connections", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
 		for range 5 {
-			Expect(whole(p, s)).To(Equal("hi"))
+			Expect(roundTrip(p, s)).To(Equal("hi"))
 		}
 		Expect(s.connections.Load()).To(Equal(int64(1)))
 		Expect(p.Dialled()).To(Equal(int64(1)))
 	})
 
-	DescribeTable("does not use a connection again that may not be used",
-		func(answer string, wantBody string) {
+	DescribeTable("does not reuse a connection that is not reusable",
+		func(response string, wantBody string) {
 			s := serve(func(c net.Conn, _ *http.Request, n int) bool {
-				say(c, answer)
-				return n > 0 || answer[len(answer)-1] != '!'
+				write(c, response)
+				return n > 0 || response[len(response)-1] != '!'
 			})
 			p := exchange.New()
-			Expect(whole(p, s)).To(Equal(wantBody))
-			Expect(whole(p, s)).To(Equal(wantBody))
+			Expect(roundTrip(p, s)).To(Equal(wantBody))
+			Expect(roundTrip(p, s)).To(Equal(wantBody))
 			Expect(s.connections.Load()).To(Equal(int64(2)))
 		},
 		Entry("the server closes it", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", "hi"),
-		Entry("a second answer lies in it", ok+ok, "hi"),
-		Entry("bytes that are no answer lie in it", ok+"???", "hi"),
-		Entry("the body ends with it", "HTTP/1.1 200 OK\r\n\r\nhi!", "hi!"),
+		Entry("an extra response follows", okResponse+okResponse, "hi"),
+		Entry("malformed bytes follow", okResponse+"???", "hi"),
+		Entry("the body ends with the connection", "HTTP/1.1 200 OK\r\n\r\nhi!", "hi!"),
 	)
 
-	// A kept connection dies while a request that may not run twice is on its
-	// way. Whether it ran is unknown; a second sending by the transport would run
-	// it twice.
-	It("never sends a request again by itself", func() {
+	// A pooled connection breaks while a request that may not be executed twice
+	// is in flight. Whether it was executed is unknown; a retry by the
+	// transport could execute it twice.
+	It("never retries a request by itself", func() {
 		s := serve(func(c net.Conn, _ *http.Request, n int) bool {
 			if n == 0 {
-				say(c, ok)
+				write(c, okResponse)
 				return true
 			}
 			return false
 		})
 		p := exchange.New()
-		Expect(whole(p, s)).To(Equal("hi"))
-		_, err := whole(p, s)
+		Expect(roundTrip(p, s)).To(Equal("hi"))
+		_, err := roundTrip(p, s)
 		Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue())
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		Expect(s.requests.Load()).To(Equal(int64(2)))
 	})
 
-	It("says that nothing ran when no connection was made", func() {
+	It("reports the outcome NotRun if no connection was established", func() {
 		s := serve(func(net.Conn, *http.Request, int) bool { return true })
 		Expect(s.listener.Close()).To(Succeed())
-		_, err := whole(exchange.New(), s)
+		_, err := roundTrip(exchange.New(), s)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 	})
 
-	// Guards against a request that tells a time left that has passed while its
-	// connection was made.
-	It("makes the request once the connection is there", func() {
+	// Guards against a request that states a time left that has passed while
+	// its connection was dialled.
+	It("builds the request once the connection is established", func() {
 		called := make(chan struct{})
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		made := func() *http.Request {
+		buildRequest := func() *http.Request {
 			Expect(p.Dialled()).To(Equal(int64(1)))
 			close(called)
-			return get()
+			return newRequest()
 		}
-		r, err := p.Do(context.Background(), s.addr(), made, soon())
+		r, err := p.Do(context.Background(), s.addr(), buildRequest, waitDeadline())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(called).To(BeClosed())
 		r.Close(false, 0)
 	})
 
-	// Guards against work that begins after its time, since a connection took long.
-	It("sends nothing once the time for the answer is over", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	// Guards against a request that is started after its deadline because
+	// dialling took long.
+	It("sends nothing once the deadline has passed", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		_, err := p.Do(context.Background(), s.addr(), get, time.Now())
+		_, err := p.Do(context.Background(), s.addr(), newRequest, time.Now())
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.requests.Load()).To(Equal(int64(1)))
 	})
 
-	DescribeTable("tells silence from a broken connection", func(before string) {
+	DescribeTable("distinguishes a timeout from a broken connection", func(before string) {
 		release := make(chan struct{})
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool {
-			say(c, before)
+			write(c, before)
 			<-release
 			return false
 		})
 		defer close(release)
-		_, err := exchange.New().Do(context.Background(), s.addr(), get, time.Now().Add(30*time.Millisecond))
+		_, err := exchange.New().Do(context.Background(), s.addr(), newRequest, time.Now().Add(30*time.Millisecond))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 	},
-		Entry("after nothing", ""),
+		Entry("before any byte", ""),
 		Entry("inside the status line", "HTTP/1.1 20"),
 		Entry("inside a header line", "HTTP/1.1 200 OK\r\nConte"),
-		Entry("after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n"),
+		Entry("after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n"),
 	)
 
-	DescribeTable("finds out that a body is not whole",
-		func(answer string) {
-			s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, answer); return false })
-			_, err := whole(exchange.New(), s)
+	DescribeTable("detects an incomplete response",
+		func(response string) {
+			s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, response); return false })
+			_, err := roundTrip(exchange.New(), s)
 			Expect(err).To(HaveOccurred())
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		},
 		Entry("shorter than its length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi"),
-		Entry("chunks without an end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"),
-		Entry("no answer at all", ""),
-		Entry("no protocol", "hello\r\n\r\n"),
+		Entry("chunks without a last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"),
+		Entry("no response", ""),
+		Entry("not HTTP", "hello\r\n\r\n"),
 	)
 
-	// Guards against the rest of a body that is taken for the next answer.
-	DescribeTable("keeps no connection on which a body was not read to its end", func(head string) {
+	// Guards against the rest of a body being read as the next response.
+	DescribeTable("does not reuse a connection whose body was not read to its end", func(head string) {
 		s := serve(func(c net.Conn, _ *http.Request, n int) bool {
 			if n == 0 {
-				say(c, head)
+				write(c, head)
 				return true
 			}
-			say(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
+			write(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 			return false
 		})
 		p := exchange.New()
-		r, err := p.Do(context.Background(), s.addr(), get, soon())
+		r, err := p.Do(context.Background(), s.addr(), newRequest, waitDeadline())
 		Expect(err).NotTo(HaveOccurred())
 		r.Close(true, 0)
-		_, err = p.Do(context.Background(), s.addr(), get, soon())
+		_, err = p.Do(context.Background(), s.addr(), newRequest, waitDeadline())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	},
@@ -231,7 +234,7 @@
 		Entry("in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
 	)
 
-	It("passes over interim answers until the time for the answer is over, and no longer", func() {
+	It("skips interim responses until the deadline, and no longer", func() {
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool {
 			for {
 				if _, err := io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n"); err != nil {
@@ -239,118 +242,121 @@
 				}
 			}
 		})
-		_, err := exchange.New().Do(context.Background(), s.addr(), get, time.Now().Add(30*time.Millisecond))
+		_, err := exchange.New().Do(context.Background(), s.addr(), newRequest, time.Now().Add(30*time.Millisecond))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 	})
 
-	// Guards against an answer of a killed server that is taken for complete.
-	DescribeTable("tells whether the sender marks the end of the body",
-		func(method, answer, wantBody string, framed bool) {
-			s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, answer); return false })
-			request := get()
+	// Guards against a truncated response of a killed server being taken for
+	// complete.
+	DescribeTable("reports whether the sender marks the end of the body",
+		func(method, response, wantBody string, framed bool) {
+			s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, response); return false })
+			request := newRequest()
 			request.Method = method
-			r, err := exchange.New().Do(context.Background(), s.addr(), func() *http.Request { return request }, soon())
+			r, err := exchange.New().Do(context.Background(), s.addr(), func() *http.Request { return request }, waitDeadline())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.EndIsFramed()).To(Equal(framed))
 			Expect(io.ReadAll(r.Body)).To(BeEquivalentTo(wantBody))
 			r.Close(true, 0)
 		},
-		Entry("a length", http.MethodGet, ok, "hi", true),
-		Entry("chunks", http.MethodGet, inChunks, "hi", true),
+		Entry("a length", http.MethodGet, okResponse, "hi", true),
+		Entry("chunks", http.MethodGet, chunkedResponse, "hi", true),
 		Entry("a status without a body", http.MethodGet, "HTTP/1.1 204 No Content\r\n\r\n", "", true),
-		Entry("a request for no body", http.MethodHead, "HTTP/1.1 200 OK\r\n\r\n", "", true),
+		Entry("a HEAD request", http.MethodHead, "HTTP/1.1 200 OK\r\n\r\n", "", true),
 		Entry("neither", http.MethodGet, "HTTP/1.1 200 OK\r\n\r\nhi", "hi", false),
 		Entry("neither, in HTTP/1.0", http.MethodGet, "HTTP/1.0 200 OK\r\n\r\nhi", "hi", false),
-		Entry("chunks, which HTTP/1.0 does not know", http.MethodGet,
+		Entry("chunks, which HTTP/1.0 does not support", http.MethodGet,
 			"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
 			"2\r\nhi\r\n0\r\n\r\n", false),
 	)
 
-	// Guards against a prefix of an answer that is taken for the whole.
-	DescribeTable("takes no answer for complete that was cut after any byte", func(answer string) {
+	// Guards against a prefix of a response being taken for the complete one.
+	DescribeTable("detects a response that was truncated after any byte", func(response string) {
 		var sent atomic.Int64
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, answer[:sent.Load()]); return false })
-		for n := range len(answer) {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, response[:sent.Load()]); return false })
+		for n := range len(response) {
 			sent.Store(int64(n))
-			_, err := whole(exchange.New(), s)
+			_, err := roundTrip(exchange.New(), s)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown), "after %d bytes", n)
 			Expect(err).To(HaveOccurred(), "after %d bytes", n)
 		}
-		sent.Store(int64(len(answer)))
-		Expect(whole(exchange.New(), s)).To(Equal("hi"))
+		sent.Store(int64(len(response)))
+		Expect(roundTrip(exchange.New(), s)).To(Equal("hi"))
 	},
-		Entry("of a length", ok),
-		Entry("in chunks", inChunks),
+		Entry("of a length", okResponse),
+		Entry("in chunks", chunkedResponse),
 		Entry("in chunks, with a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n"+
 			"1\r\nh\r\n1;x=y\r\ni\r\n0\r\nSum: 1\r\n\r\n"),
-		Entry("after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n"+ok),
+		Entry("after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n"+okResponse),
 	)
 
-	// A caller leaves. Its server must see the connection close, or it works on
-	// for nobody.
-	It("closes the connection when the caller leaves", func() {
-		gone := make(chan struct{})
+	// When a caller disconnects, its server must see the connection close, or
+	// it would continue to work on the request.
+	It("closes the connection when the caller disconnects", func() {
+		closed := make(chan struct{})
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool {
-			say(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
+			write(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			_, _ = c.Read(make([]byte, 1))
-			close(gone)
+			close(closed)
 			return false
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		r, err := exchange.New().Do(ctx, s.addr(), get, soon())
+		r, err := exchange.New().Do(ctx, s.addr(), newRequest, waitDeadline())
 		Expect(err).NotTo(HaveOccurred())
 		cancel()
-		Eventually(gone, patience).Should(BeClosed())
+		Eventually(closed, waitTimeout).Should(BeClosed())
 		r.Close(true, 0)
 	})
 
-	// Guards against work that a server begins for a caller who has left already.
-	It("sends nothing for a caller who has left", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	// Guards against a server working on a request whose caller has already
+	// disconnected.
+	It("sends nothing for a caller that has disconnected", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		left, leave := context.WithCancel(context.Background())
-		leave()
+		canceled, cancel := context.WithCancel(context.Background())
+		cancel()
 		for range 20 {
-			Expect(whole(p, s)).To(Equal("hi"))
-			_, err := p.Do(left, s.addr(), get, soon())
+			Expect(roundTrip(p, s)).To(Equal("hi"))
+			_, err := p.Do(canceled, s.addr(), newRequest, waitDeadline())
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 		}
 		Expect(s.requests.Load()).To(Equal(int64(20)))
-		Expect(s.connections.Load()).To(Equal(int64(1)), "those that are kept are not spent")
+		Expect(s.connections.Load()).To(Equal(int64(1)), "idle connections are not used up")
 	})
 
-	It("passes over interim answers", func() {
+	It("skips interim responses", func() {
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool {
-			say(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+ok)
+			write(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+okResponse)
 			return true
 		})
-		Expect(whole(exchange.New(), s)).To(Equal("hi"))
+		Expect(roundTrip(exchange.New(), s)).To(Equal("hi"))
 	})
 
-	It("drops what it keeps of servers that are not listed any more", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	It("closes the idle connections to servers that are no longer listed", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		p.Keep(map[netip.AddrPort]int{})
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
 
-	// A burst needed three connections. Kept by every entry, they would use up
-	// what the server accepts, and it would reset those of new requests.
-	It("keeps no more unused connections than it is told", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	// After a burst with three connections, idle ones kept by every entry would
+	// use up the connections that the server accepts, and it would reset those
+	// of new requests.
+	It("keeps at most the configured number of idle connections", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
 		p.Keep(map[netip.AddrPort]int{s.addr(): 1})
 		burst := func() {
-			var answers []*exchange.Response
+			var responses []*exchange.Response
 			for range 3 {
-				r, err := p.Do(context.Background(), s.addr(), get, soon())
+				r, err := p.Do(context.Background(), s.addr(), newRequest, waitDeadline())
 				Expect(err).NotTo(HaveOccurred())
-				answers = append(answers, r)
+				responses = append(responses, r)
 			}
-			for _, r := range answers {
+			for _, r := range responses {
 				_, _ = io.ReadAll(r.Body)
 				r.Close(true, 0)
 			}
@@ -360,64 +366,64 @@
 		Expect(s.connections.Load()).To(Equal(int64(3 + 2)))
 	})
 
-	It("closes the unused connections beyond a lower bound", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	It("closes excess idle connections when the limit is lowered", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		p.Keep(map[netip.AddrPort]int{s.addr(): 0})
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
 
-	// A server's process was replaced under its address. What is sent on a
-	// connection to its predecessor is lost, and may not be sent again if it may
-	// run only once.
-	It("makes new connections to a server whose process was replaced", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	// Guards against sending to a server's replaced process: a request on a
+	// connection to the former process is lost, and cannot be retried if it may
+	// be executed only once.
+	It("dials new connections to a server whose process was replaced", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		p.Drop(s.addr())
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
 
-	It("does not keep a connection for longer than its server does", func() {
-		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true })
+	It("does not reuse a connection beyond the server's idle timeout", func() {
+		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		r, err := p.Do(context.Background(), s.addr(), get, soon())
+		r, err := p.Do(context.Background(), s.addr(), newRequest, waitDeadline())
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = io.ReadAll(r.Body)
 		r.Close(true, time.Second) // less than the margin
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
 })
 
 var _ = Describe("A server that may have ended", func() {
-	answer := func(c net.Conn, _ *http.Request, _ int) bool { say(c, ok); return true }
+	response := func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true }
 
 	It("refuses connections once its listener is closed", func() {
-		s := serve(answer)
+		s := serve(response)
 		Expect(s.listener.Close()).To(Succeed())
 		refuses, known := exchange.New().Refuses(context.Background(), s.addr())
 		Expect([]bool{refuses, known}).To(Equal([]bool{true, true}))
 	})
 
-	It("does not if it accepts them, and the connection is used", func() {
-		s := serve(answer)
+	It("accepts connections, and the probe's connection is reused", func() {
+		s := serve(response)
 		p := exchange.New()
 		refuses, known := p.Refuses(context.Background(), s.addr())
 		Expect([]bool{refuses, known}).To(Equal([]bool{false, true}))
-		Expect(whole(p, s)).To(Equal("hi"))
+		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(p.Dialled()).To(Equal(int64(1)))
 	})
 
-	It("is not taken for ended if the check was cut short", func() {
-		s := serve(answer)
+	It("is not considered ended if the check was cancelled", func() {
+		s := serve(response)
 		Expect(s.listener.Close()).To(Succeed())
-		gone, cancel := context.WithCancel(context.Background())
+		closed, cancel := context.WithCancel(context.Background())
 		cancel()
-		refuses, known := exchange.New().Refuses(gone, s.addr())
+		refuses, known := exchange.New().Refuses(closed, s.addr())
 		Expect([]bool{refuses, known}).To(Equal([]bool{false, false}))
 	})
 })
