--- a/adapters/keys/ephemeral.go
+++ b/adapters/keys/ephemeral.go
@@ -13,14 +13,15 @@
 	"chivespindle.example/core/fleet"
 )
 
-// ephemeralLife is how long a certificate of Ephemeral is good: longer than
+// ephemeralValidity is the validity of a certificate of Ephemeral: longer than
 // any process runs, since nothing replaces it.
-const ephemeralLife = 10 * 365 * 24 * time.Hour
+const ephemeralValidity = 10 * 365 * 24 * time.Hour
 
-// Ephemeral returns a store with a certificate that was made for this process
-// alone, for a platform that hands out no keys. Any peer's certificate is
-// accepted, and a peer is whom it says it is: connections are encrypted but
-// prove nothing. docs/design/platform.md says what a stranger could do.
+// Ephemeral returns a store with a self-signed certificate that is generated
+// for this process, for a platform that issues no keys. Any peer's certificate
+// is accepted, and its identity is not verified: connections are encrypted but
+// not authenticated. docs/design/platform.md describes what an attacker could
+// do.
 func Ephemeral(identity Identity) (*Store, error) {
 	uri, err := identity.URI()
 	if err != nil {
@@ -34,17 +35,17 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{open: true}
+	s := &Store{acceptAny: true}
 	s.current.Store(&material{
 		certificate: tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: private, Leaf: leaf},
 		authority:   x509.NewCertPool(),
 		identity:    identity,
-		// From the identity and not the key, so that the next process on the
-		// instance resets the connections of its predecessor: their other ends
-		// would only find out by a timeout.
-		secret:     []byte(identity.String()),
-		generation: 1,
-		content:    fleet.DigestOf(raw),
+		// Derived from the identity and not the key, so that the next process
+		// on the instance can reset the connections of its predecessor: the
+		// peers would only notice by a timeout.
+		secret:      []byte(identity.String()),
+		generation:  1,
+		filesDigest: fleet.DigestOf(raw),
 	})
 	return s, nil
 }
@@ -54,8 +55,8 @@
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(now.UnixNano()),
 		URIs:         []*url.URL{uri},
-		NotBefore:    now.Add(-ephemeralLife),
-		NotAfter:     now.Add(ephemeralLife),
+		NotBefore:    now.Add(-ephemeralValidity),
+		NotAfter:     now.Add(ephemeralValidity),
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
--- a/adapters/keys/identity.go
+++ b/adapters/keys/identity.go
@@ -9,15 +9,15 @@
 	"chivespindle.example/core/fleet"
 )
 
-// identityPrefix starts the URI subject alternative name that carries an
-// identity: urn:chivespindle:<role>:<id>.
+// identityPrefix is the prefix of the URI subject alternative name that
+// contains an identity: urn:chivespindle:<role>:<id>.
 const identityPrefix = "urn:chivespindle:"
 
-// idPattern bounds an instance id, so that it can stand in a log line, a file
-// name and a URI without being escaped.
+// idPattern restricts instance IDs, so that they need no escaping in a log
+// line, a file name or a URI.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:~-]{0,127}$`)
 
-// Identity is who a process is, as its certificate tells.
+// Identity is the identity of a process, as stated by its certificate.
 type Identity struct {
 	ID   fleet.InstanceID
 	Role fleet.Role
@@ -26,9 +26,9 @@
 // String returns "role:id".
 func (i Identity) String() string { return string(i.Role) + ":" + string(i.ID) }
 
-// URI returns the name that a certificate of this identity carries. The
-// failure is RoleMissing when the role or the id is not one that ParseURI
-// would take back.
+// URI returns the URI subject alternative name for this identity. The failure
+// is RoleMissing when the role or the ID is not one that IdentityOf would
+// accept.
 func (i Identity) URI() (*url.URL, error) {
 	uri := &url.URL{Scheme: "urn", Opaque: "chivespindle:" + i.String()}
 	if _, err := parseURI(uri); err != nil {
@@ -38,9 +38,9 @@
 }
 
 // IdentityOf reads the identity from a certificate's URI names. A certificate
-// that names none, or more than one, has no identity: with two, the reader
-// that takes the first and the one that takes the last would disagree on who
-// the peer is. The failure is RoleMissing.
+// that has none, or more than one, has no identity: with two, a reader that
+// uses the first and one that uses the last would disagree on the peer's
+// identity. The failure is RoleMissing.
 func IdentityOf(cert *x509.Certificate) (Identity, error) {
 	var found []*url.URL
 	for _, uri := range cert.URIs {
--- a/adapters/keys/keys.go
+++ b/adapters/keys/keys.go
@@ -1,14 +1,15 @@
-// Package keys holds the certificate, the private key and the authority that
-// one process uses towards the other processes of the system.
+// Package keys holds the certificate, the private key and the trusted
+// authorities that a process uses for connections to the other processes of the
+// system.
 //
-// Connections are made by IP number, so no DNS or IP name is checked. A peer
-// is whom its certificate's URI name says, provided that the certificate is
-// signed by the authority of the settings. A Store can be reloaded while
-// connections run: handshakes that start after the reload use the new files.
+// Connections are made by IP address, so no DNS or IP name is checked. A peer's
+// identity is the URI name of its certificate, provided that the certificate is
+// signed by a configured authority. A Store can be reloaded while connections
+// are open: handshakes that start after the reload use the new files.
 //
-// A connection that was made before a reload goes on; TLS does not ask for
-// certificates again. Its owner watches Generation and asks Check, and takes
-// the connections out of use whose peer is not accepted any more. Package peer
+// A connection that was established before a reload stays open; TLS does not
+// request certificates again. Its owner watches Generation, calls Check, and
+// retires the connections whose peer is not accepted any more. Package peer
 // does this.
 package keys
 
@@ -32,51 +33,51 @@
 
 // Failures of Load and Reload. Each message names the file and the reason.
 var (
-	// FileMissing: a file is not there.
+	// FileMissing: a file does not exist.
 	FileMissing = failure.Invalid.NewSubtype("key_file_missing")
-	// FileUnreadable: a file cannot be read or is no PEM of the right sort.
+	// FileUnreadable: a file cannot be read or is not PEM of the expected type.
 	FileUnreadable = failure.Invalid.NewSubtype("key_file_unreadable")
-	// Expired: the certificate is past its end, or before its start.
+	// Expired: the certificate has expired or is not valid yet.
 	Expired = failure.Invalid.NewSubtype("certificate_expired")
 	// KeyMismatch: the private key belongs to another certificate.
 	KeyMismatch = failure.Invalid.NewSubtype("key_mismatch")
 	// NotSigned: the certificate is not signed by the authority.
 	NotSigned = failure.Invalid.NewSubtype("certificate_not_signed")
-	// RoleMissing: the certificate carries no role and instance id.
+	// RoleMissing: the certificate does not contain exactly one valid role and
+	// instance ID.
 	RoleMissing = failure.Invalid.NewSubtype("certificate_role_missing")
-	// IdentityChanged: a reload would turn the process into another instance
-	// or role.
+	// IdentityChanged: a reload would change the process's instance ID or role.
 	IdentityChanged = failure.Invalid.NewSubtype("identity_changed")
-	// PeerRefused: the other side's certificate is not accepted.
+	// PeerRefused: the peer's certificate is not accepted.
 	PeerRefused = failure.Refused.NewSubtype("peer_certificate")
 )
 
 // Files are the paths of the PEM files of one process.
 type Files struct {
-	Authority   string // certificates of the authorities; old and new while one replaces the other
+	Authority   string // certificates of the authorities; old and new during a replacement
 	Certificate string // the process's own certificate, then any intermediates
 	Key         string // the private key of the certificate
 }
 
-// Store holds what was read from Files. It is safe for concurrent use.
+// Store holds the contents of Files. It is safe for concurrent use.
 type Store struct {
-	files    Files
-	open     bool // any peer is accepted; see Ephemeral
-	current  atomic.Pointer[material]
-	reloadMu sync.Mutex
+	files     Files
+	acceptAny bool // any peer's certificate is accepted; see Ephemeral
+	current   atomic.Pointer[material]
+	reloadMu  sync.Mutex
 }
 
-// material is one consistent reading of the three files. It is never changed.
+// material is the immutable result of reading the three files once.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	identity    Identity
-	secret      []byte // encoding of the private key, source of derived keys
-	generation  uint64 // 1 after Load, one more after each Reload that found other files
-	content     fleet.Digest
+	secret      []byte // encoded private key, from which other keys are derived
+	generation  uint64 // 1 after Load, incremented by each Reload that found changed files
+	filesDigest fleet.Digest
 }
 
-// Load reads and checks the files.
+// Load reads and verifies the files.
 func Load(files Files) (*Store, error) {
 	read, err := readMaterial(files)
 	if err != nil {
@@ -88,11 +89,11 @@
 	return s, nil
 }
 
-// Reload reads the files again. On failure the old material stays in force.
-// Files that did not change are no new generation: connections are made anew
-// for each generation, and files are looked at every half minute.
-// The identity cannot change: an instance keeps its id for life, and peers
-// know it by that id.
+// Reload reads the files again. On failure the old material stays active.
+// Unchanged files do not start a new generation: connections are replaced for
+// each generation, and the files are checked every half minute. The identity
+// cannot change: an instance keeps its ID for life, and peers know it by that
+// ID.
 func (s *Store) Reload() error {
 	s.reloadMu.Lock()
 	defer s.reloadMu.Unlock()
@@ -104,7 +105,7 @@
 	if read.identity != old.identity {
 		return IdentityChanged.New("%s: names %s, this process is %s", s.files.Certificate, read.identity, old.identity)
 	}
-	if read.content == old.content {
+	if read.filesDigest == old.filesDigest {
 		return nil
 	}
 	read.generation = old.generation + 1
@@ -112,20 +113,20 @@
 	return nil
 }
 
-// Identity returns who this process is.
+// Identity returns the identity of this process.
 func (s *Store) Identity() Identity { return s.current.Load().identity }
 
-// Generation tells two readings of the files apart: it is 1 after Load and one
-// more after each Reload that found other files.
+// Generation identifies the version of the files in use: it is 1 after Load and
+// is incremented by each Reload that found changed files.
 func (s *Store) Generation() uint64 { return s.current.Load().generation }
 
-// Expires returns the end of the own certificate. After it, no peer accepts
-// new connections of this process.
+// Expires returns the expiry of the process's own certificate. After it, no
+// peer accepts new connections of this process.
 func (s *Store) Expires() time.Time { return s.current.Load().certificate.Leaf.NotAfter }
 
-// Secret derives a 32-byte key from the private key. It is the same in the
-// next process that reads the same key file, and tells nothing of the private
-// key. Purpose names the use; different uses get unrelated keys.
+// Secret derives a 32-byte key from the private key. It is the same in the next
+// process that reads the same key file, and reveals nothing about the private
+// key. Keys of different purposes are unrelated.
 func (s *Store) Secret(purpose string) [32]byte {
 	var out [32]byte
 	blake3.DeriveKey("chivespindle keys 2025 "+purpose, s.current.Load().secret, out[:])
@@ -157,7 +158,7 @@
 	if err != nil {
 		return nil, err
 	}
-	read.content = fleet.DigestOf(bytes.Join([][]byte{authorityPEM, certPEM, keyPEM}, []byte{0}))
+	read.filesDigest = fleet.DigestOf(bytes.Join([][]byte{authorityPEM, certPEM, keyPEM}, []byte{0}))
 	return read, nil
 }
 
@@ -185,8 +186,9 @@
 	return &material{certificate: pair, authority: pool, identity: identity, secret: secret}, nil
 }
 
-// parsePair tells a key that belongs to another certificate from a broken
-// file, which tls.X509KeyPair reports as bare strings.
+// parsePair parses the certificate and the key. It distinguishes a key of
+// another certificate from a broken file, which tls.X509KeyPair reports as
+// untyped errors.
 func parsePair(files Files, certPEM, keyPEM []byte) (tls.Certificate, error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err == nil {
--- a/adapters/keys/keys_test.go
+++ b/adapters/keys/keys_test.go
@@ -22,11 +22,11 @@
 	return value
 }
 
-// damage turns good files into bad ones and returns the path that the failure
-// must name.
+// damage replaces or damages valid files and returns the files to load and the
+// path that the failure must name.
 type damage func(dir string, own *pki.Authority, good keys.Files) (keys.Files, string)
 
-func template(t pki.Template) damage {
+func withTemplate(t pki.Template) damage {
 	return func(dir string, own *pki.Authority, good keys.Files) (keys.Files, string) {
 		if t.Identity.ID == "" {
 			t.Identity = keys.Identity{ID: "e1", Role: fleet.RoleEntry}
@@ -44,7 +44,7 @@
 	}
 }
 
-func missing(pick func(*keys.Files) *string) damage {
+func remove(pick func(*keys.Files) *string) damage {
 	return func(_ string, _ *pki.Authority, good keys.Files) (keys.Files, string) {
 		path := *pick(&good)
 		gomega.Expect(os.Remove(path)).To(gomega.Succeed())
@@ -56,20 +56,20 @@
 func certificateFile(f *keys.Files) *string { return &f.Certificate }
 func keyFile(f *keys.Files) *string         { return &f.Key }
 
-func otherKey(dir string, own *pki.Authority, good keys.Files) (keys.Files, string) {
+func withOtherKey(dir string, own *pki.Authority, good keys.Files) (keys.Files, string) {
 	good.Key = must(own.WriteFiles(dir, fleet.RoleEntry, "e2")).Key
 	return good, good.Key
 }
 
-func otherAuthority(string, *pki.Authority, keys.Files) (keys.Files, string) {
+func withOtherAuthority(string, *pki.Authority, keys.Files) (keys.Files, string) {
 	dir := ginkgo.GinkgoT().TempDir()
 	files := must(must(pki.NewAuthority()).WriteFiles(dir, fleet.RoleEntry, "e1"))
-	stranger := must(pki.NewAuthority())
-	gomega.Expect(stranger.Save(dir)).To(gomega.Succeed())
+	other := must(pki.NewAuthority())
+	gomega.Expect(other.Save(dir)).To(gomega.Succeed())
 	return files, files.Certificate
 }
 
-func uris(texts ...string) pki.Template {
+func uriTemplate(texts ...string) pki.Template {
 	t := pki.Template{URIs: []*url.URL{}}
 	for _, text := range texts {
 		parsed, err := url.Parse(text)
@@ -99,24 +99,24 @@
 		gomega.Expect(store.Generation()).To(gomega.BeEquivalentTo(1))
 		gomega.Expect(store.Identity()).To(gomega.Equal(keys.Identity{ID: "e1", Role: fleet.RoleEntry}))
 	},
-		ginkgo.Entry("no authority", missing(authorityFile), keys.FileMissing, "no such file"),
-		ginkgo.Entry("no certificate", missing(certificateFile), keys.FileMissing, "no such file"),
-		ginkgo.Entry("no key", missing(keyFile), keys.FileMissing, "no such file"),
+		ginkgo.Entry("no authority", remove(authorityFile), keys.FileMissing, "no such file"),
+		ginkgo.Entry("no certificate", remove(certificateFile), keys.FileMissing, "no such file"),
+		ginkgo.Entry("no key", remove(keyFile), keys.FileMissing, "no such file"),
 		ginkgo.Entry("broken authority", overwrite(authorityFile, "x"), keys.FileUnreadable, "no PEM certificate"),
 		ginkgo.Entry("broken certificate", overwrite(certificateFile, "x"), keys.FileUnreadable, "no PEM certificate"),
 		ginkgo.Entry("broken key", overwrite(keyFile, "x"), keys.FileUnreadable, "no PEM private key"),
-		ginkgo.Entry("expired", template(pki.Template{NotAfter: time.Now().Add(-time.Minute)}), keys.Expired, "valid from"),
-		ginkgo.Entry("not begun", template(pki.Template{NotBefore: time.Now().Add(time.Hour)}), keys.Expired, "valid from"),
-		ginkgo.Entry("another key", damage(otherKey), keys.KeyMismatch, "not the key of"),
-		ginkgo.Entry("another authority", damage(otherAuthority), keys.NotSigned, "not signed by the authority"),
-		ginkgo.Entry("no role", template(uris()), keys.RoleMissing, "it carries 0"),
-		ginkgo.Entry("two roles", template(uris("urn:chivespindle:entry:a", "urn:chivespindle:agent:a")), keys.RoleMissing, "it carries 2"),
-		ginkgo.Entry("unknown role", template(uris("urn:chivespindle:king:a")), keys.RoleMissing, `unknown role "king"`),
-		ginkgo.Entry("no id", template(uris("urn:chivespindle:entry")), keys.RoleMissing, `malformed instance id ""`),
-		ginkgo.Entry("bad id", template(uris("urn:chivespindle:entry:a%20b")), keys.RoleMissing, "malformed instance id"),
+		ginkgo.Entry("expired", withTemplate(pki.Template{NotAfter: time.Now().Add(-time.Minute)}), keys.Expired, "valid from"),
+		ginkgo.Entry("not valid yet", withTemplate(pki.Template{NotBefore: time.Now().Add(time.Hour)}), keys.Expired, "valid from"),
+		ginkgo.Entry("another key", damage(withOtherKey), keys.KeyMismatch, "not the key of"),
+		ginkgo.Entry("another authority", damage(withOtherAuthority), keys.NotSigned, "not signed by the authority"),
+		ginkgo.Entry("no role", withTemplate(uriTemplate()), keys.RoleMissing, "it carries 0"),
+		ginkgo.Entry("two roles", withTemplate(uriTemplate("urn:chivespindle:entry:a", "urn:chivespindle:agent:a")), keys.RoleMissing, "it carries 2"),
+		ginkgo.Entry("unknown role", withTemplate(uriTemplate("urn:chivespindle:king:a")), keys.RoleMissing, `unknown role "king"`),
+		ginkgo.Entry("no id", withTemplate(uriTemplate("urn:chivespindle:entry")), keys.RoleMissing, `malformed instance id ""`),
+		ginkgo.Entry("bad id", withTemplate(uriTemplate("urn:chivespindle:entry:a%20b")), keys.RoleMissing, "malformed instance id"),
 	)
 
-	ginkgo.It("refuse to become another instance, and take a new certificate of the same", func() {
+	ginkgo.It("refuse another identity, and accept a new certificate of the same one", func() {
 		dir := ginkgo.GinkgoT().TempDir()
 		files := must(must(pki.NewAuthority()).WriteFiles(dir, fleet.RoleEntry, "e1"))
 		store := must(keys.Load(files))
@@ -135,27 +135,27 @@
 		gomega.Expect(store.Reload()).To(gomega.Succeed())
 		gomega.Expect(store.Generation()).To(gomega.BeEquivalentTo(2))
 
-		// A process looks at its files every half minute. Were each look a new
-		// generation, every connection would be made anew as often.
+		// A process checks its files every half minute. If each check started a
+		// new generation, every connection would be replaced as often.
 		gomega.Expect(store.Reload()).To(gomega.Succeed())
 		gomega.Expect(store.Generation()).To(gomega.BeEquivalentTo(2))
-		gomega.Expect(store.Check(parse(next.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
+		gomega.Expect(store.Check(parseIssued(next.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
 	})
 
-	ginkgo.It("take several authorities, so that one can replace the other without a gap", func() {
-		old, next := must(pki.NewAuthority()), must(pki.NewAuthority())
-		files := must(old.WriteFiles(ginkgo.GinkgoT().TempDir(), fleet.RoleEntry, "e1"))
-		gomega.Expect(os.WriteFile(files.Authority, append(old.PEM(), next.PEM()...), 0o600)).To(gomega.Succeed())
+	ginkgo.It("accept several authorities, so that one can replace the other without downtime", func() {
+		oldAuthority, next := must(pki.NewAuthority()), must(pki.NewAuthority())
+		files := must(oldAuthority.WriteFiles(ginkgo.GinkgoT().TempDir(), fleet.RoleEntry, "e1"))
+		gomega.Expect(os.WriteFile(files.Authority, append(oldAuthority.PEM(), next.PEM()...), 0o600)).To(gomega.Succeed())
 		store := must(keys.Load(files))
-		gomega.Expect(store.Check(parse(old.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
-		gomega.Expect(store.Check(parse(next.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
-		stranger := parse(must(pki.NewAuthority()).Issue(fleet.RoleAgent, "a1"))
-		gomega.Expect(errorx.IsOfType(store.Check(stranger), keys.PeerRefused)).To(gomega.BeTrue())
+		gomega.Expect(store.Check(parseIssued(oldAuthority.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
+		gomega.Expect(store.Check(parseIssued(next.Issue(fleet.RoleAgent, "a1")))).To(gomega.Succeed())
+		untrusted := parseIssued(must(pki.NewAuthority()).Issue(fleet.RoleAgent, "a1"))
+		gomega.Expect(errorx.IsOfType(store.Check(untrusted), keys.PeerRefused)).To(gomega.BeTrue())
 		gomega.Expect(errorx.IsOfType(store.Check(nil), keys.PeerRefused)).To(gomega.BeTrue())
 	})
 })
 
-func parse(certPEM, _ []byte, err error) []*x509.Certificate {
+func parseIssued(certPEM, _ []byte, err error) []*x509.Certificate {
 	ginkgo.GinkgoHelper()
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	block, _ := pem.Decode(certPEM)
--- a/adapters/keys/pem.go
+++ b/adapters/keys/pem.go
@@ -8,7 +8,7 @@
 	"chivespindle.example/core/failure"
 )
 
-// firstCertificate parses the first certificate of a PEM text.
+// firstCertificate parses the first certificate of a PEM file.
 func firstCertificate(data []byte) (*x509.Certificate, error) {
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
 		if block.Type == "CERTIFICATE" {
@@ -18,8 +18,8 @@
 	return nil, failure.Invalid.New("holds no PEM certificate")
 }
 
-// checkKey reports whether a PEM text holds a private key in one of the
-// encodings that crypto/tls reads.
+// checkKey returns an error unless a PEM file contains a private key in one of
+// the encodings that crypto/tls supports.
 func checkKey(data []byte) error {
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
 		if _, err := x509.ParsePKCS8PrivateKey(block.Bytes); err == nil {
@@ -47,9 +47,9 @@
 	return chain, nil
 }
 
-// verifyChain checks that the first certificate is within its time, signed by
-// an authority of the pool, if need be over the other certificates, and made
-// for the usage.
+// verifyChain verifies that the first certificate is currently valid, signed by
+// an authority of the pool, if necessary through the other certificates, and
+// allowed for the usage.
 func verifyChain(chain []*x509.Certificate, pool *x509.CertPool, usage x509.ExtKeyUsage) error {
 	intermediates := x509.NewCertPool()
 	for _, cert := range chain[1:] {
--- a/adapters/keys/tls.go
+++ b/adapters/keys/tls.go
@@ -5,12 +5,12 @@
 	"crypto/x509"
 )
 
-// Protocol is the ALPN name of the transport between processes. It changes
-// when frames change in a way that older processes cannot read.
+// Protocol is the ALPN name of the transport between processes. It changes when
+// the frame format changes in a way that older processes cannot read.
 const Protocol = "chivespindle/1"
 
-// ServerTLS returns the settings for the side that accepts connections. The
-// callbacks read the store at each handshake, so the value stays valid over
+// ServerTLS returns the configuration for the accepting side. The callbacks
+// read the store at each handshake, so the configuration stays valid after
 // Reload.
 func (s *Store) ServerTLS() *tls.Config {
 	conf := s.baseTLS(x509.ExtKeyUsageClientAuth)
@@ -21,7 +21,7 @@
 	return conf
 }
 
-// ClientTLS returns the settings for the side that dials, as ServerTLS.
+// ClientTLS returns the configuration for the dialling side, as ServerTLS.
 func (s *Store) ClientTLS() *tls.Config {
 	conf := s.baseTLS(x509.ExtKeyUsageServerAuth)
 	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -30,15 +30,16 @@
 	return conf
 }
 
-// baseTLS turns off the check of DNS and IP names, which these certificates do
-// not carry, and does the whole check of the chain in VerifyConnection
-// instead. Resumption is off: each connection shows its certificate anew, so
-// that a replaced authority takes effect at the next handshake.
+// baseTLS disables the verification of DNS and IP names, which these
+// certificates do not contain, and verifies the complete chain in
+// VerifyConnection instead. Resumption is disabled: each connection presents
+// its certificate again, so that a replaced authority takes effect at the next
+// handshake.
 func (s *Store) baseTLS(peerUsage x509.ExtKeyUsage) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{Protocol},
-		InsecureSkipVerify:     true, // VerifyConnection checks instead
+		InsecureSkipVerify:     true, // VerifyConnection verifies the chain instead
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return s.verify(state.PeerCertificates, peerUsage)
@@ -46,8 +47,8 @@
 	}
 }
 
-// Check reports whether a peer's certificates, own first, would be accepted
-// now. The failure is PeerRefused.
+// Check returns an error unless a peer's certificates, its own first, would be
+// accepted now. The failure is PeerRefused.
 func (s *Store) Check(chain []*x509.Certificate) error {
 	return s.verify(chain, x509.ExtKeyUsageAny)
 }
@@ -56,7 +57,7 @@
 	if len(chain) == 0 {
 		return PeerRefused.New("the peer showed no certificate")
 	}
-	if s.open {
+	if s.acceptAny {
 		_, err := IdentityOf(chain[0])
 		return err
 	}
--- a/adapters/peer/peermeasure/main.go
+++ b/adapters/peer/peermeasure/main.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// echo answers each message with itself.
+// echo returns each message to its sender.
 type echo struct{}
 
 func (echo) ServeStream(_ context.Context, _ keys.Identity, _ peer.Kind, s *peer.Stream) {
@@ -107,8 +107,8 @@
 	if err := s.Send("hello"); err != nil {
 		return err
 	}
-	var answer string
-	return s.Recv(&answer)
+	var response string
+	return s.Recv(&response)
 }
 
 // addrWithPortOffset returns the address i ports after first.
--- a/adapters/progress/progress.go
+++ b/adapters/progress/progress.go
@@ -1,4 +1,4 @@
-// Package progress ends transfers that bring nothing any more, and no others.
+// Package progress aborts transfers that make no progress.
 package progress
 
 import (
@@ -11,37 +11,38 @@
 	"chivespindle.example/core/failure"
 )
 
-// Watch ends a call when no byte has arrived for the stall timeout.
+// Watch aborts a call when no byte has arrived within the stall timeout.
 //
-// A stalled link does not close, so that a read would wait until the deadline
-// of the whole transfer, minutes later, while the bytes could come from
-// elsewhere. A short deadline for the whole is no way out: on a full link it ends
-// reads that go on, and what they had brought crosses the link again. Ending the
-// call's context unblocks the read. A link that brings a byte now and then is
-// not caught; the caller's deadline bounds it.
+// A stalled link does not close its connections, so a read would block until
+// the deadline of the whole transfer, minutes later, while the data could be
+// fetched from elsewhere. A short deadline for the whole transfer is no
+// alternative: on a saturated link it aborts transfers that make progress, and
+// the bytes that they had received are sent again. Cancelling the call's
+// context unblocks the read. A link that delivers a byte now and then is not
+// detected; the caller's deadline bounds it.
 type Watch struct {
-	timer  *time.Timer
-	stall  time.Duration
-	armed  atomic.Int64 // for how long the timer runs, in nanoseconds
-	cancel context.CancelCauseFunc
-	ended  bool
-	body   io.ReadCloser
+	timer        *time.Timer
+	stallTimeout time.Duration
+	timeout      atomic.Int64 // of the running timer, in nanoseconds
+	cancel       context.CancelCauseFunc
+	reachedEOF   bool
+	body         io.ReadCloser
 }
 
-// Start returns a context that ends with failure.Timeout once stall has passed
-// without a byte, and the Watch that is to see the bytes. first is the time for
-// the first of them.
-func Start(ctx context.Context, first, stall time.Duration, what string) (context.Context, *Watch) {
+// Start returns a context that ends with failure.Timeout when no byte has
+// arrived within the stall timeout, and the Watch that observes the bytes.
+// Until Wrap is called, responseTimeout applies instead.
+func Start(ctx context.Context, responseTimeout, stallTimeout time.Duration, operation string) (context.Context, *Watch) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &Watch{stall: stall, cancel: cancel}
-	w.armed.Store(int64(first))
-	w.timer = time.AfterFunc(first, func() {
-		cancel(failure.Timeout.New("%s brought no byte for %s", what, time.Duration(w.armed.Load())))
+	w := &Watch{stallTimeout: stallTimeout, cancel: cancel}
+	w.timeout.Store(int64(responseTimeout))
+	w.timer = time.AfterFunc(responseTimeout, func() {
+		cancel(failure.Timeout.New("%s brought no byte for %s", operation, time.Duration(w.timeout.Load())))
 	})
 	return ctx, w
 }
 
-// Wrap makes body's reads count as progress.
+// Wrap returns a reader of body whose reads count as progress.
 func (w *Watch) Wrap(body io.ReadCloser) io.ReadCloser {
 	w.body = body
 	w.Resume()
@@ -55,7 +56,7 @@
 		w.Resume()
 	}
 	if errors.Is(err, io.EOF) {
-		w.ended = true
+		w.reachedEOF = true
 	}
 	return n, err
 }
@@ -63,20 +64,20 @@
 // Close implements io.Closer.
 func (w *Watch) Close() error { return w.body.Close() }
 
-// AtEnd reports whether the reader came to the end of the body. It is the sender's
-// only if the sender marks it, see exchange.EndIsFramed.
-func (w *Watch) AtEnd() bool { return w.ended }
+// AtEnd reports whether the reader reached the end of the body. Only if the
+// sender marks it, see exchange.EndIsFramed, is the body known to be complete.
+func (w *Watch) AtEnd() bool { return w.reachedEOF }
 
-// Pause lets the timer rest, while the reader itself waits.
+// Pause stops the timer, while the reader itself waits.
 func (w *Watch) Pause() { w.timer.Stop() }
 
-// Resume ends a Pause.
+// Resume restarts the timer.
 func (w *Watch) Resume() {
-	w.armed.Store(int64(w.stall))
-	w.timer.Reset(w.stall)
+	w.timeout.Store(int64(w.stallTimeout))
+	w.timer.Reset(w.stallTimeout)
 }
 
-// Stop ends the watch and the context.
+// Stop stops the timer and cancels the context.
 func (w *Watch) Stop() {
 	w.timer.Stop()
 	w.cancel(nil)
--- a/adapters/telemetry/line_bench_test.go
+++ b/adapters/telemetry/line_bench_test.go
@@ -11,8 +11,8 @@
 	"chivespindle.example/adapters/telemetry"
 )
 
-// BenchmarkLine writes a line as long as that of a refused request to the
-// queue, with nobody who reads it.
+// BenchmarkLine writes a line as long as that of a refused request to a queue
+// that is not drained.
 func BenchmarkLine(b *testing.B) {
 	logger := telemetry.NewLogger(zapcore.InfoLevel, telemetry.NewQueue(io.Discard)).With(zap.String("instance", "front-1"))
 	b.ReportAllocs()
--- a/adapters/telemetry/metrics.go
+++ b/adapters/telemetry/metrics.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// metricsPrefix starts the name of every metric of the system.
+	// metricsPrefix is the prefix of every metric name.
 	metricsPrefix = "chivespindle"
-	// reportEvery is how far the page of metrics may lag behind the process.
-	reportEvery = time.Second
-	// scrapesAtOnce bounds the memory that readers of the page can take.
-	scrapesAtOnce = 2
+	// reportInterval is how far the metrics page may lag behind the process.
+	reportInterval = time.Second
+	// maxConcurrentScrapes bounds the memory that readers of the page can use.
+	maxConcurrentScrapes = 2
 )
 
-// timerBuckets are the upper bounds of timers in seconds. They are close
-// around the targets of 43 ms between tokens and 0.33 s to the first.
+// timerBuckets are the upper bounds of timer buckets in seconds. They are
+// denser around the targets of 43 ms between tokens and 0.33 s to the first
+// token.
 func timerBuckets() []float64 {
 	return []float64{
 		0.0005, 0.001, 0.0025, 0.005, 0.01, 0.02, 0.03, 0.043, 0.06, 0.1,
@@ -30,13 +31,13 @@
 	}
 }
 
-// NewMetrics returns the root scope of a process, the page of its metrics in
-// the Prometheus text format, and the closer that ends the reporting. Names
-// get the prefix "chivespindle_"; the page also holds the metrics of the Go
-// runtime and of the process.
+// NewMetrics returns the root scope of a process, the handler of its metrics
+// page in the Prometheus text format, and the closer that ends the reporting.
+// Metric names get the prefix "chivespindle_"; the page also contains the
+// metrics of the Go runtime and of the process.
 //
-// A metric that cannot be registered, since the same name is in use with
-// other tags, is not shown; chivespindle_metrics_refused_total counts them.
+// A metric that cannot be registered, since its name is in use with other tags,
+// is not shown; chivespindle_metrics_refused_total counts them.
 func NewMetrics() (tally.Scope, http.Handler, io.Closer) {
 	registry := prometheus.NewRegistry()
 	refused := prometheus.NewCounter(prometheus.CounterOpts{
@@ -53,7 +54,8 @@
 		Gatherer:                registry,
 		DefaultTimerType:        promreporter.HistogramTimerType,
 		DefaultHistogramBuckets: timerBuckets(),
-		// The reporter panics by default. A metric is not worth a request.
+		// The reporter panics by default. A metric error must not fail a
+		// request.
 		OnRegisterError: func(error) { refused.Inc() },
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -62,7 +64,7 @@
 		Separator:              promreporter.DefaultSeparator,
 		SanitizeOptions:        &promreporter.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
-	page := promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: scrapesAtOnce})
+	}, reportInterval)
+	page := promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes})
 	return scope, page, closer
 }
--- a/adapters/telemetry/queue.go
+++ b/adapters/telemetry/queue.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// queuedLines is how many log lines may wait to be written, some hundred
+	// queueCapacityLines is how many log lines may be queued, some hundred
 	// kilobytes.
-	queuedLines = 2048
-	// lastLines is how long Run goes on writing what waits after its end.
-	lastLines = 200 * time.Millisecond
+	queueCapacityLines = 2048
+	// drainTimeout is how long Run continues to write queued lines after its
+	// context has ended.
+	drainTimeout = 200 * time.Millisecond
 )
 
-// Queue is a writer that never waits. Lines that come faster than they can be
-// written are dropped and counted: a reader of the log that stands still must
-// not hold up requests. Each Write is one line.
+// Queue is a writer that never blocks. Lines that arrive faster than they can
+// be written are dropped and counted: a blocked log reader must not delay
+// requests. Each Write is one line.
 type Queue struct {
-	to      io.Writer
+	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewQueue returns a queue in front of w. Nothing is written before Run.
-func NewQueue(w io.Writer) *Queue { return &Queue{to: w, lines: make(chan []byte, queuedLines)} }
+// NewQueue returns a queue that writes to w. Nothing is written before Run.
+func NewQueue(w io.Writer) *Queue {
+	return &Queue{output: w, lines: make(chan []byte, queueCapacityLines)}
+}
 
 // Write implements io.Writer. It never fails.
 func (q *Queue) Write(line []byte) (int, error) {
@@ -37,15 +40,15 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Run writes lines until ctx ends, and then what waits.
+// Run writes lines until ctx ends, and then the queued ones.
 func (q *Queue) Run(ctx context.Context) error {
 	for {
 		select {
 		case line := <-q.lines:
-			_, _ = q.to.Write(line) // nobody is left to tell
+			_, _ = q.output.Write(line) // a failure of the log cannot be logged
 		case <-ctx.Done():
 			q.drain()
 			return nil
@@ -54,13 +57,13 @@
 }
 
 func (q *Queue) drain() {
-	until := time.NewTimer(lastLines)
-	defer until.Stop()
+	timeout := time.NewTimer(drainTimeout)
+	defer timeout.Stop()
 	for {
 		select {
 		case line := <-q.lines:
-			_, _ = q.to.Write(line)
-		case <-until.C:
+			_, _ = q.output.Write(line)
+		case <-timeout.C:
 			return
 		default:
 			return
--- a/adapters/telemetry/queue_test.go
+++ b/adapters/telemetry/queue_test.go
@@ -11,14 +11,14 @@
 	"chivespindle.example/adapters/telemetry"
 )
 
-// stuck is a reader of the log that stands still until it is released.
-type stuck struct {
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,11 +26,11 @@
 }
 
 var _ = Describe("Queue", func() {
-	// Whoever reads the log stands still. Requests go on: lines beyond the queue
-	// are dropped and counted, none is waited for.
-	It("never waits, and counts what it drops", func() {
-		reader := &stuck{release: make(chan struct{})}
-		q := telemetry.NewQueue(reader)
+	// The log reader is blocked. Requests continue: lines beyond the queue's
+	// capacity are dropped and counted, and no Write blocks.
+	It("never blocks, and counts dropped lines", func() {
+		writer := &blockedWriter{release: make(chan struct{})}
+		q := telemetry.NewQueue(writer)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- q.Run(ctx) }()
@@ -39,12 +39,12 @@
 			Expect(q.Write([]byte("line\n"))).To(Equal(5))
 		}
 		Expect(q.Dropped()).To(BeNumerically(">", 0))
-		close(reader.release)
+		close(writer.release)
 		cancel()
 		Eventually(ended).Should(Receive(BeNil()))
-		reader.mu.Lock()
-		defer reader.mu.Unlock()
-		Expect(bytes.Count(reader.text.Bytes(), []byte("\n")) + int(q.Dropped())).To(Equal(lines))
+		writer.mu.Lock()
+		defer writer.mu.Unlock()
+		Expect(bytes.Count(writer.text.Bytes(), []byte("\n")) + int(q.Dropped())).To(Equal(lines))
 	})
 
 	It("keeps its own copy of a line", func() {
--- a/adapters/telemetry/telemetry.go
+++ b/adapters/telemetry/telemetry.go
@@ -1,3 +1,3 @@
-// Package telemetry makes the log, the metrics and the trace spans of a
-// process, and carries trace contexts between processes.
+// Package telemetry provides the log, the metrics and the trace spans of a
+// process, and propagates trace contexts between processes.
 package telemetry
--- a/adapters/telemetry/telemetry_test.go
+++ b/adapters/telemetry/telemetry_test.go
@@ -24,7 +24,7 @@
 const sampledParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 
 var _ = Describe("NewLogger", func() {
-	It("writes one line of pairs, the error as its text alone", func() {
+	It("writes one line of key=value pairs, and only the message of an error", func() {
 		var out bytes.Buffer
 		logger := telemetry.NewLogger(zap.InfoLevel, &out).With(zap.NamedError("cause", failure.Corrupt.New("bad\nchunk")))
 		logger.Debug("unseen")
@@ -37,7 +37,7 @@
 				`index=3 after=1.5s region="Port Harcourt" empty=\n$`))
 	})
 
-	It("leaves the caller's fields as they are", func() {
+	It("does not modify the caller's fields", func() {
 		err := failure.Invalid.New("not this")
 		fields := []zap.Field{zap.Error(err)}
 		telemetry.NewLogger(zap.InfoLevel, &bytes.Buffer{}).Info("event", fields...)
@@ -45,8 +45,8 @@
 	})
 })
 
-// FuzzLogLine gives any text as a value, as a caller's header might. It must
-// never make a second line, which would forge an event.
+// FuzzLogLine logs arbitrary text as a value, as it may come from a caller's
+// header. It must never produce a second line, which would forge an event.
 func FuzzLogLine(f *testing.F) {
 	f.Add("plain")
 	f.Add("a=b \"c\"\nts=1 level=info event=forged")
@@ -60,10 +60,10 @@
 	})
 }
 
-func pageOf(handler http.Handler) string {
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-	return answer.Body.String()
+func metricsPage(handler http.Handler) string {
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	return response.Body.String()
 }
 
 var _ = Describe("NewMetrics", func() {
@@ -73,7 +73,7 @@
 		scope.Gauge("in_flight").Update(3)
 		scope.Timer("first_token").Record(300 * time.Millisecond)
 		Expect(closer.Close()).To(Succeed()) // the last report
-		text := pageOf(page)
+		text := metricsPage(page)
 		Expect(text).To(ContainSubstring(`chivespindle_fetch_chunks{source="peer"} 7`))
 		Expect(text).To(ContainSubstring("chivespindle_in_flight 3"))
 		Expect(text).To(ContainSubstring(`chivespindle_first_token_bucket{le="0.2"} 0`))
@@ -82,19 +82,20 @@
 		Expect(text).To(ContainSubstring("chivespindle_metrics_refused_total 0"))
 	})
 
-	// A metric under one name with two sets of tags is a slip of the program.
-	// The reporter would panic at the first use, in the middle of a request.
-	It("counts a metric that clashes with another, and goes on", func() {
+	// A metric name with two sets of tags is a programming error. The reporter
+	// would panic at the first use, in the middle of a request.
+	It("counts a metric that conflicts with another, and does not panic", func() {
 		scope, page, closer := telemetry.NewMetrics()
 		scope.Counter("requests").Inc(1)
 		Expect(func() { scope.Tagged(map[string]string{"zone": "z"}).Counter("requests").Inc(1) }).NotTo(Panic())
 		Expect(closer.Close()).To(Succeed())
-		Expect(pageOf(page)).To(ContainSubstring("chivespindle_requests 1"))
-		Expect(pageOf(page)).To(ContainSubstring("chivespindle_metrics_refused_total 1"))
+		Expect(metricsPage(page)).To(ContainSubstring("chivespindle_requests 1"))
+		Expect(metricsPage(page)).To(ContainSubstring("chivespindle_metrics_refused_total 1"))
 	})
 })
 
-// lineOf returns the line of out with the text, and fails if there is not one.
+// lineOf returns the only line of out that contains text, and fails if there is
+// not exactly one.
 func lineOf(out, text string) string {
 	var found []string
 	for _, line := range strings.Split(out, "\n") {
@@ -111,25 +112,25 @@
 		ignore := goleak.IgnoreCurrent()
 		var out bytes.Buffer
 		tracer := telemetry.NewTracer("entry", telemetry.NewLogger(zap.InfoLevel, &out))
-		ctx, top := tracer.Start(telemetry.Extract(context.Background(), sampledParent), "request")
-		_, below := tracer.Start(ctx, "try", trace.WithAttributes(
+		ctx, parent := tracer.Start(telemetry.Extract(context.Background(), sampledParent), "request")
+		_, child := tracer.Start(ctx, "try", trace.WithAttributes(
 			attribute.String("server", "a b"), attribute.Int("name", 2), attribute.String("long", strings.Repeat("x", 1000))))
-		below.SetStatus(codes.Error, "timed out")
-		below.End()
-		top.End()
+		child.SetStatus(codes.Error, "timed out")
+		child.End()
+		parent.End()
 		Expect(tracer.Shutdown(context.Background())).To(Succeed())
 
 		first := lineOf(out.String(), "name=request")
 		Expect(first).To(MatchRegexp(`level=info event=span trace_id=0af7651916cd43dd8448eb211c80319c ` +
 			`span_id=[0-9a-f]{16} parent_id=b7ad6b7169203331 name=request service=entry start=\S+ duration_ms=[0-9.]+$`))
 		second := lineOf(out.String(), "name=try")
-		Expect(second).To(ContainSubstring("parent_id=" + top.SpanContext().SpanID().String()))
+		Expect(second).To(ContainSubstring("parent_id=" + parent.SpanContext().SpanID().String()))
 		Expect(second).To(MatchRegexp(`error="timed out" server="a b" attr.name=2 long=x{256}$`))
 		Expect(tracer.Stats()).To(Equal(telemetry.SpanStats{Ended: 2, Written: 2}))
 		Eventually(func() error { return goleak.Find(ignore) }).Should(Succeed())
 	})
 
-	It("follows a parent that was not sampled", func() {
+	It("does not sample a span whose parent was not sampled", func() {
 		var out bytes.Buffer
 		tracer := telemetry.NewTracer("entry", telemetry.NewLogger(zap.InfoLevel, &out))
 		parent := strings.TrimSuffix(sampledParent, "01") + "00"
@@ -140,20 +141,20 @@
 		Expect(tracer.Stats()).To(BeZero())
 	})
 
-	DescribeTable("passes a trace context on when spans are off", func(tracer *telemetry.Tracer) {
+	DescribeTable("propagates a trace context when spans are disabled", func(tracer *telemetry.Tracer) {
 		ctx, span := tracer.Start(telemetry.Extract(context.Background(), sampledParent), "request")
 		Expect(telemetry.Inject(ctx)).To(Equal(sampledParent))
 		span.End()
 		Expect(tracer.Shutdown(context.Background())).To(Succeed())
 	},
 		Entry("no logger", telemetry.NewTracer("entry", nil)),
-		Entry("a logger of warnings", telemetry.NewTracer("entry", telemetry.NewLogger(zap.WarnLevel, &bytes.Buffer{}))),
+		Entry("a logger above level info", telemetry.NewTracer("entry", telemetry.NewLogger(zap.WarnLevel, &bytes.Buffer{}))),
 	)
 
-	// The log's reader stops reading, so the writer of spans waits in Write and
-	// the queue fills. Requests go on ending spans. They must not wait for the
-	// log: the newest spans are dropped, and the counts tell how many.
-	It("drops spans, and never holds a request, while the log is stuck", func() {
+	// The log reader is blocked, so the span writer blocks in Write and the
+	// queue fills up. Requests that end spans must not wait for the log: the
+	// newest spans are dropped, and the counters show how many.
+	It("drops spans, and never delays a request, while the log is blocked", func() {
 		const spans = 10_000
 		stuck := &stuckWriter{entered: make(chan struct{}), release: make(chan struct{})}
 		tracer := telemetry.NewTracer("entry", telemetry.NewLogger(zap.InfoLevel, stuck))
@@ -168,16 +169,16 @@
 		end(spans - 1)
 		Expect(tracer.Stats().Ended).To(BeEquivalentTo(spans))
 		Expect(tracer.Stats().Written).To(BeZero())
-		short, cancel := context.WithCancel(context.Background())
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		Expect(tracer.Shutdown(short)).To(MatchError(ContainSubstring("chivespindle.timeout")))
+		Expect(tracer.Shutdown(canceled)).To(MatchError(ContainSubstring("chivespindle.timeout")))
 		close(stuck.release)
 		Eventually(func() uint64 { return tracer.Stats().Written }).Should(BeNumerically(">", 0))
 		Expect(tracer.Stats().Written).To(BeNumerically("<", spans/2))
 	})
 })
 
-// stuckWriter holds every write until it is released.
+// stuckWriter blocks every write until it is released.
 type stuckWriter struct {
 	entered chan struct{} // closed at the first write
 	release chan struct{}
@@ -194,13 +195,13 @@
 }
 
 var _ = Describe("Inject and Extract", func() {
-	It("carry a span between processes", func() {
+	It("propagate a span between processes", func() {
 		ctx := telemetry.Extract(context.Background(), sampledParent)
 		Expect(trace.SpanContextFromContext(ctx).IsRemote()).To(BeTrue())
 		Expect(telemetry.Inject(ctx)).To(Equal(sampledParent))
 	})
 
-	DescribeTable("take a text that is no traceparent as none", func(text string) {
+	DescribeTable("ignore a text that is not a valid traceparent", func(text string) {
 		ctx := telemetry.Extract(context.Background(), text)
 		Expect(telemetry.Inject(ctx)).To(BeEmpty())
 	},
--- a/adapters/telemetry/trace.go
+++ b/adapters/telemetry/trace.go
@@ -18,20 +18,20 @@
 	"chivespindle.example/core/failure"
 )
 
-// SpanEvent is the event of the log line that tells of a span.
+// SpanEvent is the event name of a log line that describes a span.
 const SpanEvent = "span"
 
-// Bounds on what spans may take. With these a full queue holds a few
+// Limits on the resources of spans. With these a full queue takes a few
 // megabytes at most.
 const (
-	spanQueue         = 2048 // spans that wait to be written
-	spanBatch         = 256
-	spanDelay         = time.Second // longest wait of a span in the queue
+	spanQueueCapacity = 2048 // in spans
+	maxSpanBatch      = 256
+	maxSpanDelay      = time.Second // how long a span may be queued
 	spanWriteTimeout  = 5 * time.Second
-	spanAttributes    = 32
-	spanEvents        = 8
-	spanLinks         = 4
-	attributeMaxRunes = 256
+	maxSpanAttributes = 32
+	maxSpanEvents     = 8
+	maxSpanLinks      = 4
+	maxAttributeRunes = 256
 )
 
 const (
@@ -46,20 +46,20 @@
 	attrKeyPrefix = "attr."
 )
 
-// reservedKeys are the keys of a span line. An attribute of such a name gets
-// attrKeyPrefix, so that no line has a key twice.
+// reservedKeys are the keys of a span line. An attribute with such a name gets
+// attrKeyPrefix, so that no line contains a key twice.
 var reservedKeys = []string{
 	TimeKey, LevelKey, EventKey, traceIDKey, spanIDKey, parentIDKey, nameKey,
 	serviceKey, durationKey, errorKey, startKey,
 }
 
-// Tracer starts the spans of a process and writes the ended ones, in batches
-// and beside the traffic. When spans come faster than they are written, the
-// queue drops the newest; ending a span never waits.
+// Tracer starts the spans of a process and writes the ended ones in batches, in
+// the background. When spans end faster than they are written, the queue drops
+// the newest; ending a span never blocks.
 type Tracer struct {
 	trace.Tracer
 
-	provider *sdktrace.TracerProvider // nil if spans are off
+	provider *sdktrace.TracerProvider // nil if spans are disabled
 	ended    atomic.Uint64
 	written  atomic.Uint64
 }
@@ -68,16 +68,16 @@
 type SpanStats struct {
 	// Ended counts the sampled spans that ended.
 	Ended uint64
-	// Written counts those that the log got. The others are waiting or were
+	// Written counts those that were logged. The others are queued or were
 	// dropped; after Shutdown, they were dropped.
 	Written uint64
 }
 
 // NewTracer returns a tracer that writes one log line per span at level info:
 // trace_id, span_id, parent_id, name, service, start, duration_ms, error and
-// the attributes. A parent that was not sampled is followed. A nil logger
-// turns spans off: nothing is recorded, but a trace context that came in is
-// still passed on. So does a logger that drops events of level info.
+// the attributes. A span is sampled unless its parent was not sampled. A nil
+// logger, or one that drops events of level info, disables spans: nothing is
+// recorded, but an incoming trace context is still propagated.
 //
 // The caller ends it with Shutdown, after the last span.
 func NewTracer(service string, logger *zap.Logger) *Tracer {
@@ -87,9 +87,9 @@
 	t := &Tracer{}
 	exporter := &lineExporter{logger: logger, service: service, written: &t.written}
 	queue := sdktrace.NewBatchSpanProcessor(exporter,
-		sdktrace.WithMaxQueueSize(spanQueue),
-		sdktrace.WithMaxExportBatchSize(spanBatch),
-		sdktrace.WithBatchTimeout(spanDelay),
+		sdktrace.WithMaxQueueSize(spanQueueCapacity),
+		sdktrace.WithMaxExportBatchSize(maxSpanBatch),
+		sdktrace.WithBatchTimeout(maxSpanDelay),
 		sdktrace.WithExportTimeout(spanWriteTimeout),
 	)
 	t.provider = sdktrace.NewTracerProvider(
@@ -104,20 +104,20 @@
 
 func spanLimits() sdktrace.SpanLimits {
 	limits := sdktrace.NewSpanLimits()
-	limits.AttributeValueLengthLimit = attributeMaxRunes
-	limits.AttributeCountLimit = spanAttributes
-	limits.EventCountLimit = spanEvents
-	limits.LinkCountLimit = spanLinks
+	limits.AttributeValueLengthLimit = maxAttributeRunes
+	limits.AttributeCountLimit = maxSpanAttributes
+	limits.EventCountLimit = maxSpanEvents
+	limits.LinkCountLimit = maxSpanLinks
 	return limits
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (t *Tracer) Stats() SpanStats {
 	return SpanStats{Ended: t.ended.Load(), Written: t.written.Load()}
 }
 
-// Shutdown writes the spans that wait and stops. It gives up when ctx ends,
-// with failure.Timeout.
+// Shutdown writes the queued spans and stops. It fails with failure.Timeout if
+// ctx ends first.
 func (t *Tracer) Shutdown(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// countingProcessor counts the ended spans before they meet the queue, which
-// does not tell how many it drops.
+// countingProcessor counts the ended spans before they are queued, since the
+// queue does not report how many it drops.
 type countingProcessor struct {
 	sdktrace.SpanProcessor
 	ended *atomic.Uint64
@@ -155,7 +155,7 @@
 	for _, span := range spans {
 		if ctx.Err() != nil {
 			// Stats shows the rest as not written. An error returned here would
-			// go to the library's own log, which is not key=value.
+			// go to the library's own log, which is not in key=value format.
 			return nil
 		}
 		e.logger.Info(SpanEvent, e.fields(span)...)
@@ -187,7 +187,7 @@
 	return fields
 }
 
-// parentID returns the id of the span above, "" for the first of a trace.
+// parentID returns the ID of the parent span, "" for the root of a trace.
 func parentID(span sdktrace.ReadOnlySpan) string {
 	if !span.Parent().SpanID().IsValid() {
 		return ""
@@ -202,7 +202,7 @@
 	return string(key)
 }
 
-// traceparentKey is the name under which W3C Trace Context carries the span.
+// traceparentKey is the header name of the span context in W3C Trace Context.
 const traceparentKey = "traceparent"
 
 // Inject returns the W3C traceparent of the span in ctx, "" if there is none.
@@ -212,8 +212,8 @@
 	return carrier[traceparentKey]
 }
 
-// Extract returns ctx with the remote span that a W3C traceparent names, and
-// ctx itself if the text is empty or not valid.
+// Extract returns ctx with the remote span of a W3C traceparent, and ctx itself
+// if the text is empty or invalid.
 func Extract(ctx context.Context, traceparent string) context.Context {
 	carrier := propagation.MapCarrier{traceparentKey: traceparent}
 	return propagation.TraceContext{}.Extract(ctx, carrier)
