--- a/adapters/bootclock/bootclock.go
+++ b/adapters/bootclock/bootclock.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watch measures the time between calls with CLOCK_BOOTTIME, which includes
+// Stopwatch measures the time between calls with CLOCK_BOOTTIME, which includes
 // suspension. It is used by one goroutine.
-type Watch struct {
+type Stopwatch struct {
 	last time.Duration
 }
 
 // Elapsed returns the time since the last call, including suspension; 0 at the
 // first call and if the clock cannot be read.
-func (w *Watch) Elapsed() time.Duration {
+func (w *Stopwatch) Elapsed() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
 		return 0
--- a/adapters/exchange/exchange.go
+++ b/adapters/exchange/exchange.go
@@ -45,7 +45,7 @@
 	// that a request is not sent while the server closes the connection.
 	idleTimeoutMargin = 1500 * time.Millisecond
 	// defaultMaxIdle bounds the idle connections to each server before the
-	// first Keep.
+	// first SetMaxIdle.
 	defaultMaxIdle = 32
 	// readBufferBytes is enough for the header of a response and some events.
 	readBufferBytes = 4 << 10
@@ -59,7 +59,7 @@
 	mu     sync.Mutex
 	idle   map[netip.AddrPort][]*conn
 	// maxIdle bounds the idle connections to each server; nil before the first
-	// Keep.
+	// SetMaxIdle.
 	maxIdle map[netip.AddrPort]int
 	// dialled counts the established connections.
 	dialled int64
@@ -154,22 +154,22 @@
 	}, nil
 }
 
-// Refuses reports whether connections to addr are refused; known is false if
-// that could not be determined within probeTimeout. A connection that is
+// ProbeRefused reports whether connections to addr are refused; known is false
+// if that could not be determined within probeTimeout. A connection that is
 // established is pooled.
 //
 // A process that ends closes its connections shortly before or after its
 // listener. A connection that is accepted in between breaks at once, and the
 // next one is refused.
-func (p *Pool) Refuses(ctx context.Context, addr netip.AddrPort) (refuses, known bool) {
+func (p *Pool) ProbeRefused(ctx context.Context, addr netip.AddrPort) (refused, known bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	const tries = 2
 	for range tries {
 		c, err := p.connect(ctx, addr)
 		if err != nil {
-			refuses = errors.Is(err, syscall.ECONNREFUSED)
-			return refuses, refuses
+			refused = errors.Is(err, syscall.ECONNREFUSED)
+			return refused, refused
 		}
 		if c.staysOpen() {
 			p.put(c, 0)
@@ -217,13 +217,13 @@
 	return p.maxIdle[addr]
 }
 
-// Keep sets the maximal number of idle connections to each server. Excess ones
-// are closed: a server resets connections beyond the number that it accepts
-// from all callers together, so idle ones would displace those of other
+// SetMaxIdle sets the maximal number of idle connections to each server. Excess
+// ones are closed: a server resets connections beyond the number that it
+// accepts from all callers together, so idle ones would displace those of other
 // requests. Connections to servers that are not listed are closed too, so that
 // a later server at the same address does not get requests over its
 // predecessor's connections.
-func (p *Pool) Keep(maxIdle map[netip.AddrPort]int) {
+func (p *Pool) SetMaxIdle(maxIdle map[netip.AddrPort]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle = maxIdle
@@ -239,8 +239,8 @@
 	}
 }
 
-// Drop closes the idle connections to a server whose process was replaced.
-func (p *Pool) Drop(addr netip.AddrPort) {
+// CloseIdle closes the idle connections to a server whose process was replaced.
+func (p *Pool) CloseIdle(addr netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
@@ -398,9 +398,10 @@
 	return failure.Unavailable
 }
 
-// Failure classifies an error of reading the body: failure.Timeout if nothing
-// arrived in time, else failure.Unavailable. io.EOF is returned as it is.
-func Failure(err error) error {
+// WrapReadError classifies an error of reading the body: failure.Timeout if
+// nothing arrived in time, else failure.Unavailable. io.EOF is returned as it
+// is.
+func WrapReadError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return err
 	}
--- a/adapters/exchange/exchange_test.go
+++ b/adapters/exchange/exchange_test.go
@@ -94,7 +94,7 @@
 	body, err := io.ReadAll(r.Body)
 	r.Close(err == nil, 0)
 	if err != nil {
-		return "", exchange.Failure(err)
+		return "", exchange.WrapReadError(err)
 	}
 	return string(body), nil
 }
@@ -337,7 +337,7 @@
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
 		Expect(roundTrip(p, s)).To(Equal("hi"))
-		p.Keep(map[netip.AddrPort]int{})
+		p.SetMaxIdle(map[netip.AddrPort]int{})
 		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
@@ -348,7 +348,7 @@
 	It("keeps at most the configured number of idle connections", func() {
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
-		p.Keep(map[netip.AddrPort]int{s.addr(): 1})
+		p.SetMaxIdle(map[netip.AddrPort]int{s.addr(): 1})
 		burst := func() {
 			var responses []*exchange.Response
 			for range 3 {
@@ -370,7 +370,7 @@
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
 		Expect(roundTrip(p, s)).To(Equal("hi"))
-		p.Keep(map[netip.AddrPort]int{s.addr(): 0})
+		p.SetMaxIdle(map[netip.AddrPort]int{s.addr(): 0})
 		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
@@ -382,7 +382,7 @@
 		s := serve(func(c net.Conn, _ *http.Request, _ int) bool { write(c, okResponse); return true })
 		p := exchange.New()
 		Expect(roundTrip(p, s)).To(Equal("hi"))
-		p.Drop(s.addr())
+		p.CloseIdle(s.addr())
 		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(s.connections.Load()).To(Equal(int64(2)))
 	})
@@ -405,15 +405,15 @@
 	It("refuses connections once its listener is closed", func() {
 		s := serve(response)
 		Expect(s.listener.Close()).To(Succeed())
-		refuses, known := exchange.New().Refuses(context.Background(), s.addr())
-		Expect([]bool{refuses, known}).To(Equal([]bool{true, true}))
+		refused, known := exchange.New().ProbeRefused(context.Background(), s.addr())
+		Expect([]bool{refused, known}).To(Equal([]bool{true, true}))
 	})
 
 	It("accepts connections, and the probe's connection is reused", func() {
 		s := serve(response)
 		p := exchange.New()
-		refuses, known := p.Refuses(context.Background(), s.addr())
-		Expect([]bool{refuses, known}).To(Equal([]bool{false, true}))
+		refused, known := p.ProbeRefused(context.Background(), s.addr())
+		Expect([]bool{refused, known}).To(Equal([]bool{false, true}))
 		Expect(roundTrip(p, s)).To(Equal("hi"))
 		Expect(p.Dialled()).To(Equal(int64(1)))
 	})
@@ -423,7 +423,7 @@
 		Expect(s.listener.Close()).To(Succeed())
 		closed, cancel := context.WithCancel(context.Background())
 		cancel()
-		refuses, known := exchange.New().Refuses(closed, s.addr())
-		Expect([]bool{refuses, known}).To(Equal([]bool{false, false}))
+		refused, known := exchange.New().ProbeRefused(closed, s.addr())
+		Expect([]bool{refused, known}).To(Equal([]bool{false, false}))
 	})
 })
--- a/adapters/peer/contract_test.go
+++ b/adapters/peer/contract_test.go
@@ -202,10 +202,10 @@
 			_ = s.Send(testMessage{Text: "late"})
 		}, nil)
 		s := p.open(peer.KindRequest)
-		s.SetStall(20 * time.Millisecond)
+		s.SetStallTimeout(20 * time.Millisecond)
 		gomega.Expect(s.Recv(&testMessage{})).To(beFailureOfType(failure.Timeout))
 		close(respond)
-		s.SetStall(waitTimeout)
+		s.SetStallTimeout(waitTimeout)
 		var got testMessage
 		gomega.Expect(s.Recv(&got)).To(gomega.Succeed())
 		gomega.Expect(got.Text).To(gomega.Equal("late"))
--- a/adapters/peer/endpoint.go
+++ b/adapters/peer/endpoint.go
@@ -99,10 +99,10 @@
 }
 
 func (e *Endpoint) packetConn() net.PacketConn {
-	if e.opts.Socket == nil {
+	if e.opts.WrapSocket == nil {
 		return e.socket
 	}
-	return e.opts.Socket(e.socket)
+	return e.opts.WrapSocket(e.socket)
 }
 
 // listen creates the QUIC transport. The key of stateless resets is derived
--- a/adapters/peer/helpers_test.go
+++ b/adapters/peer/helpers_test.go
@@ -156,7 +156,7 @@
 		return "", err
 	}
 	defer s.Abort()
-	s.SetStall(waitTimeout)
+	s.SetStallTimeout(waitTimeout)
 	if err := s.Send(testMessage{Text: text}); err != nil {
 		return "", err
 	}
--- a/adapters/peer/peer.go
+++ b/adapters/peer/peer.go
@@ -119,10 +119,10 @@
 	// Allow decides whether a peer may open a stream of a kind. Nil means
 	// DefaultAllow.
 	Allow func(from keys.Identity, kind Kind) bool
-	// Socket, if set, wraps the bound socket, for example to limit its rate or
+	// WrapSocket, if set, wraps the bound socket, for example to limit its rate or
 	// to simulate a partition in a measurement. Nil means that the socket is
 	// used as it is.
-	Socket func(*net.UDPConn) net.PacketConn
+	WrapSocket func(*net.UDPConn) net.PacketConn
 }
 
 // DefaultAllow lets entries and agents open streams of every kind, and
--- a/adapters/peer/recovery_test.go
+++ b/adapters/peer/recovery_test.go
@@ -144,7 +144,7 @@
 		relayed.blocked.Store(true)
 		s, err := p.client.Open(context.Background(), relayed.addr(), "", peer.KindRequest)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		s.SetStall(50 * time.Millisecond)
+		s.SetStallTimeout(50 * time.Millisecond)
 		gomega.Expect(s.Send(testMessage{})).To(gomega.Succeed())
 		err = s.Recv(&testMessage{})
 		gomega.Expect(err).To(beFailureOfType(failure.Timeout))
--- a/adapters/peer/stream.go
+++ b/adapters/peer/stream.go
@@ -87,12 +87,12 @@
 // Context returns a context that ends when the stream or its connection does.
 func (s *Stream) Context() context.Context { return s.ctx }
 
-// SetStall sets the stall timeout: each later Send or Recv must finish within
-// d, or fails with failure.Timeout. A stalled link does not close the
+// SetStallTimeout sets the stall timeout: each later Send or Recv must finish
+// within d, or fails with failure.Timeout. A stalled link does not close the
 // connection, so without a stall timeout a Recv may last until the connection's
 // idle timeout. 0 disables it. A call that is already waiting keeps its
 // deadline.
-func (s *Stream) SetStall(d time.Duration) { s.stallTimeout.Store(int64(d)) }
+func (s *Stream) SetStallTimeout(d time.Duration) { s.stallTimeout.Store(int64(d)) }
 
 // Send sends one CBOR message. It returns when the transport has buffered the
 // bytes, not when they have arrived. A failure makes the stream unusable for
--- a/adapters/platform/weights.go
+++ b/adapters/platform/weights.go
@@ -120,7 +120,7 @@
 type chunkReader struct {
 	body     io.Reader
 	framed   bool // the sender marks the end of body
-	progress *progress.Watch
+	progress *progress.Watchdog
 	limiter  Limiter
 	path     string
 }
@@ -162,7 +162,7 @@
 // ended classifies a body that ended early. A whole answer that is too short
 // is the sender's fault, a cut one the connection's.
 func (r chunkReader) ended(ctx context.Context, err error, got, size int) error {
-	if !r.framed || !r.progress.AtEnd() {
+	if !r.framed || !r.progress.ReachedEOF() {
 		return transferFailure(ctx, err, r.path)
 	}
 	return failure.Corrupt.New("%s has %d bytes, want %d", r.path, got, size)
@@ -175,7 +175,7 @@
 	if n > 0 {
 		return failure.Corrupt.New("%s has more than %d bytes", r.path, size)
 	}
-	if !r.progress.AtEnd() {
+	if !r.progress.ReachedEOF() {
 		return transferFailure(ctx, err, r.path)
 	}
 	return nil
--- a/daemon/agent/traffic.go
+++ b/daemon/agent/traffic.go
@@ -50,7 +50,7 @@
 
 // serveReport sends reports until the entry disconnects.
 func (a *Agent) serveReport(ctx context.Context, s *peer.Stream) {
-	s.SetStall(requestStallTimeout)
+	s.SetStallTimeout(requestStallTimeout)
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
@@ -85,7 +85,7 @@
 }
 
 func (a *Agent) serveRequest(ctx context.Context, from keys.Identity, s *peer.Stream) {
-	s.SetStall(requestStallTimeout)
+	s.SetStallTimeout(requestStallTimeout)
 	var req wire.Request
 	if err := s.Recv(&req); err != nil {
 		return
--- a/daemon/entry/dispatch.go
+++ b/daemon/entry/dispatch.go
@@ -254,7 +254,7 @@
 		return calls.End{}, err
 	}
 	defer s.Abort()
-	s.SetStall(responseStallTimeout)
+	s.SetStallTimeout(responseStallTimeout)
 	if err := a.sendRequest(ctx, s, clock); err != nil {
 		return calls.End{}, err
 	}
--- a/daemon/entry/limits.go
+++ b/daemon/entry/limits.go
@@ -193,7 +193,7 @@
 		return err
 	}
 	defer s.Abort()
-	s.SetStall(demandMaxAge)
+	s.SetStallTimeout(demandMaxAge)
 	if err := s.Send(wire.ReportAsk{}); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 
 // serveDemand reports the demand of workspaces at this entry to another one.
 func (e *Entry) serveDemand(ctx context.Context, s *peer.Stream) {
-	s.SetStall(demandMaxAge)
+	s.SetStallTimeout(demandMaxAge)
 	ticker := time.NewTicker(demandInterval)
 	defer ticker.Stop()
 	for {
--- a/daemon/entry/subscription.go
+++ b/daemon/entry/subscription.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	defer stream.Abort()
-	stream.SetStall(reportStallTimeout)
+	stream.SetStallTimeout(reportStallTimeout)
 	if err := stream.Send(wire.ReportAsk{}); err != nil {
 		return err
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -81,7 +81,7 @@
 	opts      Options
 	ctx       context.Context
 	mesh      links
-	clock     bootclock.Watch
+	clock     bootclock.Stopwatch
 	scheduler *placement.Balancer
 	log       *requestLog
 	view      atomic.Pointer[view]
--- a/daemon/gateway/peercatalog.go
+++ b/daemon/gateway/peercatalog.go
@@ -122,7 +122,7 @@
 		return response, 0, err
 	}
 	defer s.Abort()
-	s.SetStall(catalogStallTimeout)
+	s.SetStallTimeout(catalogStallTimeout)
 	if err := s.Send(request); err != nil {
 		return response, 0, err
 	}
@@ -166,7 +166,7 @@
 
 // serveCatalog handles a peer's CatalogAsk.
 func (g *Gateway) serveCatalog(ctx context.Context, s *peer.Stream) {
-	s.SetStall(catalogStallTimeout)
+	s.SetStallTimeout(catalogStallTimeout)
 	var request wire.CatalogAsk
 	if err := s.Recv(&request); err != nil {
 		s.Abort()
--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -200,7 +200,7 @@
 	s, err := e.Endpoint.Open(context.Background(), e.agent, e.id, kind)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	ginkgo.DeferCleanup(s.Abort)
-	s.SetStall(Patience)
+	s.SetStallTimeout(Patience)
 	return s
 }
 
--- a/daemon/internal/daemontest/daemontest.go
+++ b/daemon/internal/daemontest/daemontest.go
@@ -79,7 +79,7 @@
 	ginkgo.GinkgoHelper()
 	options := peer.Options{Listen: Loopback, Keys: Keys(role, id), Handler: handler, Logger: zap.NewNop()}
 	if link != nil {
-		options.Socket = link.socket
+		options.WrapSocket = link.socket
 	}
 	endpoint, err := peer.New(options)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/daemon/loader/loader.go
+++ b/daemon/loader/loader.go
@@ -90,7 +90,7 @@
 	opts    Options
 	ctx     context.Context
 	mesh    *mesh.Mesh
-	clock   bootclock.Watch
+	clock   bootclock.Stopwatch
 	swarm   *swarm.Swarm
 	stage   *stage
 	plan    *loading.Plan
--- a/daemon/mesh/link.go
+++ b/daemon/mesh/link.go
@@ -134,7 +134,7 @@
 }
 
 func (m *Mesh) write(l *link) {
-	l.stream.SetStall(0)
+	l.stream.SetStallTimeout(0)
 	for {
 		select {
 		case <-l.closed:
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -113,7 +113,7 @@
 		return revision.Candidate{}, err
 	}
 	defer s.Abort()
-	s.SetStall(configStall)
+	s.SetStallTimeout(configStall)
 	var ask wire.ConfigAsk
 	if base != nil {
 		ask.Digest = base.Digest()
@@ -156,7 +156,7 @@
 
 // ServeConfig answers a peer that is behind with the sections that changed.
 func (n *Node) ServeConfig(ctx context.Context, _ keys.Identity, s *peer.Stream) {
-	s.SetStall(configStall)
+	s.SetStallTimeout(configStall)
 	var ask wire.ConfigAsk
 	if err := s.Recv(&ask); err != nil {
 		s.Abort()
--- a/daemon/node/gossip.go
+++ b/daemon/node/gossip.go
@@ -149,7 +149,7 @@
 }
 
 func (n *Node) write(l *link) {
-	l.stream.SetStall(0)
+	l.stream.SetStallTimeout(0)
 	for {
 		select {
 		case <-l.closed:
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -95,12 +95,12 @@
 	}
 	b.tracer = telemetry.NewTracer("chivespindled-"+string(s.Role), spanLogger(s, logger))
 	b.endpoint, err = peer.New(peer.Options{
-		Listen:  s.Listen.Peer,
-		Keys:    store,
-		Handler: handler,
-		Logger:  logger,
-		Metrics: b.metrics,
-		Socket:  opts.Socket,
+		Listen:     s.Listen.Peer,
+		Keys:       store,
+		Handler:    handler,
+		Logger:     logger,
+		Metrics:    b.metrics,
+		WrapSocket: opts.Socket,
 	})
 	if err != nil {
 		b.cancel()
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	defer s.Abort()
-	s.SetStall(g.swarm.opts.Stall)
+	s.SetStallTimeout(g.swarm.opts.Stall)
 	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -91,8 +91,8 @@
 // at most for the stall timeout: a connection whose other side has vanished
 // opens streams without an error.
 func (g *gather) openExchange(s *peer.Stream) (wire.ChunkNews, error) {
-	s.SetStall(g.swarm.opts.Stall)
-	defer s.SetStall(0)
+	s.SetStallTimeout(g.swarm.opts.Stall)
+	defer s.SetStallTimeout(0)
 	var first wire.ChunkNews
 	if err := s.Send(wire.ChunkOpen{Manifest: g.version.Manifest, Exchange: true}); err != nil {
 		return first, err
@@ -248,7 +248,7 @@
 // neighbour asks again, since this process may only be late.
 func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, open wire.ChunkOpen) {
 	var accepted bool
-	st.SetStall(0)
+	st.SetStallTimeout(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
 		g, ok := s.gathers[open.Manifest]
 		member, listed := s.member(from.ID)
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -26,7 +26,7 @@
 // ServeChunk answers a stream of peer.KindChunk. It runs on a traffic
 // goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
-	st.SetStall(s.opts.Stall)
+	st.SetStallTimeout(s.opts.Stall)
 	var open wire.ChunkOpen
 	if err := st.Recv(&open); err != nil {
 		st.Abort()
--- a/standin/bench/slopes/stub.go
+++ b/standin/bench/slopes/stub.go
@@ -78,7 +78,7 @@
 
 // ServeStream implements peer.Handler.
 func (s *stub) ServeStream(ctx context.Context, _ keys.Identity, kind peer.Kind, st *peer.Stream) {
-	st.SetStall(0)
+	st.SetStallTimeout(0)
 	switch kind {
 	case peer.KindGossip:
 		s.gossip(ctx, st)
@@ -94,7 +94,7 @@
 	const again = 300 * time.Millisecond
 	for ctx.Err() == nil {
 		if st, err := s.endpoint.Open(ctx, to.PeerAddr, to.ID, kind); err == nil {
-			st.SetStall(0)
+			st.SetStallTimeout(0)
 			speak(ctx, st)
 			st.Abort()
 		}
