--- a/adapters/peer/sweep.go
+++ b/adapters/peer/sweep.go
@@ -71,12 +71,12 @@
 
 // Drain prepares a planned stop. From its call on, new streams of peers are
 // refused with the outcome failure.NotRun, while running ones continue. It
-// returns once the last stream has ended and its response had closeDelay to
-// arrive, or with failure.Timeout when ctx ends before. Open still works. Call
-// Close, or end the context of Run, afterwards.
+// returns once the last stream has ended and its response had a second
+// (closeDelay) to arrive, or with failure.Timeout when ctx ends before. Open
+// still works. Call Close, or end the context of Run, afterwards.
 //
 // A response that is larger than the flow-control window, and that the peer
-// takes longer than closeDelay to read, may be truncated.
+// takes longer than that to read, may be truncated.
 func (e *Endpoint) Drain(ctx context.Context) error {
 	e.mu.Lock()
 	e.draining = true
