--- a/adapters/exchange/exchange_test.go
+++ b/adapters/exchange/exchange_test.go
@@ -421,9 +421,9 @@
 	It("is not considered ended if the check was cancelled", func() {
 		s := serve(response)
 		Expect(s.listener.Close()).To(Succeed())
-		closed, cancel := context.WithCancel(context.Background())
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		refused, known := exchange.New().ProbeRefused(closed, s.addr())
+		refused, known := exchange.New().ProbeRefused(canceled, s.addr())
 		Expect([]bool{refused, known}).To(Equal([]bool{false, false}))
 	})
 })
