--- a/daemon/internal/daemontest/agent.go
+++ b/daemon/internal/daemontest/agent.go
@@ -202,7 +202,7 @@
 	s, err := e.Endpoint.Open(context.Background(), e.agent, e.id, kind)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	ginkgo.DeferCleanup(s.Abort)
-	s.SetStall(WaitTimeout)
+	s.SetStallTimeout(WaitTimeout)
 	return s
 }
 
--- a/daemon/mesh/link.go
+++ b/daemon/mesh/link.go
@@ -135,7 +135,7 @@
 }
 
 func (m *Mesh) sendLoop(l *link) {
-	l.stream.SetStall(0)
+	l.stream.SetStallTimeout(0)
 	for {
 		select {
 		case <-l.closed:
--- a/daemon/node/config.go
+++ b/daemon/node/config.go
@@ -115,7 +115,7 @@
 		return revision.Candidate{}, err
 	}
 	defer s.Abort()
-	s.SetStall(configStallTimeout)
+	s.SetStallTimeout(configStallTimeout)
 	var request wire.ConfigRequest
 	if base != nil {
 		request.Digest = base.Digest()
@@ -158,7 +158,7 @@
 
 // ServeConfig sends the changed sections to a peer that is behind.
 func (n *Node) ServeConfig(ctx context.Context, _ keys.Identity, s *peer.Stream) {
-	s.SetStall(configStallTimeout)
+	s.SetStallTimeout(configStallTimeout)
 	var request wire.ConfigRequest
 	if err := s.Recv(&request); err != nil {
 		s.Abort()
--- a/daemon/swarm/fetch.go
+++ b/daemon/swarm/fetch.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	defer s.Abort()
-	s.SetStall(d.swarm.opts.StallTimeout)
+	s.SetStallTimeout(d.swarm.opts.StallTimeout)
 	if err := s.Send(wire.ChunkRequest{Manifest: d.version.Manifest, Index: index}); err != nil {
 		return nil, err
 	}
