--- a/adapters/engine/attempt/attempt.go
+++ b/adapters/engine/attempt/attempt.go
@@ -1,6 +1,6 @@
-// Package attempt sends one HTTP request to a backend server at most once and
-// tells what is known of it when it fails. The adapters of model engines and
-// plain services share it.
+// Package attempt sends an HTTP request to a backend server at most once and
+// reports what is known about its outcome if it fails. The clients of model engines
+// and plain services share it.
 package attempt
 
 import (
@@ -34,10 +34,11 @@
 	headerRetryAfter     = "Retry-After"
 )
 
-// Canceled means that our caller gave the attempt up.
+// Canceled means that the caller of this package canceled the attempt.
 var Canceled = failure.Namespace.NewType("canceled")
 
-// errStalled is the cause of a context that the progress deadline ended.
+// errStalled is the cancellation cause of a context whose progress deadline
+// expired.
 var errStalled = failure.Timeout.New("no progress")
 
 // Client sends requests to one backend server.
@@ -48,23 +49,22 @@
 
 // New returns a client of the server at addr.
 //
-// Each attempt has a TCP connection of its own. A kept connection has three
-// faults here: net/http sends a request with an Idempotency-Key a second time
-// when the kept connection dies under it, so that a parts order runs twice;
-// the rest of a cancelled answer may still lie in it; and a server that
-// closes an idle connection as the request arrives leaves the outcome
-// unknown. A connection that was never used before and never is again has
-// none of them. What it costs is in docs/PLATFORM-ENGINE.md.
+// Each attempt uses a TCP connection of its own. Reusing connections has three
+// problems here: net/http resends a request that has an Idempotency-Key when the
+// reused connection breaks, so that an order for parts would run twice; the rest of
+// a cancelled response may still be in the connection; and a server that closes an
+// idle connection just as the request arrives leaves the outcome unknown.
+// docs/PLATFORM-ENGINE.md gives the cost of new connections.
 func New(addr netip.AddrPort) *Client {
 	transport := newTransport()
 	transport.DisableKeepAlives = true
 	return newClient(addr, transport)
 }
 
-// NewReusing returns a client that keeps its connections, for requests that
-// may be sent again: reading a status, staging a chunk and reading it back. A
-// burst stages and reads thousands of chunks a second, and a connection for
-// each costs several times the request itself.
+// NewReusing returns a client that reuses connections, for requests that may be
+// sent twice: reading a status, staging a chunk and reading it back. A burst of
+// transfers stages and reads thousands of chunks per second, and a new connection
+// costs several times as much as the request itself.
 func NewReusing(addr netip.AddrPort) *Client {
 	const (
 		idleConnections = 16
@@ -84,7 +84,7 @@
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Transport{
 		DialContext:        dialer.DialContext,
-		DisableCompression: true, // pieces are handed on as the server sent them
+		DisableCompression: true, // pieces are forwarded as the server sent them
 
 		MaxResponseHeaderBytes: maxHeader,
 	}
@@ -98,21 +98,22 @@
 	}
 }
 
-// Request is what to send.
+// Request is one request to the server.
 type Request struct {
 	Method string
-	Path   string // unescaped, from the root
+	Path   string // absolute and unescaped
 	Header http.Header
 	Body   []byte
-	// First is the longest time from the end of Body to the first byte of the
-	// answer's body, Stall the longest time without progress after that and
-	// while Body is sent. Both are needed since a stalled server does not
-	// close its connection.
+	// First is the longest time from the end of Body to the first byte
+	// of the response body, Stall the longest time without progress after
+	// that and while Body is sent. Both are needed because a stalled server does
+	// not close its connection.
 	First time.Duration
 	Stall time.Duration
 }
 
-// CallHeader returns the headers that carry call to a backend server.
+// CallHeader returns the headers of a request that forwards call to a backend
+// server.
 func CallHeader(call serving.Call) http.Header {
 	header := http.Header{}
 	header.Set(headerRequestID, call.ID)
@@ -126,26 +127,26 @@
 	return header
 }
 
-// Attempt is one request whose answer has begun.
+// Attempt is one request whose response header has been received.
 type Attempt struct {
-	Status   int
-	Header   http.Header
-	body     io.ReadCloser
-	length   int64 // of body; -1 if the server did not tell
-	framed   bool
-	deadline *deadline
-	stall    time.Duration
+	Status       int
+	Header       http.Header
+	body         io.ReadCloser
+	length       int64 // length of body; -1 if unknown
+	framed       bool
+	deadline     *deadline
+	stallTimeout time.Duration
 }
 
-// Send sends r once. A failure's outcome is failure.NotRun only if no
-// connection was made; after that the server may have read the request.
-// Close must be called after a nil error.
+// Send sends r once. The outcome of a failure is failure.NotRun only if no
+// connection was established; once connected, the server may have read the request.
+// After a nil error, Close must be called.
 func (c *Client) Send(ctx context.Context, r Request) (*Attempt, error) {
 	d := newDeadline(ctx, r.First)
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	target := url.URL{Scheme: "http", Host: c.server, Path: r.Path}
-	body := &progressReader{reader: bytes.NewReader(r.Body), deadline: d, stall: r.Stall, first: r.First}
+	body := &progressReader{reader: bytes.NewReader(r.Body), deadline: d, stallTimeout: r.Stall, firstByteTimeout: r.First}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(d.ctx, trace), r.Method, target.String(), body)
 	if err != nil {
 		d.end()
@@ -169,17 +170,17 @@
 		return nil, err
 	}
 	return &Attempt{
-		Status:   response.StatusCode,
-		Header:   response.Header,
-		body:     response.Body,
-		length:   response.ContentLength,
-		framed:   exchange.EndIsFramed(response),
-		deadline: d,
-		stall:    r.Stall,
+		Status:       response.StatusCode,
+		Header:       response.Header,
+		body:         response.Body,
+		length:       response.ContentLength,
+		framed:       exchange.EndIsFramed(response),
+		deadline:     d,
+		stallTimeout: r.Stall,
 	}, nil
 }
 
-// ID returns the request id that the server repeated in its header.
+// ID returns the request ID that the server repeated in its header.
 func (a *Attempt) ID() string { return a.Header.Get(headerRequestID) }
 
 // NotRun reports whether the server says that it did not run the request.
@@ -187,7 +188,7 @@
 	return a.Status >= http.StatusBadRequest && a.Header.Get(headerOutcome) == failure.NotRun.String()
 }
 
-// Outcome returns what the server's header says: NotRun, or Unknown.
+// Outcome returns the outcome according to the response header: NotRun or Unknown.
 func (a *Attempt) Outcome() failure.Outcome {
 	if a.NotRun() {
 		return failure.NotRun
@@ -195,7 +196,8 @@
 	return failure.Unknown
 }
 
-// RetryAfter returns the pause that the server asks for in seconds, 0 if none.
+// RetryAfter returns the delay of the Retry-After header in seconds, 0 if there is
+// none.
 func (a *Attempt) RetryAfter() time.Duration {
 	seconds, err := strconv.Atoi(a.Header.Get(headerRetryAfter))
 	if err != nil || seconds < 0 {
@@ -205,32 +207,32 @@
 }
 
 // EndIsFramed reports whether the server marks the end of the body. If not, io.EOF
-// does not tell a complete answer from one whose server was killed.
+// does not distinguish a complete response from one whose server was killed.
 func (a *Attempt) EndIsFramed() bool { return a.framed }
 
-// Read implements io.Reader on the answer's body. A failure other than io.EOF
-// is typed, and its outcome is Unknown.
+// Read implements io.Reader on the response body. An error other than io.EOF has a
+// failure type and the outcome Unknown.
 func (a *Attempt) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if n > 0 {
-		a.deadline.received(a.stall)
+		a.deadline.responseProgress(a.stallTimeout)
 	}
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	return n, a.typed(err)
+	return n, a.classify(err)
 }
 
-// typed gives a failure of the body its type, if it has none yet.
-func (a *Attempt) typed(err error) error {
+// classify adds a failure type to an error of the body, unless it already has one.
+func (a *Attempt) classify(err error) error {
 	if errorx.Cast(err) != nil {
 		return err
 	}
 	return failure.WithOutcome(a.deadline.classify(err, "the answer"), failure.Unknown)
 }
 
-// ReadAll returns the whole body, failure.Corrupt if it is longer than limit.
-// A body of a length that the server told takes no more memory than that.
+// ReadAll returns the complete body. Fails with failure.Corrupt if it is longer
+// than limit. If the length is known, no more memory than that is allocated.
 func (a *Attempt) ReadAll(limit int64) ([]byte, error) {
 	if a.length > limit {
 		return nil, failure.Corrupt.New("the answer is longer than %d bytes", limit)
@@ -238,13 +240,13 @@
 	if a.length >= 0 {
 		data := make([]byte, a.length)
 		if _, err := io.ReadFull(a, data); err != nil {
-			return nil, a.typed(err)
+			return nil, a.classify(err)
 		}
 		return data, nil
 	}
 	data, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
-		return nil, a.typed(err)
+		return nil, a.classify(err)
 	}
 	if int64(len(data)) > limit {
 		return nil, failure.Corrupt.New("the answer is longer than %d bytes", limit)
@@ -252,7 +254,7 @@
 	return data, nil
 }
 
-// Kind returns the type of failure for an error status.
+// Kind returns the failure type for an error status.
 func Kind(status int) *errorx.Type {
 	switch status {
 	case http.StatusNotFound:
@@ -268,45 +270,45 @@
 	}
 }
 
-// Declined returns the failure for an answer with an error status; its text
-// holds the start of the server's own reason.
+// Declined returns the error for a response with an error status. Its message
+// contains the beginning of the response body.
 func (a *Attempt) Declined(kind *errorx.Type) error {
-	const shownBytes = 512
-	reason, err := io.ReadAll(io.LimitReader(a, shownBytes))
+	const maxShownBytes = 512
+	reason, err := io.ReadAll(io.LimitReader(a, maxShownBytes))
 	if err != nil {
 		reason = []byte("(the reason was cut)")
 	}
-	declined := kind.New("status %d: %q", a.Status, bytes.TrimSpace(reason))
-	declined = failure.WithOutcome(declined, a.Outcome())
-	if pause := a.RetryAfter(); pause > 0 {
-		declined = failure.WithRetryAfter(declined, pause)
+	statusErr := kind.New("status %d: %q", a.Status, bytes.TrimSpace(reason))
+	statusErr = failure.WithOutcome(statusErr, a.Outcome())
+	if retryAfter := a.RetryAfter(); retryAfter > 0 {
+		statusErr = failure.WithRetryAfter(statusErr, retryAfter)
 	}
-	return declined
+	return statusErr
 }
 
-// Close ends the attempt and its connection; a server that still answers sees
-// the connection close and may stop.
+// Close ends the attempt and closes its connection. A server that is still sending
+// the response sees the connection close and may stop.
 func (a *Attempt) Close() {
 	a.deadline.end()
 	_ = a.body.Close()
 }
 
-// progressReader gives the body of a request and moves the deadline on at
-// each part that the transport takes.
+// progressReader reads the body of a request and extends the deadline each time the
+// transport takes a part.
 type progressReader struct {
-	reader   *bytes.Reader
-	deadline *deadline
-	stall    time.Duration
-	first    time.Duration
+	reader           *bytes.Reader
+	deadline         *deadline
+	stallTimeout     time.Duration
+	firstByteTimeout time.Duration
 }
 
 // Read implements io.Reader.
 func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.reader.Read(b)
 	if p.reader.Len() > 0 {
-		p.deadline.sent(p.stall)
+		p.deadline.requestProgress(p.stallTimeout)
 	} else {
-		p.deadline.sent(p.first)
+		p.deadline.requestProgress(p.firstByteTimeout)
 	}
 	return n, err
 }
--- a/adapters/engine/attempt/attempt_bench_test.go
+++ b/adapters/engine/attempt/attempt_bench_test.go
@@ -11,15 +11,15 @@
 	"chivespindle.example/adapters/engine/attempt"
 )
 
-func answerShort(w http.ResponseWriter, r *http.Request) {
+func respondShort(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	_, _ = io.WriteString(w, "answer")
 }
 
-// BenchmarkOwnConnection is the price of an attempt as it is made: with a
-// connection of its own. Server and client are on one machine.
-func BenchmarkOwnConnection(b *testing.B) {
-	server := httptest.NewServer(http.HandlerFunc(answerShort))
+// BenchmarkNewConnection measures an attempt as it is made, on a new connection.
+// Server and client run on one machine.
+func BenchmarkNewConnection(b *testing.B) {
+	server := httptest.NewServer(http.HandlerFunc(respondShort))
 	defer server.Close()
 	client := attempt.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
 	for b.Loop() {
@@ -29,10 +29,10 @@
 	}
 }
 
-// BenchmarkKeptConnection is the same request by the usual client of
-// net/http, for comparison.
-func BenchmarkKeptConnection(b *testing.B) {
-	server := httptest.NewServer(http.HandlerFunc(answerShort))
+// BenchmarkKeepAlive measures the same request with the default client of net/http,
+// for comparison.
+func BenchmarkKeepAlive(b *testing.B) {
+	server := httptest.NewServer(http.HandlerFunc(respondShort))
 	defer server.Close()
 	for b.Loop() {
 		response, err := server.Client().Post(server.URL, "text/plain", strings.NewReader("mast chain"))
--- a/adapters/engine/attempt/attempt_suite_test.go
+++ b/adapters/engine/attempt/attempt_suite_test.go
@@ -9,5 +9,5 @@
 
 func TestAttempt(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "one attempt over HTTP")
+	RunSpecs(t, "adapters/engine/attempt")
 }
--- a/adapters/engine/attempt/attempt_test.go
+++ b/adapters/engine/attempt/attempt_test.go
@@ -23,13 +23,13 @@
 	"chivespindle.example/core/serving"
 )
 
-// Deadlines: one that no sound spec reaches, and one that must pass.
+// Timeouts: one that no passing spec reaches, and one that must expire.
 const (
-	patient = time.Minute
-	short   = 50 * time.Millisecond
+	longTimeout  = time.Minute
+	shortTimeout = 50 * time.Millisecond
 )
 
-// server runs handler and counts the connections that it takes.
+// server runs a handler and counts the connections that it accepts.
 type server struct {
 	*httptest.Server
 	mu          sync.Mutex
@@ -52,7 +52,7 @@
 
 func (s *server) addr() netip.AddrPort { return netip.MustParseAddrPort(s.Listener.Addr().String()) }
 
-func (s *server) taken() int {
+func (s *server) accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections
@@ -65,12 +65,12 @@
 		Path:   "/v1/call/parts",
 		Header: attempt.CallHeader(call),
 		Body:   []byte(body),
-		First:  patient,
-		Stall:  patient,
+		First:  longTimeout,
+		Stall:  longTimeout,
 	}
 }
 
-// send makes an attempt and reads its answer.
+// send makes an attempt and reads the response body.
 func send(ctx context.Context, client *attempt.Client, r attempt.Request) (string, error) {
 	a, err := client.Send(ctx, r)
 	if err != nil {
@@ -81,36 +81,37 @@
 	return string(body), err
 }
 
-// runs counts the requests that a server ran.
-type runs struct {
+// runCounter counts the requests that a server ran.
+type runCounter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (r *runs) add() int {
+func (r *runCounter) add() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.n++
 	return r.n
 }
 
-func (r *runs) count() int {
+func (r *runCounter) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.n
 }
 
-// abortSecond answers requests and keeps their connections, but closes the
-// connection of the second as it arrives, after it ran it.
-func (r *runs) abortSecond(_ http.ResponseWriter, request *http.Request) {
+// abortSecond responds to requests and keeps their connections open, but closes the
+// connection of the second request after it ran it.
+func (r *runCounter) abortSecond(_ http.ResponseWriter, request *http.Request) {
 	_, _ = io.Copy(io.Discard, request.Body)
 	if r.add() == 2 {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// five answers five bytes and tells length, or none if it is negative.
-func five(length int) http.HandlerFunc {
+// respondFive responds with five bytes and announces length, or no length if it is
+// negative.
+func respondFive(length int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if length >= 0 {
 			w.Header().Set("Content-Length", strconv.Itoa(length))
@@ -121,14 +122,15 @@
 	}
 }
 
-var _ = Describe("an attempt", func() {
-	// A service answers one order and keeps the connection; when the second
-	// order arrives on it, the service runs it and the connection dies. A
-	// client that sends the order again makes the workshop pay for a second
-	// mast chain, so the attempt must end as unknown after one run.
-	DescribeTable("is sent once when its connection dies",
+var _ = Describe("Attempt", func() {
+	// Guards against a duplicate order. A service responds to one order and keeps
+	// the connection open; when the second order arrives on it, the service runs
+	// the order and the connection breaks. A client that resends the order orders
+	// the part twice, so the attempt must end with an unknown outcome after one
+	// run.
+	DescribeTable("is sent once when its connection breaks",
 		func(ctx SpecContext, body string) {
-			var ran runs
+			var ran runCounter
 			s := serve(ran.abortSecond)
 			client := attempt.New(s.addr())
 			_, err := send(ctx, client, request(body))
@@ -137,16 +139,16 @@
 			Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 			Expect(ran.count()).To(Equal(2))
-			Expect(s.taken()).To(Equal(2), "each attempt has a connection of its own")
+			Expect(s.accepted()).To(Equal(2), "each attempt uses a new connection")
 		},
 		Entry("with a body", "mast chain"),
 		Entry("without a body", ""),
 	)
 
-	// The same service with the usual client of net/http, to show that the
-	// spec above provokes what it guards against: the second order runs twice.
-	It("would be sent twice by a client that keeps connections", func(ctx SpecContext) {
-		var ran runs
+	// The same service with the default client of net/http, to show that the spec
+	// above provokes the failure: the second order runs twice.
+	It("would be sent twice by a client that reuses connections", func(ctx SpecContext) {
+		var ran runCounter
 		s := serve(ran.abortSecond)
 		usual := s.Client()
 		for range 2 {
@@ -161,9 +163,9 @@
 		Expect(ran.count()).To(Equal(3))
 	})
 
-	DescribeTable("is not sent on by a redirect",
+	DescribeTable("does not follow a redirect",
 		func(ctx SpecContext, body string) {
-			var ran runs
+			var ran runCounter
 			s := serve(func(w http.ResponseWriter, r *http.Request) {
 				ran.add()
 				http.Redirect(w, r, "/v1/elsewhere", http.StatusTemporaryRedirect)
@@ -178,7 +180,7 @@
 		Entry("without a body", ""),
 	)
 
-	It("carries the call's headers", func(ctx SpecContext) {
+	It("sends the headers of the call", func(ctx SpecContext) {
 		got := make(chan http.Header, 1)
 		s := serve(func(_ http.ResponseWriter, r *http.Request) { got <- r.Header })
 		_, err := send(ctx, attempt.New(s.addr()), request("x"))
@@ -191,7 +193,7 @@
 		Expect(attempt.CallHeader(serving.Call{ID: "a1"})).NotTo(HaveKey("Idempotency-Key"))
 	})
 
-	DescribeTable("believes the server's word only on an error status",
+	DescribeTable("accepts the server's outcome only with an error status",
 		func(ctx SpecContext, status int, outcome string, want failure.Outcome, pause time.Duration) {
 			s := serve(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Request-Outcome", outcome)
@@ -208,16 +210,16 @@
 			Expect(err).To(MatchError(ContainSubstring(`"why"`)))
 		},
 		Entry("503 not run", 503, "not_run", failure.NotRun, 3*time.Second),
-		Entry("503 without a word", 503, "", failure.Unknown, 3*time.Second),
+		Entry("503 without an outcome", 503, "", failure.Unknown, 3*time.Second),
 		Entry("503 ran", 503, "ran", failure.Unknown, 3*time.Second),
 		Entry("400 not run", 400, "not_run", failure.NotRun, 3*time.Second),
 		Entry("200 not run", 200, "not_run", failure.Unknown, 3*time.Second),
 	)
 
-	// A server stalls and its connection stays open, so no error ever comes.
-	// Wherever it stalls the attempt must end by its own clock, and as
-	// unknown, since the server has had the request or part of it.
-	DescribeTable("ends when nothing moves",
+	// A server stalls and its connection stays open, so no error is ever reported.
+	// Wherever it stalls, the attempt must time out by itself, with an unknown
+	// outcome, since the server has received all or part of the request.
+	DescribeTable("times out without progress",
 		func(ctx SpecContext, handler http.HandlerFunc, body string) {
 			release := make(chan struct{})
 			s := serve(func(w http.ResponseWriter, r *http.Request) {
@@ -226,32 +228,32 @@
 			})
 			DeferCleanup(func() { close(release) })
 			r := request(body)
-			r.First = short
-			r.Stall = short
+			r.First = shortTimeout
+			r.Stall = shortTimeout
 			_, err := send(ctx, attempt.New(s.addr()), r)
 			Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		},
-		Entry("after its header", func(w http.ResponseWriter, r *http.Request) {
+		Entry("after the response header", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			_ = http.NewResponseController(w).Flush()
 		}, "x"),
-		Entry("before its answer", func(_ http.ResponseWriter, r *http.Request) {
+		Entry("before the response", func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 		}, "x"),
-		Entry("in its answer", func(w http.ResponseWriter, r *http.Request) {
+		Entry("inside the response body", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			_, _ = io.WriteString(w, "half")
 			_ = http.NewResponseController(w).Flush()
 		}, "x"),
-		Entry("in the body it is sent", func(http.ResponseWriter, *http.Request) {}, strings.Repeat("x", 32<<20)),
+		Entry("while the request body is sent", func(http.ResponseWriter, *http.Request) {}, strings.Repeat("x", 32<<20)),
 	)
 
-	// A server begins its answer before it has read the whole body, reads the
-	// rest, and stalls. The rest of the body must not start the long wait for
-	// a first byte again: the caller would hang on half an answer for that
-	// long. The spec's own timeout is there for a client that does.
-	It("ends a stalled answer in time though the body was taken late", func(ctx SpecContext) {
+	// A server starts its response before it has read the whole request body, reads
+	// the rest, and stalls. The rest of the body must not restart the long timeout
+	// for the first byte: the caller would wait that long for an incomplete
+	// response. The spec's own timeout ends a client that does.
+	It("times out a stalled response although the request body was read late", func(ctx SpecContext) {
 		begun := make(chan struct{})
 		release := make(chan struct{})
 		s := serve(func(w http.ResponseWriter, r *http.Request) {
@@ -277,7 +279,7 @@
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 	}, SpecTimeout(30*time.Second))
 
-	It("was not run if its caller had given up before", func(ctx SpecContext) {
+	It("is not run if its context was canceled before", func(ctx SpecContext) {
 		s := serve(func(http.ResponseWriter, *http.Request) { Fail("the request was sent") })
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
@@ -286,18 +288,18 @@
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 	})
 
-	It("ends at its caller's deadline", func(ctx SpecContext) {
+	It("ends at the deadline of its context", func(ctx SpecContext) {
 		release := make(chan struct{})
 		s := serve(func(http.ResponseWriter, *http.Request) { <-release })
 		DeferCleanup(func() { close(release) })
-		limited, cancel := context.WithTimeout(ctx, short)
+		limited, cancel := context.WithTimeout(ctx, shortTimeout)
 		defer cancel()
 		_, err := send(limited, attempt.New(s.addr()), request("x"))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 	})
 
-	DescribeTable("reads a whole body of no more than it was allowed",
+	DescribeTable("reads a complete body up to the limit",
 		func(ctx SpecContext, handler http.HandlerFunc, limit int64, kind *errorx.Type) {
 			a, err := attempt.New(serve(handler).addr()).Send(ctx, request("x"))
 			Expect(err).NotTo(HaveOccurred())
@@ -311,16 +313,16 @@
 			Expect(errorx.IsOfType(err, kind)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		},
-		Entry("of a told length", five(5), int64(5), nil),
-		Entry("of a told length, too long", five(5), int64(4), failure.Corrupt),
-		Entry("of a told length, cut", five(6), int64(9), failure.Unavailable),
-		Entry("of no told length", five(-1), int64(5), nil),
-		Entry("of no told length, too long", five(-1), int64(4), failure.Corrupt),
+		Entry("with a known length", respondFive(5), int64(5), nil),
+		Entry("with a known length above the limit", respondFive(5), int64(4), failure.Corrupt),
+		Entry("with a known length, truncated", respondFive(6), int64(9), failure.Unavailable),
+		Entry("with an unknown length", respondFive(-1), int64(5), nil),
+		Entry("with an unknown length, above the limit", respondFive(-1), int64(4), failure.Corrupt),
 	)
 
-	// An agent runs for months. Attempts that end early must leave no
-	// goroutine, or it grows until the instance kills it.
-	It("leaves nothing behind however it ends", func(ctx SpecContext) {
+	// An agent runs for months. Attempts that end early must not leak goroutines,
+	// or memory grows until the instance kills the process.
+	It("does not leak goroutines however it ends", func(ctx SpecContext) {
 		before := goleak.IgnoreCurrent()
 		release := make(chan struct{})
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -330,10 +332,10 @@
 		}))
 		client := attempt.New(netip.MustParseAddrPort(s.Listener.Addr().String()))
 		stalled := request("x")
-		stalled.First = short
+		stalled.First = shortTimeout
 		_, err := send(ctx, client, stalled)
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
-		limited, cancel := context.WithTimeout(ctx, short)
+		limited, cancel := context.WithTimeout(ctx, shortTimeout)
 		defer cancel()
 		_, err = send(limited, client, request("x"))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
--- a/adapters/engine/attempt/deadline.go
+++ b/adapters/engine/attempt/deadline.go
@@ -11,56 +11,56 @@
 	"chivespindle.example/core/failure"
 )
 
-// deadline ends a context when it is not extended in time. It guards against
-// a server or link that stalls: no byte comes and the connection stays open,
-// so nothing but a clock ends the wait.
+// deadline cancels a context when it is not extended in time. It guards against a
+// server or link that stalls: no byte arrives and the connection stays open, so
+// only a timer can end the wait.
 type deadline struct {
 	parent context.Context
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 
-	mu       sync.Mutex
-	answered bool // bytes of the answer came
+	mu         sync.Mutex
+	responding bool // a part of the response has been received
 }
 
-func newDeadline(parent context.Context, pause time.Duration) *deadline {
+func newDeadline(parent context.Context, timeout time.Duration) *deadline {
 	ctx, cancel := context.WithCancelCause(parent)
 	d := &deadline{parent: parent, ctx: ctx, cancel: cancel}
-	d.timer = time.AfterFunc(pause, func() { cancel(errStalled) })
+	d.timer = time.AfterFunc(timeout, func() { cancel(errStalled) })
 	return d
 }
 
-// sent extends the deadline when a part of the request's body was taken. It
-// does nothing once the answer has begun: the transport may take the end of
-// the body after that, and the long wait for a first byte would replace the
-// short one between bytes, so that a stalled answer hangs.
-func (d *deadline) sent(pause time.Duration) {
+// requestProgress extends the deadline when the transport has taken a part of the
+// request body. It does nothing once the response has started: the transport may
+// take the end of the body after that, and the long timeout for the first byte
+// would replace the short stall timeout, so that a stalled response would hang.
+func (d *deadline) requestProgress(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.answered {
-		d.timer.Reset(pause)
+	if !d.responding {
+		d.timer.Reset(timeout)
 	}
 }
 
-// received extends the deadline when a part of the answer came.
-func (d *deadline) received(pause time.Duration) {
+// responseProgress extends the deadline when a part of the response was received.
+func (d *deadline) responseProgress(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answered = true
-	d.timer.Reset(pause)
+	d.responding = true
+	d.timer.Reset(timeout)
 }
 
 func (d *deadline) end() {
 	d.mu.Lock()
-	d.answered = true // no later read of the body starts the timer again
+	d.responding = true // prevents a later read of the request body from restarting the timer
 	d.timer.Stop()
 	d.mu.Unlock()
 	d.cancel(nil)
 }
 
-// classify gives a failure of net/http its type: failure.Timeout if a
-// deadline passed, Canceled if our caller gave up, else failure.Unavailable.
+// classify returns err of net/http with a failure type: failure.Timeout if a
+// deadline expired, Canceled if the caller canceled, failure.Unavailable otherwise.
 func (d *deadline) classify(err error, what string) *errorx.Error {
 	switch cause := context.Cause(d.ctx); {
 	case cause == errStalled:
--- a/adapters/engine/call.go
+++ b/adapters/engine/call.go
@@ -13,15 +13,15 @@
 	"chivespindle.example/core/serving"
 )
 
-// PathGenerate is the one Call.Path of an engine besides "". Others are not
-// passed on, so that no caller can reach the engine's orders.
+// PathGenerate is the only Call.Path that an engine accepts besides "". Other paths
+// are not forwarded, so that no caller can reach the engine's orders.
 const PathGenerate = "generate"
 
-// Do implements serving.Backend. Each piece is one line of the answer with
-// its line end. A failure's outcome is failure.NotRun if the engine was not
-// reached or says that it did not run the call, else failure.Unknown. An
-// answer to another request, from two versions or with a gap is
-// failure.Corrupt and cut; its last line is never handed over.
+// Do implements serving.Backend. Each piece is one line of the response with its
+// line ending. The outcome of a failure is failure.NotRun if the engine was not
+// reached or reports that it did not run the call, and failure.Unknown otherwise. A
+// response to another request, from two versions or with a gap is aborted as
+// failure.Corrupt; its last line is never emitted.
 func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 	if call.Path != "" && call.Path != PathGenerate {
 		refused := failure.Invalid.New("a model engine has no path %q", call.Path)
@@ -41,44 +41,44 @@
 		return serving.Answer{}, err
 	}
 	defer a.Close()
-	answer := serving.Answer{ID: a.ID(), Status: a.Status}
+	response := serving.Answer{ID: a.ID(), Status: a.Status}
 	if a.Status != http.StatusOK {
-		return answer, a.Declined(attempt.Kind(a.Status))
+		return response, a.Declined(attempt.Kind(a.Status))
 	}
-	lines := newAnswerReader(a, call.ID)
+	lines := newResponseReader(a, call.ID)
 	err = c.relay(lines, emit)
-	if lines.begun {
-		answer.ID = call.ID
-		answer.Version = lines.version
+	if lines.started {
+		response.ID = call.ID
+		response.Version = lines.version
 	}
-	return answer, err
+	return response, err
 }
 
-// relay hands the lines over until the last.
-func (c *Client) relay(lines *answerReader, emit func(serving.Piece) error) error {
+// relay emits the lines up to and including the last one.
+func (c *Client) relay(lines *responseReader, emit func(serving.Piece) error) error {
 	for {
-		begun := lines.begun
+		started := lines.started
 		raw, err := lines.next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return unknown(err)
+			return withUnknownOutcome(err)
 		}
-		if !begun && c.options.CheckVersion != nil {
+		if !started && c.options.CheckVersion != nil {
 			if err := c.options.CheckVersion(lines.version); err != nil {
-				return unknown(err)
+				return withUnknownOutcome(err)
 			}
 		}
 		if err := emit(serving.Piece{Data: raw}); err != nil {
-			return unknown(attempt.Canceled.Wrap(err, "the receiver of the answer failed"))
+			return withUnknownOutcome(attempt.Canceled.Wrap(err, "the receiver of the answer failed"))
 		}
 	}
 }
 
-// unknown returns err with the outcome Unknown, whatever it carried: the
-// engine ran the call.
-func unknown(err error) error {
+// withUnknownOutcome returns err with the outcome Unknown, whatever outcome it had:
+// the engine ran the call.
+func withUnknownOutcome(err error) error {
 	typed := errorx.Cast(err)
 	if typed == nil {
 		typed = failure.Internal.Wrap(err, "check of the answer's version")
--- a/adapters/engine/engine.go
+++ b/adapters/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine speaks to a model engine by the protocol of
-// docs/PLATFORM-ENGINE.md. Its Client gives orders (serving.Engine), passes
-// calls on (serving.Backend) and stages chunks (weights.Stage).
+// Package engine is the client of a model engine; docs/PLATFORM-ENGINE.md describes
+// the protocol. Client sends orders (serving.Engine), forwards calls
+// (serving.Backend) and stages chunks (weights.Stage).
 package engine
 
 import (
@@ -21,40 +21,41 @@
 	"chivespindle.example/core/weights"
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
 	DefaultControlTimeout   = 5 * time.Second
 	DefaultFirstLineTimeout = 30 * time.Second
 	DefaultStallTimeout     = 5 * time.Second
 )
 
-// maxReport bounds a status or a list of chunks in bytes.
-const maxReport = 2 << 20
+// maxReportBytes limits a status or a list of chunks.
+const maxReportBytes = 2 << 20
 
-// Options configure a Client. A zero duration means its default.
+// Options configures a Client. A zero duration selects the default.
 type Options struct {
 	// Addr is the engine's HTTP address.
 	Addr netip.AddrPort
-	// ControlTimeout is the longest wait for the answer to anything but a
-	// call.
+	// ControlTimeout is the longest wait for the response to any request other than
+	// a call.
 	ControlTimeout time.Duration
-	// FirstLineTimeout is the longest wait for the first line of an answer;
-	// the engine's own queue counts.
+	// FirstLineTimeout is the longest wait for the first line of a response,
+	// including the time in the engine's own queue.
 	FirstLineTimeout time.Duration
-	// StallTimeout is the longest time between the lines of an answer, and
-	// between the parts of a chunk.
+	// StallTimeout is the longest time between two lines of a response and between
+	// two parts of a chunk.
 	StallTimeout time.Duration
-	// CheckVersion, if set, is asked about the version of an answer's first
-	// line before any piece is handed over. If it fails the answer is cut.
+	// CheckVersion, if set, checks the version named in the first line of a
+	// response before any piece is emitted. If it fails, the response is aborted.
 	CheckVersion func(fleet.Version) error
 }
 
-// Client speaks to one engine. Its methods may be called at once.
+// Client communicates with one engine. It is safe for concurrent use.
 type Client struct {
 	options Options
 	attempt *attempt.Client
-	// repeatable carries what may be sent again: all but calls and orders.
-	repeatable *attempt.Client
+	// idempotent sends requests that may be sent twice: all except calls and
+	// orders.
+	idempotent *attempt.Client
 }
 
 var (
@@ -63,12 +64,12 @@
 	_ weights.Stage   = (*Client)(nil)
 )
 
-// New returns a client; it does not connect before it is used.
+// New returns a client. It connects on first use.
 func New(options Options) *Client {
 	setDefault(&options.ControlTimeout, DefaultControlTimeout)
 	setDefault(&options.FirstLineTimeout, DefaultFirstLineTimeout)
 	setDefault(&options.StallTimeout, DefaultStallTimeout)
-	return &Client{options: options, attempt: attempt.New(options.Addr), repeatable: attempt.NewReusing(options.Addr)}
+	return &Client{options: options, attempt: attempt.New(options.Addr), idempotent: attempt.NewReusing(options.Addr)}
 }
 
 func setDefault(value *time.Duration, fallback time.Duration) {
@@ -80,21 +81,21 @@
 // Status implements serving.Engine.
 func (c *Client) Status(ctx context.Context) (serving.EngineStatus, error) {
 	var status serving.EngineStatus
-	err := c.control(ctx, control{method: http.MethodGet, path: "/v1/status", into: &status})
+	err := c.sendControl(ctx, controlRequest{method: http.MethodGet, path: "/v1/status", into: &status})
 	return status, err
 }
 
-// Order implements serving.Engine. The engine answers once it has accepted
-// the order; Status tells when a version is loaded. Failures are
-// failure.Refused for an old fencing number, failure.NotFound if a chunk or
-// the manifest of the version is not staged, or as for any attempt. One whose
-// outcome is failure.NotRun did not reach the engine.
+// Order implements serving.Engine. The engine responds once it has accepted the
+// order; Status reports when the version is loaded. Fails with failure.Refused for
+// an outdated fencing number, with failure.NotFound if a chunk or the manifest of
+// the version is not staged, or as any other attempt. If the outcome is
+// failure.NotRun, the order did not reach the engine.
 func (c *Client) Order(ctx context.Context, order serving.Order) error {
 	raw, err := json.Marshal(order)
 	if err != nil {
 		return failure.WithOutcome(failure.Internal.Wrap(err, "encode an order"), failure.NotRun)
 	}
-	return c.control(ctx, control{
+	return c.sendControl(ctx, controlRequest{
 		method: http.MethodPost,
 		path:   "/v1/orders",
 		body:   raw,
@@ -105,7 +106,7 @@
 // Held implements weights.Stage.
 func (c *Client) Held(ctx context.Context, manifest fleet.Digest) ([]int, error) {
 	var indexes []int
-	err := c.control(ctx, control{method: http.MethodGet, path: stagingPath(manifest), into: &indexes})
+	err := c.sendControl(ctx, controlRequest{method: http.MethodGet, path: stagingPath(manifest), into: &indexes})
 	if err != nil {
 		return nil, err
 	}
@@ -113,12 +114,12 @@
 	return indexes, nil
 }
 
-// PutManifest gives the engine the list of a version's chunks, as encoded by
-// weights.Manifest.Encode. The engine needs it before an order for the
-// version. A manifest that it finds to differ from its digest is
-// failure.Corrupt.
+// PutManifest uploads the list of a version's chunks, as encoded by
+// weights.Manifest.Encode. The engine needs it before an order for the version.
+// Fails with failure.Corrupt if the engine finds that the manifest does not match
+// its digest.
 func (c *Client) PutManifest(ctx context.Context, manifest fleet.Digest, raw []byte) error {
-	return c.control(ctx, control{
+	return c.sendControl(ctx, controlRequest{
 		method: http.MethodPut,
 		path:   stagingPath(manifest) + "/manifest",
 		body:   raw,
@@ -128,19 +129,19 @@
 
 // Put implements weights.Stage.
 func (c *Client) Put(ctx context.Context, manifest fleet.Digest, index int, data []byte) error {
-	return c.control(ctx, control{method: http.MethodPut, path: chunkPath(manifest, index), body: data})
+	return c.sendControl(ctx, controlRequest{method: http.MethodPut, path: chunkPath(manifest, index), body: data})
 }
 
-// Get implements weights.Stage. The bytes are not checked.
+// Get implements weights.Stage. It does not verify the bytes.
 func (c *Client) Get(ctx context.Context, manifest fleet.Digest, index int) ([]byte, error) {
 	var data []byte
-	err := c.control(ctx, control{method: http.MethodGet, path: chunkPath(manifest, index), raw: &data})
+	err := c.sendControl(ctx, controlRequest{method: http.MethodGet, path: chunkPath(manifest, index), raw: &data})
 	return data, err
 }
 
 // Drop implements weights.Stage.
 func (c *Client) Drop(ctx context.Context, manifest fleet.Digest) error {
-	return c.control(ctx, control{method: http.MethodDelete, path: stagingPath(manifest)})
+	return c.sendControl(ctx, controlRequest{method: http.MethodDelete, path: stagingPath(manifest)})
 }
 
 func stagingPath(manifest fleet.Digest) string { return "/v1/staging/" + manifest.String() }
@@ -149,18 +150,18 @@
 	return stagingPath(manifest) + "/chunks/" + strconv.Itoa(index)
 }
 
-// control is a request other than a call.
-type control struct {
+// controlRequest is any request other than a call.
+type controlRequest struct {
 	method string
 	path   string
 	body   []byte
-	into   any                  // decoded from the answer's JSON; nil: ignored
-	raw    *[]byte              // the answer's bytes; nil: ignored
-	kinds  map[int]*errorx.Type // failures by status, before attempt.Kind
+	into   any                  // target for the JSON of the response; nil: ignored
+	raw    *[]byte              // target for the body of the response; nil: ignored
+	kinds  map[int]*errorx.Type // failure types by status; take precedence over attempt.Kind
 }
 
-func (c *Client) control(ctx context.Context, r control) error {
-	client := c.repeatable
+func (c *Client) sendControl(ctx context.Context, r controlRequest) error {
+	client := c.idempotent
 	if r.method == http.MethodPost {
 		client = c.attempt
 	}
@@ -194,7 +195,7 @@
 }
 
 func readJSON(a *attempt.Attempt, into any) error {
-	data, err := a.ReadAll(maxReport)
+	data, err := a.ReadAll(maxReportBytes)
 	if err != nil {
 		return err
 	}
--- a/adapters/engine/engine_test.go
+++ b/adapters/engine/engine_test.go
@@ -17,14 +17,15 @@
 	"chivespindle.example/core/serving"
 )
 
-// clientOf returns a client of a server that answers everything with handler.
-func clientOf(handler http.HandlerFunc) *Client {
+// newTestClient returns a client of a server that handles every request with
+// handler.
+func newTestClient(handler http.HandlerFunc) *Client {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return New(Options{Addr: netip.MustParseAddrPort(server.Listener.Addr().String())})
 }
 
-func answering(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
@@ -32,45 +33,45 @@
 }
 
 var _ = Describe("Client", func() {
-	DescribeTable("types what an engine answers to control requests",
+	DescribeTable("maps responses to control requests to failure types",
 		func(ctx SpecContext, status int, body string, do func(context.Context, *Client) error, kind *errorx.Type) {
-			err := do(ctx, clientOf(answering(status, body)))
+			err := do(ctx, newTestClient(respondWith(status, body)))
 			Expect(errorx.IsOfType(err, kind)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
 		},
-		Entry("order, old fence", 409, "", order, failure.Refused),
-		Entry("order, chunks missing", 422, "", order, failure.NotFound),
-		Entry("order, broken engine", 500, "", order, failure.Unavailable),
-		Entry("order, asked to wait", 429, "", order, failure.RateLimited),
-		Entry("order, not understood", 400, "", order, failure.Invalid),
-		Entry("order, redirected", 307, "", order, failure.Unavailable),
-		Entry("status, not JSON", 200, "x", status, failure.Corrupt),
-		Entry("status, bad digest", 200, `{"loaded":{"manifest":"1"}}`, status, failure.Corrupt),
-		Entry("chunk, none", 404, "", get, failure.NotFound),
-		Entry("manifest, does not match", 422, "", putManifest, failure.Corrupt),
+		Entry("order with an outdated fencing number", 409, "", order, failure.Refused),
+		Entry("order with missing chunks", 422, "", order, failure.NotFound),
+		Entry("order, internal error of the engine", 500, "", order, failure.Unavailable),
+		Entry("order, rate limited", 429, "", order, failure.RateLimited),
+		Entry("order, bad request", 400, "", order, failure.Invalid),
+		Entry("order, redirect", 307, "", order, failure.Unavailable),
+		Entry("status that is not JSON", 200, "x", status, failure.Corrupt),
+		Entry("status with an invalid digest", 200, `{"loaded":{"manifest":"1"}}`, status, failure.Corrupt),
+		Entry("chunk that is not staged", 404, "", get, failure.NotFound),
+		Entry("manifest that does not match its digest", 422, "", putManifest, failure.Corrupt),
 	)
 
-	It("stops at the last line though the engine keeps the answer open", func(ctx SpecContext) {
+	It("stops at the last line although the engine keeps the response open", func(ctx SpecContext) {
 		release := make(chan struct{})
-		client := clientOf(func(w http.ResponseWriter, _ *http.Request) {
+		client := newTestClient(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, join(first, token0, last(1, first)))
 			_ = http.NewResponseController(w).Flush()
 			<-release
 		})
 		DeferCleanup(func() { close(release) })
 		pieces := 0
-		answer, err := client.Do(ctx, serving.Call{ID: "a"}, func(serving.Piece) error {
+		response, err := client.Do(ctx, serving.Call{ID: "a"}, func(serving.Piece) error {
 			pieces++
 			return nil
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(pieces).To(Equal(3))
-		Expect(answer).To(Equal(serving.Answer{ID: "a", Status: 200, Version: v1}))
+		Expect(response).To(Equal(serving.Answer{ID: "a", Status: 200, Version: v1}))
 	})
 
-	It("gives a stalled engine up", func(ctx SpecContext) {
+	It("times out when the engine stalls", func(ctx SpecContext) {
 		release := make(chan struct{})
-		client := clientOf(func(http.ResponseWriter, *http.Request) { <-release })
+		client := newTestClient(func(http.ResponseWriter, *http.Request) { <-release })
 		DeferCleanup(func() { close(release) })
 		client.options.ControlTimeout = 50 * time.Millisecond
 		_, err := client.Status(ctx)
--- a/adapters/engine/answer.go
+++ b/adapters/engine/response.go
@@ -10,10 +10,10 @@
 	"chivespindle.example/core/fleet"
 )
 
-// maxLine bounds one line of an answer in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits one line of a response.
+const maxLineBytes = 1 << 20
 
-// line is any line of an answer; the fields that it has tell which.
+// line is any line of a response; the fields that are set tell its kind.
 type line struct {
 	ID      string         `json:"id"`
 	Seq     *int           `json:"seq"`
@@ -23,31 +23,32 @@
 	Version *fleet.Version `json:"version"`
 }
 
-// answerReader reads the lines of one answer and checks that they are one
-// answer, to one request, from one version.
+// responseReader reads the lines of one response and checks that all of them belong
+// to one request and one version.
 //
-// An engine that swaps answers, or loads another version under a running one,
-// would otherwise hand a caller someone else's words or a mixed text. Every
-// line is checked before it is handed on and the last line comes only after
-// all others passed, so such an answer is cut and never looks complete.
-type answerReader struct {
-	id      string // the request that the lines must name
+// An engine that mixes up responses, or loads another version while a response is
+// running, would otherwise give a caller the output of another request or of two
+// versions. Each line is checked before it is forwarded, and the last line is
+// forwarded only after all others have passed, so such a response is aborted and
+// never looks complete.
+type responseReader struct {
+	id      string // ID of the request that each line must name
 	lines   *bufio.Reader
-	begun   bool
+	started bool
 	done    bool
-	version fleet.Version // of the first line
+	version fleet.Version // from the first line
 	tokens  int
 }
 
-func newAnswerReader(r io.Reader, id string) *answerReader {
-	return &answerReader{id: id, lines: bufio.NewReaderSize(r, 4<<10)}
+func newResponseReader(r io.Reader, id string) *responseReader {
+	return &responseReader{id: id, lines: bufio.NewReaderSize(r, 4<<10)}
 }
 
-// next returns the next line with its line end, io.EOF after the last line of
-// a whole answer. A failure of the reader is returned as it is; an answer
-// that ends early is failure.Unavailable, one that breaks a rule
-// failure.Corrupt. What follows the last line is not read.
-func (r *answerReader) next() ([]byte, error) {
+// next returns the next line with its line ending, and io.EOF after the last line
+// of a complete response. An error of the underlying reader is returned unchanged;
+// a response that ends early is failure.Unavailable, one that violates the protocol
+// failure.Corrupt. Bytes after the last line are not read.
+func (r *responseReader) next() ([]byte, error) {
 	if r.done {
 		return nil, io.EOF
 	}
@@ -65,14 +66,14 @@
 	return raw, nil
 }
 
-// read returns one line with its end, in memory of its own.
-func (r *answerReader) read() ([]byte, error) {
+// read returns one line with its line ending in a newly allocated slice.
+func (r *responseReader) read() ([]byte, error) {
 	var raw []byte
 	for {
 		part, err := r.lines.ReadSlice('\n')
 		raw = append(raw, part...)
-		if len(raw) > maxLine {
-			return nil, failure.Corrupt.New("a line of the answer is longer than %d bytes", maxLine)
+		if len(raw) > maxLineBytes {
+			return nil, failure.Corrupt.New("a line of the answer is longer than %d bytes", maxLineBytes)
 		}
 		switch {
 		case err == nil:
@@ -86,12 +87,12 @@
 	}
 }
 
-func (r *answerReader) check(l line) error {
+func (r *responseReader) check(l line) error {
 	if l.ID != r.id {
 		return failure.Corrupt.New("the answer names request %q, want %q", l.ID, r.id)
 	}
 	switch {
-	case !r.begun:
+	case !r.started:
 		return r.checkFirst(l)
 	case l.Done:
 		return r.checkLast(l)
@@ -100,16 +101,16 @@
 	}
 }
 
-func (r *answerReader) checkFirst(l line) error {
+func (r *responseReader) checkFirst(l line) error {
 	if l.Version == nil || l.Version.IsZero() || l.Done || l.Token != nil {
 		return failure.Corrupt.New("the first line of the answer does not name a version alone")
 	}
-	r.begun = true
+	r.started = true
 	r.version = *l.Version
 	return nil
 }
 
-func (r *answerReader) checkToken(l line) error {
+func (r *responseReader) checkToken(l line) error {
 	if l.Seq == nil || l.Token == nil {
 		return failure.Corrupt.New("line %d of the answer has no token", r.tokens)
 	}
@@ -123,7 +124,7 @@
 	return nil
 }
 
-func (r *answerReader) checkLast(l line) error {
+func (r *responseReader) checkLast(l line) error {
 	if l.Version == nil || *l.Version != r.version {
 		return failure.Corrupt.New("the answer began with version %s and does not end with it", r.version)
 	}
