--- a/adapters/engine/attempt/attempt.go
+++ b/adapters/engine/attempt/attempt.go
@@ -61,11 +61,11 @@
 	return newClient(addr, transport)
 }
 
-// NewReusing returns a client that reuses connections, for requests that may be
+// NewKeepAlive returns a client that reuses connections, for requests that may be
 // sent twice: reading a status, staging a chunk and reading it back. A burst of
 // transfers stages and reads thousands of chunks per second, and a new connection
 // costs several times as much as the request itself.
-func NewReusing(addr netip.AddrPort) *Client {
+func NewKeepAlive(addr netip.AddrPort) *Client {
 	const (
 		idleConnections = 16
 		idleTimeout     = 5 * time.Second
@@ -104,12 +104,12 @@
 	Path   string // absolute and unescaped
 	Header http.Header
 	Body   []byte
-	// First is the longest time from the end of Body to the first byte
-	// of the response body, Stall the longest time without progress after
+	// FirstByteTimeout is the longest time from the end of Body to the first byte
+	// of the response body, StallTimeout the longest time without progress after
 	// that and while Body is sent. Both are needed because a stalled server does
 	// not close its connection.
-	First time.Duration
-	Stall time.Duration
+	FirstByteTimeout time.Duration
+	StallTimeout     time.Duration
 }
 
 // CallHeader returns the headers of a request that forwards call to a backend
@@ -142,11 +142,11 @@
 // connection was established; once connected, the server may have read the request.
 // After a nil error, Close must be called.
 func (c *Client) Send(ctx context.Context, r Request) (*Attempt, error) {
-	d := newDeadline(ctx, r.First)
+	d := newDeadline(ctx, r.FirstByteTimeout)
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	target := url.URL{Scheme: "http", Host: c.server, Path: r.Path}
-	body := &progressReader{reader: bytes.NewReader(r.Body), deadline: d, stallTimeout: r.Stall, firstByteTimeout: r.First}
+	body := &progressReader{reader: bytes.NewReader(r.Body), deadline: d, stallTimeout: r.StallTimeout, firstByteTimeout: r.FirstByteTimeout}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(d.ctx, trace), r.Method, target.String(), body)
 	if err != nil {
 		d.end()
@@ -176,7 +176,7 @@
 		length:       response.ContentLength,
 		framed:       exchange.EndIsFramed(response),
 		deadline:     d,
-		stallTimeout: r.Stall,
+		stallTimeout: r.StallTimeout,
 	}, nil
 }
 
@@ -270,9 +270,9 @@
 	}
 }
 
-// Declined returns the error for a response with an error status. Its message
+// StatusError returns the error for a response with an error status. Its message
 // contains the beginning of the response body.
-func (a *Attempt) Declined(kind *errorx.Type) error {
+func (a *Attempt) StatusError(kind *errorx.Type) error {
 	const maxShownBytes = 512
 	reason, err := io.ReadAll(io.LimitReader(a, maxShownBytes))
 	if err != nil {
--- a/adapters/engine/attempt/attempt_test.go
+++ b/adapters/engine/attempt/attempt_test.go
@@ -61,12 +61,12 @@
 func request(body string) attempt.Request {
 	call := serving.Call{ID: "a1", IdempotencyKey: "order-1", Priority: 2, Traceparent: "00-01-02-01"}
 	return attempt.Request{
-		Method: http.MethodPost,
-		Path:   "/v1/call/parts",
-		Header: attempt.CallHeader(call),
-		Body:   []byte(body),
-		First:  longTimeout,
-		Stall:  longTimeout,
+		Method:           http.MethodPost,
+		Path:             "/v1/call/parts",
+		Header:           attempt.CallHeader(call),
+		Body:             []byte(body),
+		FirstByteTimeout: longTimeout,
+		StallTimeout:     longTimeout,
 	}
 }
 
@@ -204,7 +204,7 @@
 			a, err := attempt.New(s.addr()).Send(ctx, request("x"))
 			Expect(err).NotTo(HaveOccurred())
 			defer a.Close()
-			err = a.Declined(failure.Unavailable)
+			err = a.StatusError(failure.Unavailable)
 			Expect(failure.OutcomeOf(err)).To(Equal(want))
 			Expect(failure.RetryAfter(err)).To(Equal(pause))
 			Expect(err).To(MatchError(ContainSubstring(`"why"`)))
@@ -228,8 +228,8 @@
 			})
 			DeferCleanup(func() { close(release) })
 			r := request(body)
-			r.First = shortTimeout
-			r.Stall = shortTimeout
+			r.FirstByteTimeout = shortTimeout
+			r.StallTimeout = shortTimeout
 			_, err := send(ctx, attempt.New(s.addr()), r)
 			Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 			Expect(failure.OutcomeOf(err)).To(Equal(failure.Unknown))
@@ -267,8 +267,8 @@
 		})
 		DeferCleanup(func() { close(release) })
 		r := request(strings.Repeat("x", 32<<20))
-		r.First = time.Hour
-		r.Stall = 500 * time.Millisecond
+		r.FirstByteTimeout = time.Hour
+		r.StallTimeout = 500 * time.Millisecond
 		a, err := attempt.New(s.addr()).Send(ctx, r)
 		Expect(err).NotTo(HaveOccurred())
 		defer a.Close()
@@ -332,7 +332,7 @@
 		}))
 		client := attempt.New(netip.MustParseAddrPort(s.Listener.Addr().String()))
 		stalled := request("x")
-		stalled.First = shortTimeout
+		stalled.FirstByteTimeout = shortTimeout
 		_, err := send(ctx, client, stalled)
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 		limited, cancel := context.WithTimeout(ctx, shortTimeout)
--- a/adapters/engine/call.go
+++ b/adapters/engine/call.go
@@ -30,12 +30,12 @@
 	header := attempt.CallHeader(call)
 	header.Set("Content-Type", "application/json")
 	a, err := c.attempt.Send(ctx, attempt.Request{
-		Method: http.MethodPost,
-		Path:   "/v1/" + PathGenerate,
-		Header: header,
-		Body:   call.Body,
-		First:  c.options.FirstLineTimeout,
-		Stall:  c.options.StallTimeout,
+		Method:           http.MethodPost,
+		Path:             "/v1/" + PathGenerate,
+		Header:           header,
+		Body:             call.Body,
+		FirstByteTimeout: c.options.FirstLineTimeout,
+		StallTimeout:     c.options.StallTimeout,
 	})
 	if err != nil {
 		return serving.Answer{}, err
@@ -43,7 +43,7 @@
 	defer a.Close()
 	response := serving.Answer{ID: a.ID(), Status: a.Status}
 	if a.Status != http.StatusOK {
-		return response, a.Declined(attempt.Kind(a.Status))
+		return response, a.StatusError(attempt.Kind(a.Status))
 	}
 	lines := newResponseReader(a, call.ID)
 	err = c.relay(lines, emit)
--- a/adapters/engine/engine.go
+++ b/adapters/engine/engine.go
@@ -69,7 +69,7 @@
 	setDefault(&options.ControlTimeout, DefaultControlTimeout)
 	setDefault(&options.FirstLineTimeout, DefaultFirstLineTimeout)
 	setDefault(&options.StallTimeout, DefaultStallTimeout)
-	return &Client{options: options, attempt: attempt.New(options.Addr), idempotent: attempt.NewReusing(options.Addr)}
+	return &Client{options: options, attempt: attempt.New(options.Addr), idempotent: attempt.NewKeepAlive(options.Addr)}
 }
 
 func setDefault(value *time.Duration, fallback time.Duration) {
@@ -166,11 +166,11 @@
 		client = c.attempt
 	}
 	a, err := client.Send(ctx, attempt.Request{
-		Method: r.method,
-		Path:   r.path,
-		Body:   r.body,
-		First:  c.options.ControlTimeout,
-		Stall:  c.options.StallTimeout,
+		Method:           r.method,
+		Path:             r.path,
+		Body:             r.body,
+		FirstByteTimeout: c.options.ControlTimeout,
+		StallTimeout:     c.options.StallTimeout,
 	})
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 		if kind == nil {
 			kind = attempt.Kind(a.Status)
 		}
-		return a.Declined(kind)
+		return a.StatusError(kind)
 	}
 	switch {
 	case r.into != nil:
--- a/adapters/plainservice/plainservice.go
+++ b/adapters/plainservice/plainservice.go
@@ -69,17 +69,17 @@
 // zero.
 func (c *Client) Status(ctx context.Context) (serving.Load, error) {
 	a, err := c.attempt.Send(ctx, attempt.Request{
-		Method: http.MethodGet,
-		Path:   statusPath,
-		First:  c.options.StatusTimeout,
-		Stall:  c.options.StallTimeout,
+		Method:           http.MethodGet,
+		Path:             statusPath,
+		FirstByteTimeout: c.options.StatusTimeout,
+		StallTimeout:     c.options.StallTimeout,
 	})
 	if err != nil {
 		return serving.Load{}, err
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
-		return serving.Load{}, a.Declined(attempt.Kind(a.Status))
+		return serving.Load{}, a.StatusError(attempt.Kind(a.Status))
 	}
 	raw, err := a.ReadAll(maxStatus)
 	if err != nil {
@@ -103,12 +103,12 @@
 		return serving.Answer{}, err
 	}
 	a, err := c.attempt.Send(ctx, attempt.Request{
-		Method: http.MethodPost,
-		Path:   path,
-		Header: attempt.CallHeader(call),
-		Body:   call.Body,
-		First:  c.options.FirstTimeout,
-		Stall:  c.options.StallTimeout,
+		Method:           http.MethodPost,
+		Path:             path,
+		Header:           attempt.CallHeader(call),
+		Body:             call.Body,
+		FirstByteTimeout: c.options.FirstTimeout,
+		StallTimeout:     c.options.StallTimeout,
 	})
 	if err != nil {
 		return serving.Answer{}, err
@@ -116,7 +116,7 @@
 	defer a.Close()
 	answer := serving.Answer{ID: a.ID(), Status: a.Status}
 	if a.NotRun() {
-		return answer, a.Declined(attempt.Kind(a.Status))
+		return answer, a.StatusError(attempt.Kind(a.Status))
 	}
 	if answer.ID != call.ID {
 		mixed := failure.Corrupt.New("the answer names request %q, want %q", answer.ID, call.ID)
