--- a/adapters/callerhttp/callerhttptest/callerhttptest.go
+++ b/adapters/callerhttp/callerhttptest/callerhttptest.go
@@ -1,5 +1,5 @@
-// Package callerhttptest holds what the tests of the callers' interface and of
-// its client share: a server before a dispatcher that the test makes.
+// Package callerhttptest provides fixtures for tests of the callers' interface and
+// of its client: a server with a dispatcher that the test supplies.
 package callerhttptest
 
 import (
@@ -22,11 +22,11 @@
 )
 
 const (
-	// Patience bounds the wait for something that must happen.
+	// Patience is the timeout for events that must happen.
 	Patience = 20 * time.Second
-	// MaxBody is the bound of the server's request bodies in bytes.
+	// MaxBody is the maximum size of the server's request bodies in bytes.
 	MaxBody = 64
-	// DefaultDeadline is far from every deadline that a test names.
+	// DefaultDeadline differs clearly from every deadline that a test sets.
 	DefaultDeadline = 30 * time.Second
 )
 
@@ -38,8 +38,7 @@
 	return d(ctx, r, sink)
 }
 
-// Book answers address questions and issues keys. A nil field answers with
-// nothing.
+// Book returns addresses and issues keys. A nil field returns the zero value.
 type Book struct {
 	Near func(fleet.Place) addressing.Result
 	Key  func(fleet.ServiceName) (string, error)
@@ -67,7 +66,7 @@
 	return ServeWith(d, b, tally.NoopScope, zap.NewNop())
 }
 
-// ServeWith is Serve with metrics and a log.
+// ServeWith is Serve with metrics and a logger.
 func ServeWith(d Dispatcher, b Book, metrics tally.Scope, logger *zap.Logger) netip.AddrPort {
 	ginkgo.GinkgoHelper()
 	server, err := callerhttp.New(callerhttp.Options{
@@ -87,7 +86,7 @@
 	return server.Addr()
 }
 
-// Answered gives an answer piece by piece and then ends with err.
+// Answered writes a response piece by piece and then returns err.
 func Answered(status int, version fleet.Version, err error, pieces ...string) Dispatcher {
 	return func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
 		if err := sink.Begin(calls.Begin{Status: status, Version: version}); err != nil {
@@ -102,12 +101,12 @@
 	}
 }
 
-// Refused ends without an answer.
+// Refused returns err without a response.
 func Refused(err error) Dispatcher {
 	return func(context.Context, calls.Request, calls.Sink) (calls.End, error) { return calls.End{}, err }
 }
 
-// Failed makes a failure with an outcome, and a pause if that is not 0.
+// Failed returns an error with an outcome, and with a retry delay if that is not 0.
 func Failed(kind *errorx.Type, outcome failure.Outcome, comeBack time.Duration) error {
 	err := failure.WithOutcome(kind.New("for the test"), outcome)
 	if comeBack > 0 {
--- a/adapters/callerhttp/rig_test.go
+++ b/adapters/callerhttp/helpers_test.go
@@ -24,10 +24,10 @@
 	"chivespindle.example/core/fleet"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// pages answers address questions for one zone and issues keys, or fails to.
-func pages(err error) callerhttptest.Book {
+// testBook returns addresses for one zone and issues keys, or fails to with err.
+func testBook(err error) callerhttptest.Book {
 	return callerhttptest.Book{
 		Near: func(near fleet.Place) addressing.Result {
 			result := addressing.Result{TTL: 1500 * time.Millisecond}
@@ -40,9 +40,9 @@
 	}
 }
 
-// raw sends bytes as they are on a connection of their own and returns all
-// that came back, and whether the connection was closed in the middle of it.
-func raw(addr netip.AddrPort, request string) string {
+// exchangeRaw sends a request on a new connection and returns the rendered
+// response, or a line that says that the connection was closed without one.
+func exchangeRaw(addr netip.AddrPort, request string) string {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", addr.String())
 	Expect(err).NotTo(HaveOccurred())
@@ -60,8 +60,8 @@
 
 var requestID = regexp.MustCompile(`[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}`)
 
-// render writes an answer as the golden files show it: what differs from run
-// to run is masked.
+// render formats a response as in the golden files, with values that differ from
+// run to run masked.
 func render(response *http.Response) string {
 	body, err := io.ReadAll(response.Body)
 	var out strings.Builder
@@ -89,7 +89,7 @@
 	}
 }
 
-// expectGolden compares with testdata/<name>.golden.
+// expectGolden compares got with testdata/<name>.golden.
 func expectGolden(name, got string) {
 	GinkgoHelper()
 	path := filepath.Join("testdata", name+".golden")
--- a/adapters/callerhttp/request.go
+++ b/adapters/callerhttp/request.go
@@ -33,7 +33,7 @@
 	HeaderRequestID     = "Request-Id"
 )
 
-// maxKeyBytes bounds what a home keeps for each key.
+// maxKeyBytes limits the memory that a home uses for each key.
 const maxKeyBytes = 256
 
 const (
@@ -42,58 +42,59 @@
 	noPriority = -1
 )
 
-// request serves POST /v1/services/{service}/{path...}.
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
+// serveRequest serves POST /v1/services/{service}/{path...}.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id := uuid.NewString()
 	w.Header().Set(HeaderRequestID, id)
 	ctx, span := s.opts.Tracer.Start(telemetry.Extract(r.Context(), r.Header.Get("Traceparent")), "entry.request")
 	defer span.End()
 	req, err := s.parse(w, r, id)
 	if err != nil {
-		s.refuse(w, id, err)
+		s.writeError(w, id, err)
 		return
 	}
-	answer := &sink{w: w}
-	defer s.countCut(answer)
-	started := time.Now()
-	end, err := s.opts.Dispatcher.Dispatch(ctx, req, answer)
+	response := &sink{w: w}
+	defer s.countAborted(response)
+	startTime := time.Now()
+	completion, err := s.opts.Dispatcher.Dispatch(ctx, req, response)
 	if err == nil {
-		err = answer.finish()
+		err = response.finish()
 	}
 	if err != nil {
-		answer.giveUp()
+		response.abort()
 	}
-	s.logRequest(req, started, end, answer.stage, err)
-	switch answer.stage {
+	s.logRequest(req, startTime, completion, response.stage, err)
+	switch response.stage {
 	case refused:
-		s.refuse(w, id, err)
-	case cut:
-		// Ending the answer in order would make a part of it look whole.
+		s.writeError(w, id, err)
+	case aborted:
+		// Returning normally would terminate the body as if the response were
+		// complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// countCut follows a request. An answer that is still going on then ended by a panic,
-// upon which net/http closes the connection.
-func (s *Server) countCut(answer *sink) {
-	if answer.stage == begun || answer.stage == cut {
-		s.cut.Inc(1)
+// countAborted runs at the end of a request. A response that is still in progress
+// then was ended by a panic, and net/http closes its connection.
+func (s *Server) countAborted(response *sink) {
+	if response.stage == started || response.stage == aborted {
+		s.aborted.Inc(1)
 	}
 }
 
-func (s *Server) logRequest(req calls.Request, started time.Time, end calls.End, got stage, err error) {
+func (s *Server) logRequest(req calls.Request, startTime time.Time, completion calls.End, stageReached stage, err error) {
 	fields := []zap.Field{
 		zap.String("request_id", req.ID),
 		zap.String("service", string(req.Service)),
 		zap.String("workspace", string(req.Workspace)),
-		zap.Duration("took", time.Since(started)),
+		zap.Duration("took", time.Since(startTime)),
 	}
 	if err != nil {
-		fields = append(fields, zap.Stringer("answer", got), zap.Stringer("outcome", failure.OutcomeOf(err)), zap.Error(err))
+		fields = append(fields, zap.Stringer("answer", stageReached), zap.Stringer("outcome", failure.OutcomeOf(err)), zap.Error(err))
 		s.opts.Logger.Info("request_failed", fields...)
 		return
 	}
-	fields = append(fields, zap.String("server", string(end.Server)), zap.Stringer("version", end.Version))
+	fields = append(fields, zap.String("server", string(completion.Server)), zap.Stringer("version", completion.Version))
 	s.opts.Logger.Info("request_answered", fields...)
 }
 
@@ -117,10 +118,10 @@
 	if len(req.IdempotencyKey) > maxKeyBytes {
 		return calls.Request{}, badRequest("%s is longer than %d bytes", HeaderKey, maxKeyBytes)
 	}
-	if req.NonIdempotent, err = parseMark(r.Header, HeaderNonIdempotent); err != nil {
+	if req.NonIdempotent, err = parseBool(r.Header, HeaderNonIdempotent); err != nil {
 		return calls.Request{}, err
 	}
-	if req.FirstAsk, err = parseMark(r.Header, HeaderFirstAsk); err != nil {
+	if req.FirstAsk, err = parseBool(r.Header, HeaderFirstAsk); err != nil {
 		return calls.Request{}, err
 	}
 	if req.NonIdempotent && req.IdempotencyKey == "" {
@@ -129,11 +130,11 @@
 	if req.Priority, err = parsePriority(r.Header.Get(HeaderPriority)); err != nil {
 		return calls.Request{}, err
 	}
-	wait, err := s.parseDeadline(r.Header.Get(HeaderDeadline))
+	timeout, err := s.parseDeadline(r.Header.Get(HeaderDeadline))
 	if err != nil {
 		return calls.Request{}, err
 	}
-	req.Deadline = time.Now().Add(wait)
+	req.Deadline = time.Now().Add(timeout)
 	return req, nil
 }
 
@@ -153,7 +154,7 @@
 	return failure.WithOutcome(calls.BadRequest.New(format, args...), failure.NotRun)
 }
 
-// PrefixKey folds a caller's prefix name to a number; 0 stands for none.
+// PrefixKey hashes the name of a prompt prefix to a number; 0 means no prefix.
 func PrefixKey(name string) uint64 {
 	if name == "" {
 		return 0
@@ -163,7 +164,7 @@
 	return h.Sum64()
 }
 
-func parseMark(header http.Header, name string) (bool, error) {
+func parseBool(header http.Header, name string) (bool, error) {
 	text := header.Get(name)
 	switch text {
 	case "", "?0":
@@ -174,8 +175,8 @@
 	return false, badRequest("%s must be ?1 or ?0, got %q", name, text)
 }
 
-// parsePriority reads the urgency of an RFC 9218 Priority field. Parameters
-// that the RFC allows and this system does not use are passed over.
+// parsePriority returns the urgency of an RFC 9218 Priority field. Other parameters
+// that the RFC allows are ignored.
 func parsePriority(text string) (int, error) {
 	for _, part := range strings.Split(text, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "u=")
@@ -195,53 +196,54 @@
 	if text == "" {
 		return s.opts.DefaultDeadline, nil
 	}
-	const longest = time.Hour
-	wait, err := time.ParseDuration(text)
-	if err != nil || wait <= 0 || wait > longest {
-		return 0, badRequest("%s must be a duration up to %s such as 5s, got %q", HeaderDeadline, longest, text)
+	const maxDeadline = time.Hour
+	timeout, err := time.ParseDuration(text)
+	if err != nil || timeout <= 0 || timeout > maxDeadline {
+		return 0, badRequest("%s must be a duration up to %s such as 5s, got %q", HeaderDeadline, maxDeadline, text)
 	}
-	return wait, nil
+	return timeout, nil
 }
 
-// Refusal is the JSON body of an answer that is not the backend server's.
+// Refusal is the JSON body of an error response of the entry itself, not of the
+// backend server.
 type Refusal struct {
 	RequestID    string `json:"request_id"`
 	Outcome      string `json:"outcome"` // ran, not_run or unknown
-	Error        string `json:"error"`   // type of the failure
+	Error        string `json:"error"`   // failure type
 	Reason       string `json:"reason"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-func (s *Server) refuse(w http.ResponseWriter, id string, err error) {
-	s.refuseAs(w, id, statusOf(err), err)
+func (s *Server) writeError(w http.ResponseWriter, id string, err error) {
+	s.writeErrorStatus(w, id, statusOf(err), err)
 }
 
-func (s *Server) refuseAs(w http.ResponseWriter, id string, status int, err error) {
+func (s *Server) writeErrorStatus(w http.ResponseWriter, id string, status int, err error) {
 	outcome := failure.OutcomeOf(err)
-	refusal := Refusal{
+	body := Refusal{
 		RequestID: id,
 		Outcome:   outcome.String(),
 		Error:     typeName(err),
 		Reason:    reasonText(err),
 	}
-	if pause := failure.RetryAfter(err); pause > 0 {
-		refusal.RetryAfterMS = pause.Milliseconds()
-		w.Header().Set("Retry-After", strconv.Itoa(wholeSeconds(pause)))
+	if retryAfter := failure.RetryAfter(err); retryAfter > 0 {
+		body.RetryAfterMS = retryAfter.Milliseconds()
+		w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(retryAfter)))
 	}
 	w.Header().Set(HeaderOutcome, outcome.String())
-	writeJSON(w, status, refusal)
+	writeJSON(w, status, body)
 }
 
-// reasonText is the message of a failure without its type, which has a field
-// of its own.
+// reasonText returns the message of an error without its type name, which has a
+// field of its own.
 func reasonText(err error) string {
 	return strings.TrimPrefix(err.Error(), typeName(err)+": ")
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions and a caller that
-// comes back early is refused again.
-func wholeSeconds(pause time.Duration) int {
-	return int((pause + time.Second - 1) / time.Second)
+// ceilSeconds rounds up, since Retry-After has no fractions and a caller that
+// retries early is rejected again.
+func ceilSeconds(d time.Duration) int {
+	return int((d + time.Second - 1) / time.Second)
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/adapters/callerhttp/answers.go
+++ b/adapters/callerhttp/responses.go
@@ -12,40 +12,40 @@
 	"chivespindle.example/core/fleet"
 )
 
-// AddressAnswer is the body of GET /v1/addresses, best address first.
+// AddressAnswer is the response body of GET /v1/addresses, best address first.
 type AddressAnswer struct {
 	Addresses  []netip.AddrPort `json:"addresses"`
 	TTLSeconds int              `json:"ttl_seconds"`
 }
 
-func (s *Server) addresses(w http.ResponseWriter, r *http.Request) {
-	near := fleet.Place{
+func (s *Server) serveAddresses(w http.ResponseWriter, r *http.Request) {
+	place := fleet.Place{
 		Zone:   fleet.Zone(r.URL.Query().Get("zone")),
 		Region: fleet.Region(r.URL.Query().Get("region")),
 	}
-	result := s.opts.Addresses.Addresses(near)
-	answer := AddressAnswer{TTLSeconds: wholeSeconds(result.TTL), Addresses: []netip.AddrPort{}}
-	answer.Addresses = append(answer.Addresses, result.Addresses...)
-	w.Header().Set("Cache-Control", "max-age="+strconv.Itoa(answer.TTLSeconds))
-	writeJSON(w, http.StatusOK, answer)
+	result := s.opts.Addresses.Addresses(place)
+	response := AddressAnswer{TTLSeconds: ceilSeconds(result.TTL), Addresses: []netip.AddrPort{}}
+	response.Addresses = append(response.Addresses, result.Addresses...)
+	w.Header().Set("Cache-Control", "max-age="+strconv.Itoa(response.TTLSeconds))
+	writeJSON(w, http.StatusOK, response)
 }
 
-// KeyAnswer is the body of POST /v1/keys/{service}.
+// KeyAnswer is the response body of POST /v1/keys/{service}.
 type KeyAnswer struct {
 	Key string `json:"idempotency_key"`
 }
 
-func (s *Server) issueKey(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveKey(w http.ResponseWriter, r *http.Request) {
 	key, err := s.opts.Keys.IssueKey(fleet.ServiceName(r.PathValue("service")))
 	if err != nil {
-		s.refuse(w, "", err)
+		s.writeError(w, "", err)
 		return
 	}
 	writeJSON(w, http.StatusOK, KeyAnswer{Key: key})
 }
 
-// statusByType maps failures to HTTP statuses; all others are 502 or 503 by
-// whether coming back makes sense.
+// statusByType maps failure types to HTTP statuses. All other failures are 503 if
+// the request did not run, so that a retry is safe, and 502 otherwise.
 var statusByType = []struct {
 	kind   *errorx.Type
 	status int
--- a/adapters/callerhttp/sink.go
+++ b/adapters/callerhttp/sink.go
@@ -10,48 +10,50 @@
 	"chivespindle.example/core/fleet"
 )
 
-// OutOfOrder means that a dispatcher took a step of an answer that is not the next one.
+// OutOfOrder means that a dispatcher called the methods of a sink in the wrong
+// order.
 var OutOfOrder = failure.Internal.NewSubtype("answer_out_of_order")
 
-// maxStatus is the largest status that net/http writes.
+// maxStatus is the largest status that net/http accepts.
 const maxStatus = 999
 
-// stage is what the caller has got.
+// stage is what the caller has received so far.
 type stage int
 
 const (
-	nothing stage = iota
-	begun         // a status and maybe pieces
+	notStarted stage = iota
+	started          // a status and possibly pieces
 	complete
 	refused
-	cut
+	aborted
 )
 
-// String returns the stage as logs show it.
+// String returns the name of the stage for logs.
 func (s stage) String() string {
 	return [...]string{"nothing", "begun", "complete", "refused", "cut"}[s]
 }
 
-// sink is the only writer to the caller of a request. An answer is complete once
-// finish has marked it: by the trailer, or by the header if its status has no body. A
-// step that fails or is out of order ends the answer, whatever steps follow, so that
-// it is refused if the caller has nothing and else cut.
+// sink is the only writer of the response to a request. A response is complete once
+// finish has marked it: in the trailer, or in the header if its status has no body.
+// After a call that fails or is out of order the response cannot be completed,
+// whatever calls follow: an error response is sent if the caller has received
+// nothing, otherwise the response is aborted.
 type sink struct {
 	w      http.ResponseWriter
 	stage  stage
 	status int
-	failed error // of the first step that failed
+	err    error // error of the first call that failed
 }
 
 // Begin implements calls.Sink.
 func (k *sink) Begin(b calls.Begin) error {
-	if err := k.expect(nothing, "begins"); err != nil {
+	if err := k.checkStage(notStarted, "begins"); err != nil {
 		return err
 	}
 	if b.Status < http.StatusOK || b.Status > maxStatus {
 		return k.fail(failure.Corrupt.New("the answer has status %d", b.Status))
 	}
-	k.stage, k.status = begun, b.Status
+	k.stage, k.status = started, b.Status
 	h := k.w.Header()
 	if !b.Version.IsZero() {
 		h.Set(HeaderVersion, versionText(b.Version))
@@ -66,7 +68,7 @@
 
 // Piece implements calls.Sink.
 func (k *sink) Piece(p []byte) error {
-	if err := k.expect(begun, "goes on"); err != nil {
+	if err := k.checkStage(started, "goes on"); err != nil {
 		return err
 	}
 	if len(p) == 0 {
@@ -84,9 +86,9 @@
 	return nil
 }
 
-// finish marks the answer as complete.
+// finish marks the response as complete.
 func (k *sink) finish() error {
-	if err := k.expect(begun, "ends"); err != nil {
+	if err := k.checkStage(started, "ends"); err != nil {
 		return err
 	}
 	k.stage = complete
@@ -97,33 +99,33 @@
 	return nil
 }
 
-// giveUp ends an answer that is not complete: it is to be refused if the caller has
-// nothing, and else cut.
-func (k *sink) giveUp() {
-	if k.stage == nothing {
+// abort ends an incomplete response: it is replaced by an error response if the
+// caller has received nothing, and aborted otherwise.
+func (k *sink) abort() {
+	if k.stage == notStarted {
 		k.stage = refused
 		return
 	}
-	k.stage = cut
+	k.stage = aborted
 }
 
-func (k *sink) expect(want stage, doing string) error {
-	if k.failed != nil {
-		return k.failed
+func (k *sink) checkStage(want stage, action string) error {
+	if k.err != nil {
+		return k.err
 	}
 	if k.stage != want {
-		return k.fail(OutOfOrder.New("the answer %s when the caller has: %s", doing, k.stage))
+		return k.fail(OutOfOrder.New("the answer %s when the caller has: %s", action, k.stage))
 	}
 	return nil
 }
 
 func (k *sink) fail(err *errorx.Error) error {
-	k.failed = failure.WithOutcome(err, failure.Unknown)
-	return k.failed
+	k.err = failure.WithOutcome(err, failure.Unknown)
+	return k.err
 }
 
-// Bodyless reports whether answers of a status have no body and so no
-// trailer; their outcome is a header.
+// Bodyless reports whether responses with the status have no body and therefore no
+// trailer; their outcome is sent in the header.
 func Bodyless(status int) bool {
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
--- a/adapters/callerhttp/steps_test.go
+++ b/adapters/callerhttp/sink_test.go
@@ -25,15 +25,16 @@
 	"chivespindle.example/core/failure"
 )
 
-// Steps of a dispatcher, one letter each; the last one ends the request.
+// Steps of a dispatcher, one letter each; the last step ends the request.
 const (
 	begin, beginEmpty, beginInterim = 'b', 'n', 'i'
 	piece, emptyPiece               = 'p', 'e'
 	succeed, fail, abort            = '.', '!', '^'
 )
 
-// play is a dispatcher that takes the steps of the request's body and ignores failures.
-func play(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
+// playScript is a dispatcher that executes the steps in the request body and ignores
+// errors.
+func playScript(_ context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
 	for _, step := range r.Body {
 		switch step {
 		case begin:
@@ -55,32 +56,32 @@
 	return calls.End{}, nil
 }
 
-// What a caller can make of the bytes that it got.
+// How a caller interprets the bytes that it received.
 const (
-	whole   = "whole"
-	refused = "refused"
-	cut     = "cut"
-	unclear = "complete by its framing, and neither whole nor refused"
+	complete = "complete response"
+	refused  = "error response"
+	aborted  = "aborted"
+	unclear  = "complete by its framing, and neither a complete response nor an error response"
 )
 
-func readAs(got []byte) (kind, body string) {
+func classify(got []byte) (kind, body string) {
 	in := bufio.NewReader(bytes.NewReader(got))
 	response, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return cut, ""
+		return aborted, ""
 	}
 	content, err := io.ReadAll(response.Body)
 	outcome := response.Header.Get(callerhttp.HeaderOutcome)
-	isRefusal := json.Unmarshal(content, &callerhttp.Refusal{}) == nil && response.StatusCode >= http.StatusBadRequest
+	isErrorResponse := json.Unmarshal(content, &callerhttp.Refusal{}) == nil && response.StatusCode >= http.StatusBadRequest
 	switch {
 	case err != nil:
-		return cut, string(content)
+		return aborted, string(content)
 	case in.Buffered() > 0:
 		return "followed by other bytes", string(content)
 	case outcome == "" && response.Trailer.Get(callerhttp.HeaderOutcome) == failure.Ran.String(),
 		outcome == failure.Ran.String() && callerhttp.Bodyless(response.StatusCode):
-		return whole, string(content)
-	case outcome == failure.Unknown.String() && isRefusal:
+		return complete, string(content)
+	case outcome == failure.Unknown.String() && isErrorResponse:
 		return refused, ""
 	}
 	return unclear, string(content)
@@ -99,7 +100,8 @@
 	return got
 }
 
-// scripts returns all sequences of up to length steps, each with each of the ends.
+// scripts returns all sequences of up to length steps, each followed by each of the
+// endings.
 func scripts(length int) []string {
 	sequences := []string{""}
 	for first := 0; length > 0; length-- {
@@ -121,46 +123,49 @@
 }
 
 var (
-	inOrder    = regexp.MustCompile(`^(b[pe]*|ne*)\.$`)
-	neverBegan = regexp.MustCompile(`^([^bn].*)?[.!]$`)
+	inOrder      = regexp.MustCompile(`^(b[pe]*|ne*)\.$`)
+	neverStarted = regexp.MustCompile(`^([^bn].*)?[.!]$`)
 )
 
-// Guards against an answer that looks complete and is not, whatever a dispatcher does.
-var _ = It("An answer is complete only after all of its steps in order", func() {
-	addr := callerhttptest.Serve(play, pages(nil))
+// Guards against an incomplete response that looks complete, whatever the
+// dispatcher does.
+var _ = It("A response is complete only after all of its steps in order", func() {
+	addr := callerhttptest.Serve(playScript, testBook(nil))
 	for _, script := range scripts(3) {
-		kind, body := readAs(exchangeBytes(addr, post(service, script)))
+		kind, body := classify(exchangeBytes(addr, post(service, script)))
 		switch {
 		case inOrder.MatchString(script):
-			Expect(kind).To(Equal(whole), script)
+			Expect(kind).To(Equal(complete), script)
 			Expect(body).To(Equal(strings.Repeat("p", strings.Count(script, "p"))), script)
-		case neverBegan.MatchString(script):
+		case neverStarted.MatchString(script):
 			Expect(kind).To(Equal(refused), script)
 		default:
-			Expect(kind).To(Equal(cut), script)
+			Expect(kind).To(Equal(aborted), script)
 		}
 	}
 })
 
-// Guards against cut answers that operators cannot tell from refusals.
-var _ = It("Answers that were cut are counted apart from refusals", func() {
+// Guards against aborted responses that operators cannot distinguish from error
+// responses.
+var _ = It("Aborted responses are counted separately from error responses", func() {
 	metrics := tally.NewTestScope("", nil)
-	addr := callerhttptest.ServeWith(play, pages(nil), metrics, zap.NewNop())
+	addr := callerhttptest.ServeWith(playScript, testBook(nil), metrics, zap.NewNop())
 	for _, script := range []string{"bp.", "bp!", "!", "bpb.", "bp^", "^"} {
 		exchangeBytes(addr, post(service, script))
 	}
 	Expect(metrics.Snapshot().Counters()["answers_cut+"].Value()).To(BeEquivalentTo(3))
 })
 
-// Guards against an answer that was cut by a fault of our own, with nothing in the log.
-var _ = It("A panic that cuts an answer is logged", func() {
+// Guards against a panic of this process that aborts a response without a log
+// entry.
+var _ = It("A panic that aborts a response is logged", func() {
 	core, logged := observer.New(zap.WarnLevel)
 	addr := callerhttptest.ServeWith(func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
 		Expect(sink.Begin(calls.Begin{Status: http.StatusOK})).To(Succeed())
 		Expect(sink.Piece([]byte("p"))).To(Succeed())
 		panic("for the test")
-	}, pages(nil), tally.NoopScope, zap.New(core))
-	kind, body := readAs(exchangeBytes(addr, post(service, "")))
-	Expect([]string{kind, body}).To(Equal([]string{cut, "p"}))
+	}, testBook(nil), tally.NoopScope, zap.New(core))
+	kind, body := classify(exchangeBytes(addr, post(service, "")))
+	Expect([]string{kind, body}).To(Equal([]string{aborted, "p"}))
 	Expect(logged.All()).To(ConsistOf(HaveField("Message", ContainSubstring("for the test"))))
 })
