--- a/adapters/callerclient/callerclient_suite_test.go
+++ b/adapters/callerclient/callerclient_suite_test.go
@@ -11,6 +11,6 @@
 
 func TestCallerClient(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(callerhttptest.Patience)
+	SetDefaultEventuallyTimeout(callerhttptest.WaitTimeout)
 	RunSpecs(t, "Caller client")
 }
--- a/adapters/callerclient/client.go
+++ b/adapters/callerclient/client.go
@@ -105,11 +105,11 @@
 	c.expires = time.Time{}
 }
 
-func (c *Client) ask(ctx context.Context, addr netip.AddrPort) (callerhttp.AddressAnswer, error) {
+func (c *Client) ask(ctx context.Context, addr netip.AddrPort) (callerhttp.AddressResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	query := url.Values{"zone": {string(c.opts.Near.Zone)}, "region": {string(c.opts.Near.Region)}}
-	var answer callerhttp.AddressAnswer
+	var answer callerhttp.AddressResponse
 	err := c.getJSON(ctx, http.MethodGet, "http://"+addr.String()+"/v1/addresses?"+query.Encode(), &answer)
 	return answer, err
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		return "", err
 	}
-	var answer callerhttp.KeyAnswer
+	var answer callerhttp.KeyResponse
 	path := "/v1/keys/" + url.PathEscape(string(service))
 	for _, addr := range addresses {
 		if err = c.getJSON(ctx, http.MethodPost, "http://"+addr.String()+path, &answer); err == nil {
@@ -223,7 +223,7 @@
 		set(callerhttp.HeaderNonIdempotent, "?1")
 	}
 	if r.FirstAsk {
-		set(callerhttp.HeaderFirstAsk, "?1")
+		set(callerhttp.HeaderFirstAttempt, "?1")
 	}
 	if r.Deadline > 0 {
 		set(callerhttp.HeaderDeadline, r.Deadline.String())
--- a/adapters/callerclient/client_test.go
+++ b/adapters/callerclient/client_test.go
@@ -42,8 +42,8 @@
 }
 
 // naming answers address questions with the given addresses and counts them.
-func naming(asked *atomic.Int64, addresses func() []netip.AddrPort) callerhttptest.Book {
-	return callerhttptest.Book{Near: func(fleet.Place) addressing.Result {
+func naming(asked *atomic.Int64, addresses func() []netip.AddrPort) callerhttptest.AddressBook {
+	return callerhttptest.AddressBook{Lookup: func(fleet.Place) addressing.Result {
 		asked.Add(1)
 		return addressing.Result{Addresses: addresses(), TTL: time.Hour}
 	}}
@@ -80,7 +80,7 @@
 		entry := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
 			ran.Add(1)
 			return echo(ctx, r, sink)
-		}, callerhttptest.Book{})
+		}, callerhttptest.AddressBook{})
 		guide := callerhttptest.Serve(nil, naming(&asked, func() []netip.AddrPort { return []netip.AddrPort{closedPort(), entry} }))
 		client := clientOf(closedPort(), guide)
 		answer, err := client.Do(ctx, callerclient.Request{Service: "workshop-api", Body: []byte("two cones")})
@@ -134,22 +134,22 @@
 // kind of ending.
 var _ = Describe("An answer", func() {
 	at := func(d callerhttptest.Dispatcher) (callerclient.Answer, error) {
-		return clientOf(closedPort()).DoAt(ctx, callerhttptest.Serve(d, callerhttptest.Book{}), callerclient.Request{Service: "workshop-api"})
+		return clientOf(closedPort()).DoAt(ctx, callerhttptest.Serve(d, callerhttptest.AddressBook{}), callerclient.Request{Service: "workshop-api"})
 	}
 
 	It("that is whole is given with its version", func() {
-		answer, err := at(callerhttptest.Answered(200, r1, nil, "one\n", "two\n"))
+		answer, err := at(callerhttptest.Respond(200, r1, nil, "one\n", "two\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(SatisfyAll(HaveField("Status", 200), HaveField("Body", []byte("one\ntwo\n")),
 			HaveField("Version", r1.Name+"@"+r1.Manifest.String()), HaveField("FirstByte", BeNumerically(">", 0))))
 	})
 	It("without a body is whole by its header", func() {
-		answer, err := at(callerhttptest.Answered(204, fleet.Version{}, nil))
+		answer, err := at(callerhttptest.Respond(204, fleet.Version{}, nil))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(SatisfyAll(HaveField("Status", 204), HaveField("Body", BeEmpty())))
 	})
 	It("with the service's own error status is an answer", func() {
-		answer, err := at(callerhttptest.Answered(404, fleet.Version{}, nil, "no order 8"))
+		answer, err := at(callerhttptest.Respond(404, fleet.Version{}, nil, "no order 8"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(SatisfyAll(HaveField("Status", 404), HaveField("Body", []byte("no order 8"))))
 	})
@@ -161,14 +161,14 @@
 		Expect(err).To(SatisfyAll(beOfType(calls.Interrupted), haveOutcome(failure.Unknown)))
 		Expect(string(answer.Body)).To(Equal(part))
 	},
-		Entry("in its middle", callerhttptest.Answered(200, r1, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0), "one\n"), "one\n"),
-		Entry("before its first piece", callerhttptest.Answered(200, r1, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)), ""),
-		Entry("without a body", callerhttptest.Answered(204, r1, callerhttptest.Failed(failure.Corrupt, failure.Unknown, 0)), ""),
+		Entry("in its middle", callerhttptest.Respond(200, r1, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0), "one\n"), "one\n"),
+		Entry("before its first piece", callerhttptest.Respond(200, r1, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)), ""),
+		Entry("without a body", callerhttptest.Respond(204, r1, callerhttptest.NewError(failure.Corrupt, failure.Unknown, 0)), ""),
 	)
 
 	// Guards against a prefix of an answer that is taken for the whole.
 	DescribeTable("that was cut after any byte is not whole", func(d callerhttptest.Dispatcher) {
-		text := bytesOf(callerhttptest.Serve(d, callerhttptest.Book{}))
+		text := bytesOf(callerhttptest.Serve(d, callerhttptest.AddressBook{}))
 		for n := range len(text) {
 			_, err := clientOf(closedPort()).DoAt(ctx, speak(text[:n]), callerclient.Request{Service: "workshop-api"})
 			Expect(err).To(HaveOccurred(), "after %d of %d bytes", n, len(text))
@@ -177,9 +177,9 @@
 		_, err := clientOf(closedPort()).DoAt(ctx, speak(text), callerclient.Request{Service: "workshop-api"})
 		Expect(err).NotTo(HaveOccurred())
 	},
-		Entry("of a model engine", callerhttptest.Answered(200, r1, nil, "one\n", "two\n")),
-		Entry("without pieces", callerhttptest.Answered(200, fleet.Version{}, nil)),
-		Entry("without a body", callerhttptest.Answered(204, fleet.Version{}, nil)),
+		Entry("of a model engine", callerhttptest.Respond(200, r1, nil, "one\n", "two\n")),
+		Entry("without pieces", callerhttptest.Respond(200, fleet.Version{}, nil)),
+		Entry("without a body", callerhttptest.Respond(204, fleet.Version{}, nil)),
 	)
 
 	// An entry of another make, or a proxy on the way, ends an answer in order
@@ -194,7 +194,7 @@
 
 	DescribeTable("that is a refusal is told with its outcome and pause",
 		func(kind *errorx.Type, outcome failure.Outcome, comeBack time.Duration) {
-			_, err := at(callerhttptest.Refused(callerhttptest.Failed(kind, outcome, comeBack)))
+			_, err := at(callerhttptest.Fail(callerhttptest.NewError(kind, outcome, comeBack)))
 			Expect(err).To(SatisfyAll(beOfType(callerclient.Refused), haveOutcome(outcome),
 				WithTransform(failure.RetryAfter, Equal(comeBack))))
 		},
@@ -216,7 +216,7 @@
 	conn, err := net.Dial("tcp", entry.String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.Patience))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.WaitTimeout))).To(Succeed())
 	_, err = io.WriteString(conn, "POST /v1/services/workshop-api HTTP/1.1\r\nHost: test\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	Expect(err).NotTo(HaveOccurred())
 	text, err := io.ReadAll(conn)
@@ -255,7 +255,7 @@
 		other := callerhttptest.Serve(func(context.Context, calls.Request, calls.Sink) (calls.End, error) {
 			came.Add(1)
 			return calls.End{}, nil
-		}, callerhttptest.Book{})
+		}, callerhttptest.AddressBook{})
 		dying := dieAtSecond(&came)
 		var asked atomic.Int64
 		guide := callerhttptest.Serve(nil, naming(&asked, func() []netip.AddrPort { return []netip.AddrPort{dying, other} }))
@@ -294,7 +294,7 @@
 	// Seen before the mend: what followed a question mark was lost, a percent sign
 	// or a hash changed the path.
 	DescribeTable("carries its path as it is", func(path string) {
-		addr := callerhttptest.Serve(echo, callerhttptest.Book{})
+		addr := callerhttptest.Serve(echo, callerhttptest.AddressBook{})
 		answer, err := clientOf(addr).DoAt(ctx, addr, callerclient.Request{Service: "workshop-api", Path: path})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(answer.Body)).To(Equal(path + " "))
@@ -313,7 +313,7 @@
 		addr := callerhttptest.Serve(func(ctx context.Context, r calls.Request, sink calls.Sink) (calls.End, error) {
 			seen <- r
 			return echo(ctx, r, sink)
-		}, callerhttptest.Book{})
+		}, callerhttptest.AddressBook{})
 		_, err := clientOf(addr).DoAt(ctx, addr, callerclient.Request{
 			Service: "workshop-api", Workspace: "apapa", IdempotencyKey: "order-1", NonIdempotent: true, FirstAsk: true,
 			Priority: "u=1", Prefix: "fault-log", Deadline: time.Minute, Body: []byte("two cones")})
@@ -333,8 +333,8 @@
 			close(running)
 			<-ctx.Done()
 			close(ended)
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
-		}, callerhttptest.Book{})
+			return calls.End{}, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)
+		}, callerhttptest.AddressBook{})
 		giveUp, cancel := context.WithCancel(ctx)
 		failed := make(chan error, 1)
 		go func() {
--- a/adapters/callerclient/failures.go
+++ b/adapters/callerclient/failures.go
@@ -30,7 +30,7 @@
 
 // refusalOf turns a JSON refusal into an error with its outcome and pause.
 func refusalOf(resp *http.Response) error {
-	var r callerhttp.Refusal
+	var r callerhttp.ErrorResponse
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
 		err := failure.Corrupt.Wrap(err, "answer with status %d", resp.StatusCode)
 		return failure.WithOutcome(err, failure.Unknown)
--- a/adapters/callerhttp/callerhttp_suite_test.go
+++ b/adapters/callerhttp/callerhttp_suite_test.go
@@ -11,6 +11,6 @@
 
 func TestCallerHTTP(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(callerhttptest.Patience)
+	SetDefaultEventuallyTimeout(callerhttptest.WaitTimeout)
 	RunSpecs(t, "Callers' HTTP")
 }
--- a/adapters/callerhttp/callerhttptest/callerhttptest.go
+++ b/adapters/callerhttp/callerhttptest/callerhttptest.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// Patience is the timeout for events that must happen.
-	Patience = 20 * time.Second
+	// WaitTimeout is the timeout for events that must happen.
+	WaitTimeout = 20 * time.Second
 	// MaxBody is the maximum size of the server's request bodies in bytes.
 	MaxBody = 64
 	// DefaultDeadline differs clearly from every deadline that a test sets.
@@ -38,36 +38,36 @@
 	return d(ctx, r, sink)
 }
 
-// Book returns addresses and issues keys. A nil field returns the zero value.
-type Book struct {
-	Near func(fleet.Place) addressing.Result
-	Key  func(fleet.ServiceName) (string, error)
+// AddressBook returns addresses and issues keys. A nil field returns the zero value.
+type AddressBook struct {
+	Lookup func(fleet.Place) addressing.Result
+	Issue  func(fleet.ServiceName) (string, error)
 }
 
 // Addresses implements calls.AddressBook.
-func (b Book) Addresses(near fleet.Place) addressing.Result {
-	if b.Near == nil {
+func (b AddressBook) Addresses(place fleet.Place) addressing.Result {
+	if b.Lookup == nil {
 		return addressing.Result{}
 	}
-	return b.Near(near)
+	return b.Lookup(place)
 }
 
 // IssueKey implements calls.KeyIssuer.
-func (b Book) IssueKey(service fleet.ServiceName) (string, error) {
-	if b.Key == nil {
+func (b AddressBook) IssueKey(service fleet.ServiceName) (string, error) {
+	if b.Issue == nil {
 		return "", nil
 	}
-	return b.Key(service)
+	return b.Issue(service)
 }
 
 // Serve runs a server until the spec ends and returns its address.
-func Serve(d Dispatcher, b Book) netip.AddrPort {
+func Serve(d Dispatcher, b AddressBook) netip.AddrPort {
 	ginkgo.GinkgoHelper()
 	return ServeWith(d, b, tally.NoopScope, zap.NewNop())
 }
 
 // ServeWith is Serve with metrics and a logger.
-func ServeWith(d Dispatcher, b Book, metrics tally.Scope, logger *zap.Logger) netip.AddrPort {
+func ServeWith(d Dispatcher, b AddressBook, metrics tally.Scope, logger *zap.Logger) netip.AddrPort {
 	ginkgo.GinkgoHelper()
 	server, err := callerhttp.New(callerhttp.Options{
 		Listen: netip.MustParseAddrPort("127.0.0.1:0"), Dispatcher: d, Addresses: b, Keys: b,
@@ -78,16 +78,16 @@
 	done := make(chan error, 1)
 	go func() { done <- server.Run() }()
 	ginkgo.DeferCleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 		defer cancel()
 		gomega.Expect(server.Shutdown(ctx)).To(gomega.Succeed())
-		gomega.Eventually(done, Patience).Should(gomega.Receive(gomega.BeNil()))
+		gomega.Eventually(done, WaitTimeout).Should(gomega.Receive(gomega.BeNil()))
 	})
 	return server.Addr()
 }
 
-// Answered writes a response piece by piece and then returns err.
-func Answered(status int, version fleet.Version, err error, pieces ...string) Dispatcher {
+// Respond writes a response piece by piece and then returns err.
+func Respond(status int, version fleet.Version, err error, pieces ...string) Dispatcher {
 	return func(_ context.Context, _ calls.Request, sink calls.Sink) (calls.End, error) {
 		if err := sink.Begin(calls.Begin{Status: status, Version: version}); err != nil {
 			return calls.End{}, err
@@ -101,16 +101,16 @@
 	}
 }
 
-// Refused returns err without a response.
-func Refused(err error) Dispatcher {
+// Fail returns err without a response.
+func Fail(err error) Dispatcher {
 	return func(context.Context, calls.Request, calls.Sink) (calls.End, error) { return calls.End{}, err }
 }
 
-// Failed returns an error with an outcome, and with a retry delay if that is not 0.
-func Failed(kind *errorx.Type, outcome failure.Outcome, comeBack time.Duration) error {
+// NewError returns an error with an outcome, and with a retry delay if that is not 0.
+func NewError(kind *errorx.Type, outcome failure.Outcome, retryAfter time.Duration) error {
 	err := failure.WithOutcome(kind.New("for the test"), outcome)
-	if comeBack > 0 {
-		err = failure.WithRetryAfter(err, comeBack)
+	if retryAfter > 0 {
+		err = failure.WithRetryAfter(err, retryAfter)
 	}
 	return err
 }
--- a/adapters/callerhttp/contract_test.go
+++ b/adapters/callerhttp/contract_test.go
@@ -47,30 +47,30 @@
 // aborted response returned without closing the connection, all three aborted
 // responses would end as complete ones.
 var _ = DescribeTable("The callers' interface, as callers see it",
-	func(name, request string, d callerhttptest.Dispatcher, b callerhttptest.Book) {
+	func(name, request string, d callerhttptest.Dispatcher, b callerhttptest.AddressBook) {
 		expectGolden(name, exchangeRaw(callerhttptest.Serve(d, b), request))
 	},
-	Entry("a complete response of a model engine", "whole-model", post(service, "{}"), callerhttptest.Answered(200, r1, nil, "one\n", "two\n"), testBook(nil)),
-	Entry("a complete response of a plain service", "whole-plain", post(service+"/orders/7", "{}"), callerhttptest.Answered(201, fleet.Version{}, nil, "done"), testBook(nil)),
-	Entry("an error status of a plain service", "whole-404", post(service+"/orders/8", "{}"), callerhttptest.Answered(404, fleet.Version{}, nil, "no order 8"), testBook(nil)),
-	Entry("a response without pieces", "whole-empty", post(service, ""), callerhttptest.Answered(200, fleet.Version{}, nil), testBook(nil)),
-	Entry("a response without a body", "whole-204", post(service, ""), callerhttptest.Answered(204, fleet.Version{}, nil), testBook(nil)),
-	Entry("a response aborted after its first piece", "cut", post(service, ""), callerhttptest.Answered(200, r1, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0), "one\n"), testBook(nil)),
-	Entry("a response aborted before its first piece", "cut-first", post(service, ""), callerhttptest.Answered(200, r1, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)), testBook(nil)),
-	Entry("a 204 aborted at its end", "cut-204", post(service, ""), callerhttptest.Answered(204, fleet.Version{}, callerhttptest.Failed(failure.Corrupt, failure.Unknown, 0)), testBook(nil)),
-	Entry("no server", "503", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(balance.NoServer, failure.NotRun, 1400*time.Millisecond)), testBook(nil)),
-	Entry("not ready", "503-not-ready", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(calls.NotReady, failure.NotRun, time.Second)), testBook(nil)),
-	Entry("over the limit", "429", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(calls.OverLimit, failure.NotRun, 20*time.Millisecond)), testBook(nil)),
-	Entry("an unknown service", "404", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(calls.UnknownService, failure.NotRun, 0)), testBook(nil)),
-	Entry("an interrupted request", "502", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)), testBook(nil)),
-	Entry("an expired deadline", "504", post(service, ""), callerhttptest.Refused(callerhttptest.Failed(calls.DeadlinePassed, failure.Unknown, 0)), testBook(nil)),
-	Entry("a key whose request is running", "409-unknown", post(service, "", key, once), callerhttptest.Refused(callerhttptest.Failed(calls.Duplicate, failure.Unknown, time.Second)), testBook(nil)),
-	Entry("a key whose request has run", "409-ran", post(service, "", key, once), callerhttptest.Refused(callerhttptest.Failed(calls.Duplicate, failure.Ran, 0)), testBook(nil)),
-	Entry("an error without a failure type", "502-unclassified", post(service, ""), callerhttptest.Refused(io.ErrUnexpectedEOF), testBook(nil)),
+	Entry("a complete response of a model engine", "whole-model", post(service, "{}"), callerhttptest.Respond(200, r1, nil, "one\n", "two\n"), testBook(nil)),
+	Entry("a complete response of a plain service", "whole-plain", post(service+"/orders/7", "{}"), callerhttptest.Respond(201, fleet.Version{}, nil, "done"), testBook(nil)),
+	Entry("an error status of a plain service", "whole-404", post(service+"/orders/8", "{}"), callerhttptest.Respond(404, fleet.Version{}, nil, "no order 8"), testBook(nil)),
+	Entry("a response without pieces", "whole-empty", post(service, ""), callerhttptest.Respond(200, fleet.Version{}, nil), testBook(nil)),
+	Entry("a response without a body", "whole-204", post(service, ""), callerhttptest.Respond(204, fleet.Version{}, nil), testBook(nil)),
+	Entry("a response aborted after its first piece", "cut", post(service, ""), callerhttptest.Respond(200, r1, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0), "one\n"), testBook(nil)),
+	Entry("a response aborted before its first piece", "cut-first", post(service, ""), callerhttptest.Respond(200, r1, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)), testBook(nil)),
+	Entry("a 204 aborted at its end", "cut-204", post(service, ""), callerhttptest.Respond(204, fleet.Version{}, callerhttptest.NewError(failure.Corrupt, failure.Unknown, 0)), testBook(nil)),
+	Entry("no server", "503", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(balance.NoServer, failure.NotRun, 1400*time.Millisecond)), testBook(nil)),
+	Entry("not ready", "503-not-ready", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(calls.NotReady, failure.NotRun, time.Second)), testBook(nil)),
+	Entry("over the limit", "429", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(calls.OverLimit, failure.NotRun, 20*time.Millisecond)), testBook(nil)),
+	Entry("an unknown service", "404", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(calls.UnknownService, failure.NotRun, 0)), testBook(nil)),
+	Entry("an interrupted request", "502", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)), testBook(nil)),
+	Entry("an expired deadline", "504", post(service, ""), callerhttptest.Fail(callerhttptest.NewError(calls.DeadlinePassed, failure.Unknown, 0)), testBook(nil)),
+	Entry("a key whose request is running", "409-unknown", post(service, "", key, once), callerhttptest.Fail(callerhttptest.NewError(calls.Duplicate, failure.Unknown, time.Second)), testBook(nil)),
+	Entry("a key whose request has run", "409-ran", post(service, "", key, once), callerhttptest.Fail(callerhttptest.NewError(calls.Duplicate, failure.Ran, 0)), testBook(nil)),
+	Entry("an error without a failure type", "502-unclassified", post(service, ""), callerhttptest.Fail(io.ErrUnexpectedEOF), testBook(nil)),
 	Entry("addresses", "addresses", get("/v1/addresses?zone=apapa-hall&region=lagos"), nil, testBook(nil)),
 	Entry("no addresses", "addresses-none", get("/v1/addresses"), nil, testBook(nil)),
 	Entry("a key", "key", post("/v1/keys/workshop-api", ""), nil, testBook(nil)),
-	Entry("no key", "key-503", post("/v1/keys/workshop-api", ""), nil, testBook(callerhttptest.Failed(balance.NoServer, failure.NotRun, time.Second))),
+	Entry("no key", "key-503", post("/v1/keys/workshop-api", ""), nil, testBook(callerhttptest.NewError(balance.NoServer, failure.NotRun, time.Second))),
 )
 
 // A request is invalid. The error response has the outcome "not_run" and a reason,
@@ -153,7 +153,7 @@
 			close(running)
 			<-ctx.Done()
 			close(ended)
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
+			return calls.End{}, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)
 		}, testBook(nil))
 		conn, err := net.Dial("tcp", addr.String())
 		Expect(err).NotTo(HaveOccurred())
--- a/adapters/callerhttp/helpers_test.go
+++ b/adapters/callerhttp/helpers_test.go
@@ -27,16 +27,16 @@
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // testBook returns addresses for one zone and issues keys, or fails to with err.
-func testBook(err error) callerhttptest.Book {
-	return callerhttptest.Book{
-		Near: func(near fleet.Place) addressing.Result {
+func testBook(err error) callerhttptest.AddressBook {
+	return callerhttptest.AddressBook{
+		Lookup: func(place fleet.Place) addressing.Result {
 			result := addressing.Result{TTL: 1500 * time.Millisecond}
-			if near.Zone == "apapa-hall" {
+			if place.Zone == "apapa-hall" {
 				result.Addresses = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:8080"), netip.MustParseAddrPort("127.0.0.1:8081")}
 			}
 			return result
 		},
-		Key: func(service fleet.ServiceName) (string, error) { return "agent-1.key-of-" + string(service), err },
+		Issue: func(service fleet.ServiceName) (string, error) { return "agent-1.key-of-" + string(service), err },
 	}
 }
 
@@ -47,7 +47,7 @@
 	conn, err := net.Dial("tcp", addr.String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.Patience))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.WaitTimeout))).To(Succeed())
 	_, err = io.WriteString(conn, request)
 	Expect(err).NotTo(HaveOccurred())
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/adapters/callerhttp/request.go
+++ b/adapters/callerhttp/request.go
@@ -23,7 +23,7 @@
 const (
 	HeaderWorkspace     = "Chivespindle-Workspace"
 	HeaderNonIdempotent = "Chivespindle-Non-Idempotent"
-	HeaderFirstAsk      = "Chivespindle-First-Ask"
+	HeaderFirstAttempt  = "Chivespindle-First-Ask"
 	HeaderDeadline      = "Chivespindle-Deadline"
 	HeaderPrefix        = "Chivespindle-Prefix"
 	HeaderKey           = "Idempotency-Key"
@@ -121,7 +121,7 @@
 	if req.NonIdempotent, err = parseBool(r.Header, HeaderNonIdempotent); err != nil {
 		return calls.Request{}, err
 	}
-	if req.FirstAsk, err = parseBool(r.Header, HeaderFirstAsk); err != nil {
+	if req.FirstAsk, err = parseBool(r.Header, HeaderFirstAttempt); err != nil {
 		return calls.Request{}, err
 	}
 	if req.NonIdempotent && req.IdempotencyKey == "" {
@@ -204,9 +204,9 @@
 	return timeout, nil
 }
 
-// Refusal is the JSON body of an error response of the entry itself, not of the
+// ErrorResponse is the JSON body of an error response of the entry itself, not of the
 // backend server.
-type Refusal struct {
+type ErrorResponse struct {
 	RequestID    string `json:"request_id"`
 	Outcome      string `json:"outcome"` // ran, not_run or unknown
 	Error        string `json:"error"`   // failure type
@@ -220,7 +220,7 @@
 
 func (s *Server) writeErrorStatus(w http.ResponseWriter, id string, status int, err error) {
 	outcome := failure.OutcomeOf(err)
-	body := Refusal{
+	body := ErrorResponse{
 		RequestID: id,
 		Outcome:   outcome.String(),
 		Error:     typeName(err),
--- a/adapters/callerhttp/responses.go
+++ b/adapters/callerhttp/responses.go
@@ -12,8 +12,8 @@
 	"chivespindle.example/core/fleet"
 )
 
-// AddressAnswer is the response body of GET /v1/addresses, best address first.
-type AddressAnswer struct {
+// AddressResponse is the response body of GET /v1/addresses, best address first.
+type AddressResponse struct {
 	Addresses  []netip.AddrPort `json:"addresses"`
 	TTLSeconds int              `json:"ttl_seconds"`
 }
@@ -24,14 +24,14 @@
 		Region: fleet.Region(r.URL.Query().Get("region")),
 	}
 	result := s.opts.Addresses.Addresses(place)
-	response := AddressAnswer{TTLSeconds: ceilSeconds(result.TTL), Addresses: []netip.AddrPort{}}
+	response := AddressResponse{TTLSeconds: ceilSeconds(result.TTL), Addresses: []netip.AddrPort{}}
 	response.Addresses = append(response.Addresses, result.Addresses...)
 	w.Header().Set("Cache-Control", "max-age="+strconv.Itoa(response.TTLSeconds))
 	writeJSON(w, http.StatusOK, response)
 }
 
-// KeyAnswer is the response body of POST /v1/keys/{service}.
-type KeyAnswer struct {
+// KeyResponse is the response body of POST /v1/keys/{service}.
+type KeyResponse struct {
 	Key string `json:"idempotency_key"`
 }
 
@@ -41,7 +41,7 @@
 		s.writeError(w, "", err)
 		return
 	}
-	writeJSON(w, http.StatusOK, KeyAnswer{Key: key})
+	writeJSON(w, http.StatusOK, KeyResponse{Key: key})
 }
 
 // statusByType maps failure types to HTTP statuses. All other failures are 503 if
--- a/adapters/callerhttp/sink_test.go
+++ b/adapters/callerhttp/sink_test.go
@@ -48,7 +48,7 @@
 		case emptyPiece:
 			_ = sink.Piece(nil)
 		case fail:
-			return calls.End{}, callerhttptest.Failed(calls.Interrupted, failure.Unknown, 0)
+			return calls.End{}, callerhttptest.NewError(calls.Interrupted, failure.Unknown, 0)
 		case abort:
 			panic(http.ErrAbortHandler)
 		}
@@ -72,7 +72,7 @@
 	}
 	content, err := io.ReadAll(response.Body)
 	outcome := response.Header.Get(callerhttp.HeaderOutcome)
-	isErrorResponse := json.Unmarshal(content, &callerhttp.Refusal{}) == nil && response.StatusCode >= http.StatusBadRequest
+	isErrorResponse := json.Unmarshal(content, &callerhttp.ErrorResponse{}) == nil && response.StatusCode >= http.StatusBadRequest
 	switch {
 	case err != nil:
 		return aborted, string(content)
@@ -92,7 +92,7 @@
 	conn, err := net.Dial("tcp", addr.String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.Patience))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(callerhttptest.WaitTimeout))).To(Succeed())
 	_, err = io.WriteString(conn, request)
 	Expect(err).NotTo(HaveOccurred())
 	got, err := io.ReadAll(conn)
--- a/cmd/chivespindle/internal/callstream/callstream.go
+++ b/cmd/chivespindle/internal/callstream/callstream.go
@@ -140,7 +140,7 @@
 // the outcome, since the body may be cut.
 func refusal(resp *http.Response, outcome string) *errorx.Error {
 	const maxRefusal = 64 << 10
-	var r callerhttp.Refusal
+	var r callerhttp.ErrorResponse
 	err := callerclient.Refused.New("status %d without a reason", resp.StatusCode)
 	if json.NewDecoder(io.LimitReader(resp.Body, maxRefusal)).Decode(&r) == nil {
 		err = callerclient.Refused.New("status %d: %s", resp.StatusCode, r.Reason)
