--- a/adapters/callerclient/client.go
+++ b/adapters/callerclient/client.go
@@ -1,5 +1,6 @@
-// Package callerclient is a caller's side of docs/CALLERS.md: it asks for
-// addresses, keeps the answer for its time to live, and sends requests.
+// Package callerclient implements a caller according to docs/CALLERS.md: it
+// requests the addresses of entries, caches them for their time to live, and sends
+// requests.
 package callerclient
 
 import (
@@ -21,27 +22,27 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	// Seeds are entry addresses to ask first; at least one.
+	// Seeds are the entry addresses to try first; at least one.
 	Seeds []netip.AddrPort
-	// Near is where the caller is; may be empty.
+	// Near is the location of the caller; may be empty.
 	Near fleet.Place
-	// Timeout bounds an address question; default 2 s.
+	// Timeout limits a request for addresses; default 2 s.
 	Timeout time.Duration
 }
 
-// Client is a caller. It may be used by many goroutines.
+// Client is a caller. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	http *http.Client
 
-	mu      sync.Mutex
-	known   []netip.AddrPort
-	expires time.Time
+	mu        sync.Mutex
+	addresses []netip.AddrPort
+	expires   time.Time
 }
 
-// New returns a client that has asked nothing yet.
+// New returns a client that has not sent any request yet.
 func New(opts Options) *Client {
 	const defaultTimeout = 2 * time.Second
 	if opts.Timeout == 0 {
@@ -58,7 +59,7 @@
 	Workspace      fleet.Workspace
 	IdempotencyKey string
 	NonIdempotent  bool
-	// FirstAsk says that the key was not asked with before.
+	// FirstAsk indicates that no request with the key was sent before.
 	FirstAsk    bool
 	Priority    string // such as "u=1"
 	Prefix      string
@@ -67,13 +68,13 @@
 	Body        []byte
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
 	Status  int
 	Version string // "name@digest"; empty from a plain service
 	Body    []byte
-	Entry   netip.AddrPort // the entry that gave it
-	// FirstByte is the time from sending to the first byte of the body.
+	Entry   netip.AddrPort // entry that sent the response
+	// FirstByte is the time from sending the request to the response header.
 	FirstByte time.Duration
 }
 
@@ -82,55 +83,55 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.expires) {
-		return c.known, nil
+		return c.addresses, nil
 	}
-	candidates := append(append([]netip.AddrPort(nil), c.known...), c.opts.Seeds...)
-	var last error
+	candidates := append(append([]netip.AddrPort(nil), c.addresses...), c.opts.Seeds...)
+	var lastErr error
 	for _, addr := range candidates {
-		answer, err := c.ask(ctx, addr)
-		if err == nil && len(answer.Addresses) > 0 {
-			c.known = answer.Addresses
-			c.expires = time.Now().Add(time.Duration(answer.TTLSeconds) * time.Second)
-			return c.known, nil
+		response, err := c.fetchAddresses(ctx, addr)
+		if err == nil && len(response.Addresses) > 0 {
+			c.addresses = response.Addresses
+			c.expires = time.Now().Add(time.Duration(response.TTLSeconds) * time.Second)
+			return c.addresses, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, failure.WithOutcome(failure.Unavailable.Wrap(last, "no entry answers"), failure.NotRun)
+	return nil, failure.WithOutcome(failure.Unavailable.Wrap(lastErr, "no entry answers"), failure.NotRun)
 }
 
-// forget drops the address answer after a connection has failed.
-func (c *Client) forget() {
+// expireAddresses discards the cached addresses after a connection has failed.
+func (c *Client) expireAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-func (c *Client) ask(ctx context.Context, addr netip.AddrPort) (callerhttp.AddressResponse, error) {
+func (c *Client) fetchAddresses(ctx context.Context, addr netip.AddrPort) (callerhttp.AddressResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	query := url.Values{"zone": {string(c.opts.Near.Zone)}, "region": {string(c.opts.Near.Region)}}
-	var answer callerhttp.AddressResponse
-	err := c.getJSON(ctx, http.MethodGet, "http://"+addr.String()+"/v1/addresses?"+query.Encode(), &answer)
-	return answer, err
+	var response callerhttp.AddressResponse
+	err := c.doJSON(ctx, http.MethodGet, "http://"+addr.String()+"/v1/addresses?"+query.Encode(), &response)
+	return response, err
 }
 
-// IssueKey asks an entry for an idempotency key.
+// IssueKey requests an idempotency key from an entry.
 func (c *Client) IssueKey(ctx context.Context, service fleet.ServiceName) (string, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
 		return "", err
 	}
-	var answer callerhttp.KeyResponse
+	var response callerhttp.KeyResponse
 	path := "/v1/keys/" + url.PathEscape(string(service))
 	for _, addr := range addresses {
-		if err = c.getJSON(ctx, http.MethodPost, "http://"+addr.String()+path, &answer); err == nil {
-			return answer.Key, nil
+		if err = c.doJSON(ctx, http.MethodPost, "http://"+addr.String()+path, &response); err == nil {
+			return response.Key, nil
 		}
 	}
 	return "", err
 }
 
-func (c *Client) getJSON(ctx context.Context, method, target string, into any) error {
+func (c *Client) doJSON(ctx context.Context, method, target string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
 		return failure.Invalid.Wrap(err, "request to %s", target)
@@ -141,7 +142,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refusalOf(resp)
+		return decodeError(resp)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
 		return failure.Corrupt.Wrap(err, "answer of %s", target)
@@ -149,51 +150,51 @@
 	return nil
 }
 
-// Do sends one request through the best entry that can be connected to. It
-// goes to the next one only if nothing was sent. failure.OutcomeOf the error
-// says whether the request ran.
+// Do sends a request to the best entry that accepts a connection. It tries the next
+// entry only if nothing was sent. failure.OutcomeOf the error tells whether the
+// request ran.
 func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
 	for _, addr := range addresses {
-		var answer Answer
-		answer, err = c.DoAt(ctx, addr, r)
+		var response Answer
+		response, err = c.DoAt(ctx, addr, r)
 		if err == nil || !errorx.IsOfType(err, NotConnected) {
-			return answer, err
+			return response, err
 		}
-		c.forget()
+		c.expireAddresses()
 	}
 	return Answer{}, err
 }
 
-// DoAt sends one request through a given entry.
+// DoAt sends a request to the given entry.
 func (c *Client) DoAt(ctx context.Context, entry netip.AddrPort, r Request) (Answer, error) {
 	req, err := newHTTPRequest(ctx, entry, r)
 	if err != nil {
 		return Answer{}, err
 	}
-	started := time.Now()
+	startTime := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, sendFailure(err)
+		return Answer{}, sendError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	outcome := resp.Header.Get(callerhttp.HeaderOutcome)
 	if outcome != "" && !callerhttp.Bodyless(resp.StatusCode) {
-		return Answer{}, refusalOf(resp)
+		return Answer{}, decodeError(resp)
 	}
-	answer := Answer{Status: resp.StatusCode, Version: resp.Header.Get(callerhttp.HeaderVersion), Entry: entry}
-	answer.FirstByte = time.Since(started)
-	answer.Body, err = io.ReadAll(resp.Body)
+	response := Answer{Status: resp.StatusCode, Version: resp.Header.Get(callerhttp.HeaderVersion), Entry: entry}
+	response.FirstByte = time.Since(startTime)
+	response.Body, err = io.ReadAll(resp.Body)
 	if outcome == "" {
 		outcome = resp.Trailer.Get(callerhttp.HeaderOutcome)
 	}
 	if err != nil || outcome != failure.Ran.String() {
-		return answer, failure.WithOutcome(calls.Interrupted.New("the answer was cut after %d bytes", len(answer.Body)), failure.Unknown)
+		return response, failure.WithOutcome(calls.Interrupted.New("the answer was cut after %d bytes", len(response.Body)), failure.Unknown)
 	}
-	return answer, nil
+	return response, nil
 }
 
 func newHTTPRequest(ctx context.Context, entry netip.AddrPort, r Request) (*http.Request, error) {
@@ -201,8 +202,9 @@
 	if r.Path != "" {
 		target += "/" + (&url.URL{Path: r.Path}).EscapedPath()
 	}
-	// The reader hides the body's type: net/http would send a request with a
-	// key again by itself on a connection that broke, unseen by the caller.
+	// NopCloser hides the type of the body: net/http would otherwise resend a
+	// request that has a key by itself when a reused connection breaks, unnoticed
+	// by the caller.
 	body := io.NopCloser(bytes.NewReader(r.Body))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, body)
 	if err != nil {
--- a/adapters/callerclient/failures.go
+++ b/adapters/callerclient/failures.go
@@ -12,15 +12,16 @@
 	"chivespindle.example/core/failure"
 )
 
-// NotConnected means that the entry could not be connected to, so nothing was sent.
+// NotConnected means that no connection to the entry could be established, so
+// nothing was sent.
 var NotConnected = failure.Unavailable.NewSubtype("not_connected")
 
-// Refused means that an entry answered with a refusal; see failure.OutcomeOf.
+// Refused means that the entry sent an error response; see failure.OutcomeOf.
 var Refused = failure.Refused.NewSubtype("by_entry")
 
-// sendFailure tells a failure to connect, after which the request was
-// certainly not run, from any other.
-func sendFailure(err error) error {
+// sendError distinguishes a failed connection attempt, after which the request
+// certainly did not run, from all other errors.
+func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return failure.WithOutcome(NotConnected.Wrap(err, "connect to an entry"), failure.NotRun)
@@ -28,16 +29,17 @@
 	return failure.WithOutcome(calls.Interrupted.Wrap(err, "send the request"), failure.Unknown)
 }
 
-// refusalOf turns a JSON refusal into an error with its outcome and pause.
-func refusalOf(resp *http.Response) error {
-	var r callerhttp.ErrorResponse
-	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
+// decodeError converts an error response to an error with its outcome and retry
+// delay.
+func decodeError(resp *http.Response) error {
+	var response callerhttp.ErrorResponse
+	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
 		err := failure.Corrupt.Wrap(err, "answer with status %d", resp.StatusCode)
 		return failure.WithOutcome(err, failure.Unknown)
 	}
-	err := Refused.New("status %d: %s: %s", resp.StatusCode, r.Error, r.Reason)
-	pause := time.Duration(r.RetryAfterMS) * time.Millisecond
-	return failure.WithRetryAfter(failure.WithOutcome(err, outcomeOf(r.Outcome)), pause)
+	err := Refused.New("status %d: %s: %s", resp.StatusCode, response.Error, response.Reason)
+	retryAfter := time.Duration(response.RetryAfterMS) * time.Millisecond
+	return failure.WithRetryAfter(failure.WithOutcome(err, outcomeOf(response.Outcome)), retryAfter)
 }
 
 func outcomeOf(text string) failure.Outcome {
--- a/adapters/plainservice/plainservice.go
+++ b/adapters/plainservice/plainservice.go
@@ -1,5 +1,5 @@
-// Package plainservice passes calls to a plain service by the protocol of
-// docs/PLATFORM-ENGINE.md.
+// Package plainservice is the client of a plain service; docs/PLATFORM-ENGINE.md
+// describes the protocol.
 package plainservice
 
 import (
@@ -19,7 +19,7 @@
 	"chivespindle.example/core/serving"
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
 	DefaultStatusTimeout = 5 * time.Second
 	DefaultFirstTimeout  = 30 * time.Second
@@ -29,21 +29,21 @@
 const (
 	callPath   = "/v1/call/"
 	statusPath = "/v1/status"
-	// pieceBytes is the most that one piece holds.
+	// pieceBytes is the maximum size of a piece.
 	pieceBytes = 32 << 10
-	// maxStatus bounds a status in bytes.
-	maxStatus = 64 << 10
+	// maxStatusBytes limits a status.
+	maxStatusBytes = 64 << 10
 )
 
-// Options configure a Client. A zero duration means its default.
+// Options configures a Client. A zero duration selects the default.
 type Options struct {
 	Addr          netip.AddrPort // the service's HTTP address
 	StatusTimeout time.Duration  // longest wait for a status
-	FirstTimeout  time.Duration  // longest wait for the first byte of an answer
+	FirstTimeout  time.Duration  // longest wait for the first byte of a response
 	StallTimeout  time.Duration  // longest time without a byte after that
 }
 
-// Client speaks to one plain service. Its methods may be called at once.
+// Client communicates with one plain service. It is safe for concurrent use.
 type Client struct {
 	options Options
 	attempt *attempt.Client
@@ -51,7 +51,7 @@
 
 var _ serving.Backend = (*Client)(nil)
 
-// New returns a client; it does not connect before it is used.
+// New returns a client. It connects on first use.
 func New(options Options) *Client {
 	setDefault(&options.StatusTimeout, DefaultStatusTimeout)
 	setDefault(&options.FirstTimeout, DefaultFirstTimeout)
@@ -65,8 +65,7 @@
 	}
 }
 
-// Status returns the service's own report of its work; Waiting and KVUsed are
-// zero.
+// Status returns the load that the service reports; Waiting and KVUsed are zero.
 func (c *Client) Status(ctx context.Context) (serving.Load, error) {
 	a, err := c.attempt.Send(ctx, attempt.Request{
 		Method:           http.MethodGet,
@@ -81,7 +80,7 @@
 	if a.Status != http.StatusOK {
 		return serving.Load{}, a.StatusError(attempt.Kind(a.Status))
 	}
-	raw, err := a.ReadAll(maxStatus)
+	raw, err := a.ReadAll(maxStatusBytes)
 	if err != nil {
 		return serving.Load{}, err
 	}
@@ -92,11 +91,11 @@
 	return load, nil
 }
 
-// Do implements serving.Backend. Pieces are cut as the bytes come. An answer
-// of any status is an answer, since the service ran the call, unless it says
-// that it did not: that is a failure by its status with failure.NotRun. An
-// answer that names another request is failure.Corrupt; no piece of it is
-// handed over. Other failures are as for any attempt.
+// Do implements serving.Backend. A piece is whatever one read returns. A response
+// with any status is a response of the service, since the service ran the call,
+// unless it says that it did not: then Do fails according to the status, with
+// failure.NotRun. A response that names another request is failure.Corrupt, and no
+// piece of it is emitted. Other failures are those of attempt.Client.Send.
 func (c *Client) Do(ctx context.Context, call serving.Call, emit func(serving.Piece) error) (serving.Answer, error) {
 	path, err := pathOf(call)
 	if err != nil {
@@ -114,19 +113,19 @@
 		return serving.Answer{}, err
 	}
 	defer a.Close()
-	answer := serving.Answer{ID: a.ID(), Status: a.Status}
+	response := serving.Answer{ID: a.ID(), Status: a.Status}
 	if a.NotRun() {
-		return answer, a.StatusError(attempt.Kind(a.Status))
+		return response, a.StatusError(attempt.Kind(a.Status))
 	}
-	if answer.ID != call.ID {
-		mixed := failure.Corrupt.New("the answer names request %q, want %q", answer.ID, call.ID)
-		return answer, failure.WithOutcome(mixed, failure.Unknown)
+	if response.ID != call.ID {
+		mixed := failure.Corrupt.New("the answer names request %q, want %q", response.ID, call.ID)
+		return response, failure.WithOutcome(mixed, failure.Unknown)
 	}
-	return answer, relay(a, emit)
+	return response, relay(a, emit)
 }
 
-// pathOf returns the path of a call on the service. Segments that a server
-// would resolve are refused: "../status" must not leave the calls.
+// pathOf returns the path of a call at the service. Segments that a server would
+// resolve are rejected: "../status" must not escape from the path of calls.
 func pathOf(call serving.Call) (string, error) {
 	segments := strings.Split(call.Path, "/")
 	if call.Path != "" && (slices.Contains(segments, "") || slices.Contains(segments, ".") || slices.Contains(segments, "..")) {
@@ -155,7 +154,7 @@
 	}
 }
 
-// checkEnd follows the end of the body.
+// checkEnd checks, at the end of the body, that the end was marked.
 func checkEnd(a *attempt.Attempt) error {
 	if a.EndIsFramed() {
 		return nil
