--- a/adapters/callerclient/client.go
+++ b/adapters/callerclient/client.go
@@ -26,8 +26,8 @@
 type Options struct {
 	// Seeds are the entry addresses to try first; at least one.
 	Seeds []netip.AddrPort
-	// Near is the location of the caller; may be empty.
-	Near fleet.Place
+	// Place is the location of the caller; may be empty.
+	Place fleet.Place
 	// Timeout limits a request for addresses; default 2 s.
 	Timeout time.Duration
 }
@@ -59,23 +59,23 @@
 	Workspace      fleet.Workspace
 	IdempotencyKey string
 	NonIdempotent  bool
-	// FirstAsk indicates that no request with the key was sent before.
-	FirstAsk    bool
-	Priority    string // such as "u=1"
-	Prefix      string
-	Traceparent string
-	Deadline    time.Duration
-	Body        []byte
+	// FirstAttempt indicates that no request with the key was sent before.
+	FirstAttempt bool
+	Priority     string // such as "u=1"
+	Prefix       string
+	Traceparent  string
+	Deadline     time.Duration
+	Body         []byte
 }
 
-// Answer is a complete response.
-type Answer struct {
+// Response is a complete response.
+type Response struct {
 	Status  int
 	Version string // "name@digest"; empty from a plain service
 	Body    []byte
 	Entry   netip.AddrPort // entry that sent the response
-	// FirstByte is the time from sending the request to the response header.
-	FirstByte time.Duration
+	// TimeToHeader is the time from sending the request to the response header.
+	TimeToHeader time.Duration
 }
 
 // Addresses returns the entry addresses to use, best first.
@@ -109,7 +109,7 @@
 func (c *Client) fetchAddresses(ctx context.Context, addr netip.AddrPort) (callerhttp.AddressResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	query := url.Values{"zone": {string(c.opts.Near.Zone)}, "region": {string(c.opts.Near.Region)}}
+	query := url.Values{"zone": {string(c.opts.Place.Zone)}, "region": {string(c.opts.Place.Region)}}
 	var response callerhttp.AddressResponse
 	err := c.doJSON(ctx, http.MethodGet, "http://"+addr.String()+"/v1/addresses?"+query.Encode(), &response)
 	return response, err
@@ -153,40 +153,40 @@
 // Do sends a request to the best entry that accepts a connection. It tries the next
 // entry only if nothing was sent. failure.OutcomeOf the error tells whether the
 // request ran.
-func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
+func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	for _, addr := range addresses {
-		var response Answer
+		var response Response
 		response, err = c.DoAt(ctx, addr, r)
 		if err == nil || !errorx.IsOfType(err, NotConnected) {
 			return response, err
 		}
 		c.expireAddresses()
 	}
-	return Answer{}, err
+	return Response{}, err
 }
 
 // DoAt sends a request to the given entry.
-func (c *Client) DoAt(ctx context.Context, entry netip.AddrPort, r Request) (Answer, error) {
+func (c *Client) DoAt(ctx context.Context, entry netip.AddrPort, r Request) (Response, error) {
 	req, err := newHTTPRequest(ctx, entry, r)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	startTime := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, sendError(err)
+		return Response{}, sendError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	outcome := resp.Header.Get(callerhttp.HeaderOutcome)
 	if outcome != "" && !callerhttp.Bodyless(resp.StatusCode) {
-		return Answer{}, decodeError(resp)
+		return Response{}, decodeError(resp)
 	}
-	response := Answer{Status: resp.StatusCode, Version: resp.Header.Get(callerhttp.HeaderVersion), Entry: entry}
-	response.FirstByte = time.Since(startTime)
+	response := Response{Status: resp.StatusCode, Version: resp.Header.Get(callerhttp.HeaderVersion), Entry: entry}
+	response.TimeToHeader = time.Since(startTime)
 	response.Body, err = io.ReadAll(resp.Body)
 	if outcome == "" {
 		outcome = resp.Trailer.Get(callerhttp.HeaderOutcome)
@@ -224,7 +224,7 @@
 	if r.NonIdempotent {
 		set(callerhttp.HeaderNonIdempotent, "?1")
 	}
-	if r.FirstAsk {
+	if r.FirstAttempt {
 		set(callerhttp.HeaderFirstAttempt, "?1")
 	}
 	if r.Deadline > 0 {
--- a/adapters/callerclient/client_test.go
+++ b/adapters/callerclient/client_test.go
@@ -132,7 +132,7 @@
 // A caller gets the response, or the outcome of its request, in all cases in which
 // a request can end.
 var _ = Describe("A response", func() {
-	at := func(d callerhttptest.Dispatcher) (callerclient.Answer, error) {
+	at := func(d callerhttptest.Dispatcher) (callerclient.Response, error) {
 		return newClient(closedPort()).DoAt(ctx, callerhttptest.Serve(d, callerhttptest.AddressBook{}), callerclient.Request{Service: "workshop-api"})
 	}
 
@@ -140,7 +140,7 @@
 		response, err := at(callerhttptest.Respond(200, r1, nil, "one\n", "two\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response).To(SatisfyAll(HaveField("Status", 200), HaveField("Body", []byte("one\ntwo\n")),
-			HaveField("Version", r1.Name+"@"+r1.Manifest.String()), HaveField("FirstByte", BeNumerically(">", 0))))
+			HaveField("Version", r1.Name+"@"+r1.Manifest.String()), HaveField("TimeToHeader", BeNumerically(">", 0))))
 	})
 	It("without a body is complete according to its header", func() {
 		response, err := at(callerhttptest.Respond(204, fleet.Version{}, nil))
@@ -316,7 +316,7 @@
 			return echo(ctx, r, sink)
 		}, callerhttptest.AddressBook{})
 		_, err := newClient(addr).DoAt(ctx, addr, callerclient.Request{
-			Service: "workshop-api", Workspace: "apapa", IdempotencyKey: "order-1", NonIdempotent: true, FirstAsk: true,
+			Service: "workshop-api", Workspace: "apapa", IdempotencyKey: "order-1", NonIdempotent: true, FirstAttempt: true,
 			Priority: "u=1", Prefix: "fault-log", Deadline: time.Minute, Body: []byte("two cones")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Receive(SatisfyAll(
--- a/adapters/plainservice/plainservice.go
+++ b/adapters/plainservice/plainservice.go
@@ -21,9 +21,9 @@
 
 // Defaults for Options.
 const (
-	DefaultStatusTimeout = 5 * time.Second
-	DefaultFirstTimeout  = 30 * time.Second
-	DefaultStallTimeout  = 5 * time.Second
+	DefaultStatusTimeout    = 5 * time.Second
+	DefaultFirstByteTimeout = 30 * time.Second
+	DefaultStallTimeout     = 5 * time.Second
 )
 
 const (
@@ -37,10 +37,10 @@
 
 // Options configures a Client. A zero duration selects the default.
 type Options struct {
-	Addr          netip.AddrPort // the service's HTTP address
-	StatusTimeout time.Duration  // longest wait for a status
-	FirstTimeout  time.Duration  // longest wait for the first byte of a response
-	StallTimeout  time.Duration  // longest time without a byte after that
+	Addr             netip.AddrPort // the service's HTTP address
+	StatusTimeout    time.Duration  // longest wait for a status
+	FirstByteTimeout time.Duration  // longest wait for the first byte of a response
+	StallTimeout     time.Duration  // longest time without a byte after that
 }
 
 // Client communicates with one plain service. It is safe for concurrent use.
@@ -54,7 +54,7 @@
 // New returns a client. It connects on first use.
 func New(options Options) *Client {
 	setDefault(&options.StatusTimeout, DefaultStatusTimeout)
-	setDefault(&options.FirstTimeout, DefaultFirstTimeout)
+	setDefault(&options.FirstByteTimeout, DefaultFirstByteTimeout)
 	setDefault(&options.StallTimeout, DefaultStallTimeout)
 	return &Client{options: options, attempt: attempt.New(options.Addr)}
 }
@@ -106,7 +106,7 @@
 		Path:             path,
 		Header:           attempt.CallHeader(call),
 		Body:             call.Body,
-		FirstByteTimeout: c.options.FirstTimeout,
+		FirstByteTimeout: c.options.FirstByteTimeout,
 		StallTimeout:     c.options.StallTimeout,
 	})
 	if err != nil {
--- a/cmd/chivespindle/addresses.go
+++ b/cmd/chivespindle/addresses.go
@@ -24,7 +24,7 @@
 	}
 	return callerclient.New(callerclient.Options{
 		Seeds:   c.flags.entries,
-		Near:    near,
+		Place:   near,
 		Timeout: timeout / time.Duration(len(c.flags.entries)),
 	}), nil
 }
--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -149,7 +149,7 @@
 	for _, p := range f.entries {
 		seeds = append(seeds, p.Instance.CallerAddr)
 	}
-	return callerclient.New(callerclient.Options{Seeds: seeds, Near: near})
+	return callerclient.New(callerclient.Options{Seeds: seeds, Place: near})
 }
 
 // load starts callers. Those without a deadline wait for five seconds, which
@@ -265,10 +265,10 @@
 }
 
 // askAt sends one request through an entry.
-func (f *testFleet) askAt(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Answer, error) {
+func (f *testFleet) askAt(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Response, error) {
 	body, err := json.Marshal(harness.Prompt{Prompt: prompt, MaxTokens: tokens})
 	if err != nil {
-		return callerclient.Answer{}, err
+		return callerclient.Response{}, err
 	}
 	r := callerclient.Request{Service: service, Deadline: 20 * time.Second, Body: body}
 	return f.client(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	say("fleet serves", "version", first.Version.Name, "instances", len(d.fleet.Engines)+len(d.fleet.Plain))
-	client := callerclient.New(callerclient.Options{Seeds: d.entries, Near: lagos[0]})
+	client := callerclient.New(callerclient.Options{Seeds: d.entries, Place: lagos[0]})
 	load := harness.StartLoad(client, harness.LoadSpec{
 		Models: []fleet.ServiceName{pool, assist}, Plain: []fleet.ServiceName{orders},
 		Callers: 8, MaxTokens: 16, Deadline: 10 * time.Second, Intended: d.isIntended,
--- a/standin/harness/load.go
+++ b/standin/harness/load.go
@@ -104,7 +104,7 @@
 const askTimes = 20
 
 // persist asks until there is an answer, or asking again is not allowed.
-func (l *Load) persist(r callerclient.Request) (callerclient.Answer, error) {
+func (l *Load) persist(r callerclient.Request) (callerclient.Response, error) {
 	var last error
 	for range askTimes {
 		answer, err := l.client.Do(context.Background(), r)
@@ -121,12 +121,12 @@
 			}
 		})
 		if outcome != failure.NotRun && r.NonIdempotent {
-			return callerclient.Answer{}, err
+			return callerclient.Response{}, err
 		}
 		const shortest = 20 * time.Millisecond
 		time.Sleep(max(shortest, failure.RetryAfter(err)))
 	}
-	return callerclient.Answer{}, last
+	return callerclient.Response{}, last
 }
 
 // Prompt is the body of a request to a model engine.
@@ -218,7 +218,7 @@
 	}
 	body := []byte("parts order " + key)
 	started := time.Now()
-	answer, err := l.persist(callerclient.Request{Service: service, Path: "orders", FirstAsk: true, IdempotencyKey: key,
+	answer, err := l.persist(callerclient.Request{Service: service, Path: "orders", FirstAttempt: true, IdempotencyKey: key,
 		NonIdempotent: true, Deadline: spec.Deadline, Body: body})
 	took := time.Since(started)
 	if err != nil {
