--- a/adapters/platform/client.go
+++ b/adapters/platform/client.go
@@ -17,23 +17,23 @@
 	"chivespindle.example/core/failure"
 )
 
-// Canceled is the failure of a call whose caller gave it up. It says nothing
-// of the platform.
+// Canceled is the failure of a call that was canceled by its caller. It implies
+// nothing about the platform.
 var Canceled = failure.Namespace.NewType("canceled")
 
 const (
-	// DefaultTimeout bounds a short call. The platform answers in
-	// milliseconds, so that a longer silence is a fault.
+	// DefaultTimeout limits a short call. The platform responds within
+	// milliseconds, so a longer silence indicates a fault.
 	DefaultTimeout = 5 * time.Second
-	// defaultPause is asked for when a refusal names no pause that can be
-	// read; without one the caller might come back at once.
-	defaultPause = time.Second
-	// maxPause bounds the pause that a refusal can ask for, so that a garbled
-	// header does not silence a process for days.
-	maxPause = time.Hour
-	// idleTimeout closes a connection that has not been used.
+	// defaultRetryAfter is used if an error response has no valid Retry-After;
+	// without a delay the caller might retry immediately.
+	defaultRetryAfter = time.Second
+	// maxRetryAfter limits the delay that an error response can request, so that a
+	// corrupt header cannot silence a process for days.
+	maxRetryAfter = time.Hour
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 90 * time.Second
-	// maxDrainBytes is read of the body of a refusal.
+	// maxDrainBytes is how much of the body of an error response is read.
 	maxDrainBytes = 4 << 10
 )
 
@@ -43,8 +43,9 @@
 	http *http.Client
 }
 
-// newClient checks the base URL, whose host must be an IP number since the
-// system resolves no names. A nil httpClient gets a transport of its own.
+// newClient checks the base URL, whose host must be an IP address because the
+// system does not resolve names. If httpClient is nil, a client with its own
+// transport is used.
 func newClient(base string, httpClient *http.Client) (*client, error) {
 	parsed, err := url.Parse(base)
 	if err != nil {
@@ -62,21 +63,21 @@
 	return &client{base: strings.TrimSuffix(base, "/"), http: withoutRedirects(httpClient)}, nil
 }
 
-// withoutRedirects returns a copy that follows no redirect. The protocol has
-// none, and following one would let a wrong answer choose another host.
-func withoutRedirects(given *http.Client) *http.Client {
-	own := http.Client{}
-	if given != nil {
-		own = *given
+// withoutRedirects returns a copy that follows no redirects. The protocol has none,
+// and a redirect in an invalid response could select another host.
+func withoutRedirects(httpClient *http.Client) *http.Client {
+	result := http.Client{}
+	if httpClient != nil {
+		result = *httpClient
 	} else {
-		own.Transport = newTransport()
+		result.Transport = newTransport()
 	}
-	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &own
+	result.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &result
 }
 
-// newTransport returns a transport that ignores proxy settings of the
-// environment and asks for no compression, so that bodies come as stored.
+// newTransport returns a transport that ignores the proxy settings of the
+// environment and does not request compression, so that bodies arrive as stored.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: DefaultTimeout}
 	return &http.Transport{
@@ -87,20 +88,20 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes idle connections.
 func (c *client) Close() { c.http.CloseIdleConnections() }
 
 // call is one GET request.
 type call struct {
 	path string
-	// conditional is true if "304 Not Modified" is an answer to it.
+	// conditional allows the response "304 Not Modified".
 	conditional bool
 	// etag is sent as If-None-Match; "" for none.
 	etag string
 }
 
-// get sends one request. The caller closes the body of the response, whose
-// status is 200, or 304 for a conditional call.
+// get sends one request. The caller closes the body of the response, whose status
+// is 200, or 304 for a conditional call.
 func (c *client) get(ctx context.Context, call call) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+call.path, nil)
 	if err != nil {
@@ -118,13 +119,13 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	// Reading a short answer to its end keeps the connection; it does not
-	// matter whether that works.
+	// Reading a short body to its end allows the connection to be reused. Errors do
+	// not matter.
 	_, _ = io.CopyN(io.Discard, response.Body, maxDrainBytes)
 	return nil, statusFailure(response, call.path)
 }
 
-// statusFailure classifies an answer that carries nothing of use.
+// statusFailure returns the failure for a response with an unexpected status.
 func statusFailure(response *http.Response, path string) error {
 	kind := failure.Refused
 	switch status := response.StatusCode; {
@@ -138,25 +139,25 @@
 	err := kind.New("%s answered %s", path, response.Status)
 	header := response.Header.Get("Retry-After")
 	if kind == failure.RateLimited || header != "" {
-		return failure.WithRetryAfter(err, parsePause(header, time.Now()))
+		return failure.WithRetryAfter(err, parseRetryAfter(header, time.Now()))
 	}
 	return err
 }
 
-// parsePause reads a Retry-After header: whole seconds or an HTTP date.
-func parsePause(header string, now time.Time) time.Duration {
+// parseRetryAfter parses a Retry-After header: seconds or an HTTP date.
+func parseRetryAfter(header string, now time.Time) time.Duration {
 	if seconds, err := strconv.ParseUint(header, 10, 32); err == nil {
-		return min(time.Duration(seconds)*time.Second, maxPause)
+		return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 	}
 	if date, err := http.ParseTime(header); err == nil {
-		return min(max(date.Sub(now), 0), maxPause)
+		return min(max(date.Sub(now), 0), maxRetryAfter)
 	}
-	return defaultPause
+	return defaultRetryAfter
 }
 
-// transferFailure classifies the end of a call without a whole answer. The
-// reason why ctx ended goes first, since the error of the connection then
-// only follows from it.
+// transferFailure returns the failure of a call without a complete response. If ctx
+// has ended, its cause takes precedence, since the error of the connection is only
+// a consequence.
 func transferFailure(ctx context.Context, err error, path string) error {
 	if ctx.Err() == nil {
 		return failure.Unavailable.Wrap(err, "%s", path)
@@ -171,8 +172,8 @@
 	return Canceled.Wrap(err, "%s", path)
 }
 
-// readBody reads a whole body of at most limit bytes. failure.Corrupt if it
-// is longer, failure.Unavailable if the connection ends within it.
+// readBody reads a complete body of at most limit bytes. Fails with failure.Corrupt
+// if it is longer, failure.Unavailable if the connection ends early.
 func readBody(ctx context.Context, response *http.Response, limit int64, path string) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
--- a/adapters/platform/config.go
+++ b/adapters/platform/config.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// MaxTextBytes is the largest value that the platform holds.
+	// MaxTextBytes is the largest configuration that the platform stores.
 	MaxTextBytes = 1 << 20
-	// DefaultWait is how long a watch asks the service to wait.
+	// DefaultWait is how long the service holds a watch without a change.
 	DefaultWait = 30 * time.Second
-	// DefaultMargin is what a watch allows beyond its wait.
+	// DefaultMargin is how much longer than its wait a watch may take.
 	DefaultMargin = 5 * time.Second
 
 	configPath     = "/v1/config"
 	revisionHeader = "Config-Revision"
 )
 
-// ConfigOptions shapes a ConfigSource. Zero fields get their defaults.
+// ConfigOptions configures a ConfigSource. Zero fields select the defaults.
 type ConfigOptions struct {
-	// BaseURL is the address of the service by IP number, such as
+	// BaseURL is the address of the service with an IP address as its host, such as
 	// "http://127.0.0.1:7001".
 	BaseURL string
-	// Client sends the requests; nil for one of its own. Its Timeout must be
-	// 0 or longer than Wait and Margin together.
+	// Client sends the requests; nil creates a new one. Its Timeout must be 0 or
+	// longer than Wait and Margin together.
 	Client *http.Client
-	// Timeout bounds a Read; DefaultTimeout.
+	// Timeout limits a Read; the default is DefaultTimeout.
 	Timeout time.Duration
-	// Wait is how long a Watch may wait at the service; DefaultWait.
+	// Wait is how long the service may hold a Watch; the default is DefaultWait.
 	Wait time.Duration
-	// Margin is how much longer than Wait a Watch lasts before it fails;
-	// DefaultMargin. It covers a service that never answers.
+	// Margin is how much longer than Wait a Watch may take before it fails, in case
+	// the service never responds; the default is DefaultMargin.
 	Margin time.Duration
 }
 
 // ConfigSource reads the platform's configuration service. It implements
-// revision.Source and is safe for use by many goroutines.
+// revision.Source and is safe for concurrent use.
 type ConfigSource struct {
 	*client
 	timeout time.Duration
@@ -52,13 +52,13 @@
 	margin  time.Duration
 
 	mu   sync.Mutex
-	last revision.Document // the last document that the service gave
+	last revision.Document // last document that the service returned
 }
 
 var _ revision.Source = (*ConfigSource)(nil)
 
-// NewConfigSource returns a source; failure.Invalid if the options are wrong.
-// It makes no call.
+// NewConfigSource returns a source, or failure.Invalid if the options are invalid.
+// It sends no request.
 func NewConfigSource(options ConfigOptions) (*ConfigSource, error) {
 	client, err := newClient(options.BaseURL, options.Client)
 	if err != nil {
@@ -72,27 +72,27 @@
 	}, nil
 }
 
-// Read returns the document that the service holds now. The caller must not
-// change its text.
+// Read returns the current document of the service. The caller must not modify its
+// text.
 func (s *ConfigSource) Read(ctx context.Context) (revision.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	return s.fetch(ctx, call{path: configPath})
 }
 
-// Watch waits until the service answers with a revision other than after, or
-// its wait ends; then it returns the unchanged document. That answer has no
-// body, since an idle watch would otherwise carry the whole text each time:
-// the text comes from the last answer, or from a Read if that was another
-// revision.
+// Watch waits until the service has a revision other than after, or its wait ends;
+// then it returns the unchanged document. The response to an unchanged watch has no
+// body, so that an idle watch does not transfer the complete text each time: the
+// text is that of the last response, or of a Read if that was another revision.
 //
-// after should be the revision that the service last gave, not the one in
-// force: a stale service answers at once otherwise, and the watch spins.
+// after should be the revision that the service returned last, not the active one.
+// Otherwise a service that returns an outdated revision responds immediately and
+// the watch becomes a busy loop.
 func (s *ConfigSource) Watch(ctx context.Context, after revision.Revision) (revision.Document, error) {
-	waiting, cancel := context.WithTimeout(ctx, s.wait+s.margin)
+	watchCtx, cancel := context.WithTimeout(ctx, s.wait+s.margin)
 	defer cancel()
 	path := fmt.Sprintf("%s?after=%d&wait=%s", configPath, after, s.wait)
-	document, err := s.fetch(waiting, call{path: path, conditional: true})
+	document, err := s.fetch(watchCtx, call{path: path, conditional: true})
 	if err != nil || document.Revision != 0 {
 		return document, err
 	}
@@ -102,7 +102,7 @@
 	return s.Read(ctx)
 }
 
-// fetch returns the zero document for an answer without change.
+// fetch returns the zero document if the response is 304 Not Modified.
 func (s *ConfigSource) fetch(ctx context.Context, call call) (revision.Document, error) {
 	response, err := s.get(ctx, call)
 	if err != nil {
@@ -124,11 +124,11 @@
 		return revision.Document{}, err
 	}
 	document := revision.Document{Revision: number, Text: text}
-	s.keep(document)
+	s.setLast(document)
 	return document, nil
 }
 
-func (s *ConfigSource) keep(document revision.Document) {
+func (s *ConfigSource) setLast(document revision.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = document
--- a/adapters/platform/config_test.go
+++ b/adapters/platform/config_test.go
@@ -25,7 +25,8 @@
 		first.Revision = service.SetText(first.Text)
 	})
 
-	// watch starts a watch in the background and waits until it has arrived.
+	// watch starts a watch in the background and waits until it has reached the
+	// service.
 	watch := func(source revision.Source, after revision.Revision) (<-chan revision.Document, <-chan error) {
 		documents := make(chan revision.Document, 1)
 		failures, cancel := inBackground(func(ctx context.Context) error {
@@ -38,7 +39,7 @@
 		return documents, failures
 	}
 
-	It("reads the newest text", func(ctx SpecContext) {
+	It("reads the latest text", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
 		Expect(service.SetText([]byte("other"))).To(Equal(first.Revision + 1))
@@ -46,7 +47,7 @@
 		Expect(service.Calls()).To(BeEquivalentTo(2))
 	})
 
-	It("answers a waiting watch when the text changes, as one call", func() {
+	It("completes a waiting watch when the text changes, with a single call", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		documents, failures := watch(source, first.Revision)
 		service.SetText([]byte("other"))
@@ -56,7 +57,7 @@
 		Expect(service.Waiting()).To(BeZero())
 	})
 
-	It("answers a watch at once whose revision is not the one held", func(ctx SpecContext) {
+	It("completes a watch immediately if its revision is not the current one", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		Expect(source.Watch(ctx, first.Revision-1)).To(Equal(first))
 		Expect(source.Watch(ctx, first.Revision+5)).To(Equal(first))
@@ -67,10 +68,10 @@
 		Expect(source.Watch(ctx, first.Revision)).To(Equal(first))
 		Expect(service.Calls()).To(BeEquivalentTo(2), "one watch, and one read of a text not yet seen")
 		Expect(source.Watch(ctx, first.Revision)).To(Equal(first))
-		Expect(service.Calls()).To(BeEquivalentTo(3), "the text of the earlier answer is used again")
+		Expect(service.Calls()).To(BeEquivalentTo(3), "the text of the earlier response is reused")
 	})
 
-	It("never returns an earlier text as the unchanged one", func(ctx SpecContext) {
+	It("never returns an outdated text as unchanged", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: shortWait})
 		Expect(source.Read(ctx)).To(Equal(first))
 		second := revision.Document{Text: []byte("second")}
@@ -78,10 +79,10 @@
 		Expect(source.Watch(ctx, second.Revision)).To(Equal(second))
 	})
 
-	// The caller sees an older revision than before, from Read and Watch. The
-	// platform falls back to an old copy and comes back later. The adapter
-	// hides neither, since only the core knows which revision is in force.
-	It("passes a stale answer on", func(ctx SpecContext) {
+	// The platform falls back to an old copy and recovers later. Read and Watch
+	// must return the older revision and not hide it, since only the core knows
+	// which revision is active.
+	It("returns an outdated revision unchanged", func(ctx SpecContext) {
 		second := revision.Document{Text: []byte("second")}
 		second.Revision = service.SetText(second.Text)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
@@ -97,18 +98,18 @@
 		Expect(documents).To(Receive(Equal(second)))
 	})
 
-	// The caller sees the same revision with another text. The platform was
-	// rebuilt and gave the number twice; the core has to notice and to keep
-	// what is in force, so that the adapter must not answer from memory.
-	It("passes a second text of one revision on", func(ctx SpecContext) {
+	// The platform was rebuilt and assigned the same revision to another text. The
+	// core must detect this and keep the active configuration, so the adapter must
+	// not respond from its cache.
+	It("returns a second text of the same revision", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
 		service.SetTextAt(first.Revision, []byte("forked"))
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: first.Revision, Text: []byte("forked")}))
 	})
 
-	// The caller of a watch sees Unavailable at once, not after the wait. The
-	// service goes down while the watch waits.
+	// The service goes down while a watch waits. The watch must fail with
+	// Unavailable immediately, not after the wait.
 	It("ends a waiting watch when the service goes down", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		_, failures := watch(source, first.Revision)
@@ -116,9 +117,9 @@
 		Eventually(failures).Should(Receive(beOfType(failure.Unavailable)))
 	})
 
-	// The caller of a watch sees Unavailable. The service's process dies while
-	// the watch waits, so that the connection closes without an answer.
-	It("ends a waiting watch when the service dies", func() {
+	// The service's process ends while a watch waits, so that the connection closes
+	// without a response. The watch must fail with Unavailable.
+	It("ends a waiting watch when the service's process ends", func() {
 		server, err := standin.Start(service, standin.AnyPort)
 		Expect(err).NotTo(HaveOccurred())
 		source := configSource(platform.ConfigOptions{BaseURL: server.URL(), Wait: longWait})
@@ -127,10 +128,10 @@
 		Eventually(failures).Should(Receive(beOfType(failure.Unavailable)))
 	})
 
-	// The caller of a watch sees Timeout after the wait and the margin. The
-	// service falls silent while the watch waits and its link stays open, so
-	// that nothing but the watch's own deadline can end it.
-	It("ends a waiting watch when the service falls silent", func() {
+	// The service stops responding while a watch waits, and its connection stays
+	// open, so only the deadline of the watch can end it. The watch must fail with
+	// Timeout after the wait and the margin.
+	It("ends a waiting watch when the service stops responding", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: time.Second, Margin: shortStall})
 		_, failures := watch(source, first.Revision)
 		service.SetSilent(true)
@@ -138,7 +139,7 @@
 		Eventually(service.Waiting).Should(BeZero())
 	})
 
-	It("frees the service of a watch that is given up", func() {
+	It("ends a canceled watch at the service", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		failures, cancel := inBackground(func(ctx context.Context) error {
 			_, err := source.Watch(ctx, first.Revision)
@@ -150,7 +151,7 @@
 		Eventually(service.Waiting).Should(BeZero())
 	})
 
-	It("takes a text of the largest size and no larger one", func(ctx SpecContext) {
+	It("accepts a text of the maximum size and no larger one", func(ctx SpecContext) {
 		largest := []byte(strings.Repeat("x", platform.MaxTextBytes))
 		number := service.SetText(largest)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
@@ -160,10 +161,10 @@
 		Expect(err).To(beOfType(failure.Corrupt))
 	})
 
-	DescribeTable("an answer that is refused as Corrupt",
+	DescribeTable("a response that is rejected as Corrupt",
 		func(ctx SpecContext, header string) {
 			source := configSource(platform.ConfigOptions{
-				BaseURL: serve(answering(http.StatusOK, "Config-Revision", header)),
+				BaseURL: serve(respondWith(http.StatusOK, "Config-Revision", header)),
 			})
 			_, err := source.Read(ctx)
 			Expect(err).To(beOfType(failure.Corrupt))
@@ -172,28 +173,30 @@
 		Entry("without a revision", ""),
 		Entry("with revision 0", "0"),
 		Entry("with a negative revision", "-1"),
-		Entry("with a revision that is no number", "1x"),
+		Entry("with a revision that is not a number", "1x"),
 		Entry("with a revision beyond 64 bits", "18446744073709551616"),
 	)
 
-	It("refuses an answer without change that it did not ask for", func(ctx SpecContext) {
-		source := configSource(platform.ConfigOptions{BaseURL: serve(answering(http.StatusNotModified, "", ""))})
+	It("rejects a 304 response to an unconditional request", func(ctx SpecContext) {
+		source := configSource(platform.ConfigOptions{BaseURL: serve(respondWith(http.StatusNotModified, "", ""))})
 		_, err := source.Read(ctx)
 		Expect(err).To(beOfType(failure.Refused))
 	})
 
-	// The caller sees Unavailable and no text. The connection dies within the
-	// body; half a text would pass for a whole one that lost its last services.
-	It("never returns half a text", func(ctx SpecContext) {
-		source := configSource(platform.ConfigOptions{BaseURL: serve(cutAfter("[service a]\n", 100))})
+	// The connection breaks within the body. Read must fail with Unavailable and
+	// return no text: a truncated text could pass for a complete one without its
+	// last services.
+	It("never returns a truncated text", func(ctx SpecContext) {
+		source := configSource(platform.ConfigOptions{BaseURL: serve(truncateAfter("[service a]\n", 100))})
 		document, err := source.Read(ctx)
 		Expect(err).To(beOfType(failure.Unavailable))
 		Expect(document).To(BeZero())
 	})
 
-	// Guards against half a text of a service that was killed, taken for a whole one.
-	It("returns no text whose end is that of the connection", func(ctx SpecContext) {
-		source := configSource(platform.ConfigOptions{BaseURL: serve(unmarked("[service a]\n"))})
+	// Guards against a truncated text of a service that was killed, taken for a
+	// complete one.
+	It("returns no text whose end is marked only by the end of the connection", func(ctx SpecContext) {
+		source := configSource(platform.ConfigOptions{BaseURL: serve(unframed("[service a]\n"))})
 		document, err := source.Read(ctx)
 		Expect(err).To(beOfType(failure.Unavailable))
 		Expect(document).To(BeZero())
--- a/adapters/platform/contract_test.go
+++ b/adapters/platform/contract_test.go
@@ -17,19 +17,18 @@
 	standin "chivespindle.example/standin/platform"
 )
 
-// service is a stand-in whose outages a case can cause.
+// service is a stand-in with outages that a spec can cause.
 type service interface {
 	http.Handler
 	SetDown(down bool)
 	SetSilent(silent bool)
 }
 
-// contractCall is one call of a port. Every case of commonFaults holds for
-// each of them.
+// contractCall is one method of a port. All commonFaults apply to each of them.
 type contractCall struct {
 	name    string
 	service func() service
-	// call makes the call with the timeout that ends it when nothing comes.
+	// call calls the method; timeout ends the call if no response arrives.
 	call func(ctx context.Context, url string, timeout time.Duration) error
 }
 
@@ -67,7 +66,7 @@
 	},
 	{
 		name:    "weights.Source.Manifest",
-		service: func() service { return holding(standin.WeightOptions{}, model(10, 10)) },
+		service: func() service { return serverWith(standin.WeightOptions{}, model(10, 10)) },
 		call: func(ctx context.Context, url string, timeout time.Duration) error {
 			var source weights.Source = weightSource(platform.WeightOptions{BaseURL: url, StallTimeout: timeout})
 			_, err := source.Manifest(ctx, model(10, 10).Version.Manifest)
@@ -76,28 +75,28 @@
 	},
 	{
 		name:    "weights.Source.Chunk",
-		service: func() service { return holding(standin.WeightOptions{}, model(10, 10)) },
+		service: func() service { return serverWith(standin.WeightOptions{}, model(10, 10)) },
 		call: func(ctx context.Context, url string, timeout time.Duration) error {
-			made := model(10, 10)
+			fixture := model(10, 10)
 			var source weights.Source = weightSource(platform.WeightOptions{BaseURL: url, StallTimeout: timeout})
-			_, err := source.Chunk(ctx, made.Version.Manifest, made.Manifest.Chunks[0])
+			_, err := source.Chunk(ctx, fixture.Version.Manifest, fixture.Manifest.Chunks[0])
 			return err
 		},
 	},
 }
 
-// commonFault is a state of a service that every port reports alike.
+// commonFault is a state of a service that every port reports in the same way.
 type commonFault struct {
-	name  string
-	serve func(s service) string // returns the base URL
-	short bool                   // the call's timeout is to pass
-	want  *errorx.Type           // nil: the call succeeds
-	pause time.Duration          // RetryAfter of the failure
+	name       string
+	serve      func(s service) string // returns the base URL
+	timesOut   bool                   // the call is expected to time out
+	want       *errorx.Type           // nil: the call succeeds
+	retryAfter time.Duration          // RetryAfter of the failure
 }
 
 var commonFaults = []commonFault{
 	{
-		name:  "succeeds against a service in order",
+		name:  "succeeds with a healthy service",
 		serve: func(s service) string { return serve(s) },
 	},
 	{
@@ -117,13 +116,13 @@
 		},
 	},
 	{
-		name: "fails as Timeout when the service takes the call and never answers",
+		name: "fails as Timeout when the service accepts the call and never responds",
 		serve: func(s service) string {
 			s.SetSilent(true)
 			return serve(s)
 		},
-		short: true,
-		want:  failure.Timeout,
+		timesOut: true,
+		want:     failure.Timeout,
 	},
 	{
 		name:  "fails as Unavailable when nothing listens",
@@ -131,7 +130,7 @@
 		want:  failure.Unavailable,
 	},
 	{
-		name: "fails as Unavailable when the connection is cut before the answer",
+		name: "fails as Unavailable when the connection breaks before the response",
 		serve: func(service) string {
 			return serve(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 				panic(http.ErrAbortHandler)
@@ -140,26 +139,26 @@
 		want: failure.Unavailable,
 	},
 	{
-		name:  "fails as RateLimited with the pause that the service asks for",
-		serve: func(service) string { return serve(answering(http.StatusTooManyRequests, "Retry-After", "7")) },
-		want:  failure.RateLimited,
-		pause: 7 * time.Second,
+		name:       "fails as RateLimited with the Retry-After of the service",
+		serve:      func(service) string { return serve(respondWith(http.StatusTooManyRequests, "Retry-After", "7")) },
+		want:       failure.RateLimited,
+		retryAfter: 7 * time.Second,
 	},
 	{
-		name:  "fails as RateLimited with a pause of its own when the service names none",
-		serve: func(service) string { return serve(answering(http.StatusTooManyRequests, "", "")) },
-		want:  failure.RateLimited,
-		pause: time.Second,
+		name:       "fails as RateLimited with a default delay when the service sends no Retry-After",
+		serve:      func(service) string { return serve(respondWith(http.StatusTooManyRequests, "", "")) },
+		want:       failure.RateLimited,
+		retryAfter: time.Second,
 	},
 	{
-		name:  "keeps the pause of a service that is down",
-		serve: func(service) string { return serve(answering(http.StatusServiceUnavailable, "Retry-After", "3")) },
-		want:  failure.Unavailable,
-		pause: 3 * time.Second,
+		name:       "keeps the Retry-After of a service that is down",
+		serve:      func(service) string { return serve(respondWith(http.StatusServiceUnavailable, "Retry-After", "3")) },
+		want:       failure.Unavailable,
+		retryAfter: 3 * time.Second,
 	},
 	{
 		name:  "fails as Unavailable on a gateway's error",
-		serve: func(service) string { return serve(answering(http.StatusBadGateway, "", "")) },
+		serve: func(service) string { return serve(respondWith(http.StatusBadGateway, "", "")) },
 		want:  failure.Unavailable,
 	},
 	{
@@ -168,21 +167,21 @@
 		want:  failure.NotFound,
 	},
 	{
-		name:  "fails as Refused on another refusal",
-		serve: func(service) string { return serve(answering(http.StatusForbidden, "", "")) },
+		name:  "fails as Refused on another client error",
+		serve: func(service) string { return serve(respondWith(http.StatusForbidden, "", "")) },
 		want:  failure.Refused,
 	},
 	{
 		name: "follows no redirect",
 		serve: func(s service) string {
-			return serve(answering(http.StatusTemporaryRedirect, "Location", serve(s)))
+			return serve(respondWith(http.StatusTemporaryRedirect, "Location", serve(s)))
 		},
 		want: failure.Refused,
 	},
 }
 
-// answering returns a handler with one status and at most one header.
-func answering(status int, header, value string) http.Handler {
+// respondWith returns a handler with one status and at most one header.
+func respondWith(status int, header, value string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if header != "" {
 			w.Header().Set(header, value)
@@ -191,13 +190,13 @@
 	})
 }
 
-var _ = Describe("the contract of the ports", func() {
+var _ = Describe("the contract of the platform ports", func() {
 	for _, port := range contractCalls {
 		Describe(port.name, func() {
 			for _, fault := range commonFaults {
 				It(fault.name, SpecTimeout(longWait/2), func(ctx SpecContext) {
 					timeout := longWait
-					if fault.short {
+					if fault.timesOut {
 						timeout = shortStall
 					}
 					err := port.call(ctx, fault.serve(port.service()), timeout)
@@ -206,31 +205,31 @@
 						return
 					}
 					Expect(err).To(beOfType(fault.want))
-					Expect(failure.RetryAfter(err)).To(Equal(fault.pause))
+					Expect(failure.RetryAfter(err)).To(Equal(fault.retryAfter))
 				})
 			}
 
-			It("fails as Canceled when its caller gives it up", func() {
-				silent := port.service()
-				silent.SetSilent(true)
+			It("fails as Canceled when its caller cancels", func() {
+				unresponsive := port.service()
+				unresponsive.SetSilent(true)
 				ctx, cancel := context.WithCancel(context.Background())
 				cancel()
-				err := port.call(ctx, serve(silent), longWait)
+				err := port.call(ctx, serve(unresponsive), longWait)
 				Expect(err).To(beOfType(platform.Canceled))
 			})
 
 			It("fails as Timeout when its caller's deadline passes", func() {
-				silent := port.service()
-				silent.SetSilent(true)
+				unresponsive := port.service()
+				unresponsive.SetSilent(true)
 				ctx, cancel := context.WithDeadline(context.Background(), time.Now())
 				defer cancel()
-				Expect(port.call(ctx, serve(silent), longWait)).To(beOfType(failure.Timeout))
+				Expect(port.call(ctx, serve(unresponsive), longWait)).To(beOfType(failure.Timeout))
 			})
 		})
 	}
 })
 
-var _ = DescribeTable("a base URL that is refused",
+var _ = DescribeTable("a base URL that is rejected",
 	func(url, reason string) {
 		_, err := platform.NewConfigSource(platform.ConfigOptions{BaseURL: url})
 		Expect(err).To(beOfType(failure.Invalid))
--- a/adapters/platform/decode_test.go
+++ b/adapters/platform/decode_test.go
@@ -16,8 +16,8 @@
 	"chivespindle.example/core/fleet"
 )
 
-// FuzzDecodeInstances: whatever the platform sends, the decoder fails as
-// Corrupt or returns a list that keeps its rules and survives a round trip.
+// FuzzDecodeInstances checks that, for any input, the decoder fails with Corrupt or
+// returns a valid list that survives a round trip.
 func FuzzDecodeInstances(f *testing.F) {
 	f.Add([]byte(`[]`))
 	f.Add([]byte(`null`))
@@ -47,8 +47,8 @@
 	})
 }
 
-// BenchmarkDecodeInstances gives the size of the list and the time to read it
-// for the fleet of the target.
+// BenchmarkDecodeInstances measures the size of the list and the time to decode it
+// for a fleet of the target size.
 func BenchmarkDecodeInstances(b *testing.B) {
 	const entries, agents = 410, 3500
 	var instances []fleet.Instance
@@ -82,15 +82,15 @@
 var _ = DescribeTable("a Retry-After header",
 	func(header string, want time.Duration) {
 		now := time.Date(2026, time.March, 2, 8, 0, 0, 0, time.UTC)
-		Expect(parsePause(header, now)).To(Equal(want))
+		Expect(parseRetryAfter(header, now)).To(Equal(want))
 	},
 	Entry("of seconds", "120", 2*time.Minute),
-	Entry("of no time", "0", time.Duration(0)),
+	Entry("of zero seconds", "0", time.Duration(0)),
 	Entry("of a date", "Mon, 02 Mar 2026 08:00:30 GMT", 30*time.Second),
 	Entry("of a past date", "Mon, 02 Mar 2026 07:00:00 GMT", time.Duration(0)),
-	Entry("beyond the bound", "999999", maxPause),
-	Entry("of a date beyond the bound", "Mon, 02 Mar 2037 08:00:00 GMT", maxPause),
-	Entry("that is negative", "-5", defaultPause),
-	Entry("that cannot be read", "soon", defaultPause),
-	Entry("that is missing", "", defaultPause),
+	Entry("beyond the maximum", "999999", maxRetryAfter),
+	Entry("of a date beyond the maximum", "Mon, 02 Mar 2037 08:00:00 GMT", maxRetryAfter),
+	Entry("that is negative", "-5", defaultRetryAfter),
+	Entry("that cannot be parsed", "soon", defaultRetryAfter),
+	Entry("that is missing", "", defaultRetryAfter),
 )
--- a/adapters/platform/doc.go
+++ b/adapters/platform/doc.go
@@ -1,10 +1,8 @@
-// Package platform meets the platform's services over HTTP: the configuration
+// Package platform is the client of the platform's HTTP services: the configuration
 // service (revision.Source), the instance list (gossip.InstanceList) and the
-// places that hold weights (weights.Source). Their protocol is described in
-// docs/PLATFORM.md.
+// sources of weights (weights.Source). docs/PLATFORM.md describes their protocol.
 //
-// Every failure is a type of package failure, or Canceled. Nothing here tries
-// again, but for net/http, which repeats a request on a new connection when a
-// kept one had closed before any answer: when to repeat a call is decided by
-// its caller.
+// Every failure has a type of package failure, or is Canceled. Nothing here
+// retries: that is decided by the caller. Only net/http resends a request on a new
+// connection if an idle connection was closed before any response.
 package platform
--- a/adapters/platform/helpers_test.go
+++ b/adapters/platform/helpers_test.go
@@ -21,13 +21,13 @@
 const (
 	// shortStall is the stall timeout of specs that cause a stall.
 	shortStall = 100 * time.Millisecond
-	// shortWait is the wait of watches that are to see no change.
+	// shortWait is the wait of watches that are expected to see no change.
 	shortWait = 50 * time.Millisecond
-	// longWait outlasts any spec.
+	// longWait is longer than any spec takes.
 	longWait = time.Minute
 )
 
-// serve starts a handler for the length of one spec and returns its base URL.
+// serve starts a handler for the duration of a spec and returns its base URL.
 func serve(handler http.Handler) string {
 	GinkgoHelper()
 	server, err := standin.Start(handler, standin.AnyPort)
@@ -36,7 +36,7 @@
 	return server.URL()
 }
 
-// unusedURL returns the URL of a local port that nothing listens on.
+// unusedURL returns the URL of a local port on which nothing listens.
 func unusedURL() string {
 	GinkgoHelper()
 	server, err := standin.Start(http.NotFoundHandler(), standin.AnyPort)
@@ -71,13 +71,13 @@
 
 func model(bytes int64, chunkBytes int) standin.Model {
 	GinkgoHelper()
-	made, err := standin.NewModel(standin.ModelSpec{Name: "relay", Bytes: bytes, ChunkBytes: chunkBytes, Seed: 7})
+	fixture, err := standin.NewModel(standin.ModelSpec{Name: "relay", Bytes: bytes, ChunkBytes: chunkBytes, Seed: 7})
 	Expect(err).NotTo(HaveOccurred())
-	return made
+	return fixture
 }
 
-// holding returns a weight server that holds the models.
-func holding(options standin.WeightOptions, models ...standin.Model) *standin.WeightServer {
+// serverWith returns a weight server with the given models.
+func serverWith(options standin.WeightOptions, models ...standin.Model) *standin.WeightServer {
 	GinkgoHelper()
 	server := standin.NewWeightServer(options)
 	for _, m := range models {
@@ -96,14 +96,14 @@
 	}
 }
 
-// beOfType matches a failure by its type.
+// beOfType matches an error by its type.
 func beOfType(want *errorx.Type) types.GomegaMatcher {
 	return WithTransform(func(err error) string {
 		return errorx.GetTypeName(err)
 	}, Equal(want.FullName()))
 }
 
-// inBackground runs call and returns a channel with its failure.
+// inBackground runs call in a goroutine and returns a channel with its error.
 func inBackground(call func(ctx context.Context) error) (<-chan error, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -111,8 +111,8 @@
 	return done, cancel
 }
 
-// unmarked answers with part and neither a length nor chunks.
-func unmarked(part string) http.Handler {
+// unframed responds with part, with neither a length nor chunks.
+func unframed(part string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -123,9 +123,9 @@
 	})
 }
 
-// cutAfter returns a handler that promises size bytes, sends part and closes
+// truncateAfter returns a handler that announces size bytes, sends part and closes
 // the connection.
-func cutAfter(part string, size int) http.Handler {
+func truncateAfter(part string, size int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Config-Revision", "1")
 		w.Header().Set("Content-Length", strconv.Itoa(size))
--- a/adapters/platform/instances.go
+++ b/adapters/platform/instances.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// MaxListBytes bounds the encoded list. At about 250 bytes a line it
-	// leaves room for some 30,000 instances.
+	// MaxListBytes limits the encoded list. At about 250 bytes per entry it has
+	// room for about 30,000 instances.
 	MaxListBytes = 8 << 20
 
 	instancesPath = "/v1/instances"
 )
 
-// InstanceListOptions shapes an InstanceList. Zero fields get their defaults.
+// InstanceListOptions configures an InstanceList. Zero fields select the defaults.
 type InstanceListOptions struct {
-	// BaseURL is the address of the service by IP number.
+	// BaseURL is the address of the service with an IP address as its host.
 	BaseURL string
-	// Client sends the requests; nil for one of its own.
+	// Client sends the requests; nil creates a new one.
 	Client *http.Client
-	// Timeout bounds a call; DefaultTimeout.
+	// Timeout limits a call; the default is DefaultTimeout.
 	Timeout time.Duration
 }
 
 // InstanceList reads the platform's list of instances. It implements
-// gossip.InstanceList and is safe for use by many goroutines.
+// gossip.InstanceList and is safe for concurrent use.
 type InstanceList struct {
 	*client
 	timeout time.Duration
 
 	mu   sync.Mutex
-	last taggedList // the last list that came with an ETag
+	last taggedList // last list that had an ETag
 }
 
-// taggedList is a list and the ETag that the service gave it.
+// taggedList is a list and its ETag.
 type taggedList struct {
 	etag      string
 	instances []fleet.Instance
@@ -50,8 +50,8 @@
 
 var _ gossip.InstanceList = (*InstanceList)(nil)
 
-// NewInstanceList returns a reader of the list; failure.Invalid if the options
-// are wrong. It makes no call.
+// NewInstanceList returns a client of the list, or failure.Invalid if the options
+// are invalid. It sends no request.
 func NewInstanceList(options InstanceListOptions) (*InstanceList, error) {
 	client, err := newClient(options.BaseURL, options.Client)
 	if err != nil {
@@ -60,12 +60,12 @@
 	return &InstanceList{client: client, timeout: defaults.Or(options.Timeout, DefaultTimeout)}, nil
 }
 
-// Instances returns the whole list or a failure, never a part: a list that
-// lost lines would look like instances that have ended.
+// Instances returns the complete list or a failure, never a part: instances that
+// are missing from the list would look as if they had ended.
 //
-// A list that has not changed since the last call is answered without a body.
-// At 3,910 instances the body is 0.6 MB, so that every reader would otherwise
-// spend its whole allowance on a list that changes about once a minute.
+// If the list has not changed since the last call, the response has no body. For
+// 3,910 instances the body has 0.6 MB, so that otherwise every reader would use up
+// its entire bandwidth allowance for a list that changes about once a minute.
 func (l *InstanceList) Instances(ctx context.Context) ([]fleet.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.keep(taggedList{etag: response.Header.Get("ETag"), instances: slices.Clone(instances)})
+	l.setLast(taggedList{etag: response.Header.Get("ETag"), instances: slices.Clone(instances)})
 	return instances, nil
 }
 
@@ -96,14 +96,14 @@
 	return l.last
 }
 
-func (l *InstanceList) keep(list taggedList) {
+func (l *InstanceList) setLast(list taggedList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last = list
 }
 
-// decodeInstances reads the JSON form of the list. Unknown fields are
-// skipped, so that the platform can add some.
+// decodeInstances parses the JSON form of the list. Unknown fields are ignored, so
+// that the platform can add fields.
 func decodeInstances(body []byte) ([]fleet.Instance, error) {
 	var instances []fleet.Instance
 	if err := json.Unmarshal(body, &instances); err != nil {
--- a/adapters/platform/instances_test.go
+++ b/adapters/platform/instances_test.go
@@ -31,27 +31,27 @@
 		Expect(service.Calls()).To(BeEquivalentTo(1))
 	})
 
-	It("returns an empty list as one", func(ctx SpecContext) {
+	It("returns an empty list", func(ctx SpecContext) {
 		list := instanceList(platform.InstanceListOptions{
 			BaseURL: serve(standin.NewInstanceList(standin.InstanceListOptions{})),
 		})
 		Expect(list.Instances(ctx)).To(BeEmpty())
 	})
 
-	It("carries an unchanged list once, and a changed one again", func(ctx SpecContext) {
+	It("transfers an unchanged list once, and a changed one again", func(ctx SpecContext) {
 		service := standin.NewInstanceList(standin.InstanceListOptions{})
 		first := entryInstance("entry-1")
 		service.Set(first)
 		list := instanceList(platform.InstanceListOptions{BaseURL: serve(service)})
-		var carried []uint64
+		var transferred []uint64
 		for range 3 {
 			instances, err := list.Instances(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(instances).To(Equal([]fleet.Instance{first}))
 			instances[0].ID = "changed by the caller"
-			carried = append(carried, service.BytesSent())
+			transferred = append(transferred, service.BytesSent())
 		}
-		Expect(carried).To(HaveEach(carried[0]))
+		Expect(transferred).To(HaveEach(transferred[0]))
 
 		service.SetLeaving("entry-1", true)
 		first.Leaving = true
@@ -59,17 +59,17 @@
 		Expect(service.Calls()).To(BeEquivalentTo(4))
 	})
 
-	It("refuses an answer without change that it did not ask for", func(ctx SpecContext) {
+	It("rejects a 304 response to an unconditional request", func(ctx SpecContext) {
 		list := instanceList(platform.InstanceListOptions{
-			BaseURL: serve(answering(http.StatusNotModified, "", "")),
+			BaseURL: serve(respondWith(http.StatusNotModified, "", "")),
 		})
 		_, err := list.Instances(ctx)
 		Expect(err).To(beOfType(failure.Refused))
 	})
 
-	// The caller sees an instance for one lag after it has gone, and misses a
-	// new one for as long. The platform's list is behind; nothing in the
-	// answer shows it, so that the core has to hear of both from peers.
+	// The platform's list lags: it still has an instance that has ended and lacks a
+	// new one. Nothing in the response shows that, so the core has to learn of both
+	// from peers.
 	It("shows changes after the lag", func(ctx SpecContext) {
 		var seconds atomic.Int64
 		now := func() time.Time { return time.Unix(seconds.Load(), 0) }
@@ -89,7 +89,7 @@
 		Expect(list.Instances(ctx)).To(ConsistOf(replacement))
 	})
 
-	DescribeTable("an answer that is refused as Corrupt",
+	DescribeTable("a response that is rejected as Corrupt",
 		func(ctx SpecContext, body, reason string) {
 			list := instanceList(platform.InstanceListOptions{
 				BaseURL: serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -104,19 +104,19 @@
 		Entry("empty", ``, "unexpected end of JSON input"),
 		Entry("null", `null`, "want an array"),
 		Entry("an object", `{}`, "cannot unmarshal object"),
-		Entry("cut short", `[{"id":"a","role":"entry"`, "unexpected end of JSON input"),
-		Entry("followed by more", `[] []`, "after top-level value"),
-		Entry("with a null line", `[null]`, "line 0, cause: chivespindle.invalid: id is empty"),
-		Entry("without an id", `[{"role":"entry","peer_addr":"127.0.0.1:1"}]`, "line 0, cause: chivespindle.invalid: id is empty"),
+		Entry("truncated", `[{"id":"a","role":"entry"`, "unexpected end of JSON input"),
+		Entry("followed by another value", `[] []`, "after top-level value"),
+		Entry("with a null entry", `[null]`, "line 0, cause: chivespindle.invalid: id is empty"),
+		Entry("without an ID", `[{"role":"entry","peer_addr":"127.0.0.1:1"}]`, "line 0, cause: chivespindle.invalid: id is empty"),
 		Entry("with an unknown role", `[{"id":"a","role":"boss","peer_addr":"127.0.0.1:1"}]`, `"a" has role "boss"`),
 		Entry("without a peer address", `[{"id":"a","role":"entry"}]`, `"a" has peer_addr`),
 		Entry("with a host name", `[{"id":"a","role":"entry","peer_addr":"localhost:1"}]`, "ParseAddr"),
 		Entry("with port 0", `[{"id":"a","role":"entry","peer_addr":"127.0.0.1:0"}]`, `"a" has peer_addr`),
-		Entry("with one id twice", `[{"id":"a","role":"entry","peer_addr":"127.0.0.1:1"},`+
+		Entry("with a duplicate ID", `[{"id":"a","role":"entry","peer_addr":"127.0.0.1:1"},`+
 			`{"id":"a","role":"entry","peer_addr":"127.0.0.1:2"}]`, `line 1: "a" occurs twice`),
 	)
 
-	It("skips fields that it does not know", func(ctx SpecContext) {
+	It("ignores unknown fields", func(ctx SpecContext) {
 		body := `[{"id":"a","role":"entry","peer_addr":"127.0.0.1:1","rack":"r7"}]`
 		list := instanceList(platform.InstanceListOptions{
 			BaseURL: serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -126,16 +126,17 @@
 		Expect(list.Instances(ctx)).To(HaveLen(1))
 	})
 
-	// The caller sees Unavailable and no list. The connection dies within the
-	// body; half a list would look like instances that have gone.
-	It("never returns half a list", func(ctx SpecContext) {
-		list := instanceList(platform.InstanceListOptions{BaseURL: serve(cutAfter("[]", 100))})
+	// The connection breaks within the body. Instances must fail with Unavailable
+	// and return no list: instances missing from a truncated list would look as if
+	// they had ended.
+	It("never returns a truncated list", func(ctx SpecContext) {
+		list := instanceList(platform.InstanceListOptions{BaseURL: serve(truncateAfter("[]", 100))})
 		instances, err := list.Instances(ctx)
 		Expect(err).To(beOfType(failure.Unavailable))
 		Expect(instances).To(BeNil())
 	})
 
-	It("refuses a list beyond the bound", func(ctx SpecContext) {
+	It("rejects a list beyond the maximum size", func(ctx SpecContext) {
 		list := instanceList(platform.InstanceListOptions{
 			BaseURL: serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(make([]byte, platform.MaxListBytes+1))
--- a/adapters/platform/weights.go
+++ b/adapters/platform/weights.go
@@ -16,67 +16,69 @@
 )
 
 const (
-	// DefaultStallTimeout is how long a transfer may bring no byte.
+	// DefaultStallTimeout is how long a transfer may continue without receiving a
+	// byte.
 	DefaultStallTimeout = 5 * time.Second
-	// LimiterPieceBytes is the most that a Limiter is asked for at once. The
-	// burst of a token bucket must be at least as large.
+	// LimiterPieceBytes is the maximum that is requested from a Limiter at once.
+	// The burst of a token bucket must be at least as large.
 	LimiterPieceBytes = 32 << 10
-	// MaxManifestBytes bounds an encoded manifest. A manifest of
-	// weights.MaxChunks chunks has about 50 bytes a chunk.
+	// MaxManifestBytes limits an encoded manifest. A manifest has about 50 bytes
+	// per chunk and at most weights.MaxChunks chunks.
 	MaxManifestBytes = 8 << 20
 
 	weightsPath = "/v1/weights/"
 )
 
-// Limiter slows the reading of weights down, so that other traffic of the
-// machine comes first. A rate.Limiter is one.
+// Limiter limits the rate at which weights are read, so that other traffic of the
+// machine takes precedence. A rate.Limiter implements it.
 type Limiter interface {
-	// WaitN returns once n bytes may be read. It fails when ctx ends.
+	// WaitN returns when n bytes may be read. It fails when ctx ends.
 	WaitN(ctx context.Context, n int) error
 }
 
-// WeightOptions shapes a WeightSource. Zero fields get their defaults.
+// WeightOptions configures a WeightSource. Zero fields select the defaults.
 type WeightOptions struct {
-	// BaseURL is the address of the origin or store by IP number.
+	// BaseURL is the address of the origin or store with an IP address as its host.
 	BaseURL string
-	// Client sends the requests; nil for one of its own. Its Timeout should
-	// be 0, since the whole time of a transfer is bounded by its context.
+	// Client sends the requests; nil creates a new one. Its Timeout should be 0,
+	// since the duration of a transfer is limited by its context.
 	Client *http.Client
-	// StallTimeout is how long a call continues without one byte, from its
-	// start; DefaultStallTimeout. Waiting for Limiter does not count.
+	// StallTimeout is how long a call may continue without receiving a byte, from
+	// its start; the default is DefaultStallTimeout. The wait for Limiter does not
+	// count.
 	StallTimeout time.Duration
-	// Limiter is asked before each piece of a chunk's body; nil for none.
+	// Limiter is called before each piece of a chunk's body; nil for none.
 	Limiter Limiter
 }
 
 // WeightSource reads the origin of weights or the weight store. It implements
-// weights.Source and is safe for use by many goroutines.
+// weights.Source and is safe for concurrent use.
 type WeightSource struct {
 	*client
-	stall   time.Duration
-	limiter Limiter
+	stallTimeout time.Duration
+	limiter      Limiter
 }
 
 var _ weights.Source = (*WeightSource)(nil)
 
-// NewWeightSource returns a source; failure.Invalid if the options are wrong.
-// It makes no call.
+// NewWeightSource returns a source, or failure.Invalid if the options are invalid.
+// It sends no request.
 func NewWeightSource(options WeightOptions) (*WeightSource, error) {
 	client, err := newClient(options.BaseURL, options.Client)
 	if err != nil {
 		return nil, err
 	}
 	return &WeightSource{
-		client:  client,
-		stall:   defaults.Or(options.StallTimeout, DefaultStallTimeout),
-		limiter: options.Limiter,
+		client:       client,
+		stallTimeout: defaults.Or(options.StallTimeout, DefaultStallTimeout),
+		limiter:      options.Limiter,
 	}, nil
 }
 
-// Manifest returns the encoded manifest, unchecked.
+// Manifest returns the encoded manifest without checking it.
 func (s *WeightSource) Manifest(ctx context.Context, manifest fleet.Digest) ([]byte, error) {
 	path := weightsPath + manifest.String()
-	ctx, watch := progress.Start(ctx, s.stall, s.stall, path)
+	ctx, watch := progress.Start(ctx, s.stallTimeout, s.stallTimeout, path)
 	defer watch.Stop()
 	response, err := s.get(ctx, call{path: path})
 	if err != nil {
@@ -87,16 +89,16 @@
 	return readBody(ctx, response, MaxManifestBytes, path)
 }
 
-// Chunk returns the bytes of one chunk. Its size is checked, its digest not.
-// failure.Timeout when no byte arrived for the stall timeout; Corrupt when
-// the body has another size than the manifest says; Unavailable when the
-// connection ends within it.
+// Chunk returns the bytes of one chunk. It checks the size, not the digest. Fails
+// with failure.Timeout if no byte arrived within the stall timeout, failure.Corrupt
+// if the size of the body differs from the manifest, and failure.Unavailable if the
+// connection ends early.
 func (s *WeightSource) Chunk(ctx context.Context, manifest fleet.Digest, chunk weights.Chunk) ([]byte, error) {
 	if chunk.Bytes <= 0 || chunk.Bytes > weights.MaxChunkBytes {
 		return nil, failure.Invalid.New("chunk %d has size %d", chunk.Index, chunk.Bytes)
 	}
 	path := fmt.Sprintf("%s%s/chunks/%d", weightsPath, manifest, chunk.Index)
-	ctx, watch := progress.Start(ctx, s.stall, s.stall, path)
+	ctx, watch := progress.Start(ctx, s.stallTimeout, s.stallTimeout, path)
 	defer watch.Stop()
 	response, err := s.get(ctx, call{path: path})
 	if err != nil {
@@ -119,7 +121,7 @@
 // chunkReader reads one chunk's body in pieces.
 type chunkReader struct {
 	body     io.Reader
-	framed   bool // the sender marks the end of body
+	framed   bool // the sender marks the end of the body
 	progress *progress.Watch
 	limiter  Limiter
 	path     string
@@ -129,21 +131,21 @@
 	data := make([]byte, size)
 	for start := 0; start < size; start += LimiterPieceBytes {
 		piece := data[start:min(start+LimiterPieceBytes, size)]
-		if err := r.pace(ctx, len(piece)); err != nil {
+		if err := r.waitForLimiter(ctx, len(piece)); err != nil {
 			return nil, err
 		}
 		n, err := io.ReadFull(r.body, piece)
 		if err == nil {
 			continue
 		}
-		return data[:start+n], r.ended(ctx, err, start+n, size)
+		return data[:start+n], r.endFailure(ctx, err, start+n, size)
 	}
 	return data, r.checkEnd(ctx, size)
 }
 
-// pace waits for the limiter. The stall timer rests meanwhile: a transfer
-// that we slow down ourselves is not a stalled link.
-func (r chunkReader) pace(ctx context.Context, n int) error {
+// waitForLimiter waits until n bytes may be read. The stall timer is paused in the
+// meantime: a transfer that this process throttles is not a stalled link.
+func (r chunkReader) waitForLimiter(ctx context.Context, n int) error {
 	if r.limiter == nil {
 		return nil
 	}
@@ -159,16 +161,17 @@
 	return failure.Internal.Wrap(err, "limiter refused %d bytes", n)
 }
 
-// ended classifies a body that ended early. A whole answer that is too short
-// is the sender's fault, a cut one the connection's.
-func (r chunkReader) ended(ctx context.Context, err error, got, size int) error {
+// endFailure returns the failure for a body that ended early. If the sender marked
+// the end, the body is too short and the sender is at fault; otherwise the
+// connection broke.
+func (r chunkReader) endFailure(ctx context.Context, err error, got, size int) error {
 	if !r.framed || !r.progress.AtEnd() {
 		return transferFailure(ctx, err, r.path)
 	}
 	return failure.Corrupt.New("%s has %d bytes, want %d", r.path, got, size)
 }
 
-// checkEnd fails if the body goes on after the chunk's size.
+// checkEnd fails if the body is longer than the chunk.
 func (r chunkReader) checkEnd(ctx context.Context, size int) error {
 	var extra [1]byte
 	n, err := io.ReadFull(r.body, extra[:])
--- a/adapters/platform/weights_test.go
+++ b/adapters/platform/weights_test.go
@@ -20,102 +20,104 @@
 	standin "chivespindle.example/standin/platform"
 )
 
-// recordingLimiter notes what it is asked for and never waits.
+// recordingLimiter records the requested numbers of bytes and never waits.
 type recordingLimiter struct {
-	mu    sync.Mutex
-	asked []int
+	mu        sync.Mutex
+	requested []int
 }
 
 func (l *recordingLimiter) WaitN(_ context.Context, n int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = append(l.asked, n)
+	l.requested = append(l.requested, n)
 	return nil
 }
 
 var _ = Describe("WeightSource", func() {
 	const modelBytes = 500_000
-	var made standin.Model
+	var fixture standin.Model
 	var server *standin.WeightServer
 	var chunk weights.Chunk
 
 	BeforeEach(func() {
-		made = model(modelBytes, 200_000)
-		server = holding(standin.WeightOptions{}, made)
-		chunk = made.Manifest.Chunks[1]
+		fixture = model(modelBytes, 200_000)
+		server = serverWith(standin.WeightOptions{}, fixture)
+		chunk = fixture.Manifest.Chunks[1]
 	})
 
-	It("brings a version whole", func(ctx SpecContext) {
+	It("transfers a complete version", func(ctx SpecContext) {
 		var source weights.Source = weightSource(platform.WeightOptions{BaseURL: serve(server)})
-		raw, err := source.Manifest(ctx, made.Version.Manifest)
+		raw, err := source.Manifest(ctx, fixture.Version.Manifest)
 		Expect(err).NotTo(HaveOccurred())
-		manifest, err := weights.Decode(raw, made.Version.Manifest)
+		manifest, err := weights.Decode(raw, fixture.Version.Manifest)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(manifest).To(Equal(made.Manifest))
+		Expect(manifest).To(Equal(fixture.Manifest))
 		for _, chunk := range manifest.Chunks {
-			data, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+			data, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(chunk.Verify(data)).To(Succeed())
 		}
 		Expect(server.BytesSent()).To(BeEquivalentTo(modelBytes + len(raw)))
-		Expect(server.ManifestBytesSent(made.Version.Manifest)).To(Equal(server.BytesSent()))
+		Expect(server.ManifestBytesSent(fixture.Version.Manifest)).To(Equal(server.BytesSent()))
 		Expect(server.Requests()).To(BeEquivalentTo(1 + len(manifest.Chunks)))
 	})
 
-	DescribeTable("a transfer that goes wrong, and the next that does not",
+	DescribeTable("a transfer that fails, and the next that succeeds",
 		func(ctx SpecContext, fault standin.Fault, stall time.Duration, want *errorx.Type) {
 			url := serve(server)
 			source := weightSource(platform.WeightOptions{BaseURL: url, StallTimeout: stall})
 			server.FailNext(fault, 1)
-			data, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+			data, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			Expect(err).To(beOfType(want))
-			// What came counts as drawn from the source; it is never the whole.
+			// The bytes that arrived count as fetched from the source; they are
+			// never the complete chunk.
 			Expect(len(data)).To(BeNumerically("<", chunk.Bytes))
-			Expect(bytes.HasPrefix(made.Chunks[chunk.Index], data)).To(BeTrue())
+			Expect(bytes.HasPrefix(fixture.Chunks[chunk.Index], data)).To(BeTrue())
 
 			source = weightSource(platform.WeightOptions{BaseURL: url, StallTimeout: longWait})
-			data, err = source.Chunk(ctx, made.Version.Manifest, chunk)
+			data, err = source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(chunk.Verify(data)).To(Succeed())
 		},
-		Entry("one byte short", standin.FaultShort, longWait, failure.Corrupt),
-		Entry("one byte long", standin.FaultLong, longWait, failure.Corrupt),
-		Entry("cut in the middle", standin.FaultCut, longWait, failure.Unavailable),
+		Entry("one byte too short", standin.FaultShort, longWait, failure.Corrupt),
+		Entry("one byte too long", standin.FaultLong, longWait, failure.Corrupt),
+		Entry("aborted in the middle", standin.FaultCut, longWait, failure.Unavailable),
 		Entry("stalled in the middle", standin.FaultStall, shortStall, failure.Timeout),
 	)
 
-	// The caller gets bytes without a failure, and its own check of the digest
-	// refuses them. One bit has flipped on the way, which only the digest that
-	// the operator's text pins can show.
-	It("leaves the digest to its caller", func(ctx SpecContext) {
+	// One bit has flipped in transit, which only the digest pinned by the
+	// operator's configuration can show. Chunk must return the bytes without an
+	// error, and the caller's check of the digest rejects them.
+	It("leaves the check of the digest to its caller", func(ctx SpecContext) {
 		source := weightSource(platform.WeightOptions{BaseURL: serve(server)})
-		server.FailAlways(made.Version.Manifest, chunk.Index, standin.FaultCorrupt)
+		server.FailAlways(fixture.Version.Manifest, chunk.Index, standin.FaultCorrupt)
 		for range 2 {
-			data, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+			data, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(chunk.Verify(data)).To(beOfType(failure.Corrupt))
 		}
 		server.ClearFaults()
-		Expect(source.Chunk(ctx, made.Version.Manifest, chunk)).To(Equal(made.Chunks[chunk.Index]))
+		Expect(source.Chunk(ctx, fixture.Version.Manifest, chunk)).To(Equal(fixture.Chunks[chunk.Index]))
 	})
 
-	// The caller sees Timeout while its own deadline is far. The source sends
-	// half of the chunk and then nothing, and the connection stays open: a
-	// link that stalls does not close. The server must be left by the client.
-	It("gives up a transfer that stalls and leaves the server", func() {
+	// The source sends half of the chunk and then nothing, and the connection stays
+	// open because a stalled link does not close it. Chunk must fail with Timeout
+	// long before the caller's deadline, and the client must close the connection
+	// to the server.
+	It("aborts a transfer that stalls and disconnects from the server", func() {
 		source := weightSource(platform.WeightOptions{BaseURL: serve(server), StallTimeout: shortStall})
 		server.FailNext(standin.FaultStall, 1)
-		_, err := source.Chunk(context.Background(), made.Version.Manifest, chunk)
+		_, err := source.Chunk(context.Background(), fixture.Version.Manifest, chunk)
 		Expect(err).To(beOfType(failure.Timeout))
 		Expect(err).To(MatchError(ContainSubstring("brought no byte for 100ms")))
 		Eventually(server.Stalled).Should(BeZero())
 		Eventually(server.Transfers).Should(BeZero())
 	})
 
-	It("gives up a manifest that stalls", func(ctx SpecContext) {
+	It("aborts a manifest transfer that stalls", func(ctx SpecContext) {
 		source := weightSource(platform.WeightOptions{BaseURL: serve(server), StallTimeout: shortStall})
-		server.FailAlways(made.Version.Manifest, standin.ManifestIndex, standin.FaultStall)
-		_, err := source.Manifest(ctx, made.Version.Manifest)
+		server.FailAlways(fixture.Version.Manifest, standin.ManifestIndex, standin.FaultStall)
+		_, err := source.Manifest(ctx, fixture.Version.Manifest)
 		Expect(err).To(beOfType(failure.Timeout))
 	})
 
@@ -123,7 +125,7 @@
 		source := weightSource(platform.WeightOptions{BaseURL: serve(server), StallTimeout: longWait})
 		server.FailNext(standin.FaultStall, 1)
 		done, cancel := inBackground(func(ctx context.Context) error {
-			data, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+			data, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			if err != nil {
 				return err
 			}
@@ -135,60 +137,59 @@
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	// The caller gets the chunk although the whole takes several stall
-	// timeouts. The source is slow but brings bytes all the time; giving it up
-	// would fetch the same bytes again and again from a busy link.
-	It("lets a slow transfer go on that keeps moving", func(ctx SpecContext) {
+	// The source is slow but sends bytes all the time, and the transfer takes
+	// several stall timeouts. Chunk must succeed; aborting it would fetch the same
+	// bytes again and again over a busy link.
+	It("completes a slow transfer that makes progress", func(ctx SpecContext) {
 		small := model(30_000, 30_000)
-		slow := holding(standin.WeightOptions{}, small)
+		slow := serverWith(standin.WeightOptions{}, small)
 		slow.SetTransferRate(25_000)
 		source := weightSource(platform.WeightOptions{BaseURL: serve(slow), StallTimeout: 4 * shortStall})
 		Expect(source.Chunk(ctx, small.Version.Manifest, small.Manifest.Chunks[0])).To(Equal(small.Chunks[0]))
 	})
 
-	It("says how long to pause when the store limits requests", func(ctx SpecContext) {
+	It("returns the retry delay when the store limits requests", func(ctx SpecContext) {
 		var elapsed atomic.Int64
 		now := func() time.Time { return time.Unix(0, elapsed.Load()) }
-		store := holding(standin.WeightOptions{RequestsPerSecond: 0.25, Now: now}, made)
+		store := serverWith(standin.WeightOptions{RequestsPerSecond: 0.25, Now: now}, fixture)
 		source := weightSource(platform.WeightOptions{BaseURL: serve(store)})
-		_, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+		_, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = source.Chunk(ctx, made.Version.Manifest, chunk)
+		_, err = source.Chunk(ctx, fixture.Version.Manifest, chunk)
 		Expect(err).To(beOfType(failure.RateLimited))
 		pause := failure.RetryAfter(err)
 		Expect(pause).To(BeNumerically(">", 0))
 		elapsed.Add(int64(pause))
-		_, err = source.Chunk(ctx, made.Version.Manifest, chunk)
+		_, err = source.Chunk(ctx, fixture.Version.Manifest, chunk)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("fails as NotFound for what the source does not hold", func(ctx SpecContext) {
+	It("fails as NotFound for what the source does not have", func(ctx SpecContext) {
 		source := weightSource(platform.WeightOptions{BaseURL: serve(server)})
 		_, err := source.Manifest(ctx, fleet.DigestOf([]byte("other")))
 		Expect(err).To(beOfType(failure.NotFound))
-		_, err = source.Chunk(ctx, made.Version.Manifest, weights.Chunk{Index: 99, Bytes: 1})
+		_, err = source.Chunk(ctx, fixture.Version.Manifest, weights.Chunk{Index: 99, Bytes: 1})
 		Expect(err).To(beOfType(failure.NotFound))
 	})
 
-	DescribeTable("a chunk whose size is refused before any call",
+	DescribeTable("a chunk whose size is rejected before any call",
 		func(ctx SpecContext, size int) {
 			source := weightSource(platform.WeightOptions{BaseURL: serve(server)})
-			_, err := source.Chunk(ctx, made.Version.Manifest, weights.Chunk{Bytes: size})
+			_, err := source.Chunk(ctx, fixture.Version.Manifest, weights.Chunk{Bytes: size})
 			Expect(err).To(beOfType(failure.Invalid))
 			Expect(server.Requests()).To(BeZero())
 		},
 		Entry("negative", -1),
 		Entry("zero", 0),
-		Entry("beyond the bound", weights.MaxChunkBytes+1),
+		Entry("beyond the maximum", weights.MaxChunkBytes+1),
 	)
 
-	// The caller sees Corrupt and the process keeps its memory. The sender
-	// announces no length and never stops; the manifest alone says how much is
-	// read.
+	// The sender announces no length and never stops. Chunk must fail with Corrupt
+	// and bounded memory: only the manifest limits how much is read.
 	DescribeTable("a body without a length",
 		func(ctx SpecContext, sent int, want *errorx.Type) {
 			source := weightSource(platform.WeightOptions{BaseURL: serve(unsized(sent))})
-			_, err := source.Chunk(ctx, made.Version.Manifest, weights.Chunk{Bytes: 100_000})
+			_, err := source.Chunk(ctx, fixture.Version.Manifest, weights.Chunk{Bytes: 100_000})
 			Expect(err).To(beOfType(want))
 		},
 		Entry("that is too short", 99_999, failure.Corrupt),
@@ -196,52 +197,53 @@
 		Entry("that never ends", endless, failure.Corrupt),
 	)
 
-	// Guards against a source that is avoided for a chunk since its connection ended.
-	It("takes a short body whose end is that of the connection for a cut one", func(ctx SpecContext) {
-		source := weightSource(platform.WeightOptions{BaseURL: serve(unmarked("half"))})
-		_, err := source.Chunk(ctx, made.Version.Manifest, weights.Chunk{Bytes: 100_000})
+	// Guards against a source that is avoided for a chunk because its connection
+	// ended.
+	It("treats a short body without a marked end as truncated by the connection", func(ctx SpecContext) {
+		source := weightSource(platform.WeightOptions{BaseURL: serve(unframed("half"))})
+		_, err := source.Chunk(ctx, fixture.Version.Manifest, weights.Chunk{Bytes: 100_000})
 		Expect(err).To(beOfType(failure.Unavailable))
 	})
 
-	It("takes a body without a length that has the right size", func(ctx SpecContext) {
+	It("accepts a body without a length that has the right size", func(ctx SpecContext) {
 		source := weightSource(platform.WeightOptions{BaseURL: serve(unsized(100_000))})
-		Expect(source.Chunk(ctx, made.Version.Manifest, weights.Chunk{Bytes: 100_000})).To(HaveLen(100_000))
+		Expect(source.Chunk(ctx, fixture.Version.Manifest, weights.Chunk{Bytes: 100_000})).To(HaveLen(100_000))
 	})
 
 	Describe("with a limiter", func() {
-		It("asks for each byte once, in pieces", func(ctx SpecContext) {
+		It("requests each byte once, in pieces", func(ctx SpecContext) {
 			limiter := &recordingLimiter{}
 			source := weightSource(platform.WeightOptions{BaseURL: serve(server), Limiter: limiter})
-			Expect(source.Chunk(ctx, made.Version.Manifest, chunk)).To(HaveLen(chunk.Bytes))
+			Expect(source.Chunk(ctx, fixture.Version.Manifest, chunk)).To(HaveLen(chunk.Bytes))
 			sum := 0
-			for _, n := range limiter.asked {
+			for _, n := range limiter.requested {
 				Expect(n).To(BeNumerically("<=", platform.LimiterPieceBytes))
 				sum += n
 			}
 			Expect(sum).To(Equal(chunk.Bytes))
 		})
 
-		// The caller gets the chunk. Its own limiter holds the second piece back
-		// for three stall timeouts because live requests go first; the link has
-		// done nothing wrong, and a Timeout would blame the source for it.
-		It("does not take its own pause for a stall", func(ctx SpecContext) {
+		// The process's own limiter delays the second piece for three stall
+		// timeouts because live requests take precedence. Chunk must succeed; a
+		// Timeout would blame the source although the link is healthy.
+		It("does not take the limiter's delay for a stall", func(ctx SpecContext) {
 			const stall = 4 * shortStall
 			const pause = 3 * stall
 			limiter := rate.NewLimiter(rate.Limit(platform.LimiterPieceBytes/pause.Seconds()), platform.LimiterPieceBytes)
 			small := model(2*platform.LimiterPieceBytes, 2*platform.LimiterPieceBytes)
 			source := weightSource(platform.WeightOptions{
-				BaseURL:      serve(holding(standin.WeightOptions{}, small)),
+				BaseURL:      serve(serverWith(standin.WeightOptions{}, small)),
 				StallTimeout: stall,
 				Limiter:      limiter,
 			})
 			Expect(source.Chunk(ctx, small.Version.Manifest, small.Manifest.Chunks[0])).To(Equal(small.Chunks[0]))
 		})
 
-		It("stops waiting when its caller gives up", func() {
+		It("stops waiting when its caller cancels", func() {
 			limiter := rate.NewLimiter(rate.Every(longWait), platform.LimiterPieceBytes)
 			source := weightSource(platform.WeightOptions{BaseURL: serve(server), Limiter: limiter})
 			done, cancel := inBackground(func(ctx context.Context) error {
-				_, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+				_, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 				return err
 			})
 			Eventually(limiter.Tokens).Should(BeNumerically("<", 1))
@@ -249,16 +251,16 @@
 			Eventually(done).Should(Receive(beOfType(platform.Canceled)))
 		})
 
-		It("fails as Internal when the limiter can never let a piece through", func(ctx SpecContext) {
+		It("fails as Internal when the limiter can never allow a piece", func(ctx SpecContext) {
 			limiter := rate.NewLimiter(1, platform.LimiterPieceBytes-1)
 			source := weightSource(platform.WeightOptions{BaseURL: serve(server), Limiter: limiter})
-			_, err := source.Chunk(ctx, made.Version.Manifest, chunk)
+			_, err := source.Chunk(ctx, fixture.Version.Manifest, chunk)
 			Expect(err).To(beOfType(failure.Internal))
 		})
 	})
 })
 
-// endless makes unsized send until its client leaves.
+// endless makes unsized send until its client disconnects.
 const endless = -1
 
 // unsized returns a handler that sends a body without a Content-Length.
