--- a/adapters/platform/config.go
+++ b/adapters/platform/config.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxTextBytes is the largest configuration that the platform stores.
-	MaxTextBytes = 1 << 20
+	// MaxConfigBytes is the largest configuration that the platform stores.
+	MaxConfigBytes = 1 << 20
 	// DefaultWait is how long the service holds a watch without a change.
 	DefaultWait = 30 * time.Second
 	// DefaultMargin is how much longer than its wait a watch may take.
@@ -119,7 +119,7 @@
 	if err != nil {
 		return revision.Document{}, err
 	}
-	text, err := readBody(ctx, response, MaxTextBytes, call.path)
+	text, err := readBody(ctx, response, MaxConfigBytes, call.path)
 	if err != nil {
 		return revision.Document{}, err
 	}
--- a/adapters/platform/config_test.go
+++ b/adapters/platform/config_test.go
@@ -152,7 +152,7 @@
 	})
 
 	It("accepts a text of the maximum size and no larger one", func(ctx SpecContext) {
-		largest := []byte(strings.Repeat("x", platform.MaxTextBytes))
+		largest := []byte(strings.Repeat("x", platform.MaxConfigBytes))
 		number := service.SetText(largest)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: number, Text: largest}))
