--- a/adapters/eventstream/eventstream.go
+++ b/adapters/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream splits a text/event-stream into whole events, so that a
-// stream can be continued after the last event that reached the caller whole.
+// Package eventstream splits a text/event-stream into complete events, so that a
+// stream can be resumed after the last event that reached the caller.
 package eventstream
 
 import (
@@ -12,29 +12,30 @@
 	"chivespindle.example/core/failure"
 )
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits one event.
+const maxEventBytes = 1 << 20
 
-// firstBuffer is the size of the buffer of a new reader; events are tens to
+// initialBufferBytes is the initial size of a reader's buffer; events are tens to
 // hundreds of bytes.
-const firstBuffer = 2 << 10
+const initialBufferBytes = 2 << 10
 
-// byteOrderMark may stand before the first event.
+// byteOrderMark may precede the first event.
 var byteOrderMark = []byte("\ufeff")
 
-// Event is one event with its bytes as they came, the empty line included, and
-// empty lines before it. The last one of a stream may be empty lines alone.
+// Event is one event as received, including the empty line that ends it and empty
+// lines before it. The last event of a stream may consist of empty lines only.
 type Event struct {
 	Raw []byte
-	// ID is the event's number, -1 if it has none or one that is not a whole number
-	// from 0. Numbers are not compared: those of a stream may repeat, go back or skip
-	// some. An event without a number has no place among the others, so a stream
-	// cannot be resumed behind one that HasData without a gap or a repetition.
+	// ID is the number of the event, -1 if it has no ID or one that is not an
+	// integer from 0. Numbers are not compared: those of a stream may repeat,
+	// decrease or have gaps. An event without a number has no position, so a stream
+	// cannot be resumed after one that HasData without a gap or a repetition.
 	ID int64
 }
 
-// HasData reports whether the event has a data field. One without is a comment, or
-// only sets the id or the pause before a reconnection; no client takes it for an event.
+// HasData reports whether the event has a data field. An event without one is a
+// comment, or only sets the ID or the reconnection time; clients do not dispatch
+// it.
 func (e Event) HasData() bool {
 	for name := range fields(e.Raw) {
 		if string(name) == "data" {
@@ -44,49 +45,49 @@
 	return false
 }
 
-// Reader returns the events of a stream. It is used by one goroutine.
+// Reader returns the events of a stream. It is not safe for concurrent use.
 type Reader struct {
-	scanner *bufio.Scanner
-	begun   bool // an event was returned
-	cut     bool
+	scanner   *bufio.Scanner
+	started   bool // an event has been returned
+	truncated bool
 }
 
-// NewReader returns a reader of r.
+// NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
 	reader := &Reader{scanner: bufio.NewScanner(r)}
-	reader.scanner.Buffer(make([]byte, 0, firstBuffer), maxEvent)
+	reader.scanner.Buffer(make([]byte, 0, initialBufferBytes), maxEventBytes)
 	reader.scanner.Split(reader.split)
 	return reader
 }
 
-// Next returns the next event. Its bytes are valid until the next call. It
-// fails with io.EOF after the last event of a stream that ended between two
-// events, with failure.Corrupt if it ended inside one, and else with the
-// failure of the underlying reader.
+// Next returns the next event. Its bytes are valid until the next call. Next fails
+// with io.EOF at the end of a stream that ended between two events, with
+// failure.Corrupt if the stream ended inside an event, and otherwise with the error
+// of the underlying reader.
 func (r *Reader) Next() (Event, error) {
 	if r.scanner.Scan() {
 		raw := r.scanner.Bytes()
 		text := raw
-		if !r.begun {
+		if !r.started {
 			text = bytes.TrimPrefix(raw, byteOrderMark)
 		}
-		r.begun = true
-		return Event{Raw: raw, ID: idOf(text)}, nil
+		r.started = true
+		return Event{Raw: raw, ID: eventID(text)}, nil
 	}
 	if err := r.scanner.Err(); err != nil {
 		return Event{}, err
 	}
-	if r.cut {
+	if r.truncated {
 		return Event{}, failure.Corrupt.New("the stream ended inside an event")
 	}
 	return Event{}, io.EOF
 }
 
-// split finds the empty line that ends an event.
+// split is a bufio.SplitFunc that splits after the empty line that ends an event.
 func (r *Reader) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	isEmpty := true
 	for end := 0; ; {
-		length, next := lineOf(data[end:], atEOF)
+		length, next := nextLine(data[end:], atEOF)
 		end += next
 		switch {
 		case next > 0 && (length > 0 || isEmpty):
@@ -98,15 +99,16 @@
 		case isEmpty && end == len(data):
 			return end, data, nil
 		default:
-			r.cut = true
+			r.truncated = true
 			return len(data), nil, nil
 		}
 	}
 }
 
-// lineOf returns the length of the first line and where the next one begins, 0 if
-// the line has no end yet. It may end in a carriage return, a line feed or both.
-func lineOf(data []byte, atEOF bool) (length, next int) {
+// nextLine returns the length of the first line and the offset of the next one, 0
+// if the line is incomplete. A line ends with a carriage return, a line feed or
+// both.
+func nextLine(data []byte, atEOF bool) (length, next int) {
 	length = bytes.IndexAny(data, "\r\n")
 	switch {
 	case length < 0:
@@ -121,11 +123,12 @@
 	return length, length + 1
 }
 
-// fields returns the names and values of an event's fields. A comment has the name "".
+// fields iterates over the names and values of an event's fields. The name of a
+// comment is "".
 func fields(raw []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for len(raw) > 0 {
-			length, next := lineOf(raw, true)
+			length, next := nextLine(raw, true)
 			if next == 0 {
 				return
 			}
@@ -138,8 +141,9 @@
 	}
 }
 
-// idOf returns the number that the last id field of an event gives.
-func idOf(raw []byte) int64 {
+// eventID returns the number in the last id field of an event that has no NUL; -1
+// if there is none or its value is not a number.
+func eventID(raw []byte) int64 {
 	id := int64(-1)
 	for name, value := range fields(raw) {
 		if string(name) != "id" || bytes.IndexByte(value, 0) >= 0 {
--- a/adapters/opsclient/opsclient.go
+++ b/adapters/opsclient/opsclient.go
@@ -1,9 +1,8 @@
-// Package opsclient reads the operators' port of a process: its status, and
-// how an entry would choose a backend server. It only reads.
+// Package opsclient is a read-only client of the operators' port of a process. It
+// reads the status, and how an entry would choose a backend server.
 //
-// A field that this client does not know is passed over, so that it can read a newer
-// process while a fleet is replaced; one that an older process does not send
-// stays zero.
+// Unknown fields are ignored, so that the client can read newer processes during an
+// upgrade of the fleet. Fields that an older process does not send are zero.
 package opsclient
 
 import (
@@ -27,27 +26,28 @@
 	"chivespindle.example/core/status"
 )
 
-// maxAnswerBytes bounds what an answer may take of memory. The status of a
-// fleet of 4,000 processes has under 2 MB.
-const maxAnswerBytes = 32 << 20
+// maxResponseBytes limits the memory for a response. The status of a fleet of 4,000
+// processes is smaller than 2 MB.
+const maxResponseBytes = 32 << 20
 
-// WrongRole means that the address is that of a process of another role.
+// WrongRole means that the address belongs to a process of another role.
 var WrongRole = failure.Invalid.NewSubtype("wrong_role")
 
-// Client asks processes by address. It may be used by many goroutines.
+// Client sends requests to processes by address. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// New returns a client that has asked nothing yet. The context of each call
-// bounds its time.
+// New returns a client. It connects on first use. The context of each call limits
+// its duration.
 func New() *Client {
 	const (
 		idlePerHost = 2
 		idleTimeout = 30 * time.Second
 	)
 	return &Client{http: &http.Client{
-		// No proxy of the environment: processes are reached by IP number.
+		// No proxy settings of the environment: processes are reached by IP
+		// address.
 		Transport: &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: idleTimeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
@@ -55,67 +55,66 @@
 	}}
 }
 
-// Close frees the connections that are kept for further questions.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Status returns the status of the process at addr: *status.Entry or
-// *status.Agent.
+// Status returns the status of the process at addr: *status.Entry or *status.Agent.
 //
-// Failures of all methods: failure.Unavailable if the process cannot be
-// reached, failure.Timeout at the end of ctx's time, failure.Corrupt if the
-// answer is not what such a process sends.
+// All methods fail with failure.Unavailable if the process cannot be reached, with
+// failure.Timeout when ctx expires, and with failure.Corrupt if the response is not
+// one of such a process.
 func (c *Client) Status(ctx context.Context, addr netip.AddrPort) (status.Of, error) {
 	body, err := c.get(ctx, addr, "/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	var head struct {
+	var header struct {
 		Role fleet.Role `json:"role"`
 	}
-	if err := decode(addr, body, &head); err != nil {
+	if err := decode(addr, body, &header); err != nil {
 		return nil, err
 	}
-	var answer status.Of
-	switch head.Role {
+	var result status.Of
+	switch header.Role {
 	case fleet.RoleEntry:
-		answer = &status.Entry{}
+		result = &status.Entry{}
 	case fleet.RoleAgent:
-		answer = &status.Agent{}
+		result = &status.Agent{}
 	default:
-		return nil, failure.Corrupt.New("%s sends the status of a process of role %q", addr, head.Role)
+		return nil, failure.Corrupt.New("%s sends the status of a process of role %q", addr, header.Role)
 	}
-	if err := decode(addr, body, answer); err != nil {
+	if err := decode(addr, body, result); err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return result, nil
 }
 
-// Entry returns the status of the entry at addr. It fails with WrongRole if
-// an agent answers.
+// Entry returns the status of the entry at addr. It fails with WrongRole if the
+// process is an agent.
 func (c *Client) Entry(ctx context.Context, addr netip.AddrPort) (*status.Entry, error) {
-	answer, err := c.Status(ctx, addr)
+	result, err := c.Status(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	entry, isEntry := answer.(*status.Entry)
+	entry, isEntry := result.(*status.Entry)
 	if !isEntry {
-		return nil, WrongRole.New("%s is %s %s; the fleet's state is known by entries", addr, fleet.RoleAgent, answer.Process())
+		return nil, WrongRole.New("%s is %s %s; the fleet's state is known by entries", addr, fleet.RoleAgent, result.Process())
 	}
 	return entry, nil
 }
 
-// Question is what Explain asks about.
+// Question contains the parameters of Explain.
 type Question struct {
 	Service fleet.ServiceName
-	// Prefix is the name of a prompt prefix, as callers give it; may be empty.
+	// Prefix is the name of a prompt prefix as in a caller's request; may be empty.
 	Prefix string
-	// Priority is the RFC 9218 urgency, 0 (highest) to 7; negative: none given.
+	// Priority is the RFC 9218 urgency, 0 (highest) to 7; negative if none.
 	Priority int
 }
 
-// Explain returns how the entry at addr would choose a backend server now. It
-// fails with failure.NotFound if the entry has no such service or the process
-// answers no such question.
+// Explain returns how the entry at addr would choose a backend server at present.
+// It fails with failure.NotFound if the entry does not have the service or the
+// process does not explain choices.
 func (c *Client) Explain(ctx context.Context, addr netip.AddrPort, q Question) (*status.Explanation, error) {
 	query := url.Values{"service": {string(q.Service)}}
 	if q.Prefix != "" {
@@ -135,7 +134,7 @@
 	return explanation, nil
 }
 
-// get returns the body of a good answer.
+// get returns the body of a response with status 200.
 func (c *Client) get(ctx context.Context, addr netip.AddrPort, path string, query url.Values) ([]byte, error) {
 	target := url.URL{Scheme: "http", Host: addr.String(), Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
@@ -144,63 +143,63 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, notAnswered(addr, err)
+		return nil, transportError(addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, notAnswered(addr, err)
+		return nil, transportError(addr, err)
 	}
-	if len(body) > maxAnswerBytes {
-		return nil, failure.Corrupt.New("answer of %s is larger than %d bytes", addr, maxAnswerBytes)
+	if len(body) > maxResponseBytes {
+		return nil, failure.Corrupt.New("answer of %s is larger than %d bytes", addr, maxResponseBytes)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, declined(addr, resp.StatusCode, body)
+		return nil, statusError(addr, resp.StatusCode, body)
 	}
 	return body, nil
 }
 
-// notAnswered tells a timeout from a process that cannot be reached.
-func notAnswered(addr netip.AddrPort, err error) error {
+// transportError distinguishes a timeout from a process that cannot be reached.
+func transportError(addr netip.AddrPort, err error) error {
 	var netError net.Error
 	if errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netError) && netError.Timeout() {
 		return failure.Timeout.New("%s did not answer in time", addr)
 	}
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
-		err = urlError.Err // the address stands in the message already
+		err = urlError.Err // the message already has the address
 	}
 	return failure.Unavailable.Wrap(err, "%s cannot be asked", addr)
 }
 
-// decline is the body of an answer that is none to the question.
-type decline struct {
-	Error  string `json:"error"` // type of the failure
+// errorBody is the body of an error response.
+type errorBody struct {
+	Error  string `json:"error"` // failure type
 	Reason string `json:"reason"`
 }
 
-// declinedAs maps the statuses of answers that are none; all others are a
+// typeByStatus maps error statuses to failure types; all others are
 // failure.Refused.
-var declinedAs = map[int]*errorx.Type{
+var typeByStatus = map[int]*errorx.Type{
 	http.StatusBadRequest:         failure.Invalid,
 	http.StatusNotFound:           failure.NotFound,
 	http.StatusServiceUnavailable: failure.Unavailable,
 }
 
-// declined makes an error of the answer with the reason that it gives. The
-// body may come from any program that listens there, so it is shown short and
-// quoted.
-func declined(addr netip.AddrPort, status int, body []byte) error {
-	const shown = 200
-	kind, known := declinedAs[status]
+// statusError returns the error for an error response, with the reason that the
+// response gives. The body may come from any program that listens at the address,
+// so without a reason only its quoted beginning is included.
+func statusError(addr netip.AddrPort, status int, body []byte) error {
+	const maxShownBytes = 200
+	kind, known := typeByStatus[status]
 	if !known {
 		kind = failure.Refused
 	}
-	var d decline
-	if err := json.Unmarshal(body, &d); err == nil && d.Reason != "" {
-		return kind.New("%s: %s", addr, d.Reason)
+	var response errorBody
+	if err := json.Unmarshal(body, &response); err == nil && response.Reason != "" {
+		return kind.New("%s: %s", addr, response.Reason)
 	}
-	text := strings.TrimSpace(string(body[:min(len(body), shown)]))
+	text := strings.TrimSpace(string(body[:min(len(body), maxShownBytes)]))
 	return kind.New("%s answers with status %d: %q", addr, status, text)
 }
 
--- a/adapters/opsclient/opsclient_test.go
+++ b/adapters/opsclient/opsclient_test.go
@@ -22,13 +22,13 @@
 	"chivespindle.example/core/status"
 )
 
-func start(handler http.HandlerFunc) netip.AddrPort {
+func serve(handler http.HandlerFunc) netip.AddrPort {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// recorded answers with a status that a process of the fleet sent.
+// recorded responds with a recorded status of a process of the fleet.
 func recorded(file string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		page, err := os.ReadFile(filepath.Join("testdata", file))
@@ -40,7 +40,7 @@
 	}
 }
 
-func answer(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
@@ -55,7 +55,7 @@
 
 var _ = Describe("Client", func() {
 	It("reads the status of an entry", func(ctx SpecContext) {
-		s, err := newClient().Entry(ctx, start(recorded("entry.json")))
+		s, err := newClient().Entry(ctx, serve(recorded("entry.json")))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.ID).To(BeEquivalentTo("entry-1"))
 		Expect(s.Revision).To(BeEquivalentTo(6))
@@ -73,9 +73,9 @@
 	})
 
 	It("reads the status of an agent", func(ctx SpecContext) {
-		answer, err := newClient().Status(ctx, start(recorded("agent.json")))
+		result, err := newClient().Status(ctx, serve(recorded("agent.json")))
 		Expect(err).NotTo(HaveOccurred())
-		s, isAgent := answer.(*status.Agent)
+		s, isAgent := result.(*status.Agent)
 		Expect(isAgent).To(BeTrue())
 		Expect(s.Process()).To(BeEquivalentTo("spindle-pool-1"))
 		Expect(s.Phase).To(Equal("fetching"))
@@ -85,9 +85,9 @@
 		Expect(s.Gathers[1].Plan.Have).To(Equal(39))
 	})
 
-	It("asks for an explanation with what was given, and nothing else", func(ctx SpecContext) {
+	It("requests an explanation with the given parameters only", func(ctx SpecContext) {
 		seen := make(chan string, 2)
-		addr := start(func(w http.ResponseWriter, r *http.Request) {
+		addr := serve(func(w http.ResponseWriter, r *http.Request) {
 			seen <- r.URL.String()
 			_, _ = io.WriteString(w, `{"entry":"entry-1","candidates":[{"id":"api-1","verdict":"eligible"}]}`)
 		})
@@ -100,25 +100,25 @@
 		Expect(<-seen).To(Equal("/explain?service=workshop-api"))
 	})
 
-	DescribeTable("tells failures apart",
+	DescribeTable("distinguishes failures",
 		func(ctx SpecContext, handler http.HandlerFunc, kind *errorx.Type, part string) {
-			_, err := newClient().Entry(ctx, start(handler))
+			_, err := newClient().Entry(ctx, serve(handler))
 			Expect(errorx.IsOfType(err, kind)).To(BeTrue(), "%v", err)
 			Expect(err.Error()).To(ContainSubstring(part))
 		},
 		Entry("an agent", recorded("agent.json"), opsclient.WrongRole, "is agent spindle-pool-1"),
-		Entry("no JSON", answer(http.StatusOK, "<html>"), failure.Corrupt, "answer of 127.0.0.1:"),
-		Entry("JSON that is cut", answer(http.StatusOK, `{"role":"entry","id":"en`), failure.Corrupt, "unexpected EOF"),
-		Entry("a field of another type", answer(http.StatusOK, `{"role":"entry","revision":"six"}`), failure.Corrupt, "revision"),
-		Entry("another role", answer(http.StatusOK, `{"role":"operator"}`), failure.Corrupt, `role "operator"`),
-		Entry("no such page", answer(http.StatusNotFound, "404 page not found\n"), failure.NotFound, `status 404: "404 page not found"`),
-		Entry("a reason", answer(http.StatusServiceUnavailable, `{"error":"x","reason":"no text is in force yet"}`),
+		Entry("not JSON", respondWith(http.StatusOK, "<html>"), failure.Corrupt, "answer of 127.0.0.1:"),
+		Entry("truncated JSON", respondWith(http.StatusOK, `{"role":"entry","id":"en`), failure.Corrupt, "unexpected EOF"),
+		Entry("a field of another type", respondWith(http.StatusOK, `{"role":"entry","revision":"six"}`), failure.Corrupt, "revision"),
+		Entry("another role", respondWith(http.StatusOK, `{"role":"operator"}`), failure.Corrupt, `role "operator"`),
+		Entry("unknown path", respondWith(http.StatusNotFound, "404 page not found\n"), failure.NotFound, `status 404: "404 page not found"`),
+		Entry("a reason", respondWith(http.StatusServiceUnavailable, `{"error":"x","reason":"no text is in force yet"}`),
 			failure.Unavailable, ": no text is in force yet"),
-		Entry("a redirect", answer(http.StatusFound, ""), failure.Refused, "status 302"),
-		Entry("an answer without end", answer(http.StatusOK, strings.Repeat(" ", 32<<20+1)), failure.Corrupt, "larger than"),
+		Entry("a redirect", respondWith(http.StatusFound, ""), failure.Refused, "status 302"),
+		Entry("a response that is too large", respondWith(http.StatusOK, strings.Repeat(" ", 32<<20+1)), failure.Corrupt, "larger than"),
 	)
 
-	It("says that nobody listens", func(ctx SpecContext) {
+	It("fails if nothing listens", func(ctx SpecContext) {
 		server := httptest.NewServer(http.NotFoundHandler())
 		addr := netip.MustParseAddrPort(server.Listener.Addr().String())
 		server.Close()
@@ -127,14 +127,13 @@
 		Expect(err.Error()).To(ContainSubstring("connection refused"))
 	})
 
-	// An operator asks a process that is frozen: it takes the connection, or
-	// sends a part of its answer, and nothing comes after. The question ends
-	// with the time that the caller gave.
-	DescribeTable("gives up on a process that hangs",
-		func(begun bool) {
+	// A process hangs: it accepts the connection, or sends a part of its response,
+	// and nothing follows. The call must end when the caller's context expires.
+	DescribeTable("times out on a process that hangs",
+		func(started bool) {
 			hang := make(chan struct{})
-			addr := start(func(w http.ResponseWriter, _ *http.Request) {
-				if begun {
+			addr := serve(func(w http.ResponseWriter, _ *http.Request) {
+				if started {
 					_, _ = io.WriteString(w, `{"role":"entry",`)
 					_ = http.NewResponseController(w).Flush()
 				}
@@ -146,7 +145,7 @@
 			_, err := newClient().Status(ctx, addr)
 			Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 		},
-		Entry("before its answer", false),
-		Entry("in its answer", true),
+		Entry("before its response", false),
+		Entry("inside its response", true),
 	)
 })
--- a/adapters/opshttp/opshttp.go
+++ b/adapters/opshttp/opshttp.go
@@ -1,5 +1,5 @@
-// Package opshttp serves the operators' port of a process: its metrics, its
-// status, and whether it lives and is ready. It has no part in the traffic.
+// Package opshttp serves the operators' port of a process: metrics, status,
+// liveness and readiness. It is not involved in the traffic.
 package opshttp
 
 import (
@@ -23,7 +23,7 @@
 	"chivespindle.example/core/failure"
 )
 
-// Bounds on what readers of the port may take from the process.
+// Limits on the resources that clients of the port can use.
 const (
 	maxConnections    = 64
 	maxHeaderBytes    = 16 << 10
@@ -32,28 +32,28 @@
 	readTimeout       = 10 * time.Second
 	writeTimeout      = 30 * time.Second
 	idleTimeout       = 30 * time.Second
-	// answerTimeout bounds Status and Ready, which may wait for the control
-	// loop. A loop that hangs must show as a failing probe, not as a silent one.
-	answerTimeout = 5 * time.Second
-	// stopTimeout bounds the wait for answers in progress at the end.
-	stopTimeout = 5 * time.Second
+	// responseTimeout limits Status and Ready, which may wait for the control loop.
+	// If the loop hangs, the probe must fail rather than wait.
+	responseTimeout = 5 * time.Second
+	// shutdownTimeout limits the wait for responses in progress at shutdown.
+	shutdownTimeout = 5 * time.Second
 )
 
-// Options are the parts of the port. Status, Ready and the handlers are called
-// from many goroutines at once.
+// Options configures a Server. Status, Ready and the handlers are called
+// concurrently.
 type Options struct {
-	// Listen is the TCP address. With port 0 the system chooses one; see Addr.
+	// Listen is the TCP address. With port 0 the system chooses a port; see Addr.
 	Listen netip.AddrPort
 	// Metrics serves /metrics; nil for none.
 	Metrics http.Handler
-	// Status returns what /status shows as JSON; nil for none.
+	// Status returns the value that /status shows as JSON; nil for none.
 	Status func() any
-	// Ready reports whether the process should get work, and if not, why. nil
-	// means always.
+	// Ready reports whether the process is ready for work and, if not, the reason.
+	// nil means always ready.
 	Ready func() (ready bool, reason string)
-	// Extra holds further handlers by pattern of http.ServeMux.
+	// Extra contains additional handlers by http.ServeMux pattern.
 	Extra map[string]http.Handler
-	// Logger takes the events of the port; nil for none.
+	// Logger receives the log events of the port; nil for none.
 	Logger *zap.Logger
 }
 
@@ -63,12 +63,12 @@
 	server   *http.Server
 	logger   *zap.Logger
 	stop     context.CancelFunc
-	stopped  context.Context // done once Close was called
+	stopped  context.Context // canceled by Close and at the end of Run
 }
 
-// New opens the port and serves nothing yet; Run does. It fails with
-// failure.Unavailable if the address cannot be listened on, and with
-// failure.Invalid if a pattern of Extra is malformed or taken.
+// New opens the port; Run serves it. New fails with failure.Unavailable if it
+// cannot listen on the address, and with failure.Invalid if a pattern of Extra is
+// malformed or conflicts with another one.
 func New(opts Options) (*Server, error) {
 	if opts.Logger == nil {
 		opts.Logger = zap.NewNop()
@@ -79,11 +79,11 @@
 	}
 	errorLog, err := zap.NewStdLogAt(opts.Logger, zap.WarnLevel)
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "no logger for the operators' port")
+		return nil, failure.Internal.Wrap(err, "create the error log of the operators' port")
 	}
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(opts.Listen))
 	if err != nil {
-		return nil, failure.Unavailable.Wrap(err, "cannot listen for operators")
+		return nil, failure.Unavailable.Wrap(err, "listen on the operators' port")
 	}
 	stopped, stop := context.WithCancel(context.Background())
 	return &Server{
@@ -108,9 +108,9 @@
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Run serves until ctx ends or Close is called, lets answers in progress end
-// within five seconds, and returns nil. It is called once. Any other end is a
-// failure.Unavailable.
+// Run serves until ctx ends or Close is called, waits up to five seconds for
+// responses in progress, and returns nil. It may be called once. If serving ends
+// for another reason, it returns failure.Unavailable.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.stop()
 	served := make(chan error, 1)
@@ -118,9 +118,9 @@
 	select {
 	case err := <-served:
 		if s.stopped.Err() == nil {
-			return failure.Unavailable.Wrap(err, "the operators' port ended")
+			return failure.Unavailable.Wrap(err, "serve the operators' port")
 		}
-		// Close took the listener away, which Serve may tell first.
+		// Close closed the listener, and Serve may report that first.
 		s.shutdown()
 		return nil
 	case <-ctx.Done():
@@ -132,25 +132,25 @@
 }
 
 func (s *Server) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := s.server.Shutdown(ctx); err != nil {
 		s.logger.Warn("ops_answers_cut", zap.Error(err))
-		_ = s.server.Close() // what it says was said by Shutdown
+		_ = s.server.Close() // the error of Shutdown is already logged
 	}
 }
 
-// Close ends Run, and frees the port if Run was never called. It does not
-// wait, and may be called at any time and more than once.
+// Close ends Run, or frees the port if Run was never called. It does not wait, and
+// may be called at any time and more than once.
 func (s *Server) Close() error {
 	s.stop()
 	if err := s.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		return failure.Internal.Wrap(err, "closing the operators' port")
+		return failure.Internal.Wrap(err, "close the operators' port")
 	}
 	return nil
 }
 
-// newMux returns the handlers of the port.
+// newMux returns the request multiplexer of the port.
 func newMux(opts Options) (*http.ServeMux, error) {
 	routes := map[string]http.Handler{
 		"GET /healthz": http.HandlerFunc(serveHealth),
@@ -177,8 +177,8 @@
 	return mux, nil
 }
 
-// register adds a handler. The mux panics over a pattern that it cannot take;
-// the process should rather say so and stop.
+// register adds a handler. It returns an error for a pattern for which the mux
+// panics, so that the process can report it and stop.
 func register(mux *http.ServeMux, pattern string, handler http.Handler) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -190,7 +190,7 @@
 }
 
 func withTimeout(handler http.HandlerFunc) http.Handler {
-	return http.TimeoutHandler(handler, answerTimeout, "no answer from the process in time\n")
+	return http.TimeoutHandler(handler, responseTimeout, "no answer from the process in time\n")
 }
 
 func serveHealth(w http.ResponseWriter, _ *http.Request) {
@@ -223,7 +223,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = page.WriteTo(w) // a reader that has gone needs no answer
+		_, _ = page.WriteTo(w) // fails only if the client has disconnected
 	}
 }
 
@@ -238,5 +238,5 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, text) // a reader that has gone needs no answer
+	_, _ = io.WriteString(w, text) // fails only if the client has disconnected
 }
--- a/adapters/opshttp/opshttp_test.go
+++ b/adapters/opshttp/opshttp_test.go
@@ -19,8 +19,8 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// start runs a port until the end of the spec, which checks that it ended well
-// and left nothing behind. It returns the base URL.
+// start runs a port until the end of the spec, which checks that it ended without
+// an error and leaked no goroutines. It returns the base URL.
 func start(opts opshttp.Options) string {
 	GinkgoHelper()
 	ignore := goleak.IgnoreCurrent()
@@ -39,57 +39,57 @@
 	return "http://" + server.Addr().String()
 }
 
-// ask returns the status and the body of an answer.
-func ask(method, url string, body io.Reader) (int, string) {
+// request sends a request and returns the status and body of the response.
+func request(method, url string, body io.Reader) (int, string) {
 	GinkgoHelper()
-	request, err := http.NewRequest(method, url, body)
+	httpRequest, err := http.NewRequest(method, url, body)
 	Expect(err).NotTo(HaveOccurred())
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(httpRequest)
 	Expect(err).NotTo(HaveOccurred())
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return answer.StatusCode, string(text)
+	return response.StatusCode, string(content)
 }
 
-func text(content string) http.Handler {
+func respondText(content string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, content)
 	})
 }
 
 var _ = Describe("Server", func() {
-	DescribeTable("answers", func(opts opshttp.Options, method, path string, wantStatus int, wantText string) {
-		status, got := ask(method, start(opts)+path, nil)
+	DescribeTable("responds", func(opts opshttp.Options, method, path string, wantStatus int, wantText string) {
+		status, got := request(method, start(opts)+path, nil)
 		Expect(status).To(Equal(wantStatus))
 		Expect(got).To(ContainSubstring(wantText))
 	},
-		Entry("that it lives", opshttp.Options{}, "GET", "/healthz", 200, "ok\n"),
-		Entry("that it is ready", opshttp.Options{}, "GET", "/readyz", 200, "ready\n"),
-		Entry("that it is ready when asked", opshttp.Options{
+		Entry("that the process is alive", opshttp.Options{}, "GET", "/healthz", 200, "ok\n"),
+		Entry("that the process is ready", opshttp.Options{}, "GET", "/readyz", 200, "ready\n"),
+		Entry("that the process is ready according to Ready", opshttp.Options{
 			Ready: func() (bool, string) { return true, "" },
 		}, "GET", "/readyz", 200, "ready\n"),
-		Entry("why it is not", opshttp.Options{
+		Entry("why the process is not ready", opshttp.Options{
 			Ready: func() (bool, string) { return false, "no configuration yet" },
 		}, "GET", "/readyz", 503, "not ready: no configuration yet\n"),
-		Entry("metrics", opshttp.Options{Metrics: text("up 1")}, "GET", "/metrics", 200, "up 1"),
-		Entry("its status", opshttp.Options{
+		Entry("with metrics", opshttp.Options{Metrics: respondText("up 1")}, "GET", "/metrics", 200, "up 1"),
+		Entry("with the status", opshttp.Options{
 			Status: func() any { return map[string]int{"revision": 7} },
 		}, "GET", "/status", 200, "{\n  \"revision\": 7\n}\n"),
-		Entry("that a status cannot be shown", opshttp.Options{
+		Entry("that the status cannot be encoded", opshttp.Options{
 			Status: func() any { return math.NaN() },
 		}, "GET", "/status", 500, "the status cannot be encoded"),
-		Entry("nothing for what it was not given", opshttp.Options{}, "GET", "/status", 404, ""),
-		Entry("no other method", opshttp.Options{Metrics: text("")}, "POST", "/metrics", 405, ""),
-		Entry("what it has", opshttp.Options{
-			Extra: map[string]http.Handler{"GET /swarm": text("")},
+		Entry("with 404 for an endpoint without a handler", opshttp.Options{}, "GET", "/status", 404, ""),
+		Entry("with 405 for another method", opshttp.Options{Metrics: respondText("")}, "POST", "/metrics", 405, ""),
+		Entry("with an index of its endpoints", opshttp.Options{
+			Extra: map[string]http.Handler{"GET /swarm": respondText("")},
 		}, "GET", "/", 200, "GET /healthz\nGET /readyz\nGET /swarm\n"),
-		Entry("with a further handler", opshttp.Options{
-			Extra: map[string]http.Handler{"GET /swarm": text("peers")},
+		Entry("from an additional handler", opshttp.Options{
+			Extra: map[string]http.Handler{"GET /swarm": respondText("peers")},
 		}, "GET", "/swarm", 200, "peers"),
 	)
 
-	It("reads a bounded body", func() {
+	It("limits the size of a request body", func() {
 		failed := make(chan error, 1)
 		base := start(opshttp.Options{Extra: map[string]http.Handler{
 			"POST /check": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -98,20 +98,20 @@
 				w.WriteHeader(http.StatusRequestEntityTooLarge)
 			}),
 		}})
-		status, _ := ask("POST", base+"/check", strings.NewReader(strings.Repeat("x", 1<<20)))
+		status, _ := request("POST", base+"/check", strings.NewReader(strings.Repeat("x", 1<<20)))
 		Expect(status).To(Equal(http.StatusRequestEntityTooLarge))
 		var tooLarge *http.MaxBytesError
 		Expect(<-failed).To(BeAssignableToTypeOf(tooLarge))
 	})
 
-	// An operator reads a page while the process is told to stop. The answer
-	// that has begun must arrive whole; only then does Run return.
-	It("lets an answer end before it stops", func() {
-		began, goOn := make(chan struct{}), make(chan struct{})
+	// A process is stopped while an operator reads a page. The response in progress
+	// must be sent completely before Run returns.
+	It("completes a response before it stops", func() {
+		started, release := make(chan struct{}), make(chan struct{})
 		server, err := opshttp.New(opshttp.Options{Listen: anyPort, Metrics: http.HandlerFunc(
 			func(w http.ResponseWriter, _ *http.Request) {
-				close(began)
-				<-goOn
+				close(started)
+				<-release
 				_, _ = io.WriteString(w, "whole")
 			})})
 		Expect(err).NotTo(HaveOccurred())
@@ -121,18 +121,18 @@
 		got := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
-			_, text := ask("GET", "http://"+server.Addr().String()+"/metrics", nil)
+			_, text := request("GET", "http://"+server.Addr().String()+"/metrics", nil)
 			got <- text
 		}()
-		Eventually(began, "5s").Should(BeClosed())
+		Eventually(started, "5s").Should(BeClosed())
 		cancel()
 		Consistently(ended, "50ms").ShouldNot(Receive())
-		close(goOn)
+		close(release)
 		Eventually(got, "5s").Should(Receive(Equal("whole")))
 		Eventually(ended, "5s").Should(Receive(BeNil()))
 	})
 
-	It("frees the port when it never ran", func() {
+	It("frees the port if it never ran", func() {
 		server, err := opshttp.New(opshttp.Options{Listen: anyPort})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.Close()).To(Succeed())
@@ -141,9 +141,9 @@
 		Expect(again.Run(closedContext())).To(Succeed())
 	})
 
-	// Close takes the listener away before Run serves, so that Run meets both
-	// its end and the listener's. Whichever it sees first, it was planned.
-	It("ends well when it was closed before it ran", func() {
+	// Close closes the listener before Run serves, so that Run sees both the stop
+	// and the closed listener. In either order, Run must succeed.
+	It("ends without an error if it was closed before it ran", func() {
 		for range 50 {
 			server, err := opshttp.New(opshttp.Options{Listen: anyPort})
 			Expect(err).NotTo(HaveOccurred())
@@ -152,7 +152,7 @@
 		}
 	})
 
-	It("says that the port is taken", func() {
+	It("fails if the port is in use", func() {
 		server, err := opshttp.New(opshttp.Options{Listen: anyPort})
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
@@ -160,15 +160,15 @@
 		Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue())
 	})
 
-	DescribeTable("refuses a pattern", func(pattern string) {
+	DescribeTable("rejects a pattern", func(pattern string) {
 		_, err := opshttp.New(opshttp.Options{
-			Listen: anyPort, Extra: map[string]http.Handler{pattern: text("")},
+			Listen: anyPort, Extra: map[string]http.Handler{pattern: respondText("")},
 		})
 		Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 		Expect(err.Error()).To(ContainSubstring(pattern))
 	},
-		Entry("that is taken", "GET /healthz"),
-		Entry("that is none", "swarm peers here"),
+		Entry("that is already registered", "GET /healthz"),
+		Entry("that is invalid", "swarm peers here"),
 	)
 })
 
