--- a/adapters/opsclient/opsclient.go
+++ b/adapters/opsclient/opsclient.go
@@ -103,8 +103,8 @@
 	return entry, nil
 }
 
-// Question contains the parameters of Explain.
-type Question struct {
+// ExplainRequest contains the parameters of Explain.
+type ExplainRequest struct {
 	Service fleet.ServiceName
 	// Prefix is the name of a prompt prefix as in a caller's request; may be empty.
 	Prefix string
@@ -115,7 +115,7 @@
 // Explain returns how the entry at addr would choose a backend server at present.
 // It fails with failure.NotFound if the entry does not have the service or the
 // process does not explain choices.
-func (c *Client) Explain(ctx context.Context, addr netip.AddrPort, q Question) (*status.Explanation, error) {
+func (c *Client) Explain(ctx context.Context, addr netip.AddrPort, q ExplainRequest) (*status.Explanation, error) {
 	query := url.Values{"service": {string(q.Service)}}
 	if q.Prefix != "" {
 		query.Set("prefix", q.Prefix)
--- a/cmd/chivespindle/explain.go
+++ b/cmd/chivespindle/explain.go
@@ -65,7 +65,7 @@
 			case request != "":
 				return c.explainRequest(request, server, args)
 			}
-			q := opsclient.Question{Service: fleet.ServiceName(args[0]), Prefix: prefix, Priority: int(priority)}
+			q := opsclient.ExplainRequest{Service: fleet.ServiceName(args[0]), Prefix: prefix, Priority: int(priority)}
 			return c.explain(command.Context(), q)
 		},
 	}
@@ -78,7 +78,7 @@
 	return command
 }
 
-func (c *client) explain(ctx context.Context, q opsclient.Question) error {
+func (c *client) explain(ctx context.Context, q opsclient.ExplainRequest) error {
 	ops, err := c.newOpsClient()
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // explainAny asks one address after the other, each for its share of the time.
-func (c *client) explainAny(ctx context.Context, ops *opsclient.Client, q opsclient.Question) (*status.Explanation, error) {
+func (c *client) explainAny(ctx context.Context, ops *opsclient.Client, q opsclient.ExplainRequest) (*status.Explanation, error) {
 	deadline, _ := ctx.Deadline()
 	share := time.Until(deadline) / time.Duration(len(c.flags.ops))
 	var last error
