--- a/adapters/callerhttp/sink.go
+++ b/adapters/callerhttp/sink.go
@@ -78,10 +78,10 @@
 		return k.fail(failure.Corrupt.New("the answer has status %d and a body", k.status))
 	}
 	if _, err := k.w.Write(p); err != nil {
-		return k.fail(calls.Interrupted.Wrap(err, "caller is gone"))
+		return k.fail(calls.Interrupted.Wrap(err, "caller disconnected"))
 	}
 	if err := http.NewResponseController(k.w).Flush(); err != nil {
-		return k.fail(calls.Interrupted.Wrap(err, "caller is gone"))
+		return k.fail(calls.Interrupted.Wrap(err, "caller disconnected"))
 	}
 	return nil
 }
--- a/adapters/engine/attempt/attempt_test.go
+++ b/adapters/engine/attempt/attempt_test.go
@@ -254,14 +254,14 @@
 	// for the first byte: the caller would wait that long for an incomplete
 	// response. The spec's own timeout ends a client that does.
 	It("times out a stalled response although the request body was read late", func(ctx SpecContext) {
-		begun := make(chan struct{})
+		started := make(chan struct{})
 		release := make(chan struct{})
 		s := serve(func(w http.ResponseWriter, r *http.Request) {
 			control := http.NewResponseController(w)
 			_ = control.EnableFullDuplex()
 			_, _ = io.WriteString(w, "half")
 			_ = control.Flush()
-			<-begun
+			<-started
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-release
 		})
@@ -274,16 +274,16 @@
 		defer a.Close()
 		_, err = io.ReadFull(a, make([]byte, len("half")))
 		Expect(err).NotTo(HaveOccurred())
-		close(begun)
+		close(started)
 		_, err = a.Read(make([]byte, 1))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
 	}, SpecTimeout(30*time.Second))
 
 	It("is not run if its context was canceled before", func(ctx SpecContext) {
 		s := serve(func(http.ResponseWriter, *http.Request) { Fail("the request was sent") })
-		gone, cancel := context.WithCancel(ctx)
+		canceled, cancel := context.WithCancel(ctx)
 		cancel()
-		_, err := send(gone, attempt.New(s.addr()), request("x"))
+		_, err := send(canceled, attempt.New(s.addr()), request("x"))
 		Expect(errorx.IsOfType(err, attempt.Canceled)).To(BeTrue(), "%v", err)
 		Expect(failure.OutcomeOf(err)).To(Equal(failure.NotRun))
 	})
@@ -339,9 +339,9 @@
 		defer cancel()
 		_, err = send(limited, client, request("x"))
 		Expect(errorx.IsOfType(err, failure.Timeout)).To(BeTrue(), "%v", err)
-		whole := request("")
-		whole.Method = http.MethodGet
-		_, err = send(ctx, client, whole)
+		complete := request("")
+		complete.Method = http.MethodGet
+		_, err = send(ctx, client, complete)
 		Expect(err).NotTo(HaveOccurred())
 		close(release)
 		s.Close()
