--- a/cmd/chivespindle/addresses.go
+++ b/cmd/chivespindle/addresses.go
@@ -25,7 +25,7 @@
 	}
 	return callerclient.New(callerclient.Options{
 		Seeds:   c.flags.entries,
-		Near:    place,
+		Place:   place,
 		Timeout: timeout / time.Duration(len(c.flags.entries)),
 	}), nil
 }
--- a/cmd/chivespindle/internal/callstream/callstream.go
+++ b/cmd/chivespindle/internal/callstream/callstream.go
@@ -140,7 +140,7 @@
 // is taken from the header alone, because the body may be truncated.
 func refusalError(resp *http.Response, outcome string) *errorx.Error {
 	const maxRefusal = 64 << 10
-	var r callerhttp.Refusal
+	var r callerhttp.ErrorResponse
 	err := callerclient.Refused.New("status %d without a reason", resp.StatusCode)
 	if json.NewDecoder(io.LimitReader(resp.Body, maxRefusal)).Decode(&r) == nil {
 		err = callerclient.Refused.New("status %d: %s", resp.StatusCode, r.Reason)
--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -151,7 +151,7 @@
 	for _, p := range f.entries {
 		seeds = append(seeds, p.Instance.CallerAddr)
 	}
-	return callerclient.New(callerclient.Options{Seeds: seeds, Near: near})
+	return callerclient.New(callerclient.Options{Seeds: seeds, Place: near})
 }
 
 // startLoad starts callers. The default deadline of five seconds bounds how
@@ -267,10 +267,10 @@
 }
 
 // sendTo sends one request through an entry.
-func (f *testFleet) sendTo(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Answer, error) {
+func (f *testFleet) sendTo(p *harness.Process, service fleet.ServiceName, prompt string, tokens int) (callerclient.Response, error) {
 	body, err := json.Marshal(harness.Prompt{Prompt: prompt, MaxTokens: tokens})
 	if err != nil {
-		return callerclient.Answer{}, err
+		return callerclient.Response{}, err
 	}
 	r := callerclient.Request{Service: service, Deadline: 20 * time.Second, Body: body}
 	return f.newCaller(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
