--- a/tools/testrun/known.go
+++ b/tools/testrun/known.go
@@ -9,24 +9,25 @@
 	"strings"
 )
 
-// maxKnownRed is the longest list of known red tests that a run takes.
+// maxKnownRed is the maximum number of known red tests that a run accepts.
 const maxKnownRed = 3
 
-// knownRed is a test that fails for a fault which is not mended yet.
+// knownRed is a test that fails because of a fault that is not fixed yet.
 type knownRed struct {
 	pkg   string // directory below the root, as in "core/gossip"
-	name  string // name of a Go test, or the whole text of a ginkgo spec
+	name  string // name of a Go test, or the full text of a Ginkgo spec
 	cause string
 	issue string
 }
 
-// goTestName tells a Go test from the text of a spec.
+// goTestName matches the name of a Go test, but not the text of a spec.
 var goTestName = regexp.MustCompile(`^(Test|Fuzz|Example)\w*$`)
 
 func (k knownRed) isGoTest() bool { return goTestName.MatchString(k.name) }
 
-// pattern matches the test's own name and no longer one. Ginkgo matches it
-// against the suite's description, a space and the spec's text.
+// pattern returns a regular expression that matches the test's name, but not
+// a longer name that begins with it. Ginkgo matches the expression against the
+// suite's description, a space and the spec's text.
 func (k knownRed) pattern() string {
 	if k.isGoTest() {
 		return "^" + k.name + "$"
@@ -38,7 +39,8 @@
 	return fmt.Sprintf("%s: %s; %s; %s", k.pkg, k.name, k.cause, k.issue)
 }
 
-// readKnown reads the list. A missing file is an empty list.
+// readKnown reads the list of known red tests from a file. A missing file is an
+// empty list.
 func readKnown(path string) ([]knownRed, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -51,7 +53,7 @@
 }
 
 // parseKnown reads lines of the form "package: test; cause; issue". Blank
-// lines and lines that start with # are left out.
+// lines and lines that start with # are ignored.
 func parseKnown(path, text string) ([]knownRed, error) {
 	var known []knownRed
 	for i, line := range strings.Split(text, "\n") {
@@ -71,12 +73,12 @@
 	return known, nil
 }
 
-var errForm = errors.New(`must be "package: test; cause; issue"`)
+var errSyntax = errors.New(`must be "package: test; cause; issue"`)
 
 func parseLine(line string) (knownRed, error) {
 	fields := strings.Split(line, ";")
 	if len(fields) != 3 {
-		return knownRed{}, errForm
+		return knownRed{}, errSyntax
 	}
 	pkg, name, _ := strings.Cut(fields[0], ":")
 	test := knownRed{
@@ -86,7 +88,7 @@
 		issue: strings.TrimSpace(fields[2]),
 	}
 	if test.pkg == "" || test.name == "" || test.cause == "" || test.issue == "" {
-		return knownRed{}, errForm
+		return knownRed{}, errSyntax
 	}
 	return test, nil
 }
--- a/tools/testrun/main.go
+++ b/tools/testrun/main.go
@@ -1,9 +1,9 @@
-// Command testrun runs the tests of packages and passes over the failures
-// that the list of known red tests names, and over no others.
+// Command testrun runs the tests of packages and ignores the failures of the
+// tests on the list of known red tests, but no other failures.
 //
-// Each listed test is left out of the run of its package and then run alone,
-// so that its package fails for any other reason. A listed test that does not
-// exist, or a list that is too long, fails the run.
+// Each listed test is skipped when its package is tested, and then run on its
+// own, so that any other failure in the package still fails the run. The run
+// also fails if a listed test does not exist or if the list is too long.
 //
 // Usage: testrun [-known file] [-p n] [-race] package...
 package main
@@ -17,14 +17,14 @@
 )
 
 const (
-	exitRed    = 1
-	exitFailed = 2
+	exitTestsFailed = 1
+	exitError       = 2
 )
 
 func main() {
-	knownFile := flag.String("known", "KNOWN-RED.txt", "list of known red tests; it may be missing")
-	parallel := flag.Int("p", 4, "packages built and tested at once")
-	race := flag.Bool("race", false, "look for data races")
+	knownFile := flag.String("known", "KNOWN-RED.txt", "file with the list of known red tests; it may be missing")
+	parallel := flag.Int("p", 4, "number of packages built and tested in parallel")
+	race := flag.Bool("race", false, "enable the race detector")
 	flag.Parse()
 
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -33,9 +33,9 @@
 	green, err := r.runListed(ctx, *knownFile, flag.Args())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "testrun:", err)
-		os.Exit(exitFailed)
+		os.Exit(exitError)
 	}
 	if !green {
-		os.Exit(exitRed)
+		os.Exit(exitTestsFailed)
 	}
 }
--- a/tools/testrun/runner.go
+++ b/tools/testrun/runner.go
@@ -17,15 +17,16 @@
 	"github.com/onsi/ginkgo/v2/types"
 )
 
-// runner runs go test from the working directory, the root of the workspace.
+// runner runs go test in the working directory, which must be the root of the
+// workspace.
 type runner struct {
 	out      io.Writer
 	parallel int
 	race     bool
 }
 
-// runListed runs the packages with the list of known red tests at path. It
-// returns true if no test failed but those.
+// runListed tests the packages that the patterns match. It returns true if no
+// test failed except those on the list of known red tests at path.
 func (r *runner) runListed(ctx context.Context, path string, patterns []string) (bool, error) {
 	known, err := readKnown(path)
 	if err != nil {
@@ -45,23 +46,25 @@
 	return r.runAll(ctx, dirs, byPackage)
 }
 
+// runAll tests each package with known red tests without these, then all other
+// packages together, then each known red test on its own.
 func (r *runner) runAll(ctx context.Context, dirs []string, byPackage map[string][]knownRed) (bool, error) {
-	var untouched []string
+	var unlisted []string
 	green := true
 	for _, dir := range dirs {
 		tests, listed := byPackage[dir]
 		if !listed {
-			untouched = append(untouched, dir)
+			unlisted = append(unlisted, dir)
 			continue
 		}
-		passed, err := r.goTest(ctx, []string{dir}, skipping(tests))
+		passed, err := r.goTest(ctx, []string{dir}, skipArgs(tests))
 		if err != nil {
 			return false, err
 		}
 		green = green && passed
 	}
-	if len(untouched) > 0 {
-		passed, err := r.goTest(ctx, untouched, extraArgs{})
+	if len(unlisted) > 0 {
+		passed, err := r.goTest(ctx, unlisted, extraArgs{})
 		if err != nil {
 			return false, err
 		}
@@ -77,14 +80,14 @@
 	return green, nil
 }
 
-// extraArgs are arguments of go test for one package.
+// extraArgs are additional arguments of go test for one package.
 type extraArgs struct {
-	flags []string // before the package
-	specs []string // for ginkgo, after it
+	flags []string // flags of go test, before the package
+	specs []string // flags of Ginkgo, after the package
 }
 
-// skipping leaves the tests out of a run.
-func skipping(tests []knownRed) extraArgs {
+// skipArgs returns the arguments that skip the tests.
+func skipArgs(tests []knownRed) extraArgs {
 	var args extraArgs
 	var goTests []string
 	for _, test := range tests {
@@ -100,8 +103,8 @@
 	return args
 }
 
-// list returns the directories of the packages that the patterns match, as
-// "./core/gossip".
+// list returns the directories of the packages that the patterns match, in the
+// form "./core/gossip".
 func (r *runner) list(ctx context.Context, patterns []string) ([]string, error) {
 	var out bytes.Buffer
 	command := exec.CommandContext(ctx, "go", append([]string{"list", "-f", "{{.Dir}}"}, patterns...)...)
@@ -125,8 +128,8 @@
 	return dirs, nil
 }
 
-// goTest runs the tests of packages and shows what go test prints. It returns
-// false if one failed.
+// goTest runs the tests of packages and copies the output of go test to r.out.
+// It returns false if a test failed.
 func (r *runner) goTest(ctx context.Context, dirs []string, extra extraArgs) (bool, error) {
 	command := r.command(ctx, dirs, extra)
 	command.Stdout = r.out
@@ -147,7 +150,8 @@
 	return exec.CommandContext(ctx, "go", args...)
 }
 
-// passed tells a failing run from one that could not be started.
+// passed returns false without an error if the command ran and failed, and an
+// error if it could not be started.
 func passed(err error) (bool, error) {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -156,14 +160,15 @@
 	return err == nil, err
 }
 
-// runAlone runs one known red test and prints how it went. It fails if that
-// cannot be told, since then something else is wrong.
+// runAlone runs one known red test and prints the result. It returns an error
+// if the result cannot be determined, because then there is a fault other than
+// the known one.
 func (r *runner) runAlone(ctx context.Context, test knownRed) error {
-	judge := r.specFailed
+	hasFailed := r.specFailed
 	if test.isGoTest() {
-		judge = r.goTestFailed
+		hasFailed = r.goTestFailed
 	}
-	failed, err := judge(ctx, test)
+	failed, err := hasFailed(ctx, test)
 	if err != nil {
 		return fmt.Errorf("known red test %s: %w", test, err)
 	}
@@ -175,9 +180,9 @@
 	return err
 }
 
-var errNotOne = errors.New("the name does not fit exactly one test that ran")
+var errNotExactlyOne = errors.New("the name does not fit exactly one test that ran")
 
-// specFailed runs one ginkgo spec.
+// specFailed runs one Ginkgo spec and reports whether it failed.
 func (r *runner) specFailed(ctx context.Context, test knownRed) (bool, error) {
 	dir, err := os.MkdirTemp("", "testrun")
 	if err != nil {
@@ -197,11 +202,12 @@
 	if err != nil {
 		return false, err
 	}
-	return specVerdict(data)
+	return parseSpecReport(data)
 }
 
-// specVerdict reads ginkgo's report of a run of one spec.
-func specVerdict(data []byte) (failed bool, err error) {
+// parseSpecReport returns whether the spec failed, from Ginkgo's JSON report of
+// a run of that spec alone.
+func parseSpecReport(data []byte) (failed bool, err error) {
 	var suites []types.Report
 	if err := json.Unmarshal(data, &suites); err != nil {
 		return false, err
@@ -216,24 +222,25 @@
 		}
 	}
 	if len(ran) != 1 {
-		return false, errNotOne
+		return false, errNotExactlyOne
 	}
 	return ran[0].Failed(), nil
 }
 
-// testEvent is the part of an event of go test -json that is read here.
+// testEvent holds the fields of an event of go test -json that testrun uses.
 type testEvent struct {
 	Action string
 	Test   string
 	Output string
 }
 
-// suiteStart is what ginkgo prints when a Go test runs a suite.
-const suiteStart = "Running Suite: "
+// suiteStartPrefix is the prefix of the line that Ginkgo prints when a Go test starts
+// a suite.
+const suiteStartPrefix = "Running Suite: "
 
-var errSuite = errors.New("it is a whole suite; list its red specs")
+var errIsSuite = errors.New("it is a whole suite; list its red specs")
 
-// goTestFailed runs one Go test.
+// goTestFailed runs one Go test and reports whether it failed.
 func (r *runner) goTestFailed(ctx context.Context, test knownRed) (bool, error) {
 	var out bytes.Buffer
 	command := r.command(ctx, []string{"./" + test.pkg}, extraArgs{flags: []string{"-json", "-run=" + test.pattern()}})
@@ -242,23 +249,24 @@
 	if _, err := passed(command.Run()); err != nil {
 		return false, err
 	}
-	return r.goTestVerdict(&out, test.name)
+	return r.parseTestEvents(&out, test.name)
 }
 
-// goTestVerdict reads the events of a run of one Go test and shows its output.
-func (r *runner) goTestVerdict(events io.Reader, name string) (failed bool, err error) {
+// parseTestEvents returns whether the named Go test failed, from the events of
+// its run, and copies its output to r.out.
+func (r *runner) parseTestEvents(events io.Reader, name string) (failed bool, err error) {
 	decoder := json.NewDecoder(events)
 	for {
 		var event testEvent
 		err := decoder.Decode(&event)
 		if errors.Is(err, io.EOF) {
-			return false, errNotOne
+			return false, errNotExactlyOne
 		}
 		if err != nil {
 			return false, err
 		}
-		if strings.HasPrefix(event.Output, suiteStart) {
-			return false, errSuite
+		if strings.HasPrefix(event.Output, suiteStartPrefix) {
+			return false, errIsSuite
 		}
 		if _, err := io.WriteString(r.out, event.Output); err != nil {
 			return false, err
--- a/tools/testrun/testrun_test.go
+++ b/tools/testrun/testrun_test.go
@@ -16,10 +16,10 @@
 )
 
 var _ = Describe("testrun", func() {
-	// Each case runs go test on the packages below testdata. A red test may
-	// pass only under its own name; what stands beside it must still fail the
-	// run.
-	DescribeTable("passes over the listed tests alone",
+	// Each case runs go test on packages below testdata. A failure may be
+	// ignored only for a listed test; any other failing test of the same run,
+	// and a listing that does not match exactly one test, must fail the run.
+	DescribeTable("ignores the failures of listed tests only",
 		func(list string, packages []string, wantGreen bool, wantText string) {
 			path := filepath.Join(GinkgoT().TempDir(), "KNOWN-RED.txt")
 			Expect(os.WriteFile(path, []byte(list), 0o600)).To(Succeed())
@@ -33,12 +33,12 @@
 			}
 			Expect(green).To(Equal(wantGreen))
 		},
-		Entry("none listed", "", []string{"./testdata/plain"}, false, "TestRed"),
-		Entry("the red test listed", redTest, []string{"./testdata/plain"}, true, "KNOWN RED, passed over: testdata/plain: TestRed;"),
-		Entry("the red spec listed", redSpec, []string{"./testdata/specs"}, true, "KNOWN RED, passed over: testdata/specs: a red"),
-		Entry("one of two listed", redSpec, []string{"./testdata/specs", "./testdata/plain"}, false, "KNOWN RED, passed over: testdata/specs"),
-		Entry("both listed", redSpec+redTest, []string{"./testdata/specs", "./testdata/plain"}, true, "KNOWN RED, passed over: testdata/plain"),
-		Entry("a green one listed", "testdata/plain: TestGreen; c; #3\n"+redTest, []string{"./testdata/plain"}, true, "but it passed this time"),
+		Entry("no test listed", "", []string{"./testdata/plain"}, false, "TestRed"),
+		Entry("the failing test listed", redTest, []string{"./testdata/plain"}, true, "KNOWN RED, passed over: testdata/plain: TestRed;"),
+		Entry("the failing spec listed", redSpec, []string{"./testdata/specs"}, true, "KNOWN RED, passed over: testdata/specs: a red"),
+		Entry("one of two failing tests listed", redSpec, []string{"./testdata/specs", "./testdata/plain"}, false, "KNOWN RED, passed over: testdata/specs"),
+		Entry("both failing tests listed", redSpec+redTest, []string{"./testdata/specs", "./testdata/plain"}, true, "KNOWN RED, passed over: testdata/plain"),
+		Entry("a passing test listed", "testdata/plain: TestGreen; c; #3\n"+redTest, []string{"./testdata/plain"}, true, "but it passed this time"),
 		Entry("a missing test listed", "testdata/plain: TestGone; c; #3\n"+redTest, []string{"./testdata/plain"}, false, "does not fit exactly one test"),
 		Entry("a missing spec listed", "testdata/specs: red; c; #3\n"+redSpec, []string{"./testdata/specs"}, false, "does not fit exactly one test"),
 		Entry("a whole suite listed", "testdata/specs: a red suite; c; #3\n", []string{"./testdata/specs"}, false, "does not fit exactly one test"),
@@ -46,11 +46,11 @@
 		Entry("a missing package listed", "core/gone: TestRed; c; #3\n", []string{"./testdata/plain"}, false, "core/gone is no package of this run"),
 	)
 
-	It("takes a missing list as empty", func() {
+	It("treats a missing list as empty", func() {
 		Expect(readKnown(filepath.Join(GinkgoT().TempDir(), "none.txt"))).To(BeEmpty())
 	})
 
-	DescribeTable("reads the list",
+	DescribeTable("parses the list",
 		func(text string, want []knownRed, wantErr string) {
 			known, err := parseKnown("K", text)
 			if wantErr != "" {
