--- a/tools/housecheck/check.go
+++ b/tools/housecheck/check.go
@@ -13,13 +13,14 @@
 	"strings"
 )
 
-// Sizes that a reader can hold; the first size that is too long.
+// Length limits that keep files and functions readable. Each is the smallest
+// length that is reported.
 const (
-	longFunction = 60  // lines
-	longFile     = 500 // lines
+	functionLineLimit = 60
+	fileLineLimit     = 500
 )
 
-// Finding is one breach of a rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Path string
 	Line int
@@ -29,14 +30,15 @@
 // String returns "path:line: text".
 func (f Finding) String() string { return fmt.Sprintf("%s:%d: %s", f.Path, f.Line, f.Text) }
 
-// scope says in which files a rule holds.
+// scope reports whether a rule applies to a file.
 type scope func(file string) bool
 
 func inTests(file string) bool      { return strings.HasSuffix(file, "_test.go") }
 func outsideTests(file string) bool { return !inTests(file) && !within("tools")(file) }
 func inCore(file string) bool       { return !inTests(file) && within("core")(file) }
 
-// inProduct holds the code that runs at the users', not the stand-ins.
+// inProduct reports whether a file is part of the deployed software, which
+// excludes tests, tools and stand-ins.
 func inProduct(file string) bool {
 	if inTests(file) || within("platform/standin")(file) {
 		return false
@@ -44,43 +46,48 @@
 	return within("core")(file) || within("adapters")(file) || within("daemon")(file) || within("platform")(file) || within("cmd")(file)
 }
 
+// within returns the scope of all files below the folder of a module.
 func within(module string) scope {
 	return func(file string) bool { return strings.HasPrefix(file, module+"/") }
 }
 
-// useRule forbids names of a package.
+// useRule forbids the use of a package or of some of its names.
 type useRule struct {
-	where   scope
-	pkg     string   // import path
-	names   []string // empty for the whole package
-	because string
+	where  scope
+	pkg    string   // import path
+	names  []string // empty for the whole package
+	reason string
 }
 
 var useRules = []useRule{
-	{inTests, "time", []string{"Sleep"}, "a sleep proves nothing; wait for the event or inject a clock"},
-	{outsideTests, "errors", []string{"New"}, "every failure has a type; see core/failure"},
-	{outsideTests, "fmt", []string{"Errorf"}, "every failure has a type; see core/failure"},
+	{inTests, "time", []string{"Sleep"}, "a sleep does not prove that an event has happened; wait for it or inject a clock"},
+	{outsideTests, "errors", []string{"New"}, "errors must have a type; see core/failure"},
+	{outsideTests, "fmt", []string{"Errorf"}, "errors must have a type; see core/failure"},
 	{inCore, "time", []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
-		"decisions take the time from outside"},
-	{inCore, "os", nil, "decisions do no I/O"},
-	{inCore, "net", nil, "decisions do no I/O"},
-	{inCore, "net/http", nil, "decisions do no I/O"},
-	{inProduct, "os/exec", nil, "a process starts no other process"},
-	{inProduct, "net/http/httputil", nil, "no ready-made proxy"},
+		"core/ must not read the clock; pass the time in"},
+	{inCore, "os", nil, "core/ must not do I/O"},
+	{inCore, "net", nil, "core/ must not do I/O"},
+	{inCore, "net/http", nil, "core/ must not do I/O"},
+	{inProduct, "os/exec", nil, "must not start other processes"},
+	{inProduct, "net/http/httputil", nil, "must not use a ready-made proxy"},
 }
 
-// platformNames are names of the users' platform. Only the folder platform
-// speaks them, so that a change there touches nothing else.
+// platformNames are names from the interfaces of the users' platform. They may
+// occur only in the folder platform (and in tools), so that a change to the
+// platform's interfaces affects no other code.
 var platformNames = []string{
 	"X-Expect-Instance", "X-Expect-Version", "X-Not-Run", "X-Response-Stamp", "X-Prefix-Hash", "X-Weight-Versions",
 	"X-Token-Counts", "X-Deadline-Ms", "X-Tenant", "Api-Key", "kv-watch", "kv-range", "kv-key", "op/config",
 	"op/version", "stage-put", "stage-get", "CHIVESPINDLE_NODE_FILE",
 }
 
-// narrowedSpecs are the ginkgo names that leave specs out of a run.
-var narrowedSpecs = narrowed("Describe", "Context", "When", "It", "Specify", "DescribeTable", "DescribeTableSubtree", "Entry")
+// filteringNames are the Ginkgo functions and decorators that exclude specs from
+// a run.
+var filteringNames = withFilterPrefixes("Describe", "Context", "When", "It", "Specify", "DescribeTable", "DescribeTableSubtree", "Entry")
 
-func narrowed(names ...string) []string {
+// withFilterPrefixes returns the focused (F) and pending (P, X) forms of the
+// names, and the names that skip a spec or mark it as pending.
+func withFilterPrefixes(names ...string) []string {
 	var all []string
 	for _, name := range names {
 		all = append(all, "F"+name, "P"+name, "X"+name)
@@ -88,8 +95,8 @@
 	return append(all, "Skip", "Pending")
 }
 
-// checkTree returns the findings of every Go file below root, by path and
-// line. It fails if a file cannot be read or parsed.
+// checkTree returns the findings in all Go files below root, ordered by path
+// and line. It fails if a file cannot be read or parsed.
 func checkTree(root fs.FS) ([]Finding, error) {
 	operations, err := readOperationsPage(root)
 	if err != nil {
@@ -117,7 +124,7 @@
 	return findings, err
 }
 
-// skipDir leaves out what the go command leaves out.
+// skipDir skips the directories that the go command ignores.
 func skipDir(name string) error {
 	base := path.Base(name)
 	hidden := strings.HasPrefix(base, ".") || strings.HasPrefix(base, "_")
@@ -127,8 +134,8 @@
 	return nil
 }
 
-// checkFile returns the findings of one file. operations are the words that
-// the operations page quotes, sorted.
+// checkFile returns the findings in one file. operations is the sorted list of
+// the names that the operations page documents.
 func checkFile(name string, source []byte, operations []string) ([]Finding, error) {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, name, source, parser.ParseComments|parser.SkipObjectResolution)
@@ -147,16 +154,16 @@
 	return c.findings, nil
 }
 
-// checker gathers the findings of one file.
+// checker collects the findings in one file.
 type checker struct {
 	name     string
 	files    *token.FileSet
 	file     *ast.File
 	lines    int
-	imports  map[string]string // import path by its name in the file
+	imports  map[string]string // import paths by the package name used in the file
 	findings []Finding
 
-	operations []string
+	operations []string // as for checkFile
 }
 
 func (c *checker) add(pos token.Pos, format string, args ...any) {
@@ -167,7 +174,7 @@
 func importPath(spec *ast.ImportSpec) string {
 	text, err := strconv.Unquote(spec.Path.Value)
 	if err != nil {
-		return "" // the parser takes no such import
+		return "" // cannot happen: the parser rejects such an import
 	}
 	return text
 }
@@ -188,7 +195,7 @@
 	for _, spec := range c.file.Imports {
 		for _, rule := range useRules {
 			if len(rule.names) == 0 && rule.pkg == importPath(spec) && rule.where(c.name) {
-				c.add(spec.Pos(), "imports %s: %s", rule.pkg, rule.because)
+				c.add(spec.Pos(), "imports %s: %s", rule.pkg, rule.reason)
 			}
 		}
 	}
@@ -214,7 +221,7 @@
 	}
 	for _, name := range platformNames {
 		if strings.Contains(strings.ToLower(literal.Value), strings.ToLower(name)) {
-			c.add(literal.Pos(), "%s: the platform's names stand in platform/ only", name)
+			c.add(literal.Pos(), "%s: names of the platform belong in platform/ only", name)
 		}
 	}
 }
@@ -227,32 +234,33 @@
 	for _, rule := range useRules {
 		used := rule.pkg == c.imports[pkg.Name] && slices.Contains(rule.names, selector.Sel.Name)
 		if used && rule.where(c.name) {
-			c.add(selector.Pos(), "%s.%s: %s", pkg.Name, selector.Sel.Name, rule.because)
+			c.add(selector.Pos(), "%s.%s: %s", pkg.Name, selector.Sel.Name, rule.reason)
 		}
 	}
 }
 
-// checkSpec finds specs that are focused, pending or skipped. go test passes
-// over the others, or over these, without failing.
+// checkSpec reports specs that are focused, pending or skipped, because go test
+// can pass although it does not run the other specs (if one is focused) or the
+// spec itself (if it is pending or skipped).
 func (c *checker) checkSpec(call *ast.CallExpr) {
 	if !inTests(c.name) {
 		return
 	}
 	switch fun := call.Fun.(type) {
 	case *ast.Ident:
-		if slices.Contains(narrowedSpecs, fun.Name) {
-			c.add(call.Pos(), "%s: no spec is focused, pending or skipped", fun.Name)
+		if slices.Contains(filteringNames, fun.Name) {
+			c.add(call.Pos(), "%s: specs must not be focused, pending or skipped", fun.Name)
 		}
 	case *ast.SelectorExpr:
 		if slices.Contains([]string{"Skip", "Skipf", "SkipNow"}, fun.Sel.Name) {
-			c.add(call.Pos(), "%s: no test is skipped", fun.Sel.Name)
+			c.add(call.Pos(), "%s: tests must not be skipped", fun.Sel.Name)
 		}
 	}
 }
 
 func (c *checker) checkLengths() {
-	if c.lines >= longFile {
-		c.add(c.file.Package, "the file has %d lines; files stay under %d", c.lines, longFile)
+	if c.lines >= fileLineLimit {
+		c.add(c.file.Package, "the file has %d lines; files must have fewer than %d", c.lines, fileLineLimit)
 	}
 	for _, decl := range c.file.Decls {
 		function, isFunction := decl.(*ast.FuncDecl)
@@ -260,8 +268,8 @@
 			continue
 		}
 		lines := c.files.Position(function.End()).Line - c.files.Position(function.Pos()).Line + 1
-		if lines >= longFunction {
-			c.add(function.Pos(), "%s has %d lines; functions stay under %d", function.Name.Name, lines, longFunction)
+		if lines >= functionLineLimit {
+			c.add(function.Pos(), "%s has %d lines; functions must have fewer than %d", function.Name.Name, lines, functionLineLimit)
 		}
 	}
 }
--- a/tools/housecheck/main.go
+++ b/tools/housecheck/main.go
@@ -1,5 +1,6 @@
-// Command housecheck checks the rules of the house style that no linter
-// knows. It prints one line per finding and exits with 1 if there is one.
+// Command housecheck checks the project's style rules that no linter covers. It
+// prints one line per finding and exits with status 1 if there are any.
+// It exits with status 2 if a file cannot be read or parsed.
 //
 // Usage: housecheck [directory]
 package main
@@ -11,7 +12,7 @@
 
 const (
 	exitFindings = 1
-	exitFailed   = 2
+	exitError    = 2
 )
 
 func main() {
@@ -22,7 +23,7 @@
 	findings, err := checkTree(os.DirFS(root))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "housecheck:", err)
-		os.Exit(exitFailed)
+		os.Exit(exitError)
 	}
 	for _, finding := range findings {
 		fmt.Println(finding)
--- a/tools/housecheck/telemetry.go
+++ b/tools/housecheck/telemetry.go
@@ -11,22 +11,22 @@
 	"strings"
 )
 
-// operationsPage lists every log event, log key and metric, each between
-// backquotes. On-call engineers have nothing else to look them up in.
+// operationsPage lists every log event, log key and metric, each in backquotes.
+// It is the only reference for them that engineers on call have.
 const operationsPage = "docs/OPERATIONS.md"
 
 const zapPath = "go.uber.org/zap"
 
 var (
-	quotedWord = regexp.MustCompile("`([^`\n]+)`")
+	backquoted = regexp.MustCompile("`([^`\n]+)`")
 	snakeCase  = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 
 	logMethods    = []string{"Debug", "Info", "Warn", "Error"}
 	metricMethods = []string{"Counter", "Gauge", "Histogram", "Timer"}
 )
 
-// readOperationsPage returns the words that the page quotes, none if there is
-// no page.
+// readOperationsPage returns the sorted names that the page has in backquotes,
+// or none if the page does not exist.
 func readOperationsPage(root fs.FS) ([]string, error) {
 	page, err := fs.ReadFile(root, operationsPage)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -35,15 +35,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var words []string
-	for _, match := range quotedWord.FindAllSubmatch(page, -1) {
-		words = append(words, string(match[1]))
+	var names []string
+	for _, match := range backquoted.FindAllSubmatch(page, -1) {
+		names = append(names, string(match[1]))
 	}
-	slices.Sort(words)
-	return slices.Compact(words), nil
+	slices.Sort(names)
+	return slices.Compact(names), nil
 }
 
-// checkTelemetry reports events, keys and metrics that the page does not list.
+// checkTelemetry reports log events, log keys and metrics that the operations
+// page does not list.
 func (c *checker) checkTelemetry() {
 	if !inProduct(c.name) {
 		return
@@ -75,13 +76,13 @@
 	}
 }
 
-func (c *checker) checkListed(call *ast.CallExpr, what, name string) {
+func (c *checker) checkListed(call *ast.CallExpr, kind, name string) {
 	if !snakeCase.MatchString(name) {
-		c.add(call.Pos(), "%s %q: names are snake_case", what, name)
+		c.add(call.Pos(), "%s %q: names must be snake_case", kind, name)
 		return
 	}
 	if _, listed := slices.BinarySearch(c.operations, name); !listed {
-		c.add(call.Pos(), "%s %s: %s does not list it", what, name, operationsPage)
+		c.add(call.Pos(), "%s %s: not listed in %s", kind, name, operationsPage)
 	}
 }
 
@@ -99,7 +100,8 @@
 	return text, err == nil
 }
 
-// isLogger reports whether an expression ends in a name that loggers have here.
+// isLogger reports whether the last name of an expression is "logger", in any
+// case. Every field and variable that holds a logger must have that name.
 func isLogger(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
