--- a/tools/proofs/page_test.go
+++ b/tools/proofs/page_test.go
@@ -1,5 +1,5 @@
-// Package proofs_test checks that docs/PROOFS.md and the pages that index
-// others name nothing that does not exist.
+// Package proofs_test checks that every test cited in docs/PROOFS.md exists, and
+// every page linked from it and from the index pages.
 package proofs_test
 
 import (
@@ -15,33 +15,36 @@
 	"strings"
 )
 
-// What each line of docs/PROOFS.md says beside its tests, in this order.
+// Labels of the items that follow the tests of each requirement in
+// docs/PROOFS.md, in this order.
 const (
-	failedFirst = "- Failed first: "
-	figure      = "- Figure: "
-	notProved   = "- Not proved: "
-	// allOfIt begins what a line without a test says under notProved.
-	allOfIt = "all of it"
+	failedFirstLabel = "- Failed first: "
+	figureLabel      = "- Figure: "
+	notProvedLabel   = "- Not proved: "
+	// nothingProved is the start of the text after notProvedLabel in a
+	// requirement without a test.
+	nothingProved = "all of it"
 )
 
-var labels = []string{failedFirst, figure, notProved}
+var labels = []string{failedFirstLabel, figureLabel, notProvedLabel}
 
 var (
-	// citation is a package and one of its tests, a function or the text of a
-	// spec with as many of the containers around it as make it plain:
-	// `core/once: TestX`, `core/once: "Key > is read as > any text"`.
+	// citation matches a package and one of its tests: a function, or the text
+	// of a spec, preceded by as many of its containers as are needed to
+	// identify it: `core/once: TestX`, `core/once: "Key > is read as > any text"`.
 	citation = regexp.MustCompile("`([a-z][a-z/]*): (?:\"([^\"`]+)\"|(\\w+))`")
-	// benchmark is the citation of one.
+	// benchmark matches the start of the citation of a benchmark.
 	benchmark = regexp.MustCompile("`[a-z/]+: Benchmark")
-	// codeSpan finds what is meant for a citation and is none.
+	// codeSpan matches all text that looks like a citation, to detect citations
+	// that are malformed.
 	codeSpan = regexp.MustCompile("`[a-z]+/[^` ]*:[^`]*`")
-	// link is a link to a page of the repository.
+	// link matches a link to a page of the repository.
 	link = regexp.MustCompile(`\]\(([^):#]+)\)`)
 )
 
-// checkProofs returns the faults of a page of proofs: lines that neither cite a
-// test nor say that nothing proves them, that lack what each must say, and
-// citations of tests that do not exist.
+// checkProofs returns the problems of a page of proofs: requirements that
+// neither cite a test nor state that nothing proves them, requirements without
+// all labelled items, and citations of tests that do not exist.
 func checkProofs(root fs.FS, page string) ([]string, error) {
 	text, err := fs.ReadFile(root, page)
 	if err != nil {
@@ -49,7 +52,7 @@
 	}
 	c := checker{root: root, tests: make(map[string][]string)}
 	for i, line := range strings.Split(string(text), "\n") {
-		c.where = fmt.Sprintf("%s:%d", page, i+1)
+		c.position = fmt.Sprintf("%s:%d", page, i+1)
 		c.checkLine(line)
 		for _, span := range codeSpan.FindAllString(line, -1) {
 			if err := c.checkCitation(span); err != nil {
@@ -57,106 +60,108 @@
 			}
 		}
 	}
-	c.endPromise()
-	return c.faults, nil
+	c.endRequirement()
+	return c.problems, nil
 }
 
+// checker collects the problems of a page of proofs.
 type checker struct {
-	root    fs.FS
-	tests   map[string][]string // by package
-	where   string
-	faults  []string
-	promise *promise // that is being read
+	root     fs.FS
+	tests    map[string][]string // names of the tests, by package
+	position string              // path:line
+	problems []string
+	current  *requirement // nil outside a requirement
 }
 
-// promise is one line of what the users ask for.
-type promise struct {
-	where   string
-	cites   bool
-	said    []string // labels
-	nothing bool     // it says that nothing proves it
+// requirement is the section of the page for one requirement of the users.
+type requirement struct {
+	position  string // of its heading
+	citesTest bool
+	labels    []string // of its items, in the order of the page
+	unproved  bool     // states that nothing proves it
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, c.where+": "+fmt.Sprintf(format, args...))
+func (c *checker) addProblem(format string, args ...any) {
+	c.problems = append(c.problems, c.position+": "+fmt.Sprintf(format, args...))
 }
 
-// checkLine follows the page: a heading of the third level begins a promise,
-// any other ends it.
+// checkLine processes one line of the page. A heading of the third level starts
+// a requirement; any other heading ends the current one.
 func (c *checker) checkLine(line string) {
 	if strings.HasPrefix(line, "#") {
-		c.endPromise()
+		c.endRequirement()
 	}
 	if strings.HasPrefix(line, "### ") {
-		c.promise = &promise{where: c.where}
+		c.current = &requirement{position: c.position}
 		return
 	}
-	if c.promise != nil && strings.HasPrefix(line, "- ") {
+	if c.current != nil && strings.HasPrefix(line, "- ") {
 		c.checkItem(line)
 	}
 }
 
 func (c *checker) checkItem(line string) {
-	p := c.promise
+	r := c.current
 	for _, label := range labels {
 		if text, found := strings.CutPrefix(line, label); found && strings.TrimSpace(text) != "" {
-			p.said = append(p.said, label)
-			p.nothing = p.nothing || label == notProved && strings.HasPrefix(text, allOfIt)
+			r.labels = append(r.labels, label)
+			r.unproved = r.unproved || label == notProvedLabel && strings.HasPrefix(text, nothingProved)
 			return
 		}
 	}
-	if len(p.said) > 0 {
-		c.fault("a test stands before %q, and nothing else after it", strings.TrimSpace(failedFirst))
+	if len(r.labels) > 0 {
+		c.addProblem("tests must be listed before %q, and no other item after it", strings.TrimSpace(failedFirstLabel))
 	}
 	if benchmark.MatchString(line) {
-		c.fault("a benchmark checks nothing; it stands under the figures")
+		c.addProblem("a benchmark checks nothing; list it under \"Figure\"")
 	}
-	p.cites = p.cites || citation.MatchString(line)
+	r.citesTest = r.citesTest || citation.MatchString(line)
 }
 
-func (c *checker) endPromise() {
-	p := c.promise
-	c.promise = nil
-	if p == nil {
+func (c *checker) endRequirement() {
+	r := c.current
+	c.current = nil
+	if r == nil {
 		return
 	}
-	c.where = p.where
-	if !slices.Equal(p.said, labels) {
-		c.fault("it must say, in this order: %q; it says %q", labels, p.said)
+	c.position = r.position
+	if !slices.Equal(r.labels, labels) {
+		c.addProblem("must have the items %q in this order; has %q", labels, r.labels)
 	}
-	if !p.cites && !p.nothing {
-		c.fault("it cites no test and does not say %q", notProved+allOfIt)
+	if !r.citesTest && !r.unproved {
+		c.addProblem("cites no test and does not state %q", notProvedLabel+nothingProved)
 	}
 }
 
 func (c *checker) checkCitation(span string) error {
 	m := citation.FindStringSubmatch(span)
 	if m == nil {
-		c.fault("%s is no citation", span)
+		c.addProblem("%s is not a valid citation", span)
 		return nil
 	}
 	pkg, name := m[1], m[2]+m[3]
 	if c.tests[pkg] == nil {
-		tests, err := testsOf(c.root, pkg)
+		tests, err := listTests(c.root, pkg)
 		if err != nil {
 			return err
 		}
 		c.tests[pkg] = tests
 	}
 	exists := slices.ContainsFunc(c.tests[pkg], func(test string) bool {
-		return test == name || strings.HasSuffix(test, between+name)
+		return test == name || strings.HasSuffix(test, textSeparator+name)
 	})
 	if !exists {
-		c.fault("%s has no test %q", pkg, name)
+		c.addProblem("%s has no test %q", pkg, name)
 	}
 	return nil
 }
 
-// between stands between the texts of a spec and its containers.
-const between = " > "
+// textSeparator separates the texts of a spec and its containers.
+const textSeparator = " > "
 
-// testsOf returns the test functions and specs of the package in a folder.
-func testsOf(root fs.FS, folder string) ([]string, error) {
+// listTests returns the names of the test functions and specs of the package in
+// a folder.
+func listTests(root fs.FS, folder string) ([]string, error) {
 	files, err := fs.Glob(root, folder+"/*_test.go")
 	if err != nil {
 		return nil, err
@@ -171,24 +176,24 @@
 		if err != nil {
 			return nil, err
 		}
-		ast.Walk(specs{found: &tests}, file)
+		ast.Walk(testCollector{found: &tests}, file)
 	}
 	return tests, nil
 }
 
-// specs visits a file and gathers its tests.
-type specs struct {
+// testCollector visits a file and collects the names of its tests.
+type testCollector struct {
 	containers []string
 	found      *[]string
 }
 
-func (s specs) Visit(node ast.Node) ast.Visitor {
+func (c testCollector) Visit(node ast.Node) ast.Visitor {
 	text, ok := testName(node)
 	if ok {
-		s.containers = append(slices.Clip(s.containers), text)
-		*s.found = append(*s.found, strings.Join(s.containers, between))
+		c.containers = append(slices.Clip(c.containers), text)
+		*c.found = append(*c.found, strings.Join(c.containers, textSeparator))
 	}
-	return s
+	return c
 }
 
 var (
@@ -196,14 +201,14 @@
 	specFunction = regexp.MustCompile(`^(Describe|DescribeTable|Context|When|It|Specify|Entry)$`)
 )
 
-// testName returns the name of a test function or the text of a ginkgo node,
-// if it is a literal.
+// testName returns the name of a test function, or the text of a Ginkgo node if
+// the text is a literal.
 func testName(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
 		return n.Name.Name, n.Recv == nil && testFunction.MatchString(n.Name.Name)
 	case *ast.CallExpr:
-		if !specFunction.MatchString(called(n)) || len(n.Args) == 0 {
+		if !specFunction.MatchString(calleeName(n)) || len(n.Args) == 0 {
 			return "", false
 		}
 		literal, ok := n.Args[0].(*ast.BasicLit)
@@ -216,7 +221,7 @@
 	return "", false
 }
 
-func called(call *ast.CallExpr) string {
+func calleeName(call *ast.CallExpr) string {
 	switch f := call.Fun.(type) {
 	case *ast.Ident:
 		return f.Name
@@ -226,17 +231,17 @@
 	return ""
 }
 
-// checkLinks returns the links of a page that lead to no page.
+// checkLinks returns the links of a page whose targets do not exist.
 func checkLinks(root fs.FS, page string) ([]string, error) {
 	text, err := fs.ReadFile(root, page)
 	if err != nil {
 		return nil, err
 	}
-	var faults []string
+	var problems []string
 	for _, m := range link.FindAllStringSubmatch(string(text), -1) {
 		if _, err := fs.Stat(root, path.Join(path.Dir(page), m[1])); err != nil {
-			faults = append(faults, page+": "+m[1]+" does not exist")
+			problems = append(problems, page+": "+m[1]+" does not exist")
 		}
 	}
-	return faults, nil
+	return problems, nil
 }
