--- a/tools/ablation/ablation_test.go
+++ b/tools/ablation/ablation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestSwitchOffHasBothRolesReadTheFile(t *testing.T) {
+func TestSwitchOffConfiguresBothRoles(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "deploy"), 0o755); err != nil {
 		t.Fatal(err)
@@ -24,28 +24,28 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(string(text), "--mechanisms "+mechanismFile); n != 2 {
-		t.Errorf("%d of 2 roles read the file: %s", n, text)
+		t.Errorf("%d of 2 roles are configured to read the file: %s", n, text)
 	}
 	ini, err := os.ReadFile(filepath.Join(dir, mechanismFile))
 	if err != nil || string(ini) != "[mechanisms]\nturns = off\n" {
-		t.Errorf("file: %q, %v", ini, err)
+		t.Errorf("contents of the file: %q, error: %v", ini, err)
 	}
 }
 
-func TestRowPairsEqualPlays(t *testing.T) {
+func TestWriteRowPairsRunsOfTheSameSeed(t *testing.T) {
 	o := options{sites: []string{"a/one.toml", "a/two.toml"}, days: []string{"d"}, seeds: []string{"1", "2"}}
-	base, off := make(map[play]result), make(map[play]result)
-	for i, p := range o.plays() {
-		base[p] = result{worth: 0.5 + float64(i)/10}
-		off[p] = result{worth: 0.4 + float64(i)/10}
+	base, off := make(map[benchRun]result), make(map[benchRun]result)
+	for i, r := range o.benchRuns() {
+		base[r] = result{score: 0.5 + float64(i)/10}
+		off[r] = result{score: 0.4 + float64(i)/10}
 	}
-	off[o.plays()[3]] = result{worth: 0.9, broken: []string{"LOST"}}
+	off[o.benchRuns()[3]] = result{score: 0.9, violations: []string{"LOST"}}
 	var out strings.Builder
-	writeHead(&out, o, base)
+	writeHeader(&out, o, base)
 	writeRow(&out, o, "turns", base, off)
 	for _, want := range []string{"| off | one | two |", "| (nothing) | 0.550 | 0.750 |", "| turns | -0.100 ± 0.000 | +0.000 ± 0.141 broke LOST |"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("table does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
--- a/tools/ablation/table.go
+++ b/tools/ablation/table.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// writeHead writes the head of the table and the row with everything on.
-func writeHead(w io.Writer, o options, base map[play]result) {
+// writeHeader writes the header of the table and the row for the runs with all
+// mechanisms on.
+func writeHeader(w io.Writer, o options, base map[benchRun]result) {
 	names := make([]string, len(o.sites))
 	for i, site := range o.sites {
 		names[i] = strings.TrimSuffix(filepath.Base(site), filepath.Ext(site))
@@ -18,43 +19,47 @@
 	fmt.Fprintf(w, "| off | %s |\n|---|%s\n", strings.Join(names, " | "), strings.Repeat("---|", len(names)))
 	cells := make([]string, len(o.sites))
 	for i, site := range o.sites {
-		mean, _ := meanAndSpread(worths(o, site, base))
+		mean, _ := meanAndStdDev(scores(o, site, base))
 		cells[i] = fmt.Sprintf("%.3f", mean)
 	}
 	fmt.Fprintf(w, "| (nothing) | %s |\n", strings.Join(cells, " | "))
 }
 
-// writeRow writes by how much the days are worth less without a mechanism: the
-// mean of the paired differences and their spread.
-func writeRow(w io.Writer, o options, name string, base, results map[play]result) {
+// writeRow writes the row for the runs without one mechanism: the mean and the
+// standard deviation of the paired differences of the scores (without the
+// mechanism minus with it), and the rules that were violated without it.
+func writeRow(w io.Writer, o options, name string, base, results map[benchRun]result) {
 	cells := make([]string, len(o.sites))
 	for i, site := range o.sites {
-		with, without := worths(o, site, base), worths(o, site, results)
-		lost := make([]float64, len(with))
+		with, without := scores(o, site, base), scores(o, site, results)
+		differences := make([]float64, len(with))
 		for k := range with {
-			lost[k] = without[k] - with[k]
+			differences[k] = without[k] - with[k]
 		}
-		mean, spread := meanAndSpread(lost)
-		cells[i] = fmt.Sprintf("%+.3f ± %.3f%s", mean, spread, brokenOn(o, site, results))
+		mean, stdDev := meanAndStdDev(differences)
+		cells[i] = fmt.Sprintf("%+.3f ± %.3f%s", mean, stdDev, violationsOn(o, site, results))
 	}
 	fmt.Fprintf(w, "| %s | %s |\n", name, strings.Join(cells, " | "))
 }
 
-func worths(o options, site string, results map[play]result) []float64 {
+// scores returns the scores of a site's runs, in the order of benchRuns.
+func scores(o options, site string, results map[benchRun]result) []float64 {
 	var all []float64
-	for _, p := range o.plays() {
-		if p.site == site {
-			all = append(all, results[p].worth)
+	for _, r := range o.benchRuns() {
+		if r.site == site {
+			all = append(all, results[r].score)
 		}
 	}
 	return all
 }
 
-func brokenOn(o options, site string, results map[play]result) string {
+// violationsOn returns the text that lists the rules violated on a site, or an
+// empty string.
+func violationsOn(o options, site string, results map[benchRun]result) string {
 	var rules []string
-	for _, p := range o.plays() {
-		if p.site == site {
-			rules = append(rules, results[p].broken...)
+	for _, r := range o.benchRuns() {
+		if r.site == site {
+			rules = append(rules, results[r].violations...)
 		}
 	}
 	if len(rules) == 0 {
@@ -64,13 +69,13 @@
 	return " broke " + strings.Join(slices.Compact(rules), " ")
 }
 
-// meanAndSpread returns the mean and the standard deviation of the values.
-func meanAndSpread(values []float64) (mean, spread float64) {
+// meanAndStdDev returns the mean and the standard deviation of the values.
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
 	}
 	for _, v := range values {
-		spread += (v - mean) * (v - mean) / float64(max(1, len(values)-1))
+		stdDev += (v - mean) * (v - mean) / float64(max(1, len(values)-1))
 	}
-	return mean, math.Sqrt(spread)
+	return mean, math.Sqrt(stdDev)
 }
