--- a/standin/cmd/backend/command.go
+++ b/standin/cmd/backend/command.go
@@ -18,16 +18,16 @@
 	"chivespindle.example/standin/plainservice"
 )
 
-// anyPort lets the machine pick a port.
+// anyPort is a loopback address on a port that the operating system chooses.
 const anyPort = "127.0.0.1:0"
 
-// listens are the addresses of one stand-in.
-type listens struct {
+// listenAddrs are the addresses of one stand-in.
+type listenAddrs struct {
 	calls string
 	admin string
 }
 
-// standIn is what the two stand-ins share.
+// standIn is the common interface of the stand-ins.
 type standIn interface {
 	Start(listen string) (netip.AddrPort, error)
 	Close() error
@@ -47,7 +47,7 @@
 }
 
 func newEngineCommand() *cobra.Command {
-	var at listens
+	var addrs listenAddrs
 	var options engine.Options
 	command := &cobra.Command{
 		Use:   "engine",
@@ -57,22 +57,22 @@
 			if err := checkSlots(options.Slots); err != nil {
 				return err
 			}
-			return serve(cmd.Context(), cmd.OutOrStdout(), "engine", engine.New(options), at)
+			return serve(cmd.Context(), cmd.OutOrStdout(), "engine", engine.New(options), addrs)
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.Slots, "slots", 8, "requests that run at once")
-	flags.IntVar(&options.MaxWaiting, "max-waiting", 64, "requests that wait for a slot")
-	flags.DurationVar(&options.TokenTime, "token-time", 20*time.Millisecond, "time of one token")
-	flags.DurationVar(&options.LoadTime, "load-time", 2*time.Second, "time to load a version")
-	flags.DurationVar(&options.ReportLag, "report-lag", time.Second, "age of the load in a status")
-	flags.BoolVar(&options.CheckFence, "check-fence", false, "refuse orders with an old fencing number")
-	addListens(command, &at)
+	flags.IntVar(&options.Slots, "slots", 8, "number of requests that run at the same time")
+	flags.IntVar(&options.MaxWaiting, "max-waiting", 64, "number of requests that may wait for a slot")
+	flags.DurationVar(&options.TokenTime, "token-time", 20*time.Millisecond, "time to generate one token")
+	flags.DurationVar(&options.LoadTime, "load-time", 2*time.Second, "time to load a model version")
+	flags.DurationVar(&options.ReportLag, "report-lag", time.Second, "age of the load that a status reports")
+	flags.BoolVar(&options.CheckFence, "check-fence", false, "refuse orders with an outdated fencing number")
+	addListenFlags(command, &addrs)
 	return command
 }
 
 func newPlainCommand() *cobra.Command {
-	var at listens
+	var addrs listenAddrs
 	var options plainservice.Options
 	command := &cobra.Command{
 		Use:   "plain",
@@ -82,13 +82,13 @@
 			if err := checkSlots(options.Slots); err != nil {
 				return err
 			}
-			return serve(cmd.Context(), cmd.OutOrStdout(), "plain", plainservice.New(options), at)
+			return serve(cmd.Context(), cmd.OutOrStdout(), "plain", plainservice.New(options), addrs)
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.Slots, "slots", 16, "calls that run at once")
-	flags.DurationVar(&options.Delay, "delay", 0, "time of one call")
-	addListens(command, &at)
+	flags.IntVar(&options.Slots, "slots", 16, "number of calls that run at the same time")
+	flags.DurationVar(&options.Delay, "delay", 0, "duration of one call")
+	addListenFlags(command, &addrs)
 	return command
 }
 
@@ -99,21 +99,21 @@
 	return nil
 }
 
-func addListens(command *cobra.Command, at *listens) {
-	command.Flags().StringVar(&at.calls, "listen", anyPort, "loopback address of the backend server")
-	command.Flags().StringVar(&at.admin, "admin", anyPort, "loopback address of the counters and faults")
+func addListenFlags(command *cobra.Command, addrs *listenAddrs) {
+	command.Flags().StringVar(&addrs.calls, "listen", anyPort, "loopback address of the backend server")
+	command.Flags().StringVar(&addrs.admin, "admin", anyPort, "loopback address of the admin interface (counters and faults)")
 }
 
 // serve runs a stand-in until SIGTERM, SIGINT or the end of ctx, and prints
 // its addresses as one line of key=value pairs.
-func serve(ctx context.Context, out io.Writer, kind string, server standIn, at listens) error {
-	calls, err := server.Start(at.calls)
+func serve(ctx context.Context, out io.Writer, kind string, server standIn, addrs listenAddrs) error {
+	calls, err := server.Start(addrs.calls)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = server.Close() }()
 	var adminServer backend.Server
-	admin, err := adminServer.Start(at.admin, server.AdminHandler())
+	admin, err := adminServer.Start(addrs.admin, server.AdminHandler())
 	if err != nil {
 		return err
 	}
--- a/standin/cmd/backend/command_test.go
+++ b/standin/cmd/backend/command_test.go
@@ -16,7 +16,7 @@
 	"chivespindle.example/standin/engine/backend"
 )
 
-// program is one running command.
+// program is a running command.
 type program struct {
 	addr  string
 	admin string
@@ -106,7 +106,7 @@
 		Expect(counters.ExecutionsByID).To(Equal(backend.Counts{"a1": 2}))
 	})
 
-	It("says which fault it does not know", func(ctx SpecContext) {
+	It("names a fault that it does not know", func(ctx SpecContext) {
 		p := start(ctx, "plain")
 		status, body := call(ctx, http.MethodPost, "http://"+p.admin+"/admin/faults", `{"stal":true}`)
 		Expect(status).To(Equal(400))
@@ -120,10 +120,10 @@
 			command.SetArgs(args)
 			Expect(command.ExecuteContext(ctx)).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("an address of another machine", "outside 127.0.0.0/8", "engine", "--listen", "10.0.0.1:80"),
-		Entry("an address for anyone", "outside 127.0.0.0/8", "plain", "--admin", "0.0.0.0:0"),
-		Entry("a name", `listen address "localhost:80"`, "plain", "--listen", "localhost:80"),
-		Entry("a word too many", "unknown command", "engine", "x"),
-		Entry("no slots", "--slots must be at least 1, got -1", "engine", "--slots", "-1"),
+		Entry("an address outside the loopback network", "outside 127.0.0.0/8", "engine", "--listen", "10.0.0.1:80"),
+		Entry("the unspecified address", "outside 127.0.0.0/8", "plain", "--admin", "0.0.0.0:0"),
+		Entry("a host name", `listen address "localhost:80"`, "plain", "--listen", "localhost:80"),
+		Entry("an unexpected argument", "unknown command", "engine", "x"),
+		Entry("a negative number of slots", "--slots must be at least 1, got -1", "engine", "--slots", "-1"),
 	)
 })
--- a/standin/cmd/backend/main.go
+++ b/standin/cmd/backend/main.go
@@ -1,5 +1,5 @@
 // Command backend runs the stand-in of a model engine or of a plain service
-// on a loopback address, for demos and benches.
+// on a loopback address, for demos and benchmarks.
 package main
 
 import "os"
--- a/standin/cmd/bench/log.go
+++ b/standin/cmd/bench/log.go
@@ -10,7 +10,8 @@
 	"chivespindle.example/adapters/telemetry"
 )
 
-// fileLogger writes debug logs to a file, for a look into a measurement.
+// fileLogger returns a logger that writes debug logs to a file, for the analysis
+// of a measurement.
 func fileLogger(path string) *zap.Logger {
 	file, err := os.Create(path)
 	if err != nil {
@@ -19,8 +20,8 @@
 	return telemetry.NewLogger(zapcore.DebugLevel, file)
 }
 
-// startProfile writes a processor profile until the returned function is
-// called; an empty path writes none.
+// startProfile writes a CPU profile to a file until the returned function is
+// called. It does nothing if path is empty.
 func startProfile(path string) (stop func()) {
 	if path == "" {
 		return func() {}
--- a/standin/cmd/bench/main.go
+++ b/standin/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench runs the measurements of the design notes and prints one line
-// of key=value pairs a case.
+// Command bench runs the measurements that the design notes refer to and prints
+// one line of key=value pairs per case.
 package main
 
 import (
@@ -20,26 +20,27 @@
 	"chivespindle.example/standin/bench/requests"
 )
 
-// gcPercent keeps the collector of this process from becoming the bottleneck.
+// gcPercent is high enough that garbage collection in this process does not
+// become the bottleneck.
 const gcPercent = 400
 
 func main() {
 	only := flag.String("only", "", "comma-separated measurements to run: requests, entry, config, live, burst; all if empty")
-	sizes := flag.String("sizes", "16,32,64", "fleet sizes of the burst")
-	policies := flag.String("policies", "time,origin", "policies of the burst")
-	faults := flag.String("faults", "none,kill,corrupt,stall,partition,newversion", "faults of the burst at the largest size")
-	processes := flag.String("processes", "9,27,81", "numbers of processes of the configuration measurement")
-	bin := flag.String("bin", "bin", "folder of the built programs")
-	verbose := flag.String("log", "", "write the processes' logs to this file")
-	profile := flag.String("cpuprofile", "", "write a processor profile to this file")
+	sizes := flag.String("sizes", "16,32,64", "comma-separated fleet sizes of the burst measurement")
+	policies := flag.String("policies", "time,origin", "comma-separated policies of the burst measurement")
+	faults := flag.String("faults", "none,kill,corrupt,stall,partition,newversion", "comma-separated faults of the burst measurement at the last size")
+	processes := flag.String("processes", "9,27,81", "comma-separated numbers of processes of the configuration measurement")
+	bin := flag.String("bin", "bin", "directory of the built programs")
+	logPath := flag.String("log", "", "write the processes' logs to this file")
+	profilePath := flag.String("cpuprofile", "", "write a CPU profile to this file")
 	flag.Parse()
-	defer startProfile(*profile)()
-	// All processes of a fleet share this one's collector; each would have its
-	// own.
+	defer startProfile(*profilePath)()
+	// All simulated processes of a fleet share the garbage collector of this
+	// process; in production, each process has its own.
 	debug.SetGCPercent(gcPercent)
 	logger := zap.NewNop()
-	if *verbose != "" {
-		logger = fileLogger(*verbose)
+	if *logPath != "" {
+		logger = fileLogger(*logPath)
 	}
 	measurements := []measurement{
 		{"requests", func() error { return runRequests(*bin) }},
@@ -58,13 +59,14 @@
 	}
 }
 
-// measurement is one part of the bench.
+// measurement is one part of the benchmark.
 type measurement struct {
 	name string
 	run  func() error
 }
 
-// runRequests measures what callers see under each fault, beside baselines.
+// runRequests measures the results that callers receive under each fault, the
+// baselines for comparison, the capacity, and the behaviour under overload.
 func runRequests(bin string) error {
 	f, err := requests.NewFleet(requests.DaemonPath(bin))
 	if err != nil {
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// runEntry measures what the path through entry and agent adds to a request.
+// runEntry measures the overhead that the path through an entry and an agent
+// adds to a request.
 func runEntry(bin string) error {
 	f, err := entryload.New(requests.DaemonPath(bin))
 	if err != nil {
@@ -107,7 +110,8 @@
 	return err
 }
 
-// runConfig measures the way of a change at several sizes.
+// runConfig measures the propagation of a configuration change at several fleet
+// sizes.
 func runConfig(sizes []string, logger *zap.Logger) error {
 	for _, text := range sizes {
 		n, err := strconv.Atoi(text)
@@ -130,7 +134,7 @@
 
 func split(list string) []string { return strings.Split(list, ",") }
 
-// liveInstances is the fleet size of the measurement of live requests.
+// liveInstances is the fleet size for the measurement of live requests.
 const liveInstances = 18
 
 // runLive measures live requests without a burst and during one.
@@ -148,7 +152,8 @@
 	return err
 }
 
-// runBursts measures each size without faults and the last with all of them.
+// runBursts measures each size without faults, except the last, which it
+// measures with all the given faults.
 func runBursts(sizes, policies, faults []string, logger *zap.Logger) error {
 	var fleets []*burst.Fleet
 	defer func() {
@@ -167,8 +172,9 @@
 		}
 		fleets = append(fleets, f)
 	}
-	// The fleets take ten seconds to believe their first text; the baselines
-	// need the links' time and no processor.
+	// The fleets need ten seconds to accept their first configuration. The
+	// baselines run in the meantime: they take time on the simulated links, but
+	// no CPU time.
 	if err := runBaselines(sizes); err != nil {
 		return err
 	}
@@ -187,7 +193,8 @@
 	return nil
 }
 
-// runBaselines measures what the burst is compared with at each size.
+// runBaselines measures, at each size, the baselines that the burst is compared
+// with.
 func runBaselines(sizes []string) error {
 	for _, text := range sizes {
 		n, err := strconv.Atoi(text)
--- a/standin/cmd/capacity/main.go
+++ b/standin/cmd/capacity/main.go
@@ -1,7 +1,7 @@
-// Command capacity measures what a process of the system costs at several
-// sizes and prints what that makes at the target, in lines of key=value pairs.
-// docs/CAPACITY.md tells what they mean. It takes about a minute and a half,
-// some 90 processes and 4 GB of memory.
+// Command capacity measures the resource usage of the system's processes at
+// several sizes and prints the usage that follows for the target size, in lines
+// of key=value pairs, which docs/CAPACITY.md explains. It takes about 90 seconds
+// and needs about 90 processes and 4 GB of memory.
 package main
 
 import (
@@ -24,7 +24,7 @@
 )
 
 func main() {
-	daemon := flag.String("daemon", "", "path of chivespindled; built anew if empty")
+	daemon := flag.String("daemon", "", "path of chivespindled; built from source if empty")
 	flag.Parse()
 	if err := run(*daemon); err != nil {
 		fmt.Fprintln(os.Stderr, "capacity:", err)
@@ -38,7 +38,7 @@
 	if daemon == "" {
 		dir, err := os.MkdirTemp("", "chivespindle-bin-")
 		if err != nil {
-			return failure.Unavailable.Wrap(err, "folder of the program")
+			return failure.Unavailable.Wrap(err, "create a directory for the program")
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		if daemon, err = build(dir); err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// build makes the program, so that a stale one is never measured.
+// build builds the program, so that an outdated binary is never measured.
 func build(dir string) (string, error) {
 	cmd := exec.Command("go", "build", "-trimpath", "-o", dir+string(filepath.Separator), "./cmd/chivespindled")
 	cmd.Stderr = os.Stderr
@@ -62,58 +62,59 @@
 	return requests.DaemonPath(dir), nil
 }
 
-// measure runs all measurements. The zones need no other process and count no
-// processor time, and the fleet for the path of requests takes a while to
-// start, so both go on beside the programs; the parts that count this process's
-// own processor time run alone at the end.
+// measure runs all measurements. The zone measurement needs no other process and
+// does not measure CPU time, and the fleet for the request path takes a while to
+// start, so both run concurrently with the measurement of the programs. The
+// parts that measure the CPU time of this process run alone at the end.
 func measure(daemon string) error {
-	var beside errgroup.Group
+	var zoneGroup errgroup.Group
 	var zones []slopes.Slope
-	beside.Go(func() (err error) {
+	zoneGroup.Go(func() (err error) {
 		zones, err = slopes.ZoneGossip([]int{50, 150, slopes.ZoneProcesses})
 		return err
 	})
-	var path errgroup.Group
+	var fleetGroup errgroup.Group
 	var requestFleet *entryload.Fleet
-	path.Go(func() (err error) {
+	fleetGroup.Go(func() (err error) {
 		requestFleet, err = entryload.New(daemon)
 		return err
 	})
-	// Whatever fails, no program is left running.
-	closePath := sync.OnceFunc(func() {
-		if path.Wait() == nil {
+	// Stops all programs of the fleet even if a measurement fails.
+	closeFleet := sync.OnceFunc(func() {
+		if fleetGroup.Wait() == nil {
 			requestFleet.Close()
 		}
 	})
-	defer closePath()
-	if err := show(slopes.Programs(daemon)); err != nil {
+	defer closeFleet()
+	if err := printSlopes(slopes.Programs(daemon)); err != nil {
 		return err
 	}
-	if err := path.Wait(); err != nil {
+	if err := fleetGroup.Wait(); err != nil {
 		return err
 	}
-	if err := showPath(requestFleet); err != nil {
+	if err := measureRequestPath(requestFleet); err != nil {
 		return err
 	}
-	closePath()
-	if err := beside.Wait(); err != nil {
+	closeFleet()
+	if err := zoneGroup.Wait(); err != nil {
 		return err
 	}
-	return showParts(zones)
+	return measureParts(zones)
 }
 
-// showPath measures the path of requests.
-func showPath(f *entryload.Fleet) error {
+// measureRequestPath measures the request path and prints the results.
+func measureRequestPath(f *entryload.Fleet) error {
 	r, err := f.Run()
 	if err != nil {
 		return err
 	}
 	fmt.Println(r)
-	return show(f.Streams())
+	return printSlopes(f.Streams())
 }
 
-// showParts measures the parts, and prints them after what was found before.
-func showParts(all []slopes.Slope) error {
+// measureParts measures the parts and prints all slopes: first the given ones,
+// then those of the parts.
+func measureParts(all []slopes.Slope) error {
 	for _, part := range slopes.Parts() {
 		found, err := part()
 		if err != nil {
@@ -121,14 +122,14 @@
 		}
 		all = append(all, found...)
 	}
-	if err := show(all, nil); err != nil {
+	if err := printSlopes(all, nil); err != nil {
 		return err
 	}
-	return figures(all)
+	return printFigures(all)
 }
 
-// show prints slopes unless their measurement failed.
-func show(found []slopes.Slope, err error) error {
+// printSlopes prints slopes, or returns err if it is not nil.
+func printSlopes(found []slopes.Slope, err error) error {
 	if err != nil {
 		return err
 	}
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// figures prints what follows from the slopes by arithmetic.
-func figures(all []slopes.Slope) error {
+// printFigures prints the figures that are calculated from the slopes.
+func printFigures(all []slopes.Slope) error {
 	for _, s := range all {
 		if s.Name != slopes.ListBody {
 			continue
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,7 +1,8 @@
-// Command demo runs the whole path once on loopback: two entries, agents of
-// two model services of which one depends on the other, and a plain service,
-// as separate processes beside the stand-ins. The version changes while
-// requests flow. Its last line counts what the stand-ins and the callers saw.
+// Command demo runs a complete system once on loopback addresses: two entries,
+// the agents of two model services, one of which depends on the other, and the
+// agents of a plain service, as separate processes, with the stand-ins. It changes
+// the model version under load. The last line that it prints has the counts of the
+// stand-ins and the callers.
 package main
 
 import (
@@ -24,8 +25,8 @@
 )
 
 func main() {
-	bin := flag.String("bin", "bin", "folder of the built programs")
-	keep := flag.String("keep", "", "keep settings, keys and logs in this folder")
+	bin := flag.String("bin", "bin", "directory of the built programs")
+	keep := flag.String("keep", "", "keep settings, keys and logs in this directory")
 	flag.Parse()
 	if err := run(*bin, *keep); err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
@@ -43,10 +44,10 @@
 	modelBytes = 8 << 20
 	chunkBytes = 256 << 10
 	originRate = 40 << 20
-	// settle bounds each wait for the fleet.
-	settle = 20 * time.Second
-	// flow is how long requests flow before and after the change.
-	flow = 2 * time.Second
+	// waitTimeout limits each wait for the fleet.
+	waitTimeout = 20 * time.Second
+	// loadTime is how long the load runs before and after the change.
+	loadTime = 2 * time.Second
 )
 
 var lagos = []fleet.Place{
@@ -71,10 +72,10 @@
 	}
 	defer f.Close()
 	d := &demo{fleet: f, intended: make(map[string]bool)}
-	return d.play()
+	return d.run()
 }
 
-// demo is one play.
+// demo is one run of the demo.
 type demo struct {
 	fleet   *harness.Fleet
 	entries []netip.AddrPort
@@ -83,12 +84,12 @@
 	intended map[string]bool
 }
 
-func (d *demo) play() error {
-	first, err := d.model("r1", 1)
+func (d *demo) run() error {
+	first, err := d.addModel("r1", 1)
 	if err != nil {
 		return err
 	}
-	second, err := d.model("r2", 2)
+	second, err := d.addModel("r2", 2)
 	if err != nil {
 		return err
 	}
@@ -99,37 +100,39 @@
 	if err := d.waitServing(first.Version); err != nil {
 		return err
 	}
-	say("fleet serves", "version", first.Version.Name, "instances", len(d.fleet.Engines)+len(d.fleet.Plain))
+	printEvent("fleet serves", "version", first.Version.Name, "instances", len(d.fleet.Engines)+len(d.fleet.Plain))
 	client := callerclient.New(callerclient.Options{Seeds: d.entries, Near: lagos[0]})
 	load := harness.StartLoad(client, harness.LoadSpec{
 		Models: []fleet.ServiceName{pool, assist}, Plain: []fleet.ServiceName{orders},
 		Callers: 8, MaxTokens: 16, Deadline: 10 * time.Second, Intended: d.isIntended,
 	})
-	time.Sleep(flow)
+	time.Sleep(loadTime)
 	d.publish(second)
 	changed := time.Now()
 	if err := d.waitServing(second.Version); err != nil {
 		return err
 	}
-	say("fleet changed over", "version", second.Version.Name, "took_ms", time.Since(changed).Milliseconds())
-	time.Sleep(flow)
-	return d.verdict(load.Stop(), second)
+	printEvent("fleet changed over", "version", second.Version.Name, "took_ms", time.Since(changed).Milliseconds())
+	time.Sleep(loadTime)
+	return d.printResults(load.Stop(), second)
 }
 
-// verdict prints what was counted and fails if anything was broken.
-func (d *demo) verdict(t harness.Tally, second platform.Model) error {
+// printResults prints the counts. It returns an error if there was no correct
+// response, or if a response was lost, incorrect, duplicated or of a wrong version.
+func (d *demo) printResults(t harness.Tally, second platform.Model) error {
 	copies := float64(d.fleet.Origin.ManifestBytesSent(second.Version.Manifest)) / float64(modelBytes)
 	wrong := t.WrongVersion + d.fleet.Mixed()
-	say("callers saw", "refusals", t.Refusals, "unknown", t.Unknown, "wrong", t.Wrong)
+	printEvent("callers saw", "refusals", t.Refusals, "unknown", t.Unknown, "wrong", t.Wrong)
 	fmt.Printf("msg=\"demo finished\" answers=%d lost=%d duplicates=%d wrong_version=%d origin_copies=%.2f instances=%d\n",
 		t.Answers, t.Lost, d.fleet.Duplicates(), wrong, copies, len(d.fleet.Engines))
 	if t.Answers == 0 || t.Lost+d.fleet.Duplicates()+wrong+t.Wrong > 0 {
-		return failure.Internal.New("the demo did not go as it should")
+		return failure.Internal.New("the counts of the demo show a failure")
 	}
 	return nil
 }
 
-func say(event string, pairs ...any) {
+// printEvent prints a line with an event and key=value pairs.
+func printEvent(event string, pairs ...any) {
 	fmt.Printf("msg=%q", event)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		fmt.Printf(" %v=%v", pairs[i], pairs[i+1])
@@ -137,11 +140,12 @@
 	fmt.Println()
 }
 
-func (d *demo) model(name string, seed uint64) (platform.Model, error) {
+func (d *demo) addModel(name string, seed uint64) (platform.Model, error) {
 	return d.fleet.AddModel(platform.ModelSpec{Name: name, Bytes: modelBytes, ChunkBytes: chunkBytes, Seed: seed})
 }
 
-// publish writes the operator's text.
+// publish sets the operator's configuration with the version of m, and records
+// the version as intended.
 func (d *demo) publish(m platform.Model) {
 	d.mu.Lock()
 	d.intended[harness.VersionText(m.Version)] = true
@@ -186,7 +190,7 @@
 	for _, a := range agents {
 		for i := range a.count {
 			id := fleet.InstanceID(fmt.Sprintf("%s-%d", a.service, i+1))
-			if _, err := d.fleet.StartAgent(id, lagos[i%len(lagos)], specOf(a.service)); err != nil {
+			if _, err := d.fleet.StartAgent(id, lagos[i%len(lagos)], agentSpec(a.service)); err != nil {
 				return err
 			}
 		}
@@ -194,7 +198,7 @@
 	return nil
 }
 
-func specOf(service fleet.ServiceName) harness.AgentSpec {
+func agentSpec(service fleet.ServiceName) harness.AgentSpec {
 	if service == orders {
 		return harness.AgentSpec{Service: service, Plain: &plainservice.Options{Delay: 5 * time.Millisecond}}
 	}
@@ -205,20 +209,22 @@
 
 // waitServing waits until every engine has loaded the version.
 func (d *demo) waitServing(v fleet.Version) error {
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		behind := d.behind(v)
-		if len(behind) == 0 {
+		outdated := d.outdatedEngines(v)
+		if len(outdated) == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return failure.Timeout.New("%s is not served after %s by %s", v.Name, settle, strings.Join(behind, ", "))
+			return failure.Timeout.New("%s is not served after %s by %s", v.Name, waitTimeout, strings.Join(outdated, ", "))
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (d *demo) behind(v fleet.Version) []string {
+// outdatedEngines returns the IDs of the engines that have not loaded the version
+// or are still loading.
+func (d *demo) outdatedEngines(v fleet.Version) []string {
 	var ids []string
 	for id, e := range d.fleet.Engines {
 		if s := e.Status(); s.Loaded != v || s.Loading {
--- a/standin/cmd/internal/untilsignal/untilsignal.go
+++ b/standin/cmd/internal/untilsignal/untilsignal.go
@@ -1,4 +1,5 @@
-// Package untilsignal ends a program that only serves.
+// Package untilsignal makes a server program wait until it is told to stop by a
+// signal.
 package untilsignal
 
 import (
@@ -9,7 +10,8 @@
 	"github.com/oklog/run"
 )
 
-// Wait returns at SIGTERM, SIGINT or the end of ctx, which may be nil.
+// Wait returns when the process receives SIGTERM or SIGINT, or when ctx is done.
+// A nil ctx never ends.
 func Wait(ctx context.Context) error {
 	if ctx == nil {
 		ctx = context.Background()
--- a/standin/cmd/pki/main.go
+++ b/standin/cmd/pki/main.go
@@ -1,5 +1,5 @@
-// Command pki writes a stand-in authority and certificates to files, for the
-// demo and the bench. It is not for real instances.
+// Command pki writes a certificate authority and certificates to files, for demos
+// and benchmarks. They must not be used for production instances.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	var dir string
 	root := &cobra.Command{
 		Use:           "pki",
-		Short:         "Make a stand-in authority and certificates",
+		Short:         "Create a stand-in certificate authority and certificates",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -35,7 +35,7 @@
 func newInitCommand(dir *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "init",
-		Short: "Make a new authority; certificates of an earlier one stop being accepted",
+		Short: "Create a new authority; certificates of an earlier one are no longer accepted",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			authority, err := pki.NewAuthority()
@@ -66,7 +66,8 @@
 	return command
 }
 
-// issueAll prints one line of key=value pairs for each certificate.
+// issueAll issues a certificate for each ID and prints one line of key=value
+// pairs for each certificate.
 func issueAll(command *cobra.Command, authority *pki.Authority, dir string, role fleet.Role, ids []string) error {
 	for _, id := range ids {
 		files, err := authority.WriteFiles(dir, role, fleet.InstanceID(id))
--- a/standin/cmd/pki/main_test.go
+++ b/standin/cmd/pki/main_test.go
@@ -21,7 +21,7 @@
 }
 
 var _ = ginkgo.Describe("pki", func() {
-	ginkgo.It("writes files that the daemons load, by one authority over several calls", func() {
+	ginkgo.It("writes files that the daemons can load, with one authority for several calls", func() {
 		dir := ginkgo.GinkgoT().TempDir()
 		_, err := run("--dir", dir, "init")
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/standin/cmd/standins/admin.go
+++ b/standin/cmd/standins/admin.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// maxTextBytes is the largest text that the platform holds.
-	maxTextBytes = 1 << 20
-	// maxInstanceBytes bounds one instance as JSON.
+	// maxConfigBytes is the size of the largest configuration that the platform
+	// stores.
+	maxConfigBytes = 1 << 20
+	// maxInstanceBytes limits the size of one instance as JSON.
 	maxInstanceBytes = 64 << 10
 )
 
-// admin is the interface that people and tests steer the stand-ins by.
+// admin is the interface for people and tests to control the stand-ins.
 type admin struct {
 	*services
 	log *zap.Logger
 }
 
-// newAdmin returns the handler of the admin interface. Each change is one
-// line of the log.
+// newAdmin returns the handler of the admin interface. It writes one line to the
+// log for each change and each request that fails.
 func newAdmin(services *services, log *zap.Logger) http.Handler {
 	a := &admin{services: services, log: log}
 	mux := http.NewServeMux()
 	handle := func(pattern string, action func(r *http.Request) (any, error)) {
-		mux.Handle(pattern, a.answer(pattern, action))
+		mux.Handle(pattern, a.newHandler(pattern, action))
 	}
 	handle("POST /admin/config", a.setConfig)
 	handle("PUT /admin/instances/{id}", a.putInstance)
@@ -44,9 +45,9 @@
 	return mux
 }
 
-// answer runs an action and writes its result as JSON, or its failure as one
-// line of text.
-func (a *admin) answer(pattern string, action func(r *http.Request) (any, error)) http.Handler {
+// newHandler returns a handler that runs an action and writes its result as JSON,
+// or its error as one line of text.
+func (a *admin) newHandler(pattern string, action func(r *http.Request) (any, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		result, err := action(r)
 		if err != nil {
@@ -62,7 +63,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the client has left.
+		// A write fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(result)
 	})
 }
@@ -78,17 +79,17 @@
 	}
 }
 
-// configAnswer tells which revision the text got.
-type configAnswer struct {
+// configResponse reports the revision that the configuration received.
+type configResponse struct {
 	Revision revision.Revision `json:"revision"`
 }
 
 func (a *admin) setConfig(r *http.Request) (any, error) {
-	text, err := readBody(r, maxTextBytes)
+	text, err := readBody(r, maxConfigBytes)
 	if err != nil {
 		return nil, err
 	}
-	return configAnswer{Revision: a.config.SetText(text)}, nil
+	return configResponse{Revision: a.config.SetText(text)}, nil
 }
 
 func (a *admin) putInstance(r *http.Request) (any, error) {
@@ -123,8 +124,9 @@
 	return nil, nil
 }
 
-// modelAnswer names a version that the origin and the store hold now.
-type modelAnswer struct {
+// modelResponse describes a model version that was added to the origin and the
+// store.
+type modelResponse struct {
 	Name     string       `json:"name"`
 	Manifest fleet.Digest `json:"manifest"`
 	Bytes    int64        `json:"bytes"`
@@ -151,7 +153,7 @@
 			return nil, err
 		}
 	}
-	return modelAnswer{
+	return modelResponse{
 		Name:     spec.Name,
 		Manifest: model.Version.Manifest,
 		Bytes:    spec.Bytes,
@@ -159,7 +161,7 @@
 	}, nil
 }
 
-// counters is what the stand-ins have counted since they started.
+// counters are the values of the stand-ins' counters and gauges.
 type counters struct {
 	ConfigRevision           revision.Revision `json:"config_revision"`
 	ConfigCalls              uint64            `json:"config_calls"`
@@ -200,7 +202,7 @@
 	}, nil
 }
 
-// readBody reads a request's body of at most limit bytes.
+// readBody reads the body of a request, which may have at most limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
--- a/standin/cmd/standins/command.go
+++ b/standin/cmd/standins/command.go
@@ -18,14 +18,14 @@
 	"chivespindle.example/standin/platform"
 )
 
-// Defaults of the flags, close to what the platform gives today.
+// Defaults of the flags, close to the current limits of the platform.
 const (
 	defaultCallsPerSecond   = 2000
 	defaultRequestsPerStore = 20
 )
 
-// listens are the addresses that the program serves.
-type listens struct {
+// listenAddrs are the addresses on which the program listens.
+type listenAddrs struct {
 	config    string
 	instances string
 	origin    string
@@ -33,9 +33,9 @@
 	admin     string
 }
 
-// options are the flags.
+// options are the values of the flags.
 type options struct {
-	listens
+	listenAddrs
 	configFile string
 	config     platform.ConfigOptions
 	list       platform.InstanceListOptions
@@ -57,26 +57,26 @@
 			return serve(cmd.Context(), cmd.OutOrStdout(), cmd.ErrOrStderr(), opts)
 		},
 	}
-	addListens(command, &opts.listens)
+	addListenFlags(command, &opts.listenAddrs)
 	flags := command.Flags()
-	flags.StringVar(&opts.configFile, "config-file", "", "file of the operator's text to start with")
+	flags.StringVar(&opts.configFile, "config-file", "", "file with the initial configuration of the operator")
 	flags.IntVar(&opts.config.CallsPerSecond, "config-calls-per-second", defaultCallsPerSecond,
-		"calls a second that the configuration service answers, 0: all")
-	flags.DurationVar(&opts.list.Lag, "instances-lag", 0, "time that a change of the instance list stays hidden")
-	flags.Int64Var(&opts.origin.BytesPerSecond, "origin-bytes-per-second", 0, "rate of the origin's link, 0: unlimited")
-	flags.Int64Var(&opts.store.BytesPerSecond, "store-bytes-per-second", 0, "rate of the store's link, 0: unlimited")
+		"calls per second that the configuration service accepts, 0: unlimited")
+	flags.DurationVar(&opts.list.Lag, "instances-lag", 0, "delay before a change of the instance list becomes visible")
+	flags.Int64Var(&opts.origin.BytesPerSecond, "origin-bytes-per-second", 0, "bandwidth of the origin's link, 0: unlimited")
+	flags.Int64Var(&opts.store.BytesPerSecond, "store-bytes-per-second", 0, "bandwidth of the store's link, 0: unlimited")
 	flags.Float64Var(&opts.store.RequestsPerSecond, "store-requests-per-second", defaultRequestsPerStore,
-		"requests a second that the store answers, 0: all")
+		"requests per second that the store accepts, 0: unlimited")
 	return command
 }
 
-func addListens(command *cobra.Command, at *listens) {
+func addListenFlags(command *cobra.Command, addrs *listenAddrs) {
 	flags := command.Flags()
-	flags.StringVar(&at.config, "config", platform.AnyPort, "loopback address of the configuration service")
-	flags.StringVar(&at.instances, "instances", platform.AnyPort, "loopback address of the instance list")
-	flags.StringVar(&at.origin, "origin", platform.AnyPort, "loopback address of the origin of weights")
-	flags.StringVar(&at.store, "store", platform.AnyPort, "loopback address of the weight store")
-	flags.StringVar(&at.admin, "admin", platform.AnyPort, "loopback address of the admin interface")
+	flags.StringVar(&addrs.config, "config", platform.AnyPort, "loopback address of the configuration service")
+	flags.StringVar(&addrs.instances, "instances", platform.AnyPort, "loopback address of the instance list")
+	flags.StringVar(&addrs.origin, "origin", platform.AnyPort, "loopback address of the origin of weights")
+	flags.StringVar(&addrs.store, "store", platform.AnyPort, "loopback address of the weight store")
+	flags.StringVar(&addrs.admin, "admin", platform.AnyPort, "loopback address of the admin interface")
 }
 
 // serve runs the stand-ins until SIGTERM, SIGINT or the end of ctx, and prints
@@ -87,7 +87,7 @@
 		return err
 	}
 	log := telemetry.NewLogger(zapcore.InfoLevel, logOut)
-	started, err := startAll(services, newAdmin(services, log), opts.listens)
+	started, err := startAll(services, newAdmin(services, log), opts.listenAddrs)
 	defer started.stop()
 	if err != nil {
 		return err
@@ -121,15 +121,16 @@
 	if err != nil {
 		return nil, failure.Invalid.Wrap(err, "--config-file")
 	}
-	if len(text) > maxTextBytes {
-		return nil, failure.Invalid.New("--config-file %s has %d bytes, the platform holds at most %d",
-			opts.configFile, len(text), maxTextBytes)
+	if len(text) > maxConfigBytes {
+		return nil, failure.Invalid.New("--config-file %s has %d bytes, the platform stores at most %d",
+			opts.configFile, len(text), maxConfigBytes)
 	}
 	s.config.SetText(text)
 	return s, nil
 }
 
-// startedServers are the listening servers in the order that they are named.
+// startedServers are the listening servers in the order in which String lists
+// them.
 type startedServers []startedServer
 
 type startedServer struct {
@@ -137,18 +138,19 @@
 	server *platform.Server
 }
 
-// startAll returns the servers that started, also with a failure.
-func startAll(s *services, admin http.Handler, at listens) (startedServers, error) {
+// startAll starts the servers. If one fails to start, it returns an error and the
+// servers started before it, which the caller must stop.
+func startAll(s *services, admin http.Handler, addrs listenAddrs) (startedServers, error) {
 	wanted := []struct {
 		name    string
 		handler http.Handler
 		addr    string
 	}{
-		{"config", s.config, at.config},
-		{"instances", s.list, at.instances},
-		{"origin", s.origin, at.origin},
-		{"store", s.store, at.store},
-		{"admin", admin, at.admin},
+		{"config", s.config, addrs.config},
+		{"instances", s.list, addrs.instances},
+		{"origin", s.origin, addrs.origin},
+		{"store", s.store, addrs.store},
+		{"admin", admin, addrs.admin},
 	}
 	var started startedServers
 	for _, want := range wanted {
@@ -167,7 +169,7 @@
 	}
 }
 
-// String returns key=value pairs of the names and base URLs.
+// String returns the names and base URLs as key=value pairs.
 func (s startedServers) String() string {
 	var pairs []string
 	for _, each := range s {
--- a/standin/cmd/standins/faults.go
+++ b/standin/cmd/standins/faults.go
@@ -9,7 +9,7 @@
 	"chivespindle.example/standin/platform"
 )
 
-// Targets of a fault.
+// Targets of faults.
 const (
 	targetConfig    = "config"
 	targetInstances = "instances"
@@ -17,26 +17,27 @@
 	targetStore     = "store"
 )
 
-// Kinds of a fault, besides those of platform.ParseFault.
+// Kinds of faults, in addition to those of platform.ParseFault.
 const (
-	kindUp      = "up"      // ends down, silent and stale
-	kindDown    = "down"    // every call is answered 503
-	kindSilent  = "silent"  // calls are taken and not answered
-	kindStale   = "stale"   // config: answers with an older revision
-	kindLag     = "lag"     // instances: changes stay hidden for a time
-	kindLink    = "link"    // weights: rate of the link
-	kindSlow    = "slow"    // weights: rate of each transfer
-	kindRelease = "release" // weights: stalled transfers go on
-	kindClear   = "clear"   // weights: planned faults are forgotten
+	kindUp      = "up"      // ends the faults down, silent and stale
+	kindDown    = "down"    // every call gets status 503
+	kindSilent  = "silent"  // calls are accepted but get no response
+	kindStale   = "stale"   // config: responses have an older revision
+	kindLag     = "lag"     // instances: changes become visible after a delay
+	kindLink    = "link"    // weights: bandwidth of the link
+	kindSlow    = "slow"    // weights: bandwidth of each transfer
+	kindRelease = "release" // weights: stalled transfers continue
+	kindClear   = "clear"   // weights: pending faults are removed
 )
 
-// maxFaultCount bounds the transfers that one request can plan a fault for.
+// maxFaultCount is the maximum number of transfers for which one request can set
+// a fault.
 const maxFaultCount = 1_000_000
 
-// change does what a request asked for.
+// change applies the change that a request describes.
 type change func() error
 
-// setFault reads the whole request before it changes anything.
+// setFault parses and checks the whole request before it changes anything.
 func (a *admin) setFault(r *http.Request) (any, error) {
 	values := newQuery(r)
 	apply, err := a.parseFault(values)
@@ -66,13 +67,13 @@
 	}
 }
 
-// outages are the faults that every stand-in has.
-type outages interface {
+// outageSetter sets the faults that every stand-in supports.
+type outageSetter interface {
 	SetDown(down bool)
 	SetSilent(silent bool)
 }
 
-func parseOutage(service outages, kind string) (change, error) {
+func parseOutage(service outageSetter, kind string) (change, error) {
 	set := func(down, silent bool) change {
 		return func() error {
 			service.SetDown(down)
@@ -124,14 +125,14 @@
 	switch kind {
 	case kindLink:
 		rate := values.number("bytes_per_second")
-		return always(func() { server.SetLinkRate(rate) }), nil
+		return infallible(func() { server.SetLinkRate(rate) }), nil
 	case kindSlow:
 		rate := values.number("bytes_per_second")
-		return always(func() { server.SetTransferRate(rate) }), nil
+		return infallible(func() { server.SetTransferRate(rate) }), nil
 	case kindRelease:
-		return always(server.ReleaseStalled), nil
+		return infallible(server.ReleaseStalled), nil
 	case kindClear:
-		return always(server.ClearFaults), nil
+		return infallible(server.ClearFaults), nil
 	}
 	fault, err := platform.ParseFault(kind)
 	if err != nil || fault == platform.FaultNone {
@@ -140,15 +141,16 @@
 	return parseTransferFault(server, fault, values)
 }
 
-// parseTransferFault plans a fault for the next transfers, or for every one
-// of a chunk if a manifest is given; without a chunk, of the manifest itself.
+// parseTransferFault parses a fault of the next transfers or, if a manifest is
+// given, of every transfer of one of its chunks. Without a chunk, the fault
+// applies to every transfer of the manifest itself.
 func parseTransferFault(server *platform.WeightServer, fault platform.Fault, values *query) (change, error) {
 	if !values.has("manifest") {
 		count := max(values.number("count"), 1)
 		if count > maxFaultCount {
 			return nil, failure.Invalid.New("count is %d, want at most %d", count, maxFaultCount)
 		}
-		return always(func() { server.FailNext(fault, int(count)) }), nil
+		return infallible(func() { server.FailNext(fault, int(count)) }), nil
 	}
 	manifest, err := fleet.ParseDigest(values.text("manifest"))
 	if err != nil {
@@ -158,11 +160,11 @@
 	if values.has("chunk") {
 		index = int(values.number("chunk"))
 	}
-	return always(func() { server.FailAlways(manifest, index, fault) }), nil
+	return infallible(func() { server.FailAlways(manifest, index, fault) }), nil
 }
 
-// always returns the change that cannot fail.
-func always(apply func()) change {
+// infallible returns a change that cannot fail.
+func infallible(apply func()) change {
 	return func() error {
 		apply()
 		return nil
--- a/standin/cmd/standins/main.go
+++ b/standin/cmd/standins/main.go
@@ -1,7 +1,7 @@
 // Command standins runs the stand-ins of the platform on loopback addresses:
 // the configuration service, the instance list, the origin of weights and the
-// weight store. An admin interface on a port of its own changes what they
-// hold and causes their faults; docs/PLATFORM.md describes both.
+// weight store. An admin interface on a separate port changes their contents and
+// injects faults. docs/PLATFORM.md describes the stand-ins and the interface.
 package main
 
 import (
--- a/standin/cmd/standins/query.go
+++ b/standin/cmd/standins/query.go
@@ -9,25 +9,26 @@
 	"chivespindle.example/core/failure"
 )
 
-// query reads the parameters of a request and keeps the first failure, so
-// that a handler reads them all and checks once.
+// query parses the parameters of a request and keeps the first error, so that a
+// handler can read all parameters and check for errors once.
 type query struct {
 	values url.Values
-	known  map[string]bool
+	read   map[string]bool
 	err    error
 }
 
 func newQuery(r *http.Request) *query {
-	return &query{values: r.URL.Query(), known: map[string]bool{}}
+	return &query{values: r.URL.Query(), read: map[string]bool{}}
 }
 
-// text returns a parameter, "" if it is not given.
+// text returns a parameter, or "" if it is not given.
 func (q *query) text(name string) string {
-	q.known[name] = true
+	q.read[name] = true
 	return q.values.Get(name)
 }
 
-// number returns a whole number from 0 on, 0 if it is not given.
+// number returns a parameter that is a non-negative integer, or 0 if it is not
+// given.
 func (q *query) number(name string) int64 {
 	text := q.text(name)
 	if text == "" {
@@ -40,7 +41,8 @@
 	return int64(value)
 }
 
-// duration returns a duration such as 1m30s, 0 if it is not given.
+// duration returns a parameter that is a duration such as 1m30s, or 0 if it is
+// not given.
 func (q *query) duration(name string) time.Duration {
 	text := q.text(name)
 	if text == "" {
@@ -55,7 +57,7 @@
 
 // has reports whether a parameter is given.
 func (q *query) has(name string) bool {
-	q.known[name] = true
+	q.read[name] = true
 	return q.values.Has(name)
 }
 
@@ -65,11 +67,12 @@
 	}
 }
 
-// finish returns the first failure. A parameter that nobody read is one: a
-// mistyped name would otherwise pass for its default.
+// finish returns the first error. A parameter that the handler has not read is an
+// error, because otherwise the default would silently replace the value of a
+// parameter with a mistyped name.
 func (q *query) finish() error {
 	for name := range q.values {
-		if !q.known[name] {
+		if !q.read[name] {
 			q.fail(failure.Invalid.New("there is no parameter %q here", name))
 		}
 	}
--- a/standin/cmd/standins/standins_suite_test.go
+++ b/standin/cmd/standins/standins_suite_test.go
@@ -10,7 +10,7 @@
 
 func TestStandins(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// Long enough for a machine that is busy with other tests.
+	// Allows for a machine that runs other tests at the same time.
 	SetDefaultEventuallyTimeout(30 * time.Second)
 	RunSpecs(t, "standin/cmd/standins")
 }
--- a/standin/cmd/standins/standins_test.go
+++ b/standin/cmd/standins/standins_test.go
@@ -21,13 +21,13 @@
 	"chivespindle.example/core/weights"
 )
 
-// program is a running command and the base URLs that it printed.
+// program is a running command with the base URLs that it has printed.
 type program struct {
 	urls map[string]string
 	logs *gbytes.Buffer
 }
 
-// start runs the command for the length of one spec.
+// start runs the command until the end of the spec.
 func start(args ...string) *program {
 	GinkgoHelper()
 	out, logs := gbytes.NewBuffer(), gbytes.NewBuffer()
@@ -65,7 +65,7 @@
 	return response.StatusCode, string(text)
 }
 
-// fault causes a fault that must be accepted.
+// fault sets a fault and expects that the request is accepted.
 func (p *program) fault(query string) {
 	GinkgoHelper()
 	code, text := p.admin(http.MethodPost, "/admin/faults?"+query, "")
@@ -91,7 +91,7 @@
 }
 
 var _ = Describe("standins", func() {
-	It("serves the text of its file and the one that admin sets", func(ctx SpecContext) {
+	It("serves the configuration from its file and the one set by the admin interface", func(ctx SpecContext) {
 		file := filepath.Join(GinkgoT().TempDir(), "fleet.ini")
 		Expect(os.WriteFile(file, []byte("from file"), 0o600)).To(Succeed())
 		p := start("--config-file", file)
@@ -123,7 +123,7 @@
 		Expect(string(document.Text)).To(Equal("from admin"))
 	})
 
-	It("puts instances on the list and takes them off", func(ctx SpecContext) {
+	It("adds instances to the list and removes them", func(ctx SpecContext) {
 		p := start()
 		list, err := adapter.NewInstanceList(adapter.InstanceListOptions{BaseURL: p.urls["instances"]})
 		Expect(err).NotTo(HaveOccurred())
@@ -143,17 +143,17 @@
 		Expect(list.Instances(ctx)).To(BeEmpty())
 	})
 
-	It("adds a model to the origin and the store and fails its transfers", func(ctx SpecContext) {
+	It("adds a model to the origin and the store and injects faults into its transfers", func(ctx SpecContext) {
 		p := start("--store-requests-per-second", "0")
 		code, body := p.admin(http.MethodPost, "/admin/models?name=relay&bytes=100000&chunk_bytes=60000&seed=1", "")
 		Expect(code).To(Equal(http.StatusOK))
-		var added modelAnswer
+		var added modelResponse
 		Expect(json.Unmarshal([]byte(body), &added)).To(Succeed())
 		Expect(added.Chunks).To(Equal(2))
 
 		for _, place := range []string{"origin", "store"} {
 			source := weightSource(p.urls[place], time.Minute)
-			impatient := weightSource(p.urls[place], 100*time.Millisecond)
+			shortTimeout := weightSource(p.urls[place], 100*time.Millisecond)
 			raw, err := source.Manifest(ctx, added.Manifest)
 			Expect(err).NotTo(HaveOccurred())
 			manifest, err := weights.Decode(raw, added.Manifest)
@@ -170,7 +170,7 @@
 			p.fault("target=" + place + "&kind=cut")
 			Expect(errorx.IsOfType(fetch(source), failure.Unavailable)).To(BeTrue())
 			p.fault("target=" + place + "&kind=stall&count=1")
-			Expect(errorx.IsOfType(fetch(impatient), failure.Timeout)).To(BeTrue())
+			Expect(errorx.IsOfType(fetch(shortTimeout), failure.Timeout)).To(BeTrue())
 			p.fault("target=" + place + "&kind=corrupt&chunk=1&manifest=" + added.Manifest.String())
 			Expect(errorx.IsOfType(fetch(source), failure.Corrupt)).To(BeTrue())
 			p.fault("target=" + place + "&kind=clear")
@@ -182,7 +182,7 @@
 		Expect(counted.StoreRequests).To(BeEquivalentTo(6))
 	})
 
-	DescribeTable("a request to admin that is refused",
+	DescribeTable("the admin interface refuses",
 		func(method, target, body string, want int, reason string) {
 			p := start()
 			before := p.counters()
@@ -191,25 +191,25 @@
 			Expect(code).To(Equal(want))
 			Expect(p.counters()).To(Equal(before))
 		},
-		Entry("text too long", "POST", "/admin/config", strings.Repeat("x", maxTextBytes+1), 400, "more than 1048576 bytes"),
-		Entry("instance is no JSON", "PUT", "/admin/instances/a", "x", 400, "instance"),
-		Entry("instance has another id", "PUT", "/admin/instances/a", `{"id":"b"}`, 400, `instance has id "b"`),
-		Entry("instance has no role", "PUT", "/admin/instances/a", `{}`, 400, `role is ""`),
-		Entry("instance has no address", "PUT", "/admin/instances/a", `{"role":"agent"}`, 400, "peer_addr is missing"),
-		Entry("unknown instance", "DELETE", "/admin/instances/a", "", 404, `no instance "a"`),
-		Entry("model without a name", "POST", "/admin/models?bytes=1&chunk_bytes=1", "", 400, "needs a name"),
-		Entry("model size is no number", "POST", "/admin/models?name=a&bytes=1G", "", 400, `bytes is "1G"`),
-		Entry("mistyped parameter", "POST", "/admin/models?name=a&bytes=1&chunkbytes=1", "", 400, `no parameter "chunkbytes"`),
-		Entry("unknown target", "POST", "/admin/faults?target=disk&kind=down", "", 400, `target is "disk"`),
-		Entry("unknown kind", "POST", "/admin/faults?target=config&kind=cut", "", 400, `kind "cut" is unknown`),
-		Entry("unknown kind for weights", "POST", "/admin/faults?target=origin&kind=burn", "", 400, `kind "burn" is unknown`),
-		Entry("negative lag", "POST", "/admin/faults?target=instances&kind=lag&lag=-1s", "", 400, `lag is "-1s"`),
-		Entry("revision not kept", "POST", "/admin/faults?target=config&kind=stale&revision=9", "", 404, "revision 9 is not kept"),
-		Entry("digest too short", "POST", "/admin/faults?target=store&kind=cut&manifest=00", "", 400, "digest must be 64"),
-		Entry("too many", "POST", "/admin/faults?target=store&kind=cut&count=1000001", "", 400, "at most 1000000"),
+		Entry("a configuration that is too long", "POST", "/admin/config", strings.Repeat("x", maxConfigBytes+1), 400, "more than 1048576 bytes"),
+		Entry("an instance that is not JSON", "PUT", "/admin/instances/a", "x", 400, "instance"),
+		Entry("an instance with another ID than the path", "PUT", "/admin/instances/a", `{"id":"b"}`, 400, `instance has id "b"`),
+		Entry("an instance without a role", "PUT", "/admin/instances/a", `{}`, 400, `role is ""`),
+		Entry("an instance without an address", "PUT", "/admin/instances/a", `{"role":"agent"}`, 400, "peer_addr is missing"),
+		Entry("an unknown instance", "DELETE", "/admin/instances/a", "", 404, `no instance "a"`),
+		Entry("a model without a name", "POST", "/admin/models?bytes=1&chunk_bytes=1", "", 400, "needs a name"),
+		Entry("a model size that is not a number", "POST", "/admin/models?name=a&bytes=1G", "", 400, `bytes is "1G"`),
+		Entry("a mistyped parameter", "POST", "/admin/models?name=a&bytes=1&chunkbytes=1", "", 400, `no parameter "chunkbytes"`),
+		Entry("an unknown target", "POST", "/admin/faults?target=disk&kind=down", "", 400, `target is "disk"`),
+		Entry("an unknown kind", "POST", "/admin/faults?target=config&kind=cut", "", 400, `kind "cut" is unknown`),
+		Entry("an unknown kind for weights", "POST", "/admin/faults?target=origin&kind=burn", "", 400, `kind "burn" is unknown`),
+		Entry("a negative lag", "POST", "/admin/faults?target=instances&kind=lag&lag=-1s", "", 400, `lag is "-1s"`),
+		Entry("a revision that is not kept", "POST", "/admin/faults?target=config&kind=stale&revision=9", "", 404, "revision 9 is not kept"),
+		Entry("a digest that is too short", "POST", "/admin/faults?target=store&kind=cut&manifest=00", "", 400, "digest must be 64"),
+		Entry("too many transfers", "POST", "/admin/faults?target=store&kind=cut&count=1000001", "", 400, "at most 1000000"),
 	)
 
-	DescribeTable("flags that are refused",
+	DescribeTable("the command refuses",
 		func(reason string, args ...string) {
 			command := newCommand()
 			command.SetArgs(args)
@@ -217,8 +217,8 @@
 			command.SetErr(io.Discard)
 			Expect(command.ExecuteContext(context.Background())).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("an address beyond this machine", "start --store", "--store", "0.0.0.0:0"),
-		Entry("a file that is not there", "--config-file", "--config-file", "/nowhere/fleet.ini"),
-		Entry("an argument", "unknown command", "extra"),
+		Entry("an address outside the loopback network", "start --store", "--store", "0.0.0.0:0"),
+		Entry("a file that does not exist", "--config-file", "--config-file", "/nowhere/fleet.ini"),
+		Entry("an unexpected argument", "unknown command", "extra"),
 	)
 })
