--- a/adapters/settings/faults.go
+++ b/adapters/settings/faults.go
@@ -9,25 +9,25 @@
 	"chivespindle.example/core/failure"
 )
 
-// ErrInvalid is the type of the error that Load returns for faulty settings.
-// Its text lists every fault on a line of its own; FaultsOf returns them
-// apart. It is a failure.Invalid.
+// ErrInvalid is the type of the error that Load returns for invalid settings. Its
+// message has one line for each fault; FaultsOf returns them as values. It is a
+// subtype of failure.Invalid.
 var ErrInvalid = failure.Invalid.NewSubtype("settings")
 
 var faultsProperty = errorx.RegisterProperty("settings_faults")
 
-// Fault is one thing wrong with the settings.
+// Fault is one error in the settings.
 type Fault struct {
-	// Origin is the file's path, or "environment" or "flags".
+	// Origin is the path of the file, or "environment" or "flags".
 	Origin string
-	// Line is the line in the file, from 1; 0 outside a file and for a file
-	// that cannot be read.
+	// Line is the line number in the file, starting at 1. It is 0 for other
+	// origins and for a file that cannot be read.
 	Line int
-	// Reason says what is wrong and names the key as it was given.
+	// Reason describes the fault and contains the key as it was written.
 	Reason string
 }
 
-// String returns "file:line: reason", without what is not known.
+// String returns "file:line: reason", without the line if it is not known.
 func (f Fault) String() string {
 	if f.Line == 0 {
 		return f.Origin + ": " + f.Reason
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.Origin, f.Line, f.Reason)
 }
 
-// FaultsOf returns the faults that an error of Load lists, nil for any other
+// FaultsOf returns the faults of an error returned by Load, nil for any other
 // error.
 func FaultsOf(err error) []Fault {
 	value, ok := errorx.ExtractProperty(err, faultsProperty)
@@ -46,8 +46,8 @@
 	return faults
 }
 
-// asError returns the error that lists faults, nil for none.
-func asError(faults []Fault) error {
+// newFaultsError returns an error that lists faults, nil if there are none.
+func newFaultsError(faults []Fault) error {
 	if len(faults) == 0 {
 		return nil
 	}
--- a/adapters/settings/gendocs/main.go
+++ b/adapters/settings/gendocs/main.go
@@ -1,4 +1,4 @@
-// Command gendocs writes the reference page of the settings.
+// Command gendocs generates the reference of the settings.
 package main
 
 import (
--- a/adapters/settings/key.go
+++ b/adapters/settings/key.go
@@ -9,9 +9,9 @@
 	"chivespindle.example/core/fleet"
 )
 
-// EnvPrefix starts the name of every environment variable that is a setting.
-// A variable that starts so but names no key is refused, like an unknown key
-// of the file.
+// EnvPrefix is the prefix of all environment variables that are settings. A
+// variable with this prefix that is not a known key is rejected, like an unknown
+// key of the file.
 const EnvPrefix = "CHIVESPINDLE_"
 
 // Key describes one setting.
@@ -19,28 +19,27 @@
 	Section string
 	Name    string
 	Type    Type
-	// Unit is what the value counts; empty if nothing. A duration and a size
-	// carry their unit in the text.
+	// Unit is the unit of the value, shown in the reference; empty if it has
+	// none. Durations and sizes are written with their own units.
 	Unit string
-	// Default is the value in the form of the file; empty if there is none.
+	// Default is the default as written in the file; empty if there is none.
 	Default string
-	// Range says what the value may be beyond its type; empty if the type says
-	// it all.
+	// Range describes the allowed values; empty if Type is sufficient.
 	Range string
-	// Roles are the roles that have the key; the others refuse it.
+	// Roles are the roles that have the key; other roles reject it.
 	Roles []fleet.Role
-	// Required is true if a process of those roles does not start without it.
+	// Required is true if a process of these roles cannot start without it.
 	Required bool
-	// Doc says what the value means, in one or two sentences.
+	// Doc describes the setting in one or two sentences.
 	Doc string
 
 	store func(s *Settings, text string) error
 }
 
-// Flag returns the name of the key's flag, "section.name".
+// Flag returns the name of the command-line flag, "section.name".
 func (k Key) Flag() string { return k.Section + "." + k.Name }
 
-// Env returns the name of the key's environment variable.
+// Env returns the name of the environment variable.
 func (k Key) Env() string {
 	return EnvPrefix + strings.ToUpper(k.Section+"_"+k.Name)
 }
@@ -48,7 +47,7 @@
 // For reports whether a process of this role has the key.
 func (k Key) For(role fleet.Role) bool { return slices.Contains(k.Roles, role) }
 
-// AddFlags declares a flag for every key of the role. FlagValues reads them.
+// AddFlags defines a flag for each key of the role. FlagValues reads them.
 func AddFlags(flags *pflag.FlagSet, role fleet.Role) {
 	for _, key := range table {
 		if key.For(role) {
@@ -57,8 +56,8 @@
 	}
 }
 
-// FlagValues returns the settings that were given as flags, by Key.Flag, for
-// Load. Flags that are no settings are left out.
+// FlagValues returns the settings that were given as flags, by Key.Flag, for use
+// with Load. Flags that are not settings are ignored.
 func FlagValues(flags *pflag.FlagSet) map[string]string {
 	index := indexKeys(Key.Flag)
 	values := make(map[string]string)
@@ -70,7 +69,7 @@
 	return values
 }
 
-// indexKeys returns the keys by a name of theirs.
+// indexKeys returns all keys indexed by the result of name.
 func indexKeys(name func(Key) string) map[string]Key {
 	index := make(map[string]Key)
 	for _, key := range table {
--- a/adapters/settings/mechanisms.go
+++ b/adapters/settings/mechanisms.go
@@ -9,45 +9,45 @@
 	"chivespindle.example/core/policy"
 )
 
-// mechanismSection is the one section of a file of mechanisms.
+// mechanismSection is the only section of a mechanisms file.
 const mechanismSection = "mechanisms"
 
-// Words of a mechanism's switch.
+// Values of a mechanism.
 const (
-	wordOn  = "on"
-	wordOff = "off"
+	stateOn  = "on"
+	stateOff = "off"
 )
 
-// LoadMechanisms reads which mechanisms are switched off from an INI file; all
-// are on with an empty path. The error is of the type ErrInvalid and lists all
-// faults.
+// LoadMechanisms reads from an INI file which mechanisms are disabled. All are
+// enabled if path is empty. The error is of type ErrInvalid and lists all faults.
 func LoadMechanisms(path string) (policy.Disabled, error) {
-	var off policy.Disabled
+	var disabled policy.Disabled
 	if path == "" {
-		return off, nil
+		return disabled, nil
 	}
 	r := newFileReader(path, func(name string) bool { return name == mechanismSection })
 	r.readFile()
 	for _, name := range slices.Sorted(maps.Keys(r.values)) {
 		value := r.values[name]
-		if reason := setMechanism(&off, name, strings.TrimSpace(value.text)); reason != "" {
-			r.faults = append(r.faults, value.fault(reason))
+		if reason := setMechanism(&disabled, name, strings.TrimSpace(value.text)); reason != "" {
+			r.faults = append(r.faults, value.newFault(reason))
 		}
 	}
 	slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
-	return off, asError(r.faults)
+	return disabled, newFaultsError(r.faults)
 }
 
-// setMechanism sets one switch and returns the reason if it must be refused. A
-// key of a section that is none needs no second fault.
-func setMechanism(off *policy.Disabled, name, word string) string {
-	key, ours := strings.CutPrefix(name, mechanismSection+".")
+// setMechanism sets one mechanism. It returns the reason if the key or its value is
+// invalid. Keys of other sections are ignored, since the section is reported
+// already.
+func setMechanism(disabled *policy.Disabled, name, state string) string {
+	key, inSection := strings.CutPrefix(name, mechanismSection+".")
 	switch {
-	case !ours:
+	case !inSection:
 		return ""
-	case word != wordOn && word != wordOff:
+	case state != stateOn && state != stateOff:
 		return "is neither on nor off"
-	case !off.Set(key, word == wordOff):
+	case !disabled.Set(key, state == stateOff):
 		return "names no mechanism"
 	default:
 		return ""
--- a/adapters/settings/reference.go
+++ b/adapters/settings/reference.go
@@ -8,7 +8,7 @@
 	"chivespindle.example/core/fleet"
 )
 
-const referenceHead = `# Settings
+const referenceHeader = `# Settings
 
 <!-- Made from the table in adapters/settings/table.go by go generate; do not edit. -->
 
@@ -40,7 +40,7 @@
 files stand in examples/settings/.
 `
 
-// sectionDocs introduce the sections of the reference.
+// sectionDocs are the introductions of the sections in the reference.
 var sectionDocs = map[string]string{
 	"instance": "Which instance this is, and where it runs.",
 	"listen":   "Where the process listens.",
@@ -55,15 +55,15 @@
 	"agent":    "How an agent moves weights.",
 }
 
-// WriteReference writes the operators' reference of all settings, in Markdown.
+// WriteReference writes the reference of all settings as Markdown.
 func WriteReference(w io.Writer) error {
 	var page strings.Builder
-	page.WriteString(referenceHead)
+	page.WriteString(referenceHeader)
 	section := ""
 	for _, key := range table {
 		if key.Section != section {
 			section = key.Section
-			writeSectionHead(&page, section)
+			writeSectionHeader(&page, section)
 		}
 		writeRow(&page, key)
 	}
@@ -71,21 +71,21 @@
 	return err
 }
 
-func writeSectionHead(page *strings.Builder, section string) {
+func writeSectionHeader(page *strings.Builder, section string) {
 	fmt.Fprintf(page, "\n## [%s]\n\n%s\n\n", section, sectionDocs[section])
 	page.WriteString("| key | type | unit | default | range | role | meaning |\n|---|---|---|---|---|---|---|\n")
 }
 
 func writeRow(page *strings.Builder, key Key) {
-	byDefault := "none"
+	defaultText := "none"
 	switch {
 	case key.Required:
-		byDefault = "required"
+		defaultText = "required"
 	case key.Default != "":
-		byDefault = "`" + key.Default + "`"
+		defaultText = "`" + key.Default + "`"
 	}
 	fmt.Fprintf(page, "| `%s` | %s | %s | %s | %s | %s | %s |\n",
-		key.Name, key.Type, key.Unit, byDefault, key.Range, rolesText(key.Roles), key.Doc)
+		key.Name, key.Type, key.Unit, defaultText, key.Range, rolesText(key.Roles), key.Doc)
 }
 
 func rolesText(roles []fleet.Role) string {
--- a/adapters/settings/settings.go
+++ b/adapters/settings/settings.go
@@ -1,11 +1,11 @@
-// Package settings holds the settings of one process: where it is, where it
-// listens, whom it asks and how much it may use.
+// Package settings holds the settings of one process, such as its location, its
+// listen addresses, the addresses of other services and its resource limits.
 //
-// They come from an INI file, from the environment and from flags, in rising
-// order of precedence over the defaults. They are checked whole at start, and
-// every fault is reported at once with its file, line and reason. The table
-// of keys in table.go is the only list of them: Load, the flags and
-// docs/SETTINGS.md all read it.
+// Settings come from an INI file, the environment and flags; each of these
+// overrides the ones before it, and all override the defaults. They are validated
+// as a whole at startup, and all faults are reported at once with file, line and
+// reason. The table of keys in table.go is the only list of settings: Load, the
+// flags and docs/SETTINGS.md are all derived from it.
 package settings
 
 import (
@@ -19,10 +19,10 @@
 
 //go:generate go run ./gendocs -out ../../docs/SETTINGS.md
 
-// Settings are the checked settings of one process. Nothing changes them
-// after Load, so they may be read by any goroutine.
+// Settings are the validated settings of one process. They do not change after
+// Load and may be read concurrently.
 type Settings struct {
-	// Role is the part that the process plays. It is given by the command,
+	// Role is the role of the process. It is set by the command that was run,
 	// not by a key.
 	Role     fleet.Role
 	Instance Instance
@@ -38,7 +38,7 @@
 	Agent    Agent
 }
 
-// Instance says which instance this is and where it runs.
+// Instance identifies the instance and its location.
 type Instance struct {
 	ID     fleet.InstanceID
 	Zone   fleet.Zone
@@ -57,28 +57,28 @@
 	Ops netip.AddrPort
 }
 
-// Platform says how to reach the platform's services. A URL is empty where
-// the role does without it, and never ends in a slash.
+// Platform holds the addresses of the platform's services. A URL is empty if the
+// role does not need it, and never ends in a slash.
 type Platform struct {
 	ConfigURL    string
 	InstancesURL string
 	OriginURL    string
 	StoreURL     string
-	// WatchWait is how long one watch of the configuration may wait.
+	// WatchWait is the longest time that one watch of the configuration may wait.
 	WatchWait time.Duration
-	// ListEvery is the mean pause between two reads of the instance list.
+	// ListEvery is the mean interval between reads of the instance list.
 	ListEvery time.Duration
 	// CallTimeout bounds every call that is not a watch or a transfer.
 	CallTimeout time.Duration
 }
 
-// TLS names the files that tell the system's processes apart from others. A
-// relative path of the file is taken from the directory of that file.
+// TLS holds the files that authenticate the processes of the system to each other.
+// A relative path in the settings file is relative to the directory of that file.
 type TLS struct {
 	Authority   string
 	Certificate string
 	Key         string
-	// ReloadEvery is the pause between two looks at the files for a change.
+	// ReloadEvery is the interval at which the files are checked for changes.
 	ReloadEvery time.Duration
 }
 
@@ -86,13 +86,13 @@
 type BackendKind string
 
 const (
-	// BackendEngine is a model engine, which takes orders.
+	// BackendEngine is a model engine, which accepts orders.
 	BackendEngine BackendKind = "engine"
-	// BackendPlain is a plain service, which only answers requests.
+	// BackendPlain is a plain service, which only responds to requests.
 	BackendPlain BackendKind = "plain"
 )
 
-// Backend is the backend server that an agent stands beside.
+// Backend is the backend server of an agent.
 type Backend struct {
 	Kind BackendKind
 	// URL is the base URL of the server, without a trailing slash.
@@ -101,75 +101,76 @@
 
 // Link describes the network link of the instance.
 type Link struct {
-	// BytesPerSecond is the rate of the link one way; 0 if it is not known.
+	// BytesPerSecond is the rate of the link in one direction; 0 if unknown.
 	BytesPerSecond int64
-	// WeightsShare is the largest share of the link that weight traffic may
-	// take, above 0 and at most 1.
+	// WeightsShare is the largest fraction of the link that weight transfers may
+	// use, above 0 and at most 1.
 	WeightsShare float64
-	// StallTimeout is how long a transfer may go without a byte.
+	// StallTimeout is the longest time that a transfer may make no progress.
 	StallTimeout time.Duration
 }
 
-// Limits bounds what the process may use.
+// Limits limits the resources of the process.
 type Limits struct {
-	// MaxInFlight is the largest number of requests at once.
+	// MaxInFlight is the largest number of concurrent requests.
 	MaxInFlight int
-	// DrainTimeout bounds the wait for requests in progress at a planned stop.
+	// DrainTimeout is the longest time to wait for requests in progress at a
+	// planned stop.
 	DrainTimeout time.Duration
-	// MemoryLimit is the soft limit of the Go runtime's memory in bytes.
+	// MemoryLimit is the soft memory limit of the Go runtime in bytes.
 	MemoryLimit int64
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level zapcore.Level
 }
 
-// SpanOutput is where trace spans go.
+// SpanOutput is the destination of trace spans.
 type SpanOutput string
 
 const (
 	// SpansToLog writes one log line for each span.
 	SpansToLog SpanOutput = "log"
-	// SpansOff records no spans; trace contexts are still passed on.
+	// SpansOff records no spans; trace contexts are still propagated.
 	SpansOff SpanOutput = "off"
 )
 
-// Trace says where trace spans go.
+// Trace configures tracing.
 type Trace struct {
 	Spans SpanOutput
 }
 
-// Entry holds what only an entry needs.
+// Entry holds the settings that only an entry has.
 type Entry struct {
-	// AddressTTL is how long a caller may keep an address answer.
+	// AddressTTL is how long a caller may cache an address response.
 	AddressTTL time.Duration
-	// MaxBody is the largest body of a request in bytes.
+	// MaxBody is the largest size of a request body in bytes.
 	MaxBody int64
-	// DefaultDeadline is the deadline of a request that names none.
+	// DefaultDeadline is the deadline of a request that does not set one.
 	DefaultDeadline time.Duration
 }
 
-// StageKind is where an agent keeps the chunks of a version.
+// StageKind selects where an agent stores the chunks of a version.
 type StageKind string
 
 const (
-	// StageEngine hands chunks to the engine, which gives them back for peers.
+	// StageEngine passes chunks to the engine, which returns them for peers.
 	StageEngine StageKind = "engine"
 	// StageMemory keeps chunks in the memory of the agent.
 	StageMemory StageKind = "memory"
 )
 
-// Agent holds what only an agent needs.
+// Agent holds the settings that only an agent has.
 type Agent struct {
 	Stage StageKind
-	// UploadSlots is the number of chunks that are sent to peers at once.
+	// UploadSlots is the largest number of concurrent uploads of chunks to peers.
 	UploadSlots int
-	// Fetches is the number of chunks that are fetched at once.
+	// Fetches is the largest number of chunks that are fetched concurrently.
 	Fetches int
 }
 
-// Self returns the process as a line of the platform's instance list.
+// Self returns the process as an item of the platform's instance list.
 func (s *Settings) Self() fleet.Instance {
 	return fleet.Instance{
 		ID:         s.Instance.ID,
--- a/adapters/settings/settings_test.go
+++ b/adapters/settings/settings_test.go
@@ -21,14 +21,14 @@
 	"chivespindle.example/core/fleet"
 )
 
-var update = flag.Bool("update", false, "write the error texts of testdata/bad anew")
+var update = flag.Bool("update", false, "regenerate the expected errors in testdata/bad")
 
 const (
 	examples     = "../../examples/settings/"
 	minimalEntry = "testdata/good/entry-minimal.ini"
 )
 
-// roleOf reads the role from the name of a settings file.
+// roleOf returns the role contained in the name of a settings file.
 func roleOf(path string) fleet.Role {
 	base := filepath.Base(path)
 	for _, role := range []fleet.Role{fleet.RoleEntry, fleet.RoleAgent} {
@@ -57,7 +57,7 @@
 	}
 
 	for _, path := range filesIn("testdata/bad/*.ini") {
-		It("tells every fault of "+path, func() {
+		It("reports every fault of "+path, func() {
 			_, err := settings.Load(roleOf(path), path, nil, nil)
 			Expect(err).To(HaveOccurred())
 			Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
@@ -102,7 +102,7 @@
 		}))
 	})
 
-	It("fills what is left out with the defaults of the role", func() {
+	It("applies the defaults of the role", func() {
 		loaded, err := settings.Load(fleet.RoleEntry, minimalEntry, nil, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(loaded.Platform.WatchWait).To(Equal(30 * time.Second))
@@ -112,7 +112,7 @@
 		Expect(loaded.Backend).To(BeZero())
 	})
 
-	DescribeTable("takes the flag before the environment, the file and the default",
+	DescribeTable("prefers flags over the environment, the file and the default",
 		func(env []string, flags map[string]string, want time.Duration) {
 			loaded, err := settings.Load(fleet.RoleEntry, minimalEntry, env, flags)
 			Expect(err).NotTo(HaveOccurred())
@@ -123,7 +123,7 @@
 		Entry("flag", []string{"CHIVESPINDLE_PLATFORM_LIST_EVERY=3s"}, map[string]string{"platform.list_every": "4s"}, 4*time.Second),
 	)
 
-	It("checks a value that another source overrides", func() {
+	It("checks values that are overridden by another source", func() {
 		env := []string{"CHIVESPINDLE_INSTANCE_ID=a/b", "CHIVESPINDLE_LISTEN_PORT=7", "CHIVESPINDLE_AGENT_FETCHES=2"}
 		flags := map[string]string{"instance.id": "e2", "log.level": "", "nonsense": "x"}
 		_, err := settings.Load(fleet.RoleEntry, minimalEntry, env, flags)
@@ -135,25 +135,25 @@
 flags: --nonsense: names no setting`))
 	})
 
-	It("needs no file", func() {
+	It("works without a file", func() {
 		_, err := settings.Load(fleet.RoleEntry, "", nil, nil)
 		Expect(settings.FaultsOf(err)).To(HaveLen(11))
 		Expect(err.Error()).To(ContainSubstring("flags: --instance.id or CHIVESPINDLE_INSTANCE_ID is required"))
 	})
 
-	It("says why a file cannot be read, and nothing else", func() {
+	It("reports only the reason why a file cannot be read", func() {
 		_, err := settings.Load(fleet.RoleEntry, "testdata/none.ini", nil, nil)
 		Expect(err).To(MatchError("chivespindle.invalid.settings: 1 fault\ntestdata/none.ini: cannot be read: no such file or directory"))
 		_, err = settings.Load(fleet.RoleEntry, "/dev/zero", nil, nil)
 		Expect(err).To(MatchError("chivespindle.invalid.settings: 1 fault\n/dev/zero: is larger than 1MB"))
 	})
 
-	It("refuses a role without settings", func() {
+	It("rejects a role without settings", func() {
 		_, err := settings.Load(fleet.RoleOperator, minimalEntry, nil, nil)
 		Expect(err).To(MatchError(ContainSubstring(`role "operator" has no settings`)))
 	})
 
-	It("takes flags only where they were given", func() {
+	It("returns only the flags that were set", func() {
 		flags := pflag.NewFlagSet("entry", pflag.ContinueOnError)
 		flags.String("settings", "", "not a setting")
 		settings.AddFlags(flags, fleet.RoleEntry)
@@ -164,7 +164,7 @@
 })
 
 var _ = Describe("the table of keys", func() {
-	It("has a doc, a type and roles for each key, under one name", func() {
+	It("has a doc, a type, roles and a unique name for each key", func() {
 		seen := make(map[string]bool)
 		for _, key := range settings.Keys() {
 			Expect(key.Doc).To(HaveSuffix("."), key.Flag())
@@ -176,7 +176,7 @@
 		}
 	})
 
-	It("stands in docs/SETTINGS.md as it is", func() {
+	It("matches docs/SETTINGS.md", func() {
 		var page bytes.Buffer
 		Expect(settings.WriteReference(&page)).To(Succeed())
 		committed, err := os.ReadFile("../../docs/SETTINGS.md")
@@ -185,8 +185,8 @@
 	})
 })
 
-// FuzzLoad gives any text as a file. Load must say yes or name a line; a
-// refused text must not come with settings.
+// FuzzLoad passes arbitrary text as the settings file. Load must either succeed or
+// report faults within the file, without returning settings.
 func FuzzLoad(f *testing.F) {
 	for _, path := range append(filesIn("testdata/*/*.ini"), filesIn(examples+"*.ini")...) {
 		text, err := os.ReadFile(path)
--- a/adapters/settings/values.go
+++ b/adapters/settings/values.go
@@ -18,20 +18,20 @@
 	"chivespindle.example/core/valuetext"
 )
 
-// Type is the type of a key's value as a reader of the reference knows it.
+// Type is the type of a value as shown in the reference.
 type Type string
 
-// The types of values.
+// Types of values.
 const (
 	TypeName     Type = "name"     // letters, digits, '.', '_' and '-'
-	TypePlace    Type = "place"    // a name that may hold single spaces
-	TypeWord     Type = "word"     // one of a few words
-	TypeAddress  Type = "address"  // IP number and port
-	TypeURL      Type = "url"      // http://ip:port, perhaps with a path
-	TypePath     Type = "path"     // path of a file
+	TypePlace    Type = "place"    // a name that may contain spaces
+	TypeWord     Type = "word"     // one of a fixed set of words
+	TypeAddress  Type = "address"  // IP address and port
+	TypeURL      Type = "url"      // http://ip:port with an optional path
+	TypePath     Type = "path"     // file path
 	TypeDuration Type = "duration" // 250ms, 30s, 5m
 	TypeSize     Type = "size"     // 512KB, 64MB, 1.25GB
-	TypeNumber   Type = "number"   // whole number
+	TypeNumber   Type = "number"   // integer
 	TypeShare    Type = "share"    // decimal fraction
 )
 
@@ -44,17 +44,17 @@
 	gigabyte = 1000 * megabyte
 )
 
-// binding ties a key to its field: how a text is read, what it may be, and
-// where the value goes.
+// binding connects a key to its field: how the text is parsed, which values are
+// allowed and where the value is stored.
 type binding struct {
-	kind   Type
-	unit   string // as shown in the reference, empty for none
-	limits string // as shown in the reference, empty if the type says it all
-	store  func(s *Settings, text string) error
+	valueType Type
+	unit      string // as shown in the reference; empty for none
+	limits    string // as shown in the reference; empty if valueType is sufficient
+	store     func(s *Settings, text string) error
 }
 
-// bind makes the binding of a field from the parser of its type.
-func bind[T any](kind Type, limits string, parse func(string) (T, error), field func(*Settings) *T) binding {
+// bind returns the binding of a field with the parser of its type.
+func bind[T any](valueType Type, limits string, parse func(string) (T, error), field func(*Settings) *T) binding {
 	store := func(s *Settings, text string) error {
 		value, err := parse(text)
 		if err != nil {
@@ -63,7 +63,7 @@
 		*field(s) = value
 		return nil
 	}
-	return binding{kind: kind, limits: limits, store: store}
+	return binding{valueType: valueType, limits: limits, store: store}
 }
 
 func name[T ~string](field func(*Settings) *T) binding {
@@ -80,14 +80,14 @@
 	return bind(TypePlace, fmt.Sprintf("at most %d characters", maxNameRunes), parse, field)
 }
 
-func word[T ~string](field func(*Settings) *T, choices ...T) binding {
+func enum[T ~string](field func(*Settings) *T, choices ...T) binding {
 	listed := make([]string, len(choices))
 	for i, choice := range choices {
 		listed[i] = string(choice)
 	}
 	parse := func(text string) (T, error) {
 		if !slices.Contains(choices, T(text)) {
-			return "", notOneOf(listed, text)
+			return "", enumError(listed, text)
 		}
 		return T(text), nil
 	}
@@ -100,16 +100,16 @@
 		listed[i] = choice.String()
 	}
 	parse := func(text string) (zapcore.Level, error) {
-		at := slices.Index(listed, text)
-		if at < 0 {
-			return 0, notOneOf(listed, text)
+		i := slices.Index(listed, text)
+		if i < 0 {
+			return 0, enumError(listed, text)
 		}
-		return choices[at], nil
+		return choices[i], nil
 	}
 	return bind(TypeWord, strings.Join(listed, ", "), parse, field)
 }
 
-func notOneOf(choices []string, text string) error {
+func enumError(choices []string, text string) error {
 	return failure.Invalid.New("must be one of %s, not %q", strings.Join(choices, ", "), text)
 }
 
@@ -138,8 +138,8 @@
 	return bind(TypePath, "", parse, field)
 }
 
-// in returns the binding with the unit of its value.
-func (b binding) in(unit string) binding {
+// withUnit returns the binding with the unit of its value.
+func (b binding) withUnit(unit string) binding {
 	b.unit = unit
 	return b
 }
@@ -153,7 +153,7 @@
 		}
 		return inRange(value, low, high, limits, text)
 	}
-	return bind(TypeDuration, limits, parse, field).in("time")
+	return bind(TypeDuration, limits, parse, field).withUnit("time")
 }
 
 func size(field func(*Settings) *int64, low, high int64) binding {
@@ -165,7 +165,7 @@
 		}
 		return inRange(value, low, high, limits, text)
 	}
-	return bind(TypeSize, limits, parse, field).in("bytes")
+	return bind(TypeSize, limits, parse, field).withUnit("bytes")
 }
 
 func number(field func(*Settings) *int, low, high int) binding {
@@ -189,7 +189,7 @@
 		}
 		return inRange(value, low, high, limits, text)
 	}
-	return bind(TypeShare, limits, parse, field).in("of 1")
+	return bind(TypeShare, limits, parse, field).withUnit("of 1")
 }
 
 func inRange[T int | int64 | float64 | time.Duration](value, low, high T, limits, text string) (T, error) {
@@ -199,9 +199,9 @@
 	return value, nil
 }
 
-// checkName accepts what is safe in a log line, a URL and a metric's label.
-// Places have names of any script, some with a space.
-func checkName(text string, spaces bool) error {
+// checkName accepts characters that are safe in log lines, URLs and metric labels.
+// Letters may be of any script, and names of places may contain spaces.
+func checkName(text string, allowSpaces bool) error {
 	if utf8.RuneCountInString(text) > maxNameRunes {
 		return failure.Invalid.New("must have at most %d characters, not %d", maxNameRunes, utf8.RuneCountInString(text))
 	}
@@ -209,7 +209,7 @@
 		return failure.Invalid.New("must be UTF-8, not %q", text)
 	}
 	for _, r := range text {
-		allowed := unicode.IsLetter(r) || unicode.IsDigit(r) || strings.ContainsRune("._-", r) || spaces && r == ' '
+		allowed := unicode.IsLetter(r) || unicode.IsDigit(r) || strings.ContainsRune("._-", r) || allowSpaces && r == ' '
 		if !allowed {
 			return failure.Invalid.New("must not hold %q", r)
 		}
@@ -220,13 +220,13 @@
 type wildcardRule bool
 
 const (
-	// wildcardRefused is for addresses that are published to others.
+	// wildcardRefused is for addresses that are published to other processes.
 	wildcardRefused wildcardRule = false
 	wildcardAllowed wildcardRule = true
 )
 
-// parseAddress takes IP numbers only. A name would have to be looked up, and
-// a look-up that fails or changes would cut the process off from its peers.
+// parseAddress accepts IP addresses only. Host names would have to be resolved, and
+// a lookup that fails or changes would cut the process off from its peers.
 func parseAddress(text string, wildcard wildcardRule) (netip.AddrPort, error) {
 	host, port, err := splitAddress(text)
 	if err != nil {
@@ -289,8 +289,8 @@
 	}
 	value, err := strconv.ParseFloat(digits, 64)
 	bytes := value * float64(unit)
-	whole := err == nil && bytes == math.Trunc(bytes) && math.Abs(bytes) <= 1<<53
-	if !whole || strings.ContainsAny(digits, "xXpP_") {
+	valid := err == nil && bytes == math.Trunc(bytes) && math.Abs(bytes) <= 1<<53
+	if !valid || strings.ContainsAny(digits, "xXpP_") {
 		return 0, failure.Invalid.New("must be a size such as 512KB, 64MB or 1.25GB, not %q", text)
 	}
 	return int64(bytes), nil
--- a/core/addressing/addressing.go
+++ b/core/addressing/addressing.go
@@ -1,9 +1,9 @@
-// Package addressing decides which entry instances a caller is told to use.
+// Package addressing selects the entry instances that a caller should connect to.
 //
-// No balancer stands in front of the entries: a caller asks one of them,
-// keeps the answer for its time to live and connects to the addresses in
-// their order. So the order spreads the load, and an entry that leaves must
-// go on serving until the last answer that names it has expired.
+// There is no load balancer in front of the entries: a caller asks one of them for
+// addresses, caches the response for its TTL and connects to the addresses in the
+// given order. So the order distributes the load, and a leaving entry must keep
+// serving until the last response that lists it has expired.
 //
 // An Answerer is safe for concurrent use if its Rand is; a *rand.Rand is not.
 package addressing
@@ -18,117 +18,119 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Rand is the source of chance. A *rand.Rand of math/rand/v2 fits.
+// Rand is a source of random numbers, such as a *rand.Rand of math/rand/v2.
 type Rand interface {
-	// Float64 returns a number in [0, 1).
+	// Float64 returns a random number in [0, 1).
 	Float64() float64
 }
 
-// Entry is one entry instance as the answering one knows it.
+// Entry is one entry instance as seen by the responding one.
 type Entry struct {
 	ID fleet.InstanceID
 	fleet.Place
 	Addr netip.AddrPort // where callers connect
-	// Leaving is true once the entry or the platform has announced its end.
+	// Leaving is true once the entry or the platform has announced its shutdown.
 	Leaving bool
-	// Silent is true while nothing is heard of it.
+	// Silent is true while no reports arrive from the entry.
 	Silent bool
-	// Load is the share of its capacity in use, 0 to 1.
+	// Load is the fraction of its capacity in use, 0 to 1.
 	Load float64
 }
 
-// Result is one answer to a caller.
+// Result is one response to a caller.
 type Result struct {
-	// Addresses are to be tried in this order. Empty if every entry leaves;
-	// the caller asks again after TTL.
+	// Addresses are to be tried in this order. Empty if every entry is
+	// leaving; the caller then asks again after TTL.
 	Addresses []netip.AddrPort
 	TTL       time.Duration
 	Expires   time.Time
 }
 
 const (
-	// DefaultTTL is how long a caller keeps an answer.
+	// DefaultTTL is how long a caller may cache a response.
 	DefaultTTL = 10 * time.Second
-	// DefaultCount is how many addresses an answer names at most.
+	// DefaultCount is the largest number of addresses in a response.
 	DefaultCount = 3
-	// announceTime is how long it takes at most until every entry has heard
-	// that another leaves, and answers without it.
-	announceTime = 5 * time.Second
-	// connectTime is left to a caller that took the address from an answer
-	// just before its end and now connects.
-	connectTime = 2 * time.Second
-	// overloaded is the load from which an entry is named after all others.
-	overloaded = 0.9
+	// maxAnnounceTime is the longest time until every entry has received the
+	// announcement of a leaving entry and no longer lists it.
+	maxAnnounceTime = 5 * time.Second
+	// connectMargin is for a caller that uses a response just before it
+	// expires and still has to connect.
+	connectMargin = 2 * time.Second
+	// overloadThreshold is the load from which an entry is listed after all
+	// others.
+	overloadThreshold = 0.9
 	// minWeight is the weight of a fully loaded entry; an idle one has 1.
 	minWeight = 0.05
 )
 
-// Options make an Answerer. Zero fields take the default.
+// Options configure an Answerer. Zero fields take the default.
 type Options struct {
 	TTL   time.Duration
 	Count int
 	Rand  Rand // required
 }
 
-// Answerer answers callers.
+// Answerer selects addresses for callers.
 type Answerer struct {
-	ttl   time.Duration
-	count int
-	rnd   Rand
+	ttl          time.Duration
+	maxAddresses int
+	rnd          Rand
 }
 
-// New returns an Answerer.
+// New returns an Answerer with the given options.
 func New(o Options) *Answerer {
-	a := &Answerer{ttl: DefaultTTL, count: DefaultCount, rnd: o.Rand}
+	a := &Answerer{ttl: DefaultTTL, maxAddresses: DefaultCount, rnd: o.Rand}
 	if o.TTL > 0 {
 		a.ttl = o.TTL
 	}
 	if o.Count > 0 {
-		a.count = o.Count
+		a.maxAddresses = o.Count
 	}
 	return a
 }
 
-// LeaveAfter returns how long a leaving entry must go on taking requests,
-// counted from its announcement: until every entry has heard of it and the
-// last answer that names it has expired and was used.
+// LeaveAfter returns how long a leaving entry must keep accepting requests after
+// its announcement: until every entry has received it, the last response that
+// lists the leaving entry has expired, and the callers that used it have connected.
 func LeaveAfter(ttl time.Duration) time.Duration {
-	return announceTime + ttl + connectTime
+	return maxAnnounceTime + ttl + connectMargin
 }
 
-// Answer names entries for a caller at hint, whose fields may be empty:
-// near ones first, shuffled within each distance with the less loaded
-// likelier in front, overloaded ones last. Leaving and silent entries are
-// left out; silent ones are named if there is no other, since the answering
-// entry may itself be the one cut off.
+// Answer selects entries for a caller at hint, whose fields may be empty.
+// Nearer entries come first; at equal distance the order is random, weighted
+// towards less loaded ones; overloaded ones come last. Leaving and silent entries
+// are excluded, but silent ones are listed if there are no others, since the
+// responding entry may itself be partitioned from the rest.
 //
-// If an answer holds two addresses or more they are not all of one zone, so
-// that a caller whose zone fails still holds a way in.
+// Two or more addresses are never all in one zone if another zone has an entry,
+// so that a caller whose zone fails still has an address to connect to.
 func (a *Answerer) Answer(now time.Time, hint fleet.Place, entries []Entry) Result {
 	result := Result{TTL: a.ttl, Expires: now.Add(a.ttl)}
-	usable := usableOf(entries)
-	hint = complete(hint, usable)
+	usable := usableEntries(entries)
+	hint = completeHint(hint, usable)
 	ordered := a.order(hint, usable)
-	for _, e := range mixZones(ordered, a.count) {
+	for _, e := range spreadOverZones(ordered, a.maxAddresses) {
 		result.Addresses = append(result.Addresses, e.Addr)
 	}
 	return result
 }
 
-// All names every entry that is of use, near ones first, for callers that try
-// the addresses in an order of their own.
+// All returns the addresses of all available entries, nearer ones first, for
+// callers that choose their own order.
 func (a *Answerer) All(hint fleet.Place, entries []Entry) []netip.AddrPort {
-	usable := usableOf(entries)
+	usable := usableEntries(entries)
 	var addresses []netip.AddrPort
-	for _, e := range a.order(complete(hint, usable), usable) {
+	for _, e := range a.order(completeHint(hint, usable), usable) {
 		addresses = append(addresses, e.Addr)
 	}
 	return addresses
 }
 
-// usableOf returns the entries that are neither leaving nor silent; if there
-// are none, the silent ones. Leaving ones never: LeaveAfter counts on it.
-func usableOf(entries []Entry) []Entry {
+// usableEntries returns the entries that are neither leaving nor silent, or the
+// silent ones if there are no others. Leaving entries are never included:
+// LeaveAfter relies on it.
+func usableEntries(entries []Entry) []Entry {
 	var live, silent []Entry
 	for _, e := range entries {
 		switch {
@@ -145,8 +147,8 @@
 	return live
 }
 
-// complete adds the region to a hint that names only a zone.
-func complete(hint fleet.Place, entries []Entry) fleet.Place {
+// completeHint adds the region to a hint that has only a zone.
+func completeHint(hint fleet.Place, entries []Entry) fleet.Place {
 	if hint.Region != "" || hint.Zone == "" {
 		return hint
 	}
@@ -159,43 +161,44 @@
 	return hint
 }
 
-type placed struct {
+type rankedEntry struct {
 	Entry
 	distance fleet.Distance
 	key      float64
 }
 
-// order is a weighted shuffle within each distance: ordering by the logarithm
-// of a uniform number over the weight draws without replacement by weight
+// order sorts by distance and shuffles entries at equal distance by weight: sorting
+// by -log(1-u)/weight with uniform u is weighted sampling without replacement
 // (Efraimidis and Spirakis, 2006).
-func (a *Answerer) order(hint fleet.Place, entries []Entry) []placed {
-	ordered := make([]placed, 0, len(entries))
+func (a *Answerer) order(hint fleet.Place, entries []Entry) []rankedEntry {
+	ordered := make([]rankedEntry, 0, len(entries))
 	for _, e := range entries {
 		weight := max(minWeight, 1-e.Load)
-		ordered = append(ordered, placed{
+		ordered = append(ordered, rankedEntry{
 			Entry:    e,
 			distance: distanceOf(hint, e),
 			key:      -math.Log(1-a.rnd.Float64()) / weight,
 		})
 	}
-	slices.SortStableFunc(ordered, func(x, y placed) int {
+	slices.SortStableFunc(ordered, func(x, y rankedEntry) int {
 		return cmp.Or(cmp.Compare(x.distance, y.distance), cmp.Compare(x.key, y.key))
 	})
 	return ordered
 }
 
-// distanceOf places an entry that is overloaded after all others.
+// distanceOf returns the distance of an entry; an overloaded one sorts after all
+// others.
 func distanceOf(hint fleet.Place, e Entry) fleet.Distance {
 	const lastChoice = fleet.OtherRegion + 1
-	if e.Load >= overloaded {
+	if e.Load >= overloadThreshold {
 		return lastChoice
 	}
 	return hint.DistanceTo(e.Place)
 }
 
-// mixZones returns the first count entries; if these are all of one zone, the
-// last gives way to the first of another.
-func mixZones(ordered []placed, count int) []placed {
+// spreadOverZones returns the first count entries. If these are all in one zone,
+// the last is replaced by the first entry of another zone.
+func spreadOverZones(ordered []rankedEntry, count int) []rankedEntry {
 	if len(ordered) <= count {
 		return ordered
 	}
@@ -203,7 +206,7 @@
 	if count < 2 {
 		return head
 	}
-	other := func(e placed) bool { return e.Zone != head[0].Zone }
+	other := func(e rankedEntry) bool { return e.Zone != head[0].Zone }
 	if slices.ContainsFunc(head, other) {
 		return head
 	}
--- a/core/addressing/addressing_test.go
+++ b/core/addressing/addressing_test.go
@@ -22,8 +22,8 @@
 	return addressing.New(addressing.Options{Rand: rand.New(rand.NewPCG(seed, 1))})
 }
 
-// entriesAt returns n entries in the zone; port is the port of the first, by
-// which the tests tell them apart.
+// entriesAt returns n entries in the zone. port is the port of the first; the tests
+// identify entries by their ports.
 func entriesAt(zone fleet.Zone, region fleet.Region, n int, port uint16) []addressing.Entry {
 	entries := make([]addressing.Entry, n)
 	for i := range entries {
@@ -36,11 +36,11 @@
 	return entries
 }
 
-// firsts counts which port came first in many answers.
-func firsts(hint fleet.Place, entries []addressing.Entry, answers int) map[uint16]int {
+// countFirst counts how often each port comes first in a number of responses.
+func countFirst(hint fleet.Place, entries []addressing.Entry, responses int) map[uint16]int {
 	a := newAnswerer(1)
 	counts := map[uint16]int{}
-	for range answers {
+	for range responses {
 		counts[a.Answer(now, hint, entries).Addresses[0].Port()]++
 	}
 	return counts
@@ -62,14 +62,14 @@
 		entriesAt("sharada-1", "kano", 2, 300),
 	)
 
-	It("names three addresses and the time to live", func() {
+	It("returns three addresses and the TTL", func() {
 		result := newAnswerer(1).Answer(now, lagos, three)
 		Expect(result.Addresses).To(HaveLen(3))
 		Expect(result.TTL).To(Equal(10 * time.Second))
 		Expect(result.Expires).To(Equal(now.Add(10 * time.Second)))
 	})
 
-	It("names near ones first", func() {
+	It("lists nearer entries first", func() {
 		for range 20 {
 			ports := portsOf(newAnswerer(1).Answer(now, lagos, three))
 			Expect(ports[:2]).To(ConsistOf(uint16(100), uint16(101)))
@@ -77,41 +77,41 @@
 		}
 	})
 
-	It("knows the region of a caller that names only its zone", func() {
+	It("infers the region of a caller that gives only its zone", func() {
 		hint := fleet.Place{Zone: "apapa-2"}
 		Expect(portsOf(newAnswerer(1).Answer(now, hint, three))[2]).To(BeElementOf(uint16(100), uint16(101)))
 	})
 
-	// All callers connect to the entry named first: were it the same one in
-	// every answer, it would be overrun while the others idle.
-	It("puts every near entry first equally often", func() {
-		counts := firsts(lagos, entriesAt("apapa-1", "lagos", 8, 100), 4000)
+	// Callers connect to the first address. If it were the same in every
+	// response, that entry would be overloaded while the others idle.
+	It("lists each entry of the nearest zone first equally often", func() {
+		counts := countFirst(lagos, entriesAt("apapa-1", "lagos", 8, 100), 4000)
 		Expect(counts).To(HaveLen(8))
 		Expect(counts).To(HaveEach(BeNumerically("~", 500, 100)))
 	})
 
-	It("spreads callers that name no place over all", func() {
-		Expect(firsts(fleet.Place{}, three, 3000)).To(HaveEach(BeNumerically("~", 500, 100)))
+	It("distributes callers without a place over all entries", func() {
+		Expect(countFirst(fleet.Place{}, three, 3000)).To(HaveEach(BeNumerically("~", 500, 100)))
 	})
 
-	It("puts a loaded entry first less often", func() {
+	It("lists a loaded entry first less often", func() {
 		entries := entriesAt("apapa-1", "lagos", 2, 100)
 		entries[0].Load = 0.75
-		Expect(firsts(lagos, entries, 1000)[100]).To(BeNumerically("~", 200, 50))
+		Expect(countFirst(lagos, entries, 1000)[100]).To(BeNumerically("~", 200, 50))
 	})
 
-	// The only entry of a zone is overrun by the callers of the zone while
-	// the rest of the region has room.
-	It("names an overloaded near entry last", func() {
+	// The only entry of a zone is overloaded by the callers of the zone while
+	// the rest of the region has free capacity.
+	It("lists an overloaded nearby entry last", func() {
 		entries := slices.Concat(entriesAt("apapa-1", "lagos", 1, 100), entriesAt("sharada-1", "kano", 2, 300))
 		entries[0].Load = 0.95
 		ports := portsOf(newAnswerer(1).Answer(now, lagos, entries))
 		Expect(ports[2]).To(Equal(uint16(100)))
 	})
 
-	// A zone fails. Callers there hold an answer that names only its entries
-	// and have nowhere to go until it expires.
-	It("names one of another zone", func() {
+	// When a zone fails, callers with a response that lists only entries of
+	// this zone have no address to connect to until the response expires.
+	It("includes an entry of another zone", func() {
 		entries := slices.Concat(entriesAt("apapa-1", "lagos", 5, 100), entriesAt("sharada-1", "kano", 2, 300))
 		for seed := range uint64(20) {
 			ports := portsOf(newAnswerer(seed).Answer(now, lagos, entries))
@@ -120,45 +120,44 @@
 		}
 	})
 
-	// A caller told of a leaving entry finds its door shut, or of a silent
-	// one waits for a connection that never comes.
-	DescribeTable("leaves out",
+	// A caller that gets the address of a leaving entry is rejected; with that
+	// of a silent one, its connection attempt times out.
+	DescribeTable("excludes",
 		func(change func([]addressing.Entry), want []uint16) {
 			entries := entriesAt("apapa-1", "lagos", 3, 100)
 			change(entries)
 			Expect(portsOf(newAnswerer(1).Answer(now, lagos, entries))).To(ConsistOf(want))
 		},
-		Entry("a leaving one", func(e []addressing.Entry) { e[1].Leaving = true }, []uint16{100, 102}),
-		Entry("a silent one", func(e []addressing.Entry) { e[0].Silent = true }, []uint16{101, 102}),
-		Entry("a leaving one also when the others are silent", func(e []addressing.Entry) {
+		Entry("a leaving entry", func(e []addressing.Entry) { e[1].Leaving = true }, []uint16{100, 102}),
+		Entry("a silent entry", func(e []addressing.Entry) { e[0].Silent = true }, []uint16{101, 102}),
+		Entry("a leaving entry even if the others are silent", func(e []addressing.Entry) {
 			e[0].Leaving, e[1].Silent, e[2].Silent = true, true, true
 		}, []uint16{101, 102}),
-		Entry("all when all leave", func(e []addressing.Entry) {
+		Entry("all entries if all are leaving", func(e []addressing.Entry) {
 			e[0].Leaving, e[1].Leaving, e[2].Leaving = true, true, true
 		}, []uint16{}),
 	)
 })
 
-// The caller finds the door of a leaving entry shut: an entry that had not
-// heard of its end yet named it, the caller kept the answer for its whole
-// time to live, and connects at the last moment. At that moment the leaving
-// entry must still serve.
-func TestLeaveAfterOutlastsAnswers(t *testing.T) {
-	const heardWithin = 5 * time.Second
+// A caller is rejected by a leaving entry if it got the address from an entry that
+// had not yet received the announcement, cached the response for the whole TTL and
+// connects at the last moment. The leaving entry must still serve at that moment.
+func TestLeaveAfterExceedsResponseTTL(t *testing.T) {
+	const maxAnnounceTime = 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		ttl := time.Duration(rapid.IntRange(1, 60).Draw(t, "ttl")) * time.Second
 		a := addressing.New(addressing.Options{TTL: ttl, Rand: rand.New(rand.NewPCG(1, 1))})
 		entries := entriesAt("apapa-1", "lagos", 1, 100)
 		announced := now
-		asked := announced.Add(time.Duration(rapid.Int64Range(0, int64(heardWithin)).Draw(t, "asked")))
-		result := a.Answer(asked, fleet.Place{}, entries)
+		requestedAt := announced.Add(time.Duration(rapid.Int64Range(0, int64(maxAnnounceTime)).Draw(t, "asked")))
+		result := a.Answer(requestedAt, fleet.Place{}, entries)
 		g.Expect(result.Addresses).To(HaveLen(1))
 		g.Expect(result.Expires.Before(announced.Add(addressing.LeaveAfter(ttl)))).To(BeTrue())
 	})
 }
 
-func TestAnswerRules(t *testing.T) {
+func TestAnswerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var entries []addressing.Entry
@@ -177,7 +176,7 @@
 		live := slices.ContainsFunc(entries, func(e addressing.Entry) bool { return !e.Leaving && !e.Silent })
 		for _, port := range ports {
 			e := entries[port-100]
-			g.Expect(seen[port]).To(BeFalse(), "named twice")
+			g.Expect(seen[port]).To(BeFalse(), "address listed twice")
 			g.Expect(e.Leaving).To(BeFalse())
 			g.Expect(e.Silent && live).To(BeFalse())
 			seen[port] = true
--- a/core/defaults/defaults.go
+++ b/core/defaults/defaults.go
@@ -1,14 +1,14 @@
-// Package defaults replaces options that were not given.
+// Package defaults applies default values to options.
 package defaults
 
 import "time"
 
-// Number is an option that is given if it is above 0.
+// Number is the type of an option that counts as set if it is positive.
 type Number interface {
 	int | int64 | float64 | time.Duration
 }
 
-// Or returns given, or value if it is not above 0.
+// Or returns given if it is positive, else value.
 func Or[T Number](given, value T) T {
 	if given <= 0 {
 		return value
@@ -16,5 +16,5 @@
 	return given
 }
 
-// Set puts value into a field that is not above 0.
+// Set assigns value to a field that is not positive.
 func Set[T Number](field *T, value T) { *field = Or(*field, value) }
--- a/core/fleettext/bench_test.go
+++ b/core/fleettext/bench_test.go
@@ -9,8 +9,8 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// largeText is a sound text near the platform's limit.
-func largeText(services int) []byte {
+// largeConfig returns a valid configuration with the given number of services.
+func largeConfig(services int) []byte {
 	var b bytes.Buffer
 	b.WriteString("[fleet]\nname = large\n[version v1]\nmanifest = " + digestA + "\n")
 	for i := range services {
@@ -22,7 +22,7 @@
 
 func BenchmarkLoad(b *testing.B) {
 	for _, services := range []int{10, 8000} {
-		text := largeText(services)
+		text := largeConfig(services)
 		b.Run(fmt.Sprintf("%dKB", len(text)/1000), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -30,13 +30,13 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(retained(b, text), "retained-B")
+			b.ReportMetric(retainedBytes(b, text), "retained-B")
 		})
 	}
 }
 
-// retained returns the bytes that an accepted text keeps.
-func retained(b *testing.B, text []byte) float64 {
+// retainedBytes returns the heap bytes that an accepted configuration retains.
+func retainedBytes(b *testing.B, text []byte) float64 {
 	before := heapBytes()
 	f, err := fleettext.Load("large.ini", text)
 	if err != nil {
@@ -56,7 +56,7 @@
 
 func BenchmarkReload(b *testing.B) {
 	for _, services := range []int{10, 8000} {
-		text := largeText(services)
+		text := largeConfig(services)
 		b.Run(fmt.Sprintf("%dKB", len(text)/1000), func(b *testing.B) {
 			base, err := fleettext.Load("large.ini", text)
 			if err != nil {
@@ -75,7 +75,7 @@
 
 func BenchmarkApply(b *testing.B) {
 	for _, services := range []int{10, 8000} {
-		text := largeText(services)
+		text := largeConfig(services)
 		b.Run(fmt.Sprintf("%dKB", len(text)/1000), func(b *testing.B) {
 			base, err := fleettext.Load("large.ini", text)
 			if err != nil {
--- a/core/fleettext/delta.go
+++ b/core/fleettext/delta.go
@@ -7,34 +7,35 @@
 	"chivespindle.example/core/fleet"
 )
 
-// WrongBase means that a Delta was made for another state of the text than the one it
-// was applied to. The receiver asks for the whole text, which is the Delta
-// from nothing.
+// WrongBase means that a Delta was computed against another configuration than the one
+// it was applied to. The receiver then requests the complete configuration, which is the
+// Delta from the zero Outline.
 var WrongBase = failure.Namespace.NewType("wrong_base")
 
-// Delta is what leads from one state of the text to another. Only changed
-// sections travel, since whole texts for every change would cost each node
-// several times its allowance.
+// Delta describes the change from one configuration to another. It carries only
+// the changed sections: sending the complete configuration for every change would
+// exceed the traffic allowance of a node several times over.
 type Delta struct {
-	// Base is the digest of the state that it applies to; zero for none.
+	// Base is the digest of the configuration that the delta applies to; zero
+	// for none.
 	Base fleet.Digest `cbor:"1,keyasint"`
-	// Result is the digest of the state that it leads to.
+	// Result is the digest of the resulting configuration.
 	Result fleet.Digest `cbor:"2,keyasint"`
-	// Changed holds the sections that are new or differ.
+	// Changed holds the added and modified sections.
 	Changed []Section `cbor:"3,keyasint,omitempty"`
-	// Removed names the sections that are gone.
+	// Removed lists the names of the removed sections.
 	Removed []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Outline is what must be remembered of a state of the text to work out what
-// has changed since: a small part of the Fleet's memory. The zero value
-// stands for nothing.
+// Outline holds the digests of a configuration and its sections, which is all
+// that is needed to compute a Delta from it. It takes a small part of the
+// memory of a Fleet. The zero value stands for no configuration.
 type Outline struct {
 	digest   fleet.Digest
 	sections map[string]fleet.Digest
 }
 
-// Digest names the state.
+// Digest returns the digest of the configuration.
 func (o Outline) Digest() fleet.Digest { return o.digest }
 
 // Outline returns the outline of f.
@@ -46,8 +47,8 @@
 	return o
 }
 
-// NewDelta returns what leads from base to result. From the zero Outline it
-// is the whole text.
+// NewDelta returns the change from base to result. With the zero Outline as
+// base it contains the complete configuration.
 func NewDelta(base Outline, result *Fleet) Delta {
 	d := Delta{Base: base.digest, Result: result.digest}
 	for _, s := range result.sections {
@@ -64,12 +65,13 @@
 	return d
 }
 
-// Apply returns the state that d leads to from base, which may be nil. It
-// reads only the changed sections; the others are shared with base.
+// Apply returns the configuration that results from applying d to base, which
+// may be nil. It parses only the changed sections; the others are shared with
+// base.
 //
-// Failures: WrongBase if d is for another base; failure.Invalid with a
-// *CheckError, as from Load, if this process refuses the result;
-// failure.Corrupt if the result has not the digest that d names.
+// Errors: WrongBase if d was computed against another base; failure.Invalid with
+// a *CheckError, as from Load, if the result is not valid for this process;
+// failure.Corrupt if the digest of the result is not the one in d.
 func Apply(file string, base *Fleet, d Delta) (*Fleet, error) {
 	kept, err := keptSections(base, d)
 	if err != nil {
@@ -84,23 +86,23 @@
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
-	if err := checkNames(d.Changed, changed); err != nil {
+	if err := checkSectionNames(d.Changed, changed); err != nil {
 		return nil, err
 	}
 	f := assemble(sections, faults)
 	if !faults.empty() {
-		// Lines of kept sections are those of an older text. The canonical
-		// text gives lines that belong together.
+		// The lines of unchanged sections refer to an older file. Loading
+		// the canonical text gives consistent line numbers.
 		return Load(file, Join(f.Sections()))
 	}
-	forgetLines(changed)
+	releaseLines(changed)
 	if f.digest != d.Result {
-		return nil, failure.Corrupt.New("text has digest %s after the change, want %s", f.digest, d.Result)
+		return nil, failure.Corrupt.New("configuration has digest %s after applying the delta, want %s", f.digest, d.Result)
 	}
 	return f, nil
 }
 
-// keptSections returns the sections of base that d leaves as they are.
+// keptSections returns the sections of base that d does not change.
 func keptSections(base *Fleet, d Delta) ([]*parsedSection, error) {
 	var have fleet.Digest
 	var sections []*parsedSection
@@ -109,27 +111,27 @@
 		sections = base.sections
 	}
 	if have != d.Base {
-		return nil, WrongBase.New("change is for the text %s, have %s", d.Base, have)
+		return nil, WrongBase.New("delta applies to configuration %s, have %s", d.Base, have)
 	}
-	gone := make(map[string]bool, len(d.Changed)+len(d.Removed))
+	dropped := make(map[string]bool, len(d.Changed)+len(d.Removed))
 	for _, s := range d.Changed {
-		gone[s.Name] = true
+		dropped[s.Name] = true
 	}
 	for _, name := range d.Removed {
-		gone[name] = true
+		dropped[name] = true
 	}
 	kept := make([]*parsedSection, 0, len(sections)+len(d.Changed))
 	for _, s := range sections {
-		if !gone[s.Name] {
+		if !dropped[s.Name] {
 			kept = append(kept, s)
 		}
 	}
 	return kept, nil
 }
 
-// checkNames refuses a section that goes under another name than its header
-// says: it would stand beside the one that it should have replaced.
-func checkNames(sent []Section, parsed []*parsedSection) error {
+// checkSectionNames rejects a section that was sent under another name than the
+// one in its header: it would be added beside the section that it should replace.
+func checkSectionNames(sent []Section, parsed []*parsedSection) error {
 	names := make(map[string]bool, len(sent))
 	for _, s := range sent {
 		names[s.Name] = true
--- a/core/fleettext/delta_test.go
+++ b/core/fleettext/delta_test.go
@@ -21,8 +21,8 @@
 
 const digestB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 
-// sectionsOf draws the sections of a sound text in any order.
-var sectionsOf = rapid.Custom(func(t *rapid.T) []string {
+// sectionsGen generates the sections of a valid configuration in random order.
+var sectionsGen = rapid.Custom(func(t *rapid.T) []string {
 	sections := []string{"[fleet]\nname = f\n"}
 	for _, name := range []string{"v1", "v2"} {
 		digest := rapid.SampledFrom([]string{digestA, digestB}).Draw(t, name)
@@ -67,13 +67,13 @@
 	return f
 }
 
-// One process reads the text from the platform, another gets the changed
-// sections from a peer. If they came to different states, callers would get
-// different answers from two entry instances of one revision.
-func TestApplyComesToTheStateThatLoadComesTo(t *testing.T) {
+// One process reads the configuration from the platform, another receives the
+// changed sections from a peer. If the results differed, two entry instances at
+// the same revision would respond differently to the same caller.
+func TestApplyMatchesLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := mustParse(t, strings.Join(sectionsOf.Draw(t, "before"), ""))
-		after := mustParse(t, strings.Join(sectionsOf.Draw(t, "after"), ""))
+		before := mustParse(t, strings.Join(sectionsGen.Draw(t, "before"), ""))
+		after := mustParse(t, strings.Join(sectionsGen.Draw(t, "after"), ""))
 		for _, base := range []*fleettext.Fleet{before, nil} {
 			var outline fleettext.Outline
 			if base != nil {
@@ -103,12 +103,12 @@
 
 func TestDigestIgnoresOrderAndComments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sections := sectionsOf.Draw(t, "sections")
+		sections := sectionsGen.Draw(t, "sections")
 		f := mustParse(t, strings.Join(sections, ""))
 		other := rapid.Permutation(sections).Draw(t, "other order")
 		g := mustParse(t, "; a comment\n"+strings.Join(other, "\n# another\n"))
 		if f.Digest() != g.Digest() {
-			t.Fatal("the digest depends on the order or on comments")
+			t.Fatal("the digest depends on the order of sections or on comments")
 		}
 	})
 }
@@ -124,7 +124,7 @@
 		delta = fleettext.NewDelta(base.Outline(), result)
 	})
 
-	It("gets only the sections that changed", func() {
+	It("needs only the changed sections", func() {
 		Expect(delta.Changed).To(HaveLen(2))
 		Expect(delta.Changed[0].Name).To(Equal("service b"))
 		Expect(delta.Changed[1].Name).To(Equal("workspace w"))
@@ -132,31 +132,31 @@
 		Expect(back.Removed).To(Equal([]string{"workspace w"}))
 	})
 
-	DescribeTable("refuses",
+	DescribeTable("rejects",
 		func(damage func(d *fleettext.Delta), want *errorx.Type, message string) {
 			damage(&delta)
 			_, err := fleettext.Apply("peer", base, delta)
 			Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 			Expect(err.Error()).To(ContainSubstring(message))
 		},
-		Entry("a change of another text", func(d *fleettext.Delta) { d.Base = fleet.Digest{1} },
-			fleettext.WrongBase, "change is for the text 01"),
-		Entry("a change with a lost section", func(d *fleettext.Delta) { d.Changed = d.Changed[:1] },
-			failure.Corrupt, "after the change, want"),
-		Entry("a change with another value", func(d *fleettext.Delta) {
+		Entry("a delta for another base", func(d *fleettext.Delta) { d.Base = fleet.Digest{1} },
+			fleettext.WrongBase, "delta applies to configuration 01"),
+		Entry("a delta without one of its sections", func(d *fleettext.Delta) { d.Changed = d.Changed[:1] },
+			failure.Corrupt, "after applying the delta, want"),
+		Entry("a delta with a modified value", func(d *fleettext.Delta) {
 			d.Changed[0].Text = strings.Replace(d.Changed[0].Text, "max_attempts=1", "max_attempts=2", 1)
-		}, failure.Corrupt, "after the change, want"),
+		}, failure.Corrupt, "after applying the delta, want"),
 		Entry("a section under another name", func(d *fleettext.Delta) { d.Changed[0].Name = "service x" },
 			failure.Corrupt, "section [service b] was sent under another name"),
 		Entry("a section with an unknown key", func(d *fleettext.Delta) { d.Changed[1].Text += "colour=red\n" },
 			failure.Invalid, `peer:7: unknown key "colour" in [workspace w]`),
-		Entry("a section that the rest depends on removed", func(d *fleettext.Delta) { d.Removed = []string{"service a"} },
+		Entry("a delta that removes a section that others depend on", func(d *fleettext.Delta) { d.Removed = []string{"service a"} },
 			failure.Invalid, "peer:4: depends_on: there is no section [service a]"),
-		Entry("the fleet section removed", func(d *fleettext.Delta) { d.Removed = []string{"fleet"} },
+		Entry("a delta that removes the fleet section", func(d *fleettext.Delta) { d.Removed = []string{"fleet"} },
 			failure.Invalid, "section [fleet] is missing"),
 	)
 
-	It("refuses a text that grows over the limit", func() {
+	It("rejects a result that exceeds the size limit", func() {
 		lines := make([]string, 0, fleettext.MaxNameBytes)
 		for i := range 30000 {
 			lines = append(lines, fmt.Sprintf("[workspace w%d]\nrequests_per_second=1", i))
@@ -173,7 +173,7 @@
 })
 
 var _ = Describe("Reload", func() {
-	It("reports the same faults as Load, also in sections that did not change", func() {
+	It("reports the same faults as Load, also in unchanged sections", func() {
 		good := "[fleet]\nname = f\n[service a]\nkind = plain\n\n[service b]\nkind = plain\ndepends_on = a\n"
 		bad := []byte("; moved down\n" + strings.Replace(good, "[service a]", "[service c]", 1) + "size = 3\n")
 		_, want := fleettext.Load("fleet.ini", bad)
@@ -184,7 +184,7 @@
 })
 
 var _ = Describe("Diff", func() {
-	It("says in words what changes in force", func() {
+	It("describes each change of an effective value", func() {
 		before := mustLoadText(`[fleet]
 name = f
 [version v1]
@@ -221,11 +221,11 @@
 requests_per_second = 2
 burst = 2
 `)
-		var words []string
+		var messages []string
 		for _, change := range fleettext.Diff(before, after) {
-			words = append(words, change.String())
+			messages = append(messages, change.String())
 		}
-		Expect(words).To(Equal([]string{
+		Expect(messages).To(Equal([]string{
 			"service api: depends_on changed from none to pool",
 			"service new added",
 			"service old removed",
--- a/core/fleettext/dependencies.go
+++ b/core/fleettext/dependencies.go
@@ -30,7 +30,7 @@
 	f.order = walk.order
 }
 
-// visit is how far a depth-first walk has come with a service.
+// visit is the state of a service during the depth-first walk.
 type visit int
 
 const (
@@ -39,8 +39,8 @@
 	visited
 )
 
-// dependencyWalk goes depth first through the dependencies. A service that is
-// met while it is still on the path closes a cycle.
+// dependencyWalk is a depth-first walk over the dependencies. Reaching a service
+// that is still on the path closes a cycle.
 type dependencyWalk struct {
 	fleet  *Fleet
 	faults *faultList
@@ -65,7 +65,7 @@
 
 func (w *dependencyWalk) follow(from, to fleet.ServiceName) {
 	if _, ok := w.fleet.services[to]; !ok {
-		w.faults.add(w.line(from), "depends_on: there is no section [service %s]", to)
+		w.faults.add(w.lineOf(from), "depends_on: there is no section [service %s]", to)
 		return
 	}
 	if w.state[to] != onPath {
@@ -73,15 +73,15 @@
 		return
 	}
 	cycle := slices.Clone(w.path[slices.Index(w.path, to):])
-	w.faults.add(w.line(from), "depends_on: dependency cycle %s", showCycle(cycle))
+	w.faults.add(w.lineOf(from), "depends_on: dependency cycle %s", formatCycle(cycle))
 }
 
-func (w *dependencyWalk) line(name fleet.ServiceName) int {
+func (w *dependencyWalk) lineOf(name fleet.ServiceName) int {
 	return w.fleet.section(string(kindService) + " " + string(name)).lineOf(keyDependsOn)
 }
 
-// showCycle writes "a -> b -> a", the least name first.
-func showCycle(cycle []fleet.ServiceName) string {
+// formatCycle returns "a -> b -> a", starting with the name that sorts first.
+func formatCycle(cycle []fleet.ServiceName) string {
 	least := slices.Index(cycle, slices.Min(cycle))
 	var b strings.Builder
 	for i := range cycle {
--- a/core/fleettext/diff.go
+++ b/core/fleettext/diff.go
@@ -8,7 +8,7 @@
 	"chivespindle.example/core/fleet"
 )
 
-// ChangeKind says what happened to a section.
+// ChangeKind tells whether a section was added, removed or changed.
 type ChangeKind string
 
 // Kinds of changes.
@@ -18,17 +18,17 @@
 	Changed ChangeKind = "changed"
 )
 
-// Change is one difference between two states of the text.
+// Change is one difference between two configurations.
 type Change struct {
-	// Section is the inside of the header, such as "service spindle-pool".
+	// Section is the section header without brackets, such as "service spindle-pool".
 	Section string
 	Kind    ChangeKind
-	// Key, From and To are set for Changed. From and To are the values in
-	// force, defaults included.
+	// Key, From and To are set for Changed. From and To are the effective
+	// values, including defaults.
 	Key, From, To string
 }
 
-// String returns the change in words for an operator.
+// String returns a description of the change for operators.
 func (c Change) String() string {
 	if c.Kind == Changed {
 		return fmt.Sprintf("%s: %s changed from %s to %s", c.Section, c.Key, c.From, c.To)
@@ -36,9 +36,10 @@
 	return c.Section + " " + string(c.Kind)
 }
 
-// Diff lists what changes in force from old to new, by section. A nil old
-// stands for nothing. A key that is written out with its default is no
-// change; a version's new manifest is one for each service that names it.
+// Diff lists the changes of effective values from old to new, sorted by section.
+// A nil old stands for no configuration. Writing out a key with its default value
+// is not a change. A new manifest of a version is also a change of each service
+// that uses the version.
 func Diff(old, new *Fleet) []Change {
 	if old == nil {
 		old = &Fleet{}
@@ -50,7 +51,7 @@
 			changes = append(changes, Change{Section: s.Name, Kind: Added})
 			continue
 		}
-		changes = append(changes, diffSection(s.Name, old.effective(before), new.effective(s))...)
+		changes = append(changes, diffSection(s.Name, old.effectiveValues(before), new.effectiveValues(s))...)
 	}
 	for _, s := range old.sections {
 		if new.section(s.Name) == nil {
@@ -61,7 +62,8 @@
 	return changes
 }
 
-// diffSection compares values of the same keys in the same order.
+// diffSection compares the values of two states of one section, which have the
+// same keys in the same order.
 func diffSection(section string, before, after []pair) []Change {
 	var changes []Change
 	for i, now := range after {
@@ -74,21 +76,21 @@
 	return changes
 }
 
-// effective returns the values in force of a section of f.
-func (f *Fleet) effective(s *parsedSection) []pair {
+// effectiveValues returns the effective values of a section of f.
+func (f *Fleet) effectiveValues(s *parsedSection) []pair {
 	switch value := s.value.(type) {
 	case *fleetSettings:
-		return shown(fleetKeys, value)
+		return formatValues(fleetKeys, value)
 	case *versionSettings:
-		return shown(versionKeys, value)
+		return formatValues(versionKeys, value)
 	case *serviceSettings:
 		resolved := *value
 		if version := f.services[fleet.ServiceName(s.id.name)].Version; !version.IsZero() {
 			resolved.versionName = version.String()
 		}
-		return shown(serviceKeys, &resolved)
+		return formatValues(serviceKeys, &resolved)
 	case *Limits:
-		return shown(workspaceKeys, value)
+		return formatValues(workspaceKeys, value)
 	default:
 		return nil
 	}
--- a/core/fleettext/examples_test.go
+++ b/core/fleettext/examples_test.go
@@ -11,8 +11,8 @@
 	"chivespindle.example/core/fleettext"
 )
 
-var _ = Describe("the example texts", func() {
-	DescribeTable("are accepted",
+var _ = Describe("the example configurations", func() {
+	DescribeTable("are valid",
 		func(file string, spread fleettext.Spread, order ...fleet.ServiceName) {
 			f := mustLoad(file)
 			Expect(f.DependencyOrder()).To(Equal(order))
@@ -31,14 +31,14 @@
 })
 
 var _ = Describe("docs/TEXT.md", func() {
-	It("describes exactly the keys that a section may have", func() {
+	It("documents exactly the keys of each section", func() {
 		page, err := os.ReadFile("../../docs/TEXT.md")
 		Expect(err).NotTo(HaveOccurred())
 		var documented []string
 		for _, row := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\|").FindAllStringSubmatch(string(page), -1) {
 			documented = append(documented, row[1])
 		}
-		// A text with an unknown key is refused with the list of those known.
+		// The fault for an unknown key lists the known keys.
 		known := regexp.MustCompile(`want one of ([a-z_, ]+)`)
 		_, err = fleettext.Load("keys.ini", []byte("[fleet]\nx=1\n[version v]\nx=1\n[service s]\nx=1\n[workspace w]\nx=1\n"))
 		var accepted []string
--- a/core/fleettext/fault.go
+++ b/core/fleettext/fault.go
@@ -12,16 +12,16 @@
 )
 
 // MaxFaults is the largest number of faults that one CheckError lists. It
-// bounds the memory that a megabyte of nonsense costs.
+// bounds the memory that an invalid file of a megabyte can take.
 const MaxFaults = 100
 
-// Fault is one reason why a text is refused.
+// Fault is one reason why a configuration is invalid.
 type Fault struct {
-	// File is the name that the caller gave to Load.
+	// File is the file name that was passed to Load.
 	File string `cbor:"1,keyasint" json:"file"`
-	// Line counts from 1.
+	// Line is the line number, starting at 1.
 	Line int `cbor:"2,keyasint" json:"line"`
-	// Reason says what is wrong and what is wanted.
+	// Reason describes the fault and what is expected.
 	Reason string `cbor:"3,keyasint" json:"reason"`
 }
 
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason)
 }
 
-// CheckError holds every fault of one text, in the order of their lines.
+// CheckError holds all faults of one configuration, sorted by line.
 type CheckError struct {
 	Faults []Fault
-	// Omitted counts the faults beyond MaxFaults.
+	// Omitted is the number of faults beyond MaxFaults.
 	Omitted int
 }
 
-// Error returns one "file:line: reason" a line.
+// Error returns the faults, one "file:line: reason" per line.
 func (e *CheckError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	for _, f := range e.Faults {
@@ -49,8 +49,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// AsCheckError finds the CheckError in err, nil if there is none. It looks
-// through errorx wrappers, which errors.As does not.
+// AsCheckError returns the CheckError in the chain of err, nil if there is none.
+// It unwraps errorx errors, which errors.As does not.
 func AsCheckError(err error) *CheckError {
 	for err != nil {
 		var check *CheckError
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// faultList collects faults while a text is checked.
+// faultList collects the faults of one configuration.
 type faultList struct {
 	file    string
 	faults  []Fault
@@ -83,12 +83,12 @@
 
 func (l *faultList) empty() bool { return len(l.faults) == 0 }
 
-// err returns a failure.Invalid that wraps the CheckError, nil without faults.
+// err returns a failure.Invalid that wraps a CheckError, nil if there are no faults.
 func (l *faultList) err() error {
 	if l.empty() {
 		return nil
 	}
 	sort.SliceStable(l.faults, func(i, j int) bool { return l.faults[i].Line < l.faults[j].Line })
 	check := &CheckError{Faults: l.faults, Omitted: l.omitted}
-	return failure.Invalid.Wrap(check, "text refused")
+	return failure.Invalid.Wrap(check, "invalid configuration")
 }
--- a/core/fleettext/fleettext.go
+++ b/core/fleettext/fleettext.go
@@ -1,16 +1,16 @@
-// Package fleettext reads the operator's text: one INI file that lists model
-// versions, services with what each depends on, and the request limits of
-// workspaces. docs/TEXT.md is its reference.
+// Package fleettext parses and validates the operator's configuration: one INI
+// file that lists model versions, services with their dependencies, and the
+// request limits of workspaces. docs/TEXT.md is its reference.
 //
-// Load is the only reader. The daemon and the command-line client both call
-// it, so that every process accepts or refuses a text alike, and a text that
-// was checked before it was published is not refused afterwards.
+// Load is the only parser. The daemon and the command-line client both call it,
+// so that all processes accept or reject the same files, and a configuration that
+// was checked before publication is not rejected afterwards.
 //
-// Load accepts a text whole or not at all. An accepted text is a Fleet, which
-// never changes. Its Digest covers the canonical form of all sections, so
-// that processes can send each other only the sections that changed and
-// still check the whole; comments, blank lines, the order of sections and
-// keys, and keys without a value do not count.
+// Load accepts a configuration as a whole or not at all. An accepted configuration
+// is an immutable Fleet. Its Digest covers the canonical form of all sections, so
+// that processes can send each other only the changed sections and still verify
+// the complete result. Comments, blank lines, the order of sections and keys, and
+// keys without a value do not affect it.
 package fleettext
 
 import (
@@ -21,11 +21,11 @@
 	"chivespindle.example/core/fleet"
 )
 
-// MaxBytes is the size of the longest text, which is what the platform's
-// configuration service holds.
+// MaxBytes is the largest size of a configuration. It is the size limit of the
+// platform's configuration service.
 const MaxBytes = 1 << 20
 
-// Kind tells a service of model engines from any other.
+// Kind distinguishes services of model engines from plain services.
 type Kind string
 
 const (
@@ -35,13 +35,13 @@
 	KindPlain Kind = "plain"
 )
 
-// Spread is what a service weighs more while a version spreads.
+// Spread selects what the distribution of a version optimizes for.
 type Spread string
 
 const (
-	// SpreadTime weighs the time until the replicas serve.
+	// SpreadTime gives priority to a short time until the replicas serve.
 	SpreadTime Spread = "time"
-	// SpreadOrigin weighs the bytes drawn from the origin.
+	// SpreadOrigin gives priority to few bytes fetched from the origin.
 	SpreadOrigin Spread = "origin"
 )
 
@@ -51,11 +51,11 @@
 const (
 	// FencingIgnored means that engines obey an order with an old number.
 	FencingIgnored Fencing = "ignored"
-	// FencingChecked means that engines refuse an order with an old number.
+	// FencingChecked means that engines reject an order with an old number.
 	FencingChecked Fencing = "checked"
 )
 
-// Defaults of keys that the text leaves out.
+// Defaults of optional keys.
 const (
 	DefaultMaxUnavailable = 1
 	DefaultSpread         = SpreadTime
@@ -66,34 +66,35 @@
 	DefaultPriority       = 3
 )
 
-// Service is one [service] section. Its slices must not be written to.
+// Service is one [service] section. Its slices must not be modified.
 type Service struct {
 	Name fleet.ServiceName
 	Kind Kind
-	// Version is what every replica is to serve; zero for a plain service.
+	// Version is the version that every replica should serve; zero for a
+	// plain service.
 	Version fleet.Version
-	// Adapters are loaded beside the version, sorted.
+	// Adapters are loaded together with the version; sorted.
 	Adapters []string
-	// DependsOn lists what must be ready first, sorted.
+	// DependsOn lists the services that must be ready first; sorted.
 	DependsOn []fleet.ServiceName
-	// MaxUnavailable is how many replicas of one availability zone may be
-	// out of service at once for a change-over; at least 1.
+	// MaxUnavailable is the number of replicas in one availability zone that
+	// may be out of service at once during a changeover; at least 1.
 	MaxUnavailable int
 	Spread         Spread
-	// OriginCopies is the most copies of a version that the fleet draws from
-	// the origin whatever happens; 1.0 to 3.9.
+	// OriginCopies is the largest number of copies of a version that the fleet
+	// fetches from the origin under any circumstances; 1.0 to 3.9.
 	OriginCopies float64
-	// OriginRate is what the origin's link carries in bytes a second; 0
-	// means that reads of the origin are not paced.
+	// OriginRate is the capacity of the origin's link in bytes per second; 0
+	// means that fetches from the origin are not rate-limited.
 	OriginRate    int64
 	EngineFencing Fencing
-	// EngineRole is the role that engines are ordered to take; empty for no
-	// order.
+	// EngineRole is the role that engines are ordered to take; empty if they
+	// are not ordered to take one.
 	EngineRole string
-	// MaxAttempts is how often an idempotent request is tried; 1 to 5.
+	// MaxAttempts is the number of attempts for an idempotent request; 1 to 5.
 	MaxAttempts int
-	// DrainTimeout is how long a replica that goes out of service may finish
-	// the requests that it has.
+	// DrainTimeout is the time that a replica going out of service has to
+	// finish its requests in progress.
 	DrainTimeout time.Duration
 }
 
@@ -102,20 +103,21 @@
 	Workspace fleet.Workspace
 	// RequestsPerSecond is the sustained rate over all entry instances.
 	RequestsPerSecond float64
-	// Burst is how many requests may come at once after a pause.
+	// Burst is the number of requests that may arrive at once after an idle
+	// period.
 	Burst int
-	// MaxInFlight bounds the requests that run at once; 0 means no bound.
+	// MaxInFlight limits the concurrent requests; 0 means no limit.
 	MaxInFlight int
-	// Priority is the urgency of a request that names none: 0 (first) to 7.
+	// Priority is the default priority of a request: 0 (most urgent) to 7.
 	Priority int
 }
 
-// Fleet is one accepted state of the text. It is immutable and safe for
-// concurrent use; slices that it hands out must not be written to.
+// Fleet is a valid configuration. It is immutable and safe for concurrent use;
+// the slices that it returns must not be modified.
 type Fleet struct {
 	name         string
 	digest       fleet.Digest
-	sections     []*parsedSection // in the order of their names
+	sections     []*parsedSection // sorted by name
 	versions     map[string]fleet.Version
 	services     map[fleet.ServiceName]Service
 	serviceNames []fleet.ServiceName
@@ -124,22 +126,23 @@
 	workspaces   []fleet.Workspace
 }
 
-// Name is the name in the [fleet] section.
+// Name returns the name in the [fleet] section.
 func (f *Fleet) Name() string { return f.name }
 
-// Digest names the whole text. Two texts with one digest mean the same.
+// Digest returns the digest of the configuration. Configurations with the same
+// digest are equivalent.
 func (f *Fleet) Digest() fleet.Digest { return f.digest }
 
-// Service returns the service of that name and whether the text has it.
+// Service returns the service with the given name and whether it exists.
 func (f *Fleet) Service(name fleet.ServiceName) (Service, bool) {
 	s, ok := f.services[name]
 	return s, ok
 }
 
-// ServiceNames lists the services by name.
+// ServiceNames returns the names of all services, sorted.
 func (f *Fleet) ServiceNames() []fleet.ServiceName { return f.serviceNames }
 
-// Services goes through the services by name.
+// Services iterates over all services, sorted by name.
 func (f *Fleet) Services() iter.Seq[Service] {
 	return func(yield func(Service) bool) {
 		for _, name := range f.serviceNames {
@@ -150,27 +153,26 @@
 	}
 }
 
-// DependencyOrder lists the services so that each comes after all that it
-// depends on, else by name.
+// DependencyOrder returns the names of all services in topological order, each
+// after its dependencies.
 func (f *Fleet) DependencyOrder() []fleet.ServiceName { return f.order }
 
-// Version returns the declared version of that name and whether the text has
-// it.
+// Version returns the declared version with the given name and whether it exists.
 func (f *Fleet) Version(name string) (fleet.Version, bool) {
 	v, ok := f.versions[name]
 	return v, ok
 }
 
-// Limits returns the limits of a workspace and whether the text has them.
+// Limits returns the limits of a workspace and whether it has any.
 func (f *Fleet) Limits(name fleet.Workspace) (Limits, bool) {
 	l, ok := f.limits[name]
 	return l, ok
 }
 
-// Workspaces lists the workspaces by name.
+// Workspaces returns the names of all workspaces, sorted.
 func (f *Fleet) Workspaces() []fleet.Workspace { return f.workspaces }
 
-// Sections returns the canonical sections by name.
+// Sections returns the canonical sections, sorted by name.
 func (f *Fleet) Sections() []Section {
 	sections := make([]Section, len(f.sections))
 	for i, s := range f.sections {
@@ -179,8 +181,8 @@
 	return sections
 }
 
-// section returns the parsed section of that name, nil without one. A nil
-// Fleet has none.
+// section returns the parsed section with the given name, nil if there is none
+// or f is nil.
 func (f *Fleet) section(name string) *parsedSection {
 	if f == nil {
 		return nil
--- a/core/fleettext/fuzz_test.go
+++ b/core/fleettext/fuzz_test.go
@@ -10,11 +10,11 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// FuzzLoad checks that no text makes Load panic, that each fault names a line
-// of the text, and that an accepted text means the same after Join.
+// FuzzLoad checks that Load does not panic, that each fault refers to a line of
+// the input, and that Join preserves the meaning of a valid configuration.
 func FuzzLoad(f *testing.F) {
 	for _, pattern := range []string{"testdata/*.good.ini", "testdata/*.bad.ini"} {
-		for _, file := range files(pattern) {
+		for _, file := range mustGlob(pattern) {
 			text, err := os.ReadFile(file)
 			if err != nil {
 				f.Fatal(err)
--- a/core/fleettext/keys.go
+++ b/core/fleettext/keys.go
@@ -9,7 +9,7 @@
 	"chivespindle.example/core/valuetext"
 )
 
-// Ranges of values.
+// Ranges of values, and names of keys.
 const (
 	maxUnavailable    = 1000
 	minOriginCopies   = 1.0
@@ -22,7 +22,7 @@
 	maxBurst          = 1000000
 	maxInFlight       = 1000000
 	lowestPriority    = 7
-	nothingShown      = "none"
+	noValueText       = "none"
 	keyVersion        = "version"
 	keyDependsOn      = "depends_on"
 	keyKind           = "kind"
@@ -31,15 +31,15 @@
 	keyRequestsPerSec = "requests_per_second"
 )
 
-// key describes one key of a section that is read into a T.
+// key describes one key of a section that is parsed into a T.
 type key[T any] struct {
 	name     string
 	required bool
-	// modelOnly keys are refused in a plain service.
+	// modelOnly is true for keys that a plain service must not have.
 	modelOnly bool
 	set       func(*T, string) error
-	// show returns the value in force, defaults included, for Diff.
-	show func(*T) string
+	// format returns the effective value, including a default, for Diff.
+	format func(*T) string
 }
 
 // fleetSettings is the [fleet] section.
@@ -48,7 +48,7 @@
 // versionSettings is one [version] section.
 type versionSettings struct{ manifest fleet.Digest }
 
-// serviceSettings is one [service] section with its version not yet resolved.
+// serviceSettings is one [service] section before its version is resolved.
 type serviceSettings struct {
 	Service
 	versionName string
@@ -56,14 +56,14 @@
 
 var fleetKeys = []key[fleetSettings]{{
 	name: keyName, required: true,
-	set:  func(s *fleetSettings, v string) error { return assign(&s.name)(parseName(v)) },
-	show: func(s *fleetSettings) string { return s.name },
+	set:    func(s *fleetSettings, v string) error { return assign(&s.name)(parseName(v)) },
+	format: func(s *fleetSettings) string { return s.name },
 }}
 
 var versionKeys = []key[versionSettings]{{
 	name: keyManifest, required: true,
-	set:  func(s *versionSettings, v string) error { return setManifest(s, v) },
-	show: func(s *versionSettings) string { return s.manifest.String() },
+	set:    func(s *versionSettings, v string) error { return setManifest(s, v) },
+	format: func(s *versionSettings) string { return s.manifest.String() },
 }}
 
 var serviceKeys = []key[serviceSettings]{{
@@ -71,15 +71,15 @@
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.Kind)(parseChoice(v, KindModel, KindPlain))
 	},
-	show: func(s *serviceSettings) string { return string(s.Kind) },
+	format: func(s *serviceSettings) string { return string(s.Kind) },
 }, {
 	name: keyVersion, modelOnly: true,
-	set:  func(s *serviceSettings, v string) error { return assign(&s.versionName)(parseName(v)) },
-	show: func(s *serviceSettings) string { return s.versionName },
+	set:    func(s *serviceSettings, v string) error { return assign(&s.versionName)(parseName(v)) },
+	format: func(s *serviceSettings) string { return s.versionName },
 }, {
 	name: "adapters", modelOnly: true,
-	set:  func(s *serviceSettings, v string) error { return assign(&s.Adapters)(parseNames(v)) },
-	show: func(s *serviceSettings) string { return showNames(s.Adapters) },
+	set:    func(s *serviceSettings, v string) error { return assign(&s.Adapters)(parseNames(v)) },
+	format: func(s *serviceSettings) string { return formatNames(s.Adapters) },
 }, {
 	name: keyDependsOn,
 	set: func(s *serviceSettings, v string) error {
@@ -90,51 +90,51 @@
 		}
 		return err
 	},
-	show: func(s *serviceSettings) string { return showNames(s.DependsOn) },
+	format: func(s *serviceSettings) string { return formatNames(s.DependsOn) },
 }, {
 	name: "max_unavailable",
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.MaxUnavailable)(parseInteger(v, 1, maxUnavailable))
 	},
-	show: func(s *serviceSettings) string { return showInteger(s.MaxUnavailable) },
+	format: func(s *serviceSettings) string { return formatInteger(s.MaxUnavailable) },
 }, {
 	name: "spread", modelOnly: true,
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.Spread)(parseChoice(v, SpreadTime, SpreadOrigin))
 	},
-	show: func(s *serviceSettings) string { return string(s.Spread) },
+	format: func(s *serviceSettings) string { return string(s.Spread) },
 }, {
 	name: "origin_copies", modelOnly: true,
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.OriginCopies)(parseDecimal(v, minOriginCopies, maxOriginCopies))
 	},
-	show: func(s *serviceSettings) string { return showDecimal(s.OriginCopies) },
+	format: func(s *serviceSettings) string { return formatDecimal(s.OriginCopies) },
 }, {
 	name: "origin_rate", modelOnly: true,
-	set:  func(s *serviceSettings, v string) error { return assign(&s.OriginRate)(parseRate(v)) },
-	show: func(s *serviceSettings) string { return valuetext.Size(s.OriginRate) },
+	set:    func(s *serviceSettings, v string) error { return assign(&s.OriginRate)(parseRate(v)) },
+	format: func(s *serviceSettings) string { return valuetext.Size(s.OriginRate) },
 }, {
 	name: "engine_fencing", modelOnly: true,
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.EngineFencing)(parseChoice(v, FencingIgnored, FencingChecked))
 	},
-	show: func(s *serviceSettings) string { return string(s.EngineFencing) },
+	format: func(s *serviceSettings) string { return string(s.EngineFencing) },
 }, {
 	name: "engine_role", modelOnly: true,
-	set:  func(s *serviceSettings, v string) error { return assign(&s.EngineRole)(parseName(v)) },
-	show: func(s *serviceSettings) string { return s.EngineRole },
+	set:    func(s *serviceSettings, v string) error { return assign(&s.EngineRole)(parseName(v)) },
+	format: func(s *serviceSettings) string { return s.EngineRole },
 }, {
 	name: "max_attempts",
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.MaxAttempts)(parseInteger(v, 1, maxAttempts))
 	},
-	show: func(s *serviceSettings) string { return showInteger(s.MaxAttempts) },
+	format: func(s *serviceSettings) string { return formatInteger(s.MaxAttempts) },
 }, {
 	name: "drain_timeout",
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.DrainTimeout)(parseDuration(v, minDrainTimeout, maxDrainTimeout))
 	},
-	show: func(s *serviceSettings) string { return valuetext.Duration(s.DrainTimeout) },
+	format: func(s *serviceSettings) string { return valuetext.Duration(s.DrainTimeout) },
 }}
 
 var workspaceKeys = []key[Limits]{{
@@ -142,27 +142,27 @@
 	set: func(l *Limits, v string) error {
 		return assign(&l.RequestsPerSecond)(parseDecimal(v, minRequestRate, maxRequestRate))
 	},
-	show: func(l *Limits) string { return showDecimal(l.RequestsPerSecond) },
+	format: func(l *Limits) string { return formatDecimal(l.RequestsPerSecond) },
 }, {
-	name: "burst",
-	set:  func(l *Limits, v string) error { return assign(&l.Burst)(parseInteger(v, 1, maxBurst)) },
-	show: func(l *Limits) string { return showInteger(l.Burst) },
+	name:   "burst",
+	set:    func(l *Limits, v string) error { return assign(&l.Burst)(parseInteger(v, 1, maxBurst)) },
+	format: func(l *Limits) string { return formatInteger(l.Burst) },
 }, {
 	name: "max_in_flight",
 	set: func(l *Limits, v string) error {
 		return assign(&l.MaxInFlight)(parseInteger(v, 0, maxInFlight))
 	},
-	show: func(l *Limits) string { return showInteger(l.MaxInFlight) },
+	format: func(l *Limits) string { return formatInteger(l.MaxInFlight) },
 }, {
 	name: "priority",
 	set: func(l *Limits, v string) error {
 		return assign(&l.Priority)(parseInteger(v, 0, lowestPriority))
 	},
-	show: func(l *Limits) string { return showInteger(l.Priority) },
+	format: func(l *Limits) string { return formatInteger(l.Priority) },
 }}
 
-// assign returns a function that stores a value unless it comes with an
-// error.
+// assign returns a function that stores the result of a parser in target
+// unless the parser failed.
 func assign[T any](target *T) func(T, error) error {
 	return func(value T, err error) error {
 		if err == nil {
@@ -175,32 +175,32 @@
 func setManifest(s *versionSettings, value string) error {
 	d, err := fleet.ParseDigest(value)
 	if err != nil || value != strings.ToLower(value) {
-		return badValue("want the manifest's digest, %d lower-case hex digits", 2*fleet.DigestSize)
+		return newValueError("want the manifest's digest, %d lower-case hex digits", 2*fleet.DigestSize)
 	}
 	if d.IsZero() {
-		return badValue("a digest of zeros names nothing")
+		return newValueError("a digest of zeros names nothing")
 	}
 	s.manifest = d
 	return nil
 }
 
-// read fills target from pairs and adds a fault for each unknown key, missing
-// key and bad value.
-func read[T any](s *parsedSection, pairs []pair, keys []key[T], target *T, faults *faultList) {
-	given := map[string]bool{}
+// readPairs sets the fields of target from pairs and adds a fault for each unknown
+// key, missing key and invalid value.
+func readPairs[T any](s *parsedSection, pairs []pair, keys []key[T], target *T, faults *faultList) {
+	present := map[string]bool{}
 	for _, p := range pairs {
 		i := slices.IndexFunc(keys, func(k key[T]) bool { return k.name == p.key })
 		if i < 0 {
 			faults.add(s.lineOf(p.key), "unknown key %q in [%s]: want one of %s", p.key, s.id, keyNames(keys))
 			continue
 		}
-		given[p.key] = true
+		present[p.key] = true
 		if err := keys[i].set(target, p.value); err != nil {
 			faults.add(s.lineOf(p.key), "%s: %s", p.key, err)
 		}
 	}
 	for _, k := range keys {
-		if k.required && !given[k.name] && !slices.Contains(s.held, k.name) {
+		if k.required && !present[k.name] && !slices.Contains(s.refusedKeys, k.name) {
 			faults.add(s.lineOf(k.name), "[%s] needs the key %q", s.id, k.name)
 		}
 	}
@@ -211,16 +211,16 @@
 	for i, k := range keys {
 		names[i] = k.name
 	}
-	return showNames(names)
+	return formatNames(names)
 }
 
-// shown returns the values in force of all keys, in the order of the keys.
-func shown[T any](keys []key[T], target *T) []pair {
+// formatValues returns the effective values of all keys, in the order of keys.
+func formatValues[T any](keys []key[T], target *T) []pair {
 	pairs := make([]pair, len(keys))
 	for i, k := range keys {
-		pairs[i] = pair{key: k.name, value: k.show(target)}
+		pairs[i] = pair{key: k.name, value: k.format(target)}
 		if pairs[i].value == "" {
-			pairs[i].value = nothingShown
+			pairs[i].value = noValueText
 		}
 	}
 	return pairs
--- a/core/fleettext/lines.go
+++ b/core/fleettext/lines.go
@@ -8,12 +8,12 @@
 	"unicode/utf8"
 )
 
-// keySeparator stands between a key and its value.
+// keySeparator separates a key from its value.
 const keySeparator = "="
 
 var headerPattern = regexp.MustCompile(`^\[([^\[\]]*)\][ \t]*([;#].*)?$`)
 
-// isKey reports whether name has the form of a key: [a-z][a-z0-9_]*.
+// isKey reports whether name is a valid key: [a-z][a-z0-9_]*.
 func isKey(name string) bool {
 	for i, c := range []byte(name) {
 		lower := 'a' <= c && c <= 'z'
@@ -25,43 +25,43 @@
 	return name != ""
 }
 
-// block is one section of a text as the line index sees it.
-type block struct {
-	id    sectionID
-	line  int
-	lines map[string]int // line of each key
-	held  []string       // keys whose values were refused already
-	// clean is what ini.v1 may read: the header and the accepted pairs.
-	clean []byte
+// rawSection is one section as found by lineIndex.
+type rawSection struct {
+	id          sectionID
+	line        int
+	lines       map[string]int // line of each key
+	refusedKeys []string       // keys whose values were rejected
+	// iniText is the input for ini.v1: the header and the accepted pairs.
+	iniText []byte
 }
 
-// lineIndex remembers where sections and keys stand, which ini.v1 does not,
-// and holds back from it every line that it would read in a surprising way:
-// a value that runs over several lines, a quoted value, a header with a
-// bracket in its comment, a second section or key of one name (merged or
-// overwritten in silence).
+// lineIndex records the line numbers of sections and keys, which ini.v1 does not
+// provide. It also filters out all lines that ini.v1 would interpret in a
+// surprising way: values that span several lines, quoted values, headers with a
+// bracket in their comment, and duplicate sections and keys, which it would merge
+// or overwrite without an error.
 type lineIndex struct {
-	faults *faultList
-	blocks []block
+	faults   *faultList
+	sections []rawSection
 
-	seen    map[sectionID]int
-	current *block // nil before the first header and in a refused section
-	started bool   // a header was seen, accepted or not
+	seen       map[sectionID]int
+	current    *rawSection // nil before the first header and in a rejected section
+	headerSeen bool        // a header was seen, valid or not
 }
 
-// indexLines walks text line by line. Faults go to faults.
+// indexLines indexes text line by line and adds a fault for each rejected line.
 func indexLines(text []byte, faults *faultList) *lineIndex {
 	x := &lineIndex{faults: faults, seen: map[sectionID]int{}}
 	number := 0
 	for raw := range bytes.Lines(text) {
 		number++
-		x.line(number, strings.TrimRight(string(raw), "\r\n"))
+		x.addLine(number, strings.TrimRight(string(raw), "\r\n"))
 	}
 	return x
 }
 
-func (x *lineIndex) line(number int, line string) {
-	if !x.plain(number, line) {
+func (x *lineIndex) addLine(number int, line string) {
+	if !x.checkCharacters(number, line) {
 		return
 	}
 	trimmed := strings.TrimSpace(line)
@@ -69,14 +69,15 @@
 	case trimmed == "", trimmed[0] == ';', trimmed[0] == '#':
 		return
 	case trimmed[0] == '[':
-		x.header(number, trimmed)
+		x.addHeader(number, trimmed)
 	default:
-		x.pair(number, trimmed)
+		x.addPair(number, trimmed)
 	}
 }
 
-// plain refuses what an editor does not show.
-func (x *lineIndex) plain(number int, line string) bool {
+// checkCharacters rejects invalid UTF-8 and control characters, which an editor
+// does not show.
+func (x *lineIndex) checkCharacters(number int, line string) bool {
 	if !utf8.ValidString(line) {
 		x.faults.add(number, "line is not UTF-8")
 		return false
@@ -90,8 +91,8 @@
 	return true
 }
 
-func (x *lineIndex) header(number int, line string) {
-	x.started = true
+func (x *lineIndex) addHeader(number int, line string) {
+	x.headerSeen = true
 	x.current = nil
 	match := headerPattern.FindStringSubmatch(line)
 	if match == nil {
@@ -103,18 +104,18 @@
 		x.faults.add(number, "%s", err)
 		return
 	}
-	if first, twice := x.seen[id]; twice {
+	if first, duplicate := x.seen[id]; duplicate {
 		x.faults.add(number, "section [%s] appears twice, first on line %d", id, first)
 		return
 	}
 	x.seen[id] = number
-	x.blocks = append(x.blocks, block{
-		id: id, line: number, lines: map[string]int{}, clean: []byte(id.header()),
+	x.sections = append(x.sections, rawSection{
+		id: id, line: number, lines: map[string]int{}, iniText: []byte(id.header()),
 	})
-	x.current = &x.blocks[len(x.blocks)-1]
+	x.current = &x.sections[len(x.sections)-1]
 }
 
-func (x *lineIndex) pair(number int, line string) {
+func (x *lineIndex) addPair(number int, line string) {
 	key, value, found := strings.Cut(line, keySeparator)
 	if !found {
 		x.faults.add(number, `line is neither a section header, a "key = value" pair nor a comment`)
@@ -126,23 +127,23 @@
 		x.faults.add(number, "bad key %q: want lower-case letters, digits and _", key)
 		return
 	}
-	if !x.started {
+	if !x.headerSeen {
 		x.faults.add(number, "key %q stands before the first section header", key)
 		return
 	}
 	if x.current == nil {
 		return
 	}
-	if first, twice := x.current.lines[key]; twice {
+	if first, duplicate := x.current.lines[key]; duplicate {
 		x.faults.add(number, "key %q appears twice in [%s], first on line %d", key, x.current.id, first)
 		return
 	}
 	x.current.lines[key] = number
 	if strings.IndexAny(value, "\"'`") == 0 {
 		x.faults.add(number, "value of %q is quoted: write it without quotes", key)
-		x.current.held = append(x.current.held, key)
+		x.current.refusedKeys = append(x.current.refusedKeys, key)
 		return
 	}
-	x.current.clean = append(x.current.clean, line...)
-	x.current.clean = append(x.current.clean, '\n')
+	x.current.iniText = append(x.current.iniText, line...)
+	x.current.iniText = append(x.current.iniText, '\n')
 }
--- a/core/fleettext/load.go
+++ b/core/fleettext/load.go
@@ -9,10 +9,11 @@
 	"chivespindle.example/core/fleet"
 )
 
-// iniOptions switch off what would surprise a reader of the text. Values are
-// taken with Key.Value, which does not expand %(name)s. Two options are a
-// second line of defence: the line index refuses quoted values itself, and as
-// each section is parsed alone there is none to inherit from.
+// iniOptions disable surprising features of the parser. Values are read with
+// Key.Value, which does not expand %(name)s. PreserveSurroundedQuote and
+// ChildSectionDelimiter are a second line of defence: lineIndex rejects quoted
+// values itself, and because each section is parsed alone there is no parent
+// section to inherit from.
 var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:      true,
 	PreserveSurroundedQuote: true,
@@ -20,21 +21,20 @@
 	ChildSectionDelimiter:   "\x00",
 }
 
-// Load checks text and returns the fleet that it describes. file is the name
-// that faults are reported under. A refused text gives a failure.Invalid that
-// wraps a *CheckError with all faults; see AsCheckError.
+// Load parses and validates text. Faults are reported under the name file. For an
+// invalid text the error is a failure.Invalid that wraps a *CheckError with all
+// faults; see AsCheckError.
 func Load(file string, text []byte) (*Fleet, error) {
 	return load(file, text, nil)
 }
 
-// Reload is Load for a process that has the state base already. It comes to
-// the same result and reads only the sections that changed, so that a change
-// of one section in a text near MaxBytes does not cost a node a good part of
-// a second.
+// Reload returns the same result as Load but parses only the sections that differ
+// from base. It saves a node from spending a large part of a second on a change of
+// one section in a configuration near MaxBytes.
 func Reload(file string, text []byte, base *Fleet) (*Fleet, error) {
 	f, err := load(file, text, base)
 	if err != nil && base != nil {
-		// Lines of shared sections are not known any more.
+		// The line numbers of shared sections have been released.
 		return load(file, text, nil)
 	}
 	return f, err
@@ -42,7 +42,7 @@
 
 func load(file string, text []byte, base *Fleet) (*Fleet, error) {
 	faults := &faultList{file: file}
-	checkWhole(text, faults)
+	checkFile(text, faults)
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
@@ -51,15 +51,15 @@
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
-	forgetLines(sections)
+	releaseLines(sections)
 	return f, nil
 }
 
-// byteOrderMark is what some editors put before the first line.
+// byteOrderMark is written before the first line by some editors.
 const byteOrderMark = "\uFEFF"
 
-// checkWhole refuses a text that is not worth reading line by line.
-func checkWhole(text []byte, faults *faultList) {
+// checkFile rejects a file that is too large or starts with a byte order mark.
+func checkFile(text []byte, faults *faultList) {
 	if len(text) > MaxBytes {
 		faults.add(1, "text has %d bytes, at most %d are allowed", len(text), MaxBytes)
 	}
@@ -68,28 +68,28 @@
 	}
 }
 
-// parseSections reads the sections of text and checks each by itself.
-// Sections that stand in base as they are, nil for nothing, are taken from it.
+// parseSections parses and validates each section of text by itself. Sections
+// that are unchanged from base, which may be nil, are shared with it.
 func parseSections(text []byte, base *Fleet, faults *faultList) []*parsedSection {
 	index := indexLines(text, faults)
-	sections := make([]*parsedSection, 0, len(index.blocks))
-	for i := range index.blocks {
-		b := &index.blocks[i]
-		source := fleet.DigestOf(b.clean)
-		if known := base.section(b.id.String()); known != nil && known.source == source {
-			sections = append(sections, known)
+	sections := make([]*parsedSection, 0, len(index.sections))
+	for i := range index.sections {
+		b := &index.sections[i]
+		source := fleet.DigestOf(b.iniText)
+		if unchanged := base.section(b.id.String()); unchanged != nil && unchanged.sourceDigest == source {
+			sections = append(sections, unchanged)
 			continue
 		}
 		s := parseSection(b, faults)
-		s.source = source
+		s.sourceDigest = source
 		sections = append(sections, s)
 	}
 	return sections
 }
 
-// pairsOf returns the pairs of one section that have a value.
-func pairsOf(b *block, faults *faultList) []pair {
-	file, err := ini.LoadSources(iniOptions, b.clean)
+// parsePairs returns the pairs of one section that have a value.
+func parsePairs(b *rawSection, faults *faultList) []pair {
+	file, err := ini.LoadSources(iniOptions, b.iniText)
 	if err != nil {
 		faults.add(b.line, "section [%s] is not INI: %s", b.id, err)
 		return nil
@@ -103,23 +103,23 @@
 	return pairs
 }
 
-func parseSection(b *block, faults *faultList) *parsedSection {
-	pairs := pairsOf(b, faults)
+func parseSection(b *rawSection, faults *faultList) *parsedSection {
+	pairs := parsePairs(b, faults)
 	s := &parsedSection{
-		Section: canonicalSection(b.id, pairs),
-		id:      b.id,
-		line:    b.line,
-		lines:   b.lines,
-		held:    b.held,
+		Section:     canonicalSection(b.id, pairs),
+		id:          b.id,
+		line:        b.line,
+		lines:       b.lines,
+		refusedKeys: b.refusedKeys,
 	}
 	switch b.id.kind {
 	case kindFleet:
 		settings := &fleetSettings{}
-		read(s, pairs, fleetKeys, settings, faults)
+		readPairs(s, pairs, fleetKeys, settings, faults)
 		s.value = settings
 	case kindVersion:
 		settings := &versionSettings{}
-		read(s, pairs, versionKeys, settings, faults)
+		readPairs(s, pairs, versionKeys, settings, faults)
 		s.value = settings
 	case kindService:
 		s.value = parseService(s, pairs, faults)
@@ -136,7 +136,7 @@
 		MaxAttempts:    DefaultMaxAttempts,
 		DrainTimeout:   DefaultDrainTimeout,
 	}}
-	read(s, pairs, serviceKeys, settings, faults)
+	readPairs(s, pairs, serviceKeys, settings, faults)
 	switch settings.Kind {
 	case KindModel:
 		setModelDefaults(&settings.Service)
@@ -175,15 +175,15 @@
 
 func parseWorkspace(s *parsedSection, pairs []pair, faults *faultList) *Limits {
 	limits := &Limits{Workspace: fleet.Workspace(s.id.name), Priority: DefaultPriority}
-	read(s, pairs, workspaceKeys, limits, faults)
+	readPairs(s, pairs, workspaceKeys, limits, faults)
 	if limits.Burst == 0 {
 		limits.Burst = max(1, int(limits.RequestsPerSecond))
 	}
 	return limits
 }
 
-// assemble joins sections into a fleet and checks what they say of each
-// other. The result is only valid if no fault was added.
+// assemble builds a Fleet from sections and checks the references between them.
+// The result is only valid if no fault was added.
 func assemble(sections []*parsedSection, faults *faultList) *Fleet {
 	f := &Fleet{
 		sections: slices.Clone(sections),
--- a/core/fleettext/load_test.go
+++ b/core/fleettext/load_test.go
@@ -18,14 +18,13 @@
 	"chivespindle.example/core/fleettext"
 )
 
-// update writes the golden files anew; read the difference before it is
-// committed.
+// update regenerates the golden files; review the difference before committing.
 var update = flag.Bool("update", false, "write golden files")
 
-func files(pattern string) []string {
+func mustGlob(pattern string) []string {
 	names, err := filepath.Glob(pattern)
 	if err != nil || len(names) == 0 {
-		panic("no files " + pattern)
+		panic("no files match " + pattern)
 	}
 	return names
 }
@@ -45,7 +44,7 @@
 }
 
 var _ = Describe("Load", func() {
-	for _, file := range files("testdata/*.good.ini") {
+	for _, file := range mustGlob("testdata/*.good.ini") {
 		It("accepts "+filepath.Base(file), func() {
 			f := mustLoad(file)
 			again := mustLoadText(string(fleettext.Join(f.Sections())))
@@ -55,8 +54,8 @@
 		})
 	}
 
-	for _, file := range files("testdata/*.bad.ini") {
-		It("refuses "+filepath.Base(file), func() {
+	for _, file := range mustGlob("testdata/*.bad.ini") {
+		It("rejects "+filepath.Base(file), func() {
 			text, err := os.ReadFile(file)
 			Expect(err).NotTo(HaveOccurred())
 			_, err = fleettext.Load(filepath.Base(file), text)
@@ -94,7 +93,7 @@
 		Expect(f.DependencyOrder()).To(Equal([]fleet.ServiceName{"member-portal", "workshop-api", "spindle-pool"}))
 	})
 
-	It("fills in defaults", func() {
+	It("applies defaults", func() {
 		f := mustLoad("testdata/defaults.good.ini")
 		pool, _ := f.Service("spindle-pool")
 		version, _ := f.Version("kieli-7b-r3")
@@ -115,7 +114,7 @@
 		Expect(child.MaxAttempts).To(Equal(fleettext.DefaultMaxAttempts))
 	})
 
-	It("refuses a text over the platform's limit and takes one at the limit", func() {
+	It("rejects a configuration over the size limit and accepts one at the limit", func() {
 		text := []byte("[fleet]\nname=f\n")
 		full := append(text, bytes.Repeat([]byte(";"), fleettext.MaxBytes-len(text))...)
 		_, err := fleettext.Load("big.ini", full)
@@ -124,10 +123,10 @@
 		Expect(fleettext.AsCheckError(err).Error()).To(Equal("big.ini:1: text has 1048577 bytes, at most 1048576 are allowed"))
 	})
 
-	It("lists a bounded number of faults", func() {
+	It("limits the number of listed faults", func() {
 		_, err := fleettext.Load("junk.ini", bytes.Repeat([]byte("junk\n"), 1000))
 		check := fleettext.AsCheckError(err)
 		Expect(check.Faults).To(HaveLen(fleettext.MaxFaults))
-		Expect(check.Omitted).To(Equal(901)) // with the missing [fleet]
+		Expect(check.Omitted).To(Equal(901)) // including the missing [fleet]
 	})
 })
--- a/core/fleettext/section.go
+++ b/core/fleettext/section.go
@@ -18,8 +18,7 @@
 	kindWorkspace sectionKind = "workspace"
 )
 
-// sectionID is what stands between the brackets of a header. The fleet
-// section has no name.
+// sectionID is the content of a section header. The fleet section has no name.
 type sectionID struct {
 	kind sectionKind
 	name string
@@ -38,41 +37,41 @@
 func parseSectionID(inner string) (sectionID, error) {
 	words := strings.Fields(inner)
 	if len(words) == 0 {
-		return sectionID{}, badValue("section header is empty")
+		return sectionID{}, newValueError("section header is empty")
 	}
 	kind := sectionKind(words[0])
 	switch kind {
 	case kindFleet:
 		if len(words) != 1 {
-			return sectionID{}, badValue("section [fleet] takes no name")
+			return sectionID{}, newValueError("section [fleet] takes no name")
 		}
 		return sectionID{kind: kind}, nil
 	case kindVersion, kindService, kindWorkspace:
 		if len(words) != 2 {
-			return sectionID{}, badValue("section [%s] needs one name: [%s NAME]", kind, kind)
+			return sectionID{}, newValueError("section [%s] needs one name: [%s NAME]", kind, kind)
 		}
 		name, err := parseName(words[1])
 		return sectionID{kind: kind, name: name}, err
 	default:
-		return sectionID{}, badValue("unknown section [%s]: want [fleet], [version NAME], [service NAME] or [workspace NAME]", inner)
+		return sectionID{}, newValueError("unknown section [%s]: want [fleet], [version NAME], [service NAME] or [workspace NAME]", inner)
 	}
 }
 
-// Section is one section of an accepted text in canonical form: keys in
-// alphabetical order, one space-free "key=value" a line, no comments, no
-// empty values. Two sections that differ only in these are equal.
+// Section is one section of a valid configuration in canonical form: keys in
+// alphabetical order, one "key=value" per line without spaces around "=", no
+// comments, no empty values. Sections that differ only in these are equal.
 type Section struct {
-	// Name is the inside of the header, such as "service spindle-pool".
+	// Name is the header without brackets, such as "service spindle-pool".
 	Name string `cbor:"1,keyasint"`
-	// Text is the header and the pairs, each line ended by "\n".
+	// Text is the header and the pairs, each line terminated by "\n".
 	Text string `cbor:"2,keyasint"`
-	// Digest is that of Text. A receiver works it out anew.
+	// Digest is the digest of Text. It is not sent; a receiver computes it.
 	Digest fleet.Digest `cbor:"-"`
 }
 
-// Join returns the canonical text of sections, which Load accepts if the
-// sections are those of an accepted Fleet. It is never longer than the text
-// that they came from.
+// Join returns the canonical text of sections. Load accepts it if the sections
+// are those of one Fleet. It is never longer than the file that they were parsed
+// from.
 func Join(sections []Section) []byte {
 	sorted := slices.Clone(sections)
 	slices.SortStableFunc(sorted, compareSections)
@@ -85,22 +84,21 @@
 
 func compareSections(a, b Section) int { return strings.Compare(a.Name, b.Name) }
 
-// parsedSection is a section whose own pairs are in order. Once its text is
-// accepted it is immutable, and shared by the states of the text that contain
-// it.
+// parsedSection is a section with its parsed value. Once accepted it is immutable
+// and shared by all Fleets that contain it.
 type parsedSection struct {
 	Section
-	id    sectionID
-	line  int
-	lines map[string]int
-	held  []string
-	// source is the digest of what ini.v1 read.
-	source fleet.Digest
+	id          sectionID
+	line        int
+	lines       map[string]int
+	refusedKeys []string
+	// sourceDigest is the digest of the text that was passed to ini.v1.
+	sourceDigest fleet.Digest
 	// value is one of *fleetSettings, *versionSettings, *serviceSettings, *Limits.
 	value any
 }
 
-// lineOf returns the line of key, or that of the header without the key.
+// lineOf returns the line of key, or the line of the header if the key is missing.
 func (s *parsedSection) lineOf(key string) int {
 	if line, ok := s.lines[key]; ok {
 		return line
@@ -108,20 +106,20 @@
 	return s.line
 }
 
-// forgetLines frees what only faults need. It takes most of the memory of an
-// accepted text. Sections that are shared with another Fleet have none, and
-// must not be written to.
-func forgetLines(sections []*parsedSection) {
+// releaseLines frees what is only needed to report faults, which is most of the
+// memory of an accepted section. Sections shared with another Fleet have been
+// released before and must not be modified.
+func releaseLines(sections []*parsedSection) {
 	for _, s := range sections {
 		if s.lines == nil {
 			continue
 		}
 		s.lines = nil
-		s.held = nil
+		s.refusedKeys = nil
 	}
 }
 
-// pair is one key with a value that is not empty.
+// pair is a key with its value, which is not empty.
 type pair struct{ key, value string }
 
 func canonicalSection(id sectionID, pairs []pair) Section {
@@ -136,14 +134,14 @@
 	return Section{Name: id.String(), Text: text, Digest: fleet.DigestOf([]byte(text))}
 }
 
-// digestLabel keeps the digest of a whole text apart from every other digest.
-const digestLabel = "chivespindle fleet text 1\n"
+// digestDomain separates the digest of a configuration from all other digests.
+const digestDomain = "chivespindle fleet text 1\n"
 
-// digestOfSections returns the digest of a whole text over the names and
-// digests of its sections, which must be in the order of their names.
+// digestOfSections returns the digest of a configuration, computed over the names
+// and digests of its sections, which must be sorted by name.
 func digestOfSections(sections []*parsedSection) fleet.Digest {
 	var b bytes.Buffer
-	b.WriteString(digestLabel)
+	b.WriteString(digestDomain)
 	for _, s := range sections {
 		b.WriteString(s.Name + "\n")
 		b.Write(s.Digest[:])
--- a/core/fleettext/values.go
+++ b/core/fleettext/values.go
@@ -11,7 +11,7 @@
 	"chivespindle.example/core/valuetext"
 )
 
-// MaxNameBytes is the length of the longest name.
+// MaxNameBytes is the largest length of a name.
 const MaxNameBytes = 63
 
 var (
@@ -20,26 +20,26 @@
 	ratePattern    = regexp.MustCompile(`^([0-9]{1,9})(B|KB|MB|GB)$`)
 )
 
-// valueError says why a value is refused.
+// valueError explains why a value is invalid.
 type valueError struct{ reason string }
 
 func (e valueError) Error() string { return e.reason }
 
-func badValue(format string, args ...any) error {
+func newValueError(format string, args ...any) error {
 	return valueError{reason: fmt.Sprintf(format, args...)}
 }
 
 func parseName(value string) (string, error) {
 	if len(value) > MaxNameBytes {
-		return "", badValue("name has %d bytes, at most %d are allowed", len(value), MaxNameBytes)
+		return "", newValueError("name has %d bytes, at most %d are allowed", len(value), MaxNameBytes)
 	}
 	if !isName(value) {
-		return "", badValue("bad name %q: want letters, digits, '.', '_' and '-', a letter or digit first", value)
+		return "", newValueError("bad name %q: want letters, digits, '.', '_' and '-', a letter or digit first", value)
 	}
 	return value, nil
 }
 
-// isName reports whether name has the form [A-Za-z0-9][A-Za-z0-9._-]*.
+// isName reports whether name matches [A-Za-z0-9][A-Za-z0-9._-]*.
 func isName(name string) bool {
 	for i, c := range []byte(name) {
 		first := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
@@ -51,7 +51,7 @@
 	return name != ""
 }
 
-// parseNames reads a comma-separated list and returns it sorted.
+// parseNames parses a comma-separated list and returns it sorted.
 func parseNames(value string) ([]string, error) {
 	var names []string
 	for item := range strings.SplitSeq(value, ",") {
@@ -60,7 +60,7 @@
 			return nil, err
 		}
 		if slices.Contains(names, name) {
-			return nil, badValue("%q is listed twice", name)
+			return nil, newValueError("%q is listed twice", name)
 		}
 		names = append(names, name)
 	}
@@ -68,7 +68,7 @@
 	return names, nil
 }
 
-func showNames[T ~string](names []T) string {
+func formatNames[T ~string](names []T) string {
 	items := make([]string, len(names))
 	for i, name := range names {
 		items[i] = string(name)
@@ -78,61 +78,61 @@
 
 func parseInteger(value string, low, high int) (int, error) {
 	if !integerPattern.MatchString(value) {
-		return 0, badValue("%q is not a whole number", value)
+		return 0, newValueError("%q is not a whole number", value)
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil || n < low || n > high {
-		return 0, badValue("%s is out of range: want %d to %d", value, low, high)
+		return 0, newValueError("%s is out of range: want %d to %d", value, low, high)
 	}
 	return n, nil
 }
 
 func parseDecimal(value string, low, high float64) (float64, error) {
 	if !decimalPattern.MatchString(value) {
-		return 0, badValue("%q is not a number with at most two decimals", value)
+		return 0, newValueError("%q is not a number with at most two decimals", value)
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || x < low || x > high {
-		return 0, badValue("%s is out of range: want %s to %s", value, showDecimal(low), showDecimal(high))
+		return 0, newValueError("%s is out of range: want %s to %s", value, formatDecimal(low), formatDecimal(high))
 	}
 	return x, nil
 }
 
-func showDecimal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+func formatDecimal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
 func parseDuration(value string, low, high time.Duration) (time.Duration, error) {
 	d, err := time.ParseDuration(value)
 	if err != nil {
-		return 0, badValue("%q is not a duration such as 30s or 2m", value)
+		return 0, newValueError("%q is not a duration such as 30s or 2m", value)
 	}
 	if d < low || d > high {
-		return 0, badValue("%s is out of range: want %s to %s", value, valuetext.Duration(low), valuetext.Duration(high))
+		return 0, newValueError("%s is out of range: want %s to %s", value, valuetext.Duration(low), valuetext.Duration(high))
 	}
 	return d, nil
 }
 
-// maxRate is the highest rate in bytes a second.
+// maxRate is the highest rate in bytes per second.
 const maxRate = int64(1e12)
 
-// parseRate reads bytes a second: "50MB", "0".
+// parseRate parses a rate in bytes per second such as "50MB" or "0".
 func parseRate(value string) (int64, error) {
 	if value == "0" {
 		return 0, nil
 	}
 	match := ratePattern.FindStringSubmatch(value)
 	if match == nil {
-		return 0, badValue("%q is not a rate such as 50MB (units B, KB, MB, GB) or 0", value)
+		return 0, newValueError("%q is not a rate such as 50MB (units B, KB, MB, GB) or 0", value)
 	}
 	n, err := strconv.ParseInt(match[1], 10, 64)
 	if err != nil {
-		return 0, badValue("%q is not a rate", value)
+		return 0, newValueError("%q is not a rate", value)
 	}
 	for _, unit := range valuetext.Units {
 		if unit.Name != match[2] {
 			continue
 		}
 		if n > maxRate/unit.Bytes {
-			return 0, badValue("%s is out of range: want at most %s", value, valuetext.Size(maxRate))
+			return 0, newValueError("%s is out of range: want at most %s", value, valuetext.Size(maxRate))
 		}
 		n *= unit.Bytes
 		break
@@ -145,7 +145,7 @@
 		return T(value), nil
 	}
 	var none T
-	return none, badValue("%q is not one of %s", value, showNames(choices))
+	return none, newValueError("%q is not one of %s", value, formatNames(choices))
 }
 
-func showInteger(n int) string { return strconv.Itoa(n) }
+func formatInteger(n int) string { return strconv.Itoa(n) }
--- a/core/valuetext/valuetext.go
+++ b/core/valuetext/valuetext.go
@@ -1,4 +1,4 @@
-// Package valuetext writes values for texts that people edit.
+// Package valuetext formats sizes and durations for configuration files.
 package valuetext
 
 import (
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Unit is a unit of sizes.
+// Unit is a unit of size.
 type Unit struct {
 	Name  string
 	Bytes int64
 }
 
-// Units are decimal, as link rates are; the largest is first.
+// Units lists the units in descending order. They are decimal, like link rates.
 var Units = []Unit{{"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// Size writes a size in the largest unit that leaves a whole number.
+// Size formats a size in the largest unit that gives a whole number.
 func Size(bytes int64) string {
 	if bytes == 0 {
 		return "0"
 	}
-	at := 0
-	for bytes%Units[at].Bytes != 0 {
-		at++
+	i := 0
+	for bytes%Units[i].Bytes != 0 {
+		i++
 	}
-	return strconv.FormatInt(bytes/Units[at].Bytes, 10) + Units[at].Name
+	return strconv.FormatInt(bytes/Units[i].Bytes, 10) + Units[i].Name
 }
 
-// Duration writes "1h" where time.Duration.String writes "1h0m0s".
+// Duration formats a duration without trailing zero units: "1h" where
+// time.Duration.String returns "1h0m0s".
 func Duration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
