--- a/adapters/settings/file.go
+++ b/adapters/settings/file.go
@@ -83,7 +83,7 @@
 	case err != nil:
 		r.addFault(0, "cannot be read: %v", stripPath(err))
 	case len(data) > maxFileSize:
-		r.addFault(0, "is larger than %s", valuetext.Size(maxFileSize))
+		r.addFault(0, "is larger than %s", valuetext.FormatSize(maxFileSize))
 	case !utf8.Valid(data):
 		r.addFault(firstInvalidLine(data), "is not UTF-8 text")
 	default:
--- a/adapters/settings/load.go
+++ b/adapters/settings/load.go
@@ -234,10 +234,10 @@
 	if s.Limits.DrainTimeout < s.Entry.AddressTTL {
 		l.reportConflict("limits.drain_timeout", fmt.Sprintf(
 			"must not be shorter than [entry] address_ttl, %s: callers come until their address answers expire",
-			valuetext.Duration(s.Entry.AddressTTL)))
+			valuetext.FormatDuration(s.Entry.AddressTTL)))
 	}
 	if s.Entry.MaxBody > s.Limits.MemoryLimit {
-		l.reportConflict("entry.max_body", fmt.Sprintf("must not exceed [limits] memory_limit, %s", valuetext.Size(s.Limits.MemoryLimit)))
+		l.reportConflict("entry.max_body", fmt.Sprintf("must not exceed [limits] memory_limit, %s", valuetext.FormatSize(s.Limits.MemoryLimit)))
 	}
 }
 
--- a/adapters/settings/values.go
+++ b/adapters/settings/values.go
@@ -145,7 +145,7 @@
 }
 
 func duration(field func(*Settings) *time.Duration, low, high time.Duration) binding {
-	limits := valuetext.Duration(low) + " to " + valuetext.Duration(high)
+	limits := valuetext.FormatDuration(low) + " to " + valuetext.FormatDuration(high)
 	parse := func(text string) (time.Duration, error) {
 		value, err := time.ParseDuration(text)
 		if err != nil {
@@ -157,7 +157,7 @@
 }
 
 func size(field func(*Settings) *int64, low, high int64) binding {
-	limits := valuetext.Size(low) + " to " + valuetext.Size(high)
+	limits := valuetext.FormatSize(low) + " to " + valuetext.FormatSize(high)
 	parse := func(text string) (int64, error) {
 		value, err := parseSize(text)
 		if err != nil {
--- a/core/fleettext/keys.go
+++ b/core/fleettext/keys.go
@@ -112,7 +112,7 @@
 }, {
 	name: "origin_rate", modelOnly: true,
 	set:    func(s *serviceSettings, v string) error { return assign(&s.OriginRate)(parseRate(v)) },
-	format: func(s *serviceSettings) string { return valuetext.Size(s.OriginRate) },
+	format: func(s *serviceSettings) string { return valuetext.FormatSize(s.OriginRate) },
 }, {
 	name: "engine_fencing", modelOnly: true,
 	set: func(s *serviceSettings, v string) error {
@@ -134,7 +134,7 @@
 	set: func(s *serviceSettings, v string) error {
 		return assign(&s.DrainTimeout)(parseDuration(v, minDrainTimeout, maxDrainTimeout))
 	},
-	format: func(s *serviceSettings) string { return valuetext.Duration(s.DrainTimeout) },
+	format: func(s *serviceSettings) string { return valuetext.FormatDuration(s.DrainTimeout) },
 }}
 
 var workspaceKeys = []key[Limits]{{
--- a/core/fleettext/values.go
+++ b/core/fleettext/values.go
@@ -106,7 +106,7 @@
 		return 0, newValueError("%q is not a duration such as 30s or 2m", value)
 	}
 	if d < low || d > high {
-		return 0, newValueError("%s is out of range: want %s to %s", value, valuetext.Duration(low), valuetext.Duration(high))
+		return 0, newValueError("%s is out of range: want %s to %s", value, valuetext.FormatDuration(low), valuetext.FormatDuration(high))
 	}
 	return d, nil
 }
@@ -132,7 +132,7 @@
 			continue
 		}
 		if n > maxRate/unit.Bytes {
-			return 0, newValueError("%s is out of range: want at most %s", value, valuetext.Size(maxRate))
+			return 0, newValueError("%s is out of range: want at most %s", value, valuetext.FormatSize(maxRate))
 		}
 		n *= unit.Bytes
 		break
--- a/core/valuetext/valuetext.go
+++ b/core/valuetext/valuetext.go
@@ -16,8 +16,8 @@
 // Units lists the units in descending order. They are decimal, like link rates.
 var Units = []Unit{{"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// Size formats a size in the largest unit that gives a whole number.
-func Size(bytes int64) string {
+// FormatSize formats a size in the largest unit that gives a whole number.
+func FormatSize(bytes int64) string {
 	if bytes == 0 {
 		return "0"
 	}
@@ -28,9 +28,9 @@
 	return strconv.FormatInt(bytes/Units[i].Bytes, 10) + Units[i].Name
 }
 
-// Duration formats a duration without trailing zero units: "1h" where
+// FormatDuration formats a duration without trailing zero units: "1h" where
 // time.Duration.String returns "1h0m0s".
-func Duration(d time.Duration) string {
+func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
 		text = strings.TrimSuffix(text, "0s")
