--- a/core/addressing/addressing.go
+++ b/core/addressing/addressing.go
@@ -5,7 +5,7 @@
 // given order. So the order distributes the load, and a leaving entry must keep
 // serving until the last response that lists it has expired.
 //
-// An Answerer is safe for concurrent use if its Rand is; a *rand.Rand is not.
+// A Resolver is safe for concurrent use if its Rand is; a *rand.Rand is not.
 package addressing
 
 import (
@@ -49,8 +49,8 @@
 const (
 	// DefaultTTL is how long a caller may cache a response.
 	DefaultTTL = 10 * time.Second
-	// DefaultCount is the largest number of addresses in a response.
-	DefaultCount = 3
+	// DefaultMaxAddresses is the largest number of addresses in a response.
+	DefaultMaxAddresses = 3
 	// maxAnnounceTime is the longest time until every entry has received the
 	// announcement of a leaving entry and no longer lists it.
 	maxAnnounceTime = 5 * time.Second
@@ -64,30 +64,30 @@
 	minWeight = 0.05
 )
 
-// Options configure an Answerer. Zero fields take the default.
+// Options configure a Resolver. Zero fields take the default.
 type Options struct {
-	TTL   time.Duration
-	Count int
-	Rand  Rand // required
+	TTL          time.Duration
+	MaxAddresses int
+	Rand         Rand // required
 }
 
-// Answerer selects addresses for callers.
-type Answerer struct {
+// Resolver selects addresses for callers.
+type Resolver struct {
 	ttl          time.Duration
 	maxAddresses int
 	rnd          Rand
 }
 
-// New returns an Answerer with the given options.
-func New(o Options) *Answerer {
-	a := &Answerer{ttl: DefaultTTL, maxAddresses: DefaultCount, rnd: o.Rand}
+// New returns a Resolver with the given options.
+func New(o Options) *Resolver {
+	r := &Resolver{ttl: DefaultTTL, maxAddresses: DefaultMaxAddresses, rnd: o.Rand}
 	if o.TTL > 0 {
-		a.ttl = o.TTL
+		r.ttl = o.TTL
 	}
-	if o.Count > 0 {
-		a.maxAddresses = o.Count
+	if o.MaxAddresses > 0 {
+		r.maxAddresses = o.MaxAddresses
 	}
-	return a
+	return r
 }
 
 // LeaveAfter returns how long a leaving entry must keep accepting requests after
@@ -97,7 +97,7 @@
 	return maxAnnounceTime + ttl + connectMargin
 }
 
-// Answer selects entries for a caller at hint, whose fields may be empty.
+// Resolve selects entries for a caller at hint, whose fields may be empty.
 // Nearer entries come first; at equal distance the order is random, weighted
 // towards less loaded ones; overloaded ones come last. Leaving and silent entries
 // are excluded, but silent ones are listed if there are no others, since the
@@ -105,23 +105,23 @@
 //
 // Two or more addresses are never all in one zone if another zone has an entry,
 // so that a caller whose zone fails still has an address to connect to.
-func (a *Answerer) Answer(now time.Time, hint fleet.Place, entries []Entry) Result {
-	result := Result{TTL: a.ttl, Expires: now.Add(a.ttl)}
+func (r *Resolver) Resolve(now time.Time, hint fleet.Place, entries []Entry) Result {
+	result := Result{TTL: r.ttl, Expires: now.Add(r.ttl)}
 	usable := usableEntries(entries)
 	hint = completeHint(hint, usable)
-	ordered := a.order(hint, usable)
-	for _, e := range spreadOverZones(ordered, a.maxAddresses) {
+	ordered := r.order(hint, usable)
+	for _, e := range spreadOverZones(ordered, r.maxAddresses) {
 		result.Addresses = append(result.Addresses, e.Addr)
 	}
 	return result
 }
 
-// All returns the addresses of all available entries, nearer ones first, for
+// ResolveAll returns the addresses of all available entries, nearer ones first, for
 // callers that choose their own order.
-func (a *Answerer) All(hint fleet.Place, entries []Entry) []netip.AddrPort {
+func (r *Resolver) ResolveAll(hint fleet.Place, entries []Entry) []netip.AddrPort {
 	usable := usableEntries(entries)
 	var addresses []netip.AddrPort
-	for _, e := range a.order(completeHint(hint, usable), usable) {
+	for _, e := range r.order(completeHint(hint, usable), usable) {
 		addresses = append(addresses, e.Addr)
 	}
 	return addresses
@@ -170,14 +170,14 @@
 // order sorts by distance and shuffles entries at equal distance by weight: sorting
 // by -log(1-u)/weight with uniform u is weighted sampling without replacement
 // (Efraimidis and Spirakis, 2006).
-func (a *Answerer) order(hint fleet.Place, entries []Entry) []rankedEntry {
+func (r *Resolver) order(hint fleet.Place, entries []Entry) []rankedEntry {
 	ordered := make([]rankedEntry, 0, len(entries))
 	for _, e := range entries {
 		weight := max(minWeight, 1-e.Load)
 		ordered = append(ordered, rankedEntry{
 			Entry:    e,
 			distance: distanceOf(hint, e),
-			key:      -math.Log(1-a.rnd.Float64()) / weight,
+			key:      -math.Log(1-r.rnd.Float64()) / weight,
 		})
 	}
 	slices.SortStableFunc(ordered, func(x, y rankedEntry) int {
--- a/core/addressing/addressing_test.go
+++ b/core/addressing/addressing_test.go
@@ -18,7 +18,7 @@
 
 var now = time.Date(2031, 5, 6, 7, 8, 9, 0, time.UTC)
 
-func newAnswerer(seed uint64) *addressing.Answerer {
+func newResolver(seed uint64) *addressing.Resolver {
 	return addressing.New(addressing.Options{Rand: rand.New(rand.NewPCG(seed, 1))})
 }
 
@@ -38,10 +38,10 @@
 
 // countFirst counts how often each port comes first in a number of responses.
 func countFirst(hint fleet.Place, entries []addressing.Entry, responses int) map[uint16]int {
-	a := newAnswerer(1)
+	a := newResolver(1)
 	counts := map[uint16]int{}
 	for range responses {
-		counts[a.Answer(now, hint, entries).Addresses[0].Port()]++
+		counts[a.Resolve(now, hint, entries).Addresses[0].Port()]++
 	}
 	return counts
 }
@@ -54,7 +54,7 @@
 	return ports
 }
 
-var _ = Describe("Answer", func() {
+var _ = Describe("Resolve", func() {
 	lagos := fleet.Place{Zone: "apapa-1", Region: "lagos"}
 	three := slices.Concat(
 		entriesAt("apapa-1", "lagos", 2, 100),
@@ -63,7 +63,7 @@
 	)
 
 	It("returns three addresses and the TTL", func() {
-		result := newAnswerer(1).Answer(now, lagos, three)
+		result := newResolver(1).Resolve(now, lagos, three)
 		Expect(result.Addresses).To(HaveLen(3))
 		Expect(result.TTL).To(Equal(10 * time.Second))
 		Expect(result.Expires).To(Equal(now.Add(10 * time.Second)))
@@ -71,7 +71,7 @@
 
 	It("lists nearer entries first", func() {
 		for range 20 {
-			ports := portsOf(newAnswerer(1).Answer(now, lagos, three))
+			ports := portsOf(newResolver(1).Resolve(now, lagos, three))
 			Expect(ports[:2]).To(ConsistOf(uint16(100), uint16(101)))
 			Expect(ports[2]).To(BeElementOf(uint16(200), uint16(201)))
 		}
@@ -79,7 +79,7 @@
 
 	It("infers the region of a caller that gives only its zone", func() {
 		hint := fleet.Place{Zone: "apapa-2"}
-		Expect(portsOf(newAnswerer(1).Answer(now, hint, three))[2]).To(BeElementOf(uint16(100), uint16(101)))
+		Expect(portsOf(newResolver(1).Resolve(now, hint, three))[2]).To(BeElementOf(uint16(100), uint16(101)))
 	})
 
 	// Callers connect to the first address. If it were the same in every
@@ -105,7 +105,7 @@
 	It("lists an overloaded nearby entry last", func() {
 		entries := slices.Concat(entriesAt("apapa-1", "lagos", 1, 100), entriesAt("sharada-1", "kano", 2, 300))
 		entries[0].Load = 0.95
-		ports := portsOf(newAnswerer(1).Answer(now, lagos, entries))
+		ports := portsOf(newResolver(1).Resolve(now, lagos, entries))
 		Expect(ports[2]).To(Equal(uint16(100)))
 	})
 
@@ -114,7 +114,7 @@
 	It("includes an entry of another zone", func() {
 		entries := slices.Concat(entriesAt("apapa-1", "lagos", 5, 100), entriesAt("sharada-1", "kano", 2, 300))
 		for seed := range uint64(20) {
-			ports := portsOf(newAnswerer(seed).Answer(now, lagos, entries))
+			ports := portsOf(newResolver(seed).Resolve(now, lagos, entries))
 			Expect(ports[0]).To(BeNumerically("<", 200))
 			Expect(ports[2]).To(BeNumerically(">=", 300))
 		}
@@ -126,7 +126,7 @@
 		func(change func([]addressing.Entry), want []uint16) {
 			entries := entriesAt("apapa-1", "lagos", 3, 100)
 			change(entries)
-			Expect(portsOf(newAnswerer(1).Answer(now, lagos, entries))).To(ConsistOf(want))
+			Expect(portsOf(newResolver(1).Resolve(now, lagos, entries))).To(ConsistOf(want))
 		},
 		Entry("a leaving entry", func(e []addressing.Entry) { e[1].Leaving = true }, []uint16{100, 102}),
 		Entry("a silent entry", func(e []addressing.Entry) { e[0].Silent = true }, []uint16{101, 102}),
@@ -151,13 +151,13 @@
 		entries := entriesAt("apapa-1", "lagos", 1, 100)
 		announced := now
 		requestedAt := announced.Add(time.Duration(rapid.Int64Range(0, int64(maxAnnounceTime)).Draw(t, "asked")))
-		result := a.Answer(requestedAt, fleet.Place{}, entries)
+		result := a.Resolve(requestedAt, fleet.Place{}, entries)
 		g.Expect(result.Addresses).To(HaveLen(1))
 		g.Expect(result.Expires.Before(announced.Add(addressing.LeaveAfter(ttl)))).To(BeTrue())
 	})
 }
 
-func TestAnswerInvariants(t *testing.T) {
+func TestResolveInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var entries []addressing.Entry
@@ -170,8 +170,8 @@
 			entries = append(entries, e)
 		}
 		hint := fleet.Place{Zone: fleet.Zone(fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "hint")))}
-		ports := portsOf(newAnswerer(rapid.Uint64().Draw(t, "seed")).Answer(now, hint, entries))
-		g.Expect(len(ports)).To(BeNumerically("<=", addressing.DefaultCount))
+		ports := portsOf(newResolver(rapid.Uint64().Draw(t, "seed")).Resolve(now, hint, entries))
+		g.Expect(len(ports)).To(BeNumerically("<=", addressing.DefaultMaxAddresses))
 		seen := map[uint16]bool{}
 		live := slices.ContainsFunc(entries, func(e addressing.Entry) bool { return !e.Leaving && !e.Silent })
 		for _, port := range ports {
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -71,7 +71,7 @@
 	node        *node.Node
 	tracker     *balance.Tracker
 	retryBudget *retry.Budget
-	answerer    *addressing.Answerer
+	answerer    *addressing.Resolver
 	inFlight    atomic.Int64
 
 	limits          *limits
@@ -178,7 +178,7 @@
 
 // Addresses implements calls.AddressBook.
 func (e *Entry) Addresses(near fleet.Place) addressing.Result {
-	return e.answerer.Answer(time.Now(), near, e.snapshot.Load().entries)
+	return e.answerer.Resolve(time.Now(), near, e.snapshot.Load().entries)
 }
 
 // Ready reports whether requests can be accepted and, if not, the reason.
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -164,7 +164,7 @@
 	budgets      map[fleet.ServiceName]*retry.Window
 	holdLimiters map[fleet.ServiceName]*placement.HoldLimiter
 	inFlight     atomic.Int64
-	answerer     *addressing.Answerer
+	answerer     *addressing.Resolver
 	// retryDetector distinguishes the retries of callers from new calls.
 	retryDetector placement.RetryDetector
 }
@@ -337,7 +337,7 @@
 				ID: e.ID, Place: e.Place, Addr: e.CallerAddr, Leaving: e.Leaving, Silent: e.Silent})
 		}
 	}
-	return g.answerer.All(near, entries)
+	return g.answerer.ResolveAll(near, entries)
 }
 
 // Leave reports to the other entries without delay that this one leaves, so that they no
--- a/standin/bench/slopes/routing.go
+++ b/standin/bench/slopes/routing.go
@@ -42,7 +42,7 @@
 		func(n int) float64 {
 			entries := entriesOf(n)
 			answerer := addressing.New(addressing.Options{Rand: newRand()})
-			return perCall(func() { answerer.Answer(time.Now(), entries[0].Place, entries) })
+			return perCall(func() { answerer.Resolve(time.Now(), entries[0].Place, entries) })
 		})
 	return []Slope{assign, snapshot, address}, nil
 }
