--- a/adapters/settings/key.go
+++ b/adapters/settings/key.go
@@ -44,13 +44,13 @@
 	return EnvPrefix + strings.ToUpper(k.Section+"_"+k.Name)
 }
 
-// For reports whether a process of this role has the key.
-func (k Key) For(role fleet.Role) bool { return slices.Contains(k.Roles, role) }
+// AppliesTo reports whether a process of this role has the key.
+func (k Key) AppliesTo(role fleet.Role) bool { return slices.Contains(k.Roles, role) }
 
 // AddFlags defines a flag for each key of the role. FlagValues reads them.
 func AddFlags(flags *pflag.FlagSet, role fleet.Role) {
 	for _, key := range table {
-		if key.For(role) {
+		if key.AppliesTo(role) {
 			flags.String(key.Flag(), "", key.Doc)
 		}
 	}
--- a/adapters/settings/load.go
+++ b/adapters/settings/load.go
@@ -134,7 +134,7 @@
 	if !known {
 		return l.unknownKeyReason(name)
 	}
-	if !key.For(l.settings.Role) {
+	if !key.AppliesTo(l.settings.Role) {
 		return fmt.Sprintf("is a setting of the role %s; this is an %s", key.Roles[0], l.settings.Role)
 	}
 	l.effective[name] = value
@@ -157,7 +157,7 @@
 	section, _, _ := strings.Cut(name, ".")
 	var names []string
 	for _, key := range table {
-		if key.Section == section && key.For(l.settings.Role) {
+		if key.Section == section && key.AppliesTo(l.settings.Role) {
 			names = append(names, key.Name)
 		}
 	}
@@ -173,7 +173,7 @@
 	for _, key := range table {
 		_, isGiven := l.effective[key.Flag()]
 		switch {
-		case isGiven || !key.For(l.settings.Role):
+		case isGiven || !key.AppliesTo(l.settings.Role):
 		case key.Required:
 			l.reportMissing(key, "")
 		case key.Default != "":
--- a/adapters/settings/settings.go
+++ b/adapters/settings/settings.go
@@ -66,8 +66,8 @@
 	StoreURL     string
 	// WatchWait is the longest time that one watch of the configuration may wait.
 	WatchWait time.Duration
-	// ListEvery is the mean interval between reads of the instance list.
-	ListEvery time.Duration
+	// ListInterval is the mean interval between reads of the instance list.
+	ListInterval time.Duration
 	// CallTimeout bounds every call that is not a watch or a transfer.
 	CallTimeout time.Duration
 }
@@ -78,8 +78,8 @@
 	Authority   string
 	Certificate string
 	Key         string
-	// ReloadEvery is the interval at which the files are checked for changes.
-	ReloadEvery time.Duration
+	// ReloadInterval is the interval at which the files are checked for changes.
+	ReloadInterval time.Duration
 }
 
 // BackendKind is the kind of a backend server.
@@ -164,10 +164,10 @@
 // Agent holds the settings that only an agent has.
 type Agent struct {
 	Stage StageKind
-	// UploadSlots is the largest number of concurrent uploads of chunks to peers.
-	UploadSlots int
-	// Fetches is the largest number of chunks that are fetched concurrently.
-	Fetches int
+	// MaxUploads is the largest number of concurrent uploads of chunks to peers.
+	MaxUploads int
+	// MaxFetches is the largest number of chunks that are fetched concurrently.
+	MaxFetches int
 }
 
 // Self returns the process as an item of the platform's instance list.
--- a/adapters/settings/settings_test.go
+++ b/adapters/settings/settings_test.go
@@ -82,18 +82,18 @@
 			Platform: settings.Platform{
 				ConfigURL: "http://127.0.0.1:4/config", InstancesURL: "http://[::1]:5/instances",
 				OriginURL: "http://127.0.0.1:6", StoreURL: "http://127.0.0.1:7",
-				WatchWait: 90 * time.Second, ListEvery: 500 * time.Millisecond, CallTimeout: 250 * time.Millisecond,
+				WatchWait: 90 * time.Second, ListInterval: 500 * time.Millisecond, CallTimeout: 250 * time.Millisecond,
 			},
 			TLS: settings.TLS{
 				Authority: "/etc/chivespindle/authority.pem", Certificate: "testdata/good/mine/c#1.pem",
-				Key: "testdata/k.pem", ReloadEvery: 24 * time.Hour,
+				Key: "testdata/k.pem", ReloadInterval: 24 * time.Hour,
 			},
 			Backend: settings.Backend{Kind: settings.BackendPlain, URL: "http://127.0.0.1:8"},
 			Link:    settings.Link{BytesPerSecond: 1_250_000_000, WeightsShare: 0.5, StallTimeout: 700 * time.Millisecond},
 			Limits:  settings.Limits{MaxInFlight: 7, DrainTimeout: 5 * time.Minute, MemoryLimit: 2_000_000_000},
 			Log:     settings.Log{Level: zapcore.DebugLevel},
 			Trace:   settings.Trace{Spans: settings.SpansToLog},
-			Agent:   settings.Agent{Stage: settings.StageMemory, UploadSlots: 9, Fetches: 256},
+			Agent:   settings.Agent{Stage: settings.StageMemory, MaxUploads: 9, MaxFetches: 256},
 		}))
 		Expect(loaded.Self()).To(Equal(fleet.Instance{
 			ID: "agent-7", Role: fleet.RoleAgent, Service: "member-portal",
@@ -116,7 +116,7 @@
 		func(env []string, flags map[string]string, want time.Duration) {
 			loaded, err := settings.Load(fleet.RoleEntry, minimalEntry, env, flags)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(loaded.Platform.ListEvery).To(Equal(want))
+			Expect(loaded.Platform.ListInterval).To(Equal(want))
 		},
 		Entry("default", nil, nil, 2*time.Second),
 		Entry("environment", []string{"HOME=/", "CHIVESPINDLE_PLATFORM_LIST_EVERY=3s"}, nil, 3*time.Second),
--- a/adapters/settings/table.go
+++ b/adapters/settings/table.go
@@ -102,7 +102,7 @@
 			"Rate-limited weight store. An agent beside an engine must have it; an entry makes no use of it."),
 		key(section, "watch_wait", allRoles(), duration(func(s *Settings) *time.Duration { return &s.Platform.WatchWait }, time.Second, 10*time.Minute), defaultTo("30s"),
 			"Longest wait of one watch of the configuration. The platform counts each watch as a call."),
-		key(section, "list_every", allRoles(), duration(func(s *Settings) *time.Duration { return &s.Platform.ListEvery }, minDuration, maxDuration), defaultTo("2s"),
+		key(section, "list_every", allRoles(), duration(func(s *Settings) *time.Duration { return &s.Platform.ListInterval }, minDuration, maxDuration), defaultTo("2s"),
 			"Mean pause between two reads of the instance list."),
 		key(section, "call_timeout", allRoles(), duration(func(s *Settings) *time.Duration { return &s.Platform.CallTimeout }, minDuration, 5*time.Minute), defaultTo("2s"),
 			"Timeout of a call to the platform that is not a watch or a transfer."),
@@ -118,7 +118,7 @@
 			"PEM file with the certificate of this process."),
 		key(section, "key", allRoles(), path(func(s *Settings) *string { return &s.TLS.Key }), required,
 			"PEM file with the private key of this process."),
-		key(section, "reload_every", allRoles(), duration(func(s *Settings) *time.Duration { return &s.TLS.ReloadEvery }, minDuration, 24*time.Hour), defaultTo("30s"),
+		key(section, "reload_every", allRoles(), duration(func(s *Settings) *time.Duration { return &s.TLS.ReloadInterval }, minDuration, 24*time.Hour), defaultTo("30s"),
 			"Pause between two looks at these files; new ones come into use without a restart."),
 	}
 }
@@ -190,9 +190,9 @@
 	return []Key{
 		key(section, "stage", agent, enum(func(s *Settings) *StageKind { return &s.Agent.Stage }, StageEngine, StageMemory), defaultTo(string(StageEngine)),
 			"Where chunks of weights are kept before the load order and for peers: handed to the engine, or in the agent's memory."),
-		key(section, "upload_slots", agent, number(func(s *Settings) *int { return &s.Agent.UploadSlots }, 1, 256).withUnit("chunks"), defaultTo("4"),
+		key(section, "upload_slots", agent, number(func(s *Settings) *int { return &s.Agent.MaxUploads }, 1, 256).withUnit("chunks"), defaultTo("4"),
 			"Number of chunks that are sent to peers at once."),
-		key(section, "fetches", agent, number(func(s *Settings) *int { return &s.Agent.Fetches }, 1, 256).withUnit("chunks"), defaultTo("4"),
+		key(section, "fetches", agent, number(func(s *Settings) *int { return &s.Agent.MaxFetches }, 1, 256).withUnit("chunks"), defaultTo("4"),
 			"Number of chunks that are fetched at once."),
 	}
 }
--- a/adapters/settings/values.go
+++ b/adapters/settings/values.go
@@ -25,7 +25,7 @@
 const (
 	TypeName     Type = "name"     // letters, digits, '.', '_' and '-'
 	TypePlace    Type = "place"    // a name that may contain spaces
-	TypeWord     Type = "word"     // one of a fixed set of words
+	TypeEnum     Type = "word"     // one of a fixed set of words
 	TypeAddress  Type = "address"  // IP address and port
 	TypeURL      Type = "url"      // http://ip:port with an optional path
 	TypePath     Type = "path"     // file path
@@ -91,7 +91,7 @@
 		}
 		return T(text), nil
 	}
-	return bind(TypeWord, strings.Join(listed, ", "), parse, field)
+	return bind(TypeEnum, strings.Join(listed, ", "), parse, field)
 }
 
 func level(field func(*Settings) *zapcore.Level, choices []zapcore.Level) binding {
@@ -106,7 +106,7 @@
 		}
 		return choices[i], nil
 	}
-	return bind(TypeWord, strings.Join(listed, ", "), parse, field)
+	return bind(TypeEnum, strings.Join(listed, ", "), parse, field)
 }
 
 func enumError(choices []string, text string) error {
--- a/daemon/process/agent.go
+++ b/daemon/process/agent.go
@@ -68,8 +68,8 @@
 	roleOptions := agent.Options{
 		Self:         p.Self(),
 		Loop:         p.loop,
-		MaxFetches:   s.Agent.Fetches,
-		MaxUploads:   s.Agent.UploadSlots,
+		MaxFetches:   s.Agent.MaxFetches,
+		MaxUploads:   s.Agent.MaxUploads,
 		Link:         linkshare.Settings{LinkBytesPerSecond: s.Link.BytesPerSecond, BusyShare: s.Link.WeightsShare},
 		MaxInFlight:  s.Limits.MaxInFlight,
 		MaxBody:      maxAgentBody,
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -146,7 +146,7 @@
 		Endpoint:     b.endpoint,
 		Config:       config,
 		InstanceList: list,
-		ListInterval: s.Platform.ListEvery,
+		ListInterval: s.Platform.ListInterval,
 		Rand:         newRand(),
 		Logger:       b.logger,
 		Metrics:      b.metrics,
@@ -205,7 +205,7 @@
 // reloadKeys checks the key files periodically, so that keys can be replaced without a
 // restart.
 func (b *base) reloadKeys(ctx context.Context) error {
-	ticker := time.NewTicker(b.settings.TLS.ReloadEvery)
+	ticker := time.NewTicker(b.settings.TLS.ReloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/standin/bench/local/local.go
+++ b/standin/bench/local/local.go
@@ -124,14 +124,14 @@
 		Platform: settings.Platform{
 			ConfigURL: p.servers[0].URL(), InstancesURL: p.servers[1].URL(),
 			OriginURL: p.servers[2].URL(), StoreURL: p.servers[3].URL(),
-			WatchWait: p.opts.WatchWait, ListEvery: p.opts.ListEvery, CallTimeout: 2 * time.Second,
+			WatchWait: p.opts.WatchWait, ListInterval: p.opts.ListEvery, CallTimeout: 2 * time.Second,
 		},
-		TLS:    settings.TLS{Authority: files.Authority, Certificate: files.Certificate, Key: files.Key, ReloadEvery: time.Hour},
+		TLS:    settings.TLS{Authority: files.Authority, Certificate: files.Certificate, Key: files.Key, ReloadInterval: time.Hour},
 		Link:   settings.Link{WeightsShare: 0.8, StallTimeout: time.Second},
 		Limits: settings.Limits{MaxInFlight: 1024, DrainTimeout: 10 * time.Second, MemoryLimit: 64 << 20},
 		Trace:  settings.Trace{Spans: settings.SpansOff},
 		Entry:  settings.Entry{AddressTTL: time.Second, MaxBody: 1 << 20, DefaultDeadline: 30 * time.Second},
-		Agent:  settings.Agent{Stage: settings.StageEngine, UploadSlots: 3, Fetches: 4},
+		Agent:  settings.Agent{Stage: settings.StageEngine, MaxUploads: 3, MaxFetches: 4},
 	}, nil
 }
 
