--- a/core/gossip/table.go
+++ b/core/gossip/table.go
@@ -16,8 +16,8 @@
 	// Rand is the source of retry jitter and of the choice of records that do
 	// not fit into a full message.
 	Rand *rand.Rand
-	// HeartbeatInterval is the interval between calls of Heartbeat; default 1
-	// s.
+	// HeartbeatInterval is the interval between calls of Heartbeat; default
+	// 1 s.
 	HeartbeatInterval time.Duration
 	// SilenceTimeout is how long no new record of a process may arrive before
 	// it counts as silent; default 5 s. In large zones the relay interval is
--- a/core/gossip/table_test.go
+++ b/core/gossip/table_test.go
@@ -74,8 +74,8 @@
 	})
 
 	// The process is paused for a minute and receives nothing meanwhile.
-	// Without restartSilence its first view showed all 17 others silent and it
-	// dropped all its neighbours at once.
+	// Without restartSilence its first view shows all 17 others silent and it
+	// drops all its neighbours at once.
 	It("does not consider the other processes silent after a pause of its own", func() {
 		g := convergedGroup(2, places(3, 3))
 		at := g.ids()[0]
@@ -122,8 +122,8 @@
 
 	// A process has crashed, and a neighbour deletes its record a little later
 	// than this process. On a new connection the neighbour sends its copy
-	// again. Without the tombstone the record was restored, not silent, and
-	// relayed for as long as connections were re-established.
+	// again. Without the tombstone the record is restored, not silent, and
+	// relayed for as long as connections are re-established.
 	It("rejects a deleted record, but accepts one of a restarted process", func() {
 		g := convergedGroup(3, places(1, 1))
 		crashed, at := g.ids()[0], g.ids()[1]
@@ -213,9 +213,9 @@
 
 	// A zone is partitioned into halves for five minutes while nothing else
 	// changes. Each half replaces the other's members by its own and is
-	// connected without them. Without the probe the halves never reconnected:
-	// each saw the other as silent permanently, rollouts stopped and a leaving
-	// server was not noticed.
+	// connected without them. Without the probe the halves never reconnect:
+	// each sees the other as silent permanently, rollouts stop and a leaving
+	// server is not noticed.
 	It("reconnects the halves of a partitioned zone", func() {
 		g := convergedGroup(12, places(1, 1))
 		half := func(id fleet.InstanceID) bool { return id > "i-region-0-zone-0-0005" }
--- a/core/linking/linking_test.go
+++ b/core/linking/linking_test.go
@@ -46,10 +46,10 @@
 }
 
 var _ = Describe("Links between entries", func() {
-	// With links between all entries, the traffic of an entry grew with the
+	// With links between all entries, the traffic of an entry grows with the
 	// size of the fleet, and the traffic between regions with its square. At 99
-	// entries the heartbeats saturated the links between regions, which then
-	// counted as silent and were dialled again.
+	// entries the heartbeats saturate the links between regions, which then
+	// count as silent and are dialled again.
 	DescribeTable("are limited independently of the size of the fleet",
 		func(n, regions int) {
 			all := entries(n, regions)
--- a/core/loading/loading_test.go
+++ b/core/loading/loading_test.go
@@ -106,9 +106,9 @@
 		Expect(p.Next(start, serving, loading.NotExpected)).To(Equal(loading.Idle))
 	})
 
-	// A version is named while three servers are leaving. Their agents fetched the first
-	// chunks and exited half a second later. The origin crashed before the chunks were
-	// fetched again, and no engine had the complete version in time.
+	// A version is named while three servers are leaving. If their agents fetch the
+	// first chunks and exit half a second later, and the origin crashes before the
+	// chunks are fetched again, no engine has the complete version in time.
 	It("fetches and orders nothing while its server is leaving", func() {
 		p.SetLeaving(true)
 		p.AddWanted(known(2, 0))
@@ -166,9 +166,9 @@
 	})
 
 	// 58 engines receive the chunks of a version only after more than half of its time,
-	// because the bandwidth of the origin and between regions is low. Most turns had
-	// passed by then, and 47 engines were out of service at once. An engine is out of
-	// service for about 0.9 s.
+	// because the bandwidth of the origin and between regions is low. Guards against
+	// turns most of which have passed by then, so that 47 engines are out of service at
+	// once. An engine is out of service for about 0.9 s.
 	It("spreads the turns if the chunks arrive late", func() {
 		const engines, within, outFor = 58, 10300 * time.Millisecond, 900 * time.Millisecond
 		turns := turnsOf(engines, within, at(5500*time.Millisecond))
@@ -282,8 +282,8 @@
 		Expect(loading.NewPlan("i", within, policy.Disabled{}).ManifestReadDelay(soon)).To(Equal(soon), "an agent that knows no others does not wait for any")
 	})
 
-	// The engine's process was replaced after the order and before the load. The order
-	// was lost with the process; waiting for it left the engine without weights for a
+	// The engine's process is replaced after the order and before the load. The order
+	// is lost with the process; waiting for it leaves the engine without weights for a
 	// second.
 	It("repeats the order immediately after the engine restarts", func() {
 		p := loading.NewPlan("i", within, policy.Disabled{})
@@ -330,9 +330,9 @@
 }
 
 // A second version is named two seconds after the first, and half a second later the
-// origin fails for six seconds. When each agent decided by its own chunks alone, the
-// first version was abandoned although the fleet held four fifths of it, and no engine
-// was usable for the last five seconds before the second version arrived.
+// origin fails for six seconds. If each agent decides by its own chunks alone, the
+// first version is abandoned although the fleet holds four fifths of it, and no engine
+// is usable for the last five seconds before the second version arrives.
 var _ = Describe("A version followed by a newer one", func() {
 	const mostMissing, little = 0.2, 0.7
 	var plan *loading.Plan
--- a/core/once/key.go
+++ b/core/once/key.go
@@ -18,9 +18,9 @@
 type Kind uint8
 
 const (
-	// Plain: arbitrary text chosen by the client. Contains no further information.
+	// Plain: arbitrary text chosen by the caller. Contains no further information.
 	Plain Kind = iota
-	// Dated: a version 7 UUID chosen by the client. Contains its creation time.
+	// Dated: a version 7 UUID chosen by the caller. Contains its creation time.
 	Dated
 	// Issued: created by the system. Contains its home, the incarnation of the home's
 	// process and its creation time.
@@ -31,7 +31,7 @@
 const MaxKeyLength = 255
 
 // Key is the idempotency key of one request of one workspace. Keys of two workspaces
-// are never equal, so that no client gets the response of another. The zero Key is
+// are never equal, so that no caller gets the response of another. The zero Key is
 // invalid; use ParseKey or Issue.
 type Key struct {
 	Workspace fleet.Workspace
@@ -70,7 +70,7 @@
 	}
 }
 
-// ParseKey parses a key sent by a client. It returns failure.Invalid if the text is
+// ParseKey parses a key sent by a caller. It returns failure.Invalid if the text is
 // empty, too long or contains characters other than visible ASCII.
 func ParseKey(workspace fleet.Workspace, text string) (Key, error) {
 	if text == "" || len(text) > MaxKeyLength {
--- a/core/once/model_test.go
+++ b/core/once/model_test.go
@@ -17,7 +17,7 @@
 
 // world simulates homes and the requests on their way to them. Requests are delivered
 // late, twice, in any order and to any home, which covers the faults of entries, links
-// and clients; homes crash and restart without records.
+// and callers; homes crash and restart without records.
 type world struct {
 	t            *rapid.T
 	now          time.Time
@@ -31,7 +31,7 @@
 	requests   []*request
 	ran        map[string]int        // number of executions by key text
 	done       map[request]bool      // keys and bodies that ran
-	toldNotRun map[request]time.Time // when a client of key and body was last told "not run"
+	toldNotRun map[request]time.Time // when a caller of key and body was last told "not run"
 }
 
 type listing struct {
@@ -47,7 +47,7 @@
 	partitioned bool       // cannot read the list from the platform
 }
 
-// request is one request of a client as an entry sends it.
+// request is one request of a caller as an entry sends it.
 type request struct {
 	key       once.Key
 	body      string
@@ -187,7 +187,7 @@
 		return
 	}
 	if w.done[a.identity()] {
-		w.t.Fatalf("client told that %s was not run after it ran", a.key.Text)
+		w.t.Fatalf("caller told that %s was not run after it ran", a.key.Text)
 	}
 	w.toldNotRun[a.identity()] = w.now
 }
@@ -220,7 +220,7 @@
 	w.ran[a.key.Text]++
 	w.done[a.identity()] = true
 	if told, ok := w.toldNotRun[a.identity()]; ok && !a.arrived.After(told) {
-		w.t.Fatalf("%s ran for a request received before the client was told that it was not run", a.key.Text)
+		w.t.Fatalf("%s ran for a request received before the caller was told that it was not run", a.key.Text)
 	}
 }
 
@@ -265,7 +265,7 @@
 	}
 }
 
-// Guards against a request with an issued key that runs twice, and against a client
+// Guards against a request with an issued key that runs twice, and against a caller
 // that is wrongly told "not run". The request is retried, delayed, delivered twice and
 // to the wrong homes, while homes crash, restart without records and hold arbitrary
 // lists.
@@ -290,7 +290,7 @@
 	})
 }
 
-// The same for keys chosen by clients, under a weaker guarantee: every list in use is
+// The same for keys chosen by callers, under a weaker guarantee: every list in use is
 // at most ListLag older than its reading, the clocks of homes agree within ClockSkew,
 // and a key without a date is not retried later than Keep after its first request. The
 // dates of keys may be arbitrarily wrong.
@@ -326,7 +326,7 @@
 	})
 }
 
-// callerSkews are the possible errors of the date of a client's key.
+// callerSkews are the possible errors of the date of a caller's key.
 var callerSkews = []time.Duration{0, 0, 0, 0, -settle, clockSkew, settle, 2 * settle}
 
 // change adds one member to the platform's list or removes one.
--- a/core/once/once_suite_test.go
+++ b/core/once/once_suite_test.go
@@ -59,7 +59,7 @@
 	return key
 }
 
-// datedKey returns a client key created at the given time, number n of that
+// datedKey returns a key of a caller created at the given time, number n of that
 // millisecond.
 func datedKey(made time.Time, n uint8) once.Key {
 	id := uuid.UUID{6: 0x70, 8: 0x80, 15: n}
--- a/core/once/records.go
+++ b/core/once/records.go
@@ -43,7 +43,7 @@
 // deleteRecord deletes one record and updates the two limits that outlast it: a key
 // with a date no later than latestDeleted may have run, and a request received no later
 // than lastClosed stays refused. Without them, a delayed request could run a second
-// time, or run after its client was told that it had not.
+// time, or run after its caller was told that it had not.
 func (r *Register) deleteRecord(rec *record) {
 	if rec.phase == closed {
 		r.lastClosed = later(r.lastClosed, rec.closedAt)
@@ -56,7 +56,7 @@
 }
 
 // mayBeClosed reports whether a request for a key without a record may be one whose
-// client was told that it was not run.
+// caller was told that it was not run.
 func (r *Register) mayBeClosed(info RequestInfo) bool {
 	return !r.lastClosed.IsZero() && !info.ReceivedAt.After(r.lastClosed)
 }
--- a/core/once/register.go
+++ b/core/once/register.go
@@ -4,7 +4,7 @@
 // the request, and it records that it did. The records are kept in the memory of the
 // home. A key created by the system names its home and the incarnation of the home's
 // process, so that no other process ever runs it, regardless of partitions, pauses and
-// restarts. The home of a key chosen by the client is derived from the platform's list
+// restarts. The home of a key chosen by the caller is derived from the platform's list
 // of servers, and the guarantee for it holds only as far as the lists of the agents
 // agree. docs/design/at-most-once.md compares the alternatives and states what is not
 // guaranteed.
@@ -32,14 +32,14 @@
 	// MaxKeys bounds the number of records; 16384.
 	MaxKeys int
 	// Keep is how long a record is kept after the last request with its key, and so how
-	// late a client may retry; 15 min.
+	// late a caller may retry; 15 min.
 	Keep time.Duration
 	// MaxBody is the maximum size of a response body that is kept, and MaxBytes bounds
 	// the total size of kept bodies; 16 KiB and 8 MiB.
 	MaxBody  int
 	MaxBytes int
 	// MaxListAge is the age of the list of servers beyond which the agent does not act
-	// as the home of keys chosen by clients; 2 min.
+	// as the home of keys chosen by callers; 2 min.
 	MaxListAge time.Duration
 	// ListLag is how long after a change the platform may still return the previous
 	// list; 2 min.
@@ -87,7 +87,7 @@
 	bytes         int        // total size of the kept bodies
 	// latestDeleted is the latest date of a deleted key that had been forwarded.
 	latestDeleted time.Time
-	// lastClosed is the latest time at which a client was told that a key was not run
+	// lastClosed is the latest time at which a caller was told that a key was not run
 	// and no record of that key remains.
 	lastClosed time.Time
 }
@@ -99,7 +99,7 @@
 	forwarded
 	done   // run, response received
 	lost   // forwarded, outcome unknown
-	closed // client told that it was not run
+	closed // caller told that it was not run
 )
 
 // record is the state of one key.
@@ -205,7 +205,7 @@
 	r.recordRequest(now, rec)
 }
 
-// Abandon closes a key whose request may run but was not forwarded. The client may then
+// Abandon closes a key whose request may run but was not forwarded. The caller may then
 // be told that it was not run; requests that reached an entry before are refused from
 // now on, so that this stays true if one of them is delayed.
 func (r *Register) Abandon(now time.Time, key Key) {
@@ -221,7 +221,7 @@
 
 // Close is Begin followed by Abandon if Begin lets the request run: it returns the
 // state of the key and lets nothing run. An entry or agent that must refuse a request
-// for lack of capacity or time calls it to learn whether it may tell the client that
+// for lack of capacity or time calls it to learn whether it may tell the caller that
 // nothing was run.
 func (r *Register) Close(now time.Time, key Key, digest fleet.Digest, info RequestInfo) Verdict {
 	verdict := r.Begin(now, key, digest, info)
@@ -247,7 +247,7 @@
 	case lost:
 		return refused(failure.Unknown, OutcomeLost)
 	}
-	// If a request received before the response were let through, a client that was
+	// If a request received before the response were let through, a caller that was
 	// told "not run" and sent the request elsewhere would have it run twice.
 	if !info.ReceivedAt.After(rec.closedAt) {
 		return rec.close(now, Closed)
@@ -268,7 +268,7 @@
 	return refused(failure.NotRun, OtherBody)
 }
 
-// close records that the client is told that the key was not run. Each call advances
+// close records that the caller is told that the key was not run. Each call advances
 // closedAt, since the statement covers all requests that have reached an entry by then.
 func (rec *record) close(now time.Time, reason Reason) Verdict {
 	rec.phase = closed
@@ -281,7 +281,7 @@
 	if key.Kind == Issued {
 		return r.issuedObjection(key)
 	}
-	return r.clientKeyObjection(now, key)
+	return r.callerKeyObjection(now, key)
 }
 
 func (r *Register) issuedObjection(key Key) Reason {
@@ -302,14 +302,14 @@
 	return key.CreatedAt.After(now.Add(r.options.ClockSkew))
 }
 
-// clientKeyObjection returns the objection to a key chosen by the client.
+// callerKeyObjection returns the objection to a key chosen by the caller.
 //
 // The risk is the previous home: it ran the key, the response was lost, the list
-// changed, and the client retries here. The previous home stops at the latest ListLag
+// changed, and the caller retries here. The previous home stops at the latest ListLag
 // and MaxListAge after the change. A key dated after that was never sent there, since a
 // home runs a key only if its date is not ahead of the clock. A key without a date may
 // be as old as Keep.
-func (r *Register) clientKeyObjection(now time.Time, key Key) Reason {
+func (r *Register) callerKeyObjection(now time.Time, key Key) Reason {
 	if r.view.readAt.IsZero() || now.Sub(r.view.readAt) > r.options.MaxListAge {
 		return StaleList
 	}
--- a/core/once/register_test.go
+++ b/core/once/register_test.go
@@ -31,7 +31,7 @@
 
 	BeforeEach(func() { r = once.New(optionsOf("s0", testIncarnation)) })
 
-	// The client's connection broke and it retries through another entry while the
+	// The caller's connection broke and it retries through another entry while the
 	// first request is in one of these phases.
 	DescribeTable("a second request",
 		func(first func(), want once.Verdict) {
@@ -70,10 +70,10 @@
 		}, once.Verdict{Action: once.Run}),
 	)
 
-	// The entry was paused before it sent the request. The client retried through
+	// The entry was paused before it sent the request. The caller retried through
 	// another entry, was told "not run" for lack of capacity, and sent the request
 	// elsewhere. Then the first entry resumes and sends it.
-	It("refuses a request received before the client was told that it was not run", func() {
+	It("refuses a request received before the caller was told that it was not run", func() {
 		asked := start
 		told := start.Add(5 * time.Second)
 		Expect(r.Close(told, key, bodyOf("order"), once.RequestInfo{ReceivedAt: told})).
@@ -105,7 +105,7 @@
 		Expect(begin(r, start, key).Action).To(Equal(once.Running))
 	})
 
-	// A client uses one key for two requests. The second would get the response of the
+	// A caller uses one key for two requests. The second would get the response of the
 	// first.
 	It("refuses a second body for the same key", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
@@ -125,7 +125,7 @@
 			once.Verdict{Outcome: failure.NotRun, Reason: once.Premature}),
 	)
 
-	// The record of a request has been deleted, and the client retries: running it
+	// The record of a request has been deleted, and the caller retries: running it
 	// could run it twice, and "not run" could be false.
 	It("does not run a key whose record has been deleted", func() {
 		runTo(r, start, key, failure.Ran, "card 1")
@@ -184,7 +184,7 @@
 	})
 })
 
-var _ = Describe("a key chosen by the client", func() {
+var _ = Describe("a key chosen by the caller", func() {
 	both := []fleet.InstanceID{"s0", "s1"}
 	settled := start.Add(settle + time.Second)
 	plain := keyOfHome("s0", both...)
@@ -224,7 +224,7 @@
 			To(Equal(once.Verdict{Outcome: failure.Unknown, Reason: once.StaleList}))
 	})
 
-	// The home ran a request and crashed, its response was lost, and the client
+	// The home ran a request and crashed, its response was lost, and the caller
 	// retries. The next home cannot know whether it ran.
 	It("has an unknown outcome at the next home after its home is removed", func() {
 		key := datedKeyOfHome(settled, "s1", both...)
@@ -240,7 +240,7 @@
 
 	// A known limit without persistent storage: the platform shows two homes different
 	// lists for longer than ListLag. The request runs at one, its response is lost, the
-	// client retries and reaches the other, which has long been the home by its own
+	// caller retries and reaches the other, which has long been the home by its own
 	// list: it runs twice. An issued key cannot run twice.
 	It("may run twice if lists differ for longer than ListLag", func() {
 		now := settled.Add(keep)
--- a/core/once/verdict.go
+++ b/core/once/verdict.go
@@ -19,7 +19,7 @@
 	// Abandon.
 	Run
 	// Running: an earlier request with the key is running; its outcome is not known
-	// yet. The client retries later.
+	// yet. The caller retries later.
 	Running
 	// Done: the request has run; Verdict.Result holds its result.
 	Done
@@ -50,8 +50,8 @@
 	Premature Reason = "premature"
 	// OtherBody: the key was used with another request body.
 	OtherBody Reason = "other_body"
-	// Closed: the client was told that the key was not run after this request had
-	// reached an entry. The client may retry.
+	// Closed: the caller was told that the key was not run after this request had
+	// reached an entry. The caller may retry.
 	Closed Reason = "closed"
 	// RecordFull: the register is full.
 	RecordFull Reason = "record_full"
@@ -62,7 +62,7 @@
 // Verdict is the decision on a request.
 type Verdict struct {
 	Action Action
-	// Outcome is what the client may be told about the key, not only about this
+	// Outcome is what the caller may be told about the key, not only about this
 	// request: failure.NotRun means that no request with the key that has reached an
 	// entry by now has run or will ever run. Whatever it is, a refused request itself
 	// was not forwarded, so an entry may try the next home that it learns of.
@@ -86,7 +86,7 @@
 
 // RequestInfo is what the agent knows about a request besides key and body.
 type RequestInfo struct {
-	// ReceivedAt is when the client's request reached an entry, by this instance's
+	// ReceivedAt is when the caller's request reached an entry, by this instance's
 	// clock. The estimate errs towards too early; see admission.RemoteClock. Zero if
 	// unknown, which counts as long ago. Retries by the entry keep it.
 	ReceivedAt time.Time
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -272,8 +272,8 @@
 	// Under lasting overload, engines are as busy as the request with the longest
 	// acceptable wait allows. Guards against limits by each request's own target or
 	// size, with which requests with a shorter target always find the engines too
-	// busy: a kind with a target of 500 ms had nine in ten requests served while
-	// one with 400 ms had four.
+	// busy: a kind with a target of 500 ms has nine in ten requests served while
+	// one with 400 ms has four.
 	It("start at the same load for all kinds and sizes", func() {
 		short, long := newRequest(), newRequest()
 		short.PromptTokens, long.PromptTokens = 100, 4000
--- a/core/placement/retrydetector_test.go
+++ b/core/placement/retrydetector_test.go
@@ -35,8 +35,8 @@
 	})
 
 	// The times of new calls vary by a seventh. Guards against a comparison with
-	// the longest one, with which most new calls counted as late, waited for the
-	// few slots of late requests and then really were late.
+	// the longest one, with which most new calls count as late, wait for the few
+	// slots of late requests and then really are late.
 	It("learns the spread of new calls' times from reused connections", func() {
 		var p placement.RetryDetector
 		r := rand.New(rand.NewPCG(5, 6))
--- a/core/revision/selector.go
+++ b/core/revision/selector.go
@@ -34,8 +34,8 @@
 	// answers only of the platform, or only of fewer than MinPeers peers;
 	// default 10 s.
 	LongWait time.Duration
-	// ClaimTTL is how long a claim is valid unless it is repeated; default 15
-	// s. It must be longer than LongWait and a few heartbeats.
+	// ClaimTTL is how long a claim is valid unless it is repeated; default
+	// 15 s. It must be longer than LongWait and a few heartbeats.
 	ClaimTTL time.Duration
 	// MaxGap is the maximum time between two calls that counts as waiting;
 	// default 1 s. It must be shorter than ShortWait.
--- a/core/rollout/model_test.go
+++ b/core/rollout/model_test.go
@@ -195,13 +195,13 @@
 // agents receive all states again, the rollout must complete at every replica
 // that can fetch its chunks.
 //
-// With a part of the rule removed, rapid found faults in up to 100,000 tries.
-// Two replicas were out where one may be: after 1,945 tries without the order,
+// With a part of the rule removed, rapid finds faults in up to 100,000 tries.
+// Two replicas are out where one may be: after 1,945 tries without the order,
 // after 1,948 with staged replicas first, after 2,679 when states under older
-// configurations were trusted, after 236 when states with other targets were
-// trusted too, after 14,732 when only the order counted and not which replicas
-// are out, and after 52,644 when a restart began with Order 0. Without Order, a
-// replica without chunks blocked the others (15).
+// configurations are trusted, after 236 when states with other targets are
+// trusted too, after 14,732 when only the order counts and not which replicas
+// are out, and after 52,644 when a restart begins with Order 0. Without Order,
+// a replica without chunks blocks the others (15).
 func TestStaleViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/core/spread/faults_test.go
+++ b/core/spread/faults_test.go
@@ -123,7 +123,7 @@
 
 	// The operator's text names a version that the platform is still writing: for 10 s
 	// neither the origin nor the store has its chunks. Members retry with increasing
-	// pauses until the chunks exist. When a missing chunk did not count as a failure of
+	// pauses until the chunks exist. If a missing chunk does not count as a failure of
 	// its source: 4,613 refusals.
 	ginkgo.Entry("the version is not available yet", faultCase{prepare: func(d *driver) {
 		d.origin = until(d, 10*time.Second, spread.ReasonMissing)
@@ -181,8 +181,7 @@
 	}, copies: 3.5, fromStore: 6, within: 30 * time.Second}),
 
 	// A partition and a peer that sends corrupt chunks, then a restart of all agents.
-	// When the chunks of a paused peer still counted as available: not complete in 30
-	// s.
+	// If the chunks of a paused peer still count as available: not complete in 30 s.
 	ginkgo.Entry("partition, corrupt peer and restart of all agents", faultCase{prepare: func(d *driver) {
 		d.cut = halves
 		d.corrupt = func(from *agent, _ int) bool { return from == d.agents[1] }
--- a/core/spread/properties_test.go
+++ b/core/spread/properties_test.go
@@ -39,7 +39,7 @@
 // Guards against more bytes from the origin than the limit: partitions each fetch
 // chunks anew, fetches stall or return corrupt bytes and are retried, members crash.
 // The sum of all quotas is the limit, so no sequence may exceed it. Without the quota,
-// or when every failed fetch was refunded, the limit was exceeded within four runs.
+// or when every failed fetch is refunded, the limit is exceeded within four runs.
 func TestOriginBytesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDriver(t, spread.PolicyTime, spread.PolicyOrigin)
@@ -135,7 +135,7 @@
 // Chunks and reports pass only between neighbours, so a disconnected graph would fetch
 // a second copy from the origin. The graph must be connected for any placement,
 // although members at their connection limit refuse to be chosen by more. Without the
-// ring of the fleet, small limits left it disconnected after a few runs.
+// ring of the fleet, small limits leave it disconnected after a few runs.
 func TestNeighboursConnectTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -219,7 +219,7 @@
 }
 
 // Most neighbours of a member are in its own availability zone, and at least one is in
-// each other region. Without the rings of the other regions, some members had none
+// each other region. Without the rings of the other regions, some members have none
 // there.
 func TestNeighboursAreNear(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/core/spread/regions.go
+++ b/core/spread/regions.go
@@ -37,10 +37,10 @@
 // deferToRegion removes from the wanted chunks those that another member of this
 // member's region holds or is responsible for fetching.
 //
-// Links between regions are shared and costly. When every member fetched the first
-// chunk it found, a version crossed them many times. With one responsible member per
-// region and chunk, a version crosses each link about once, and staging takes hardly
-// longer.
+// Links between regions are shared and costly. If every member fetched the first
+// chunk it found, a version would cross them many times. With one responsible member
+// per region and chunk, a version crosses each link about once, and staging takes
+// hardly longer.
 func (p *Plan) deferToRegion(now time.Time) {
 	p.heldInRegion.Clear()
 	for _, from := range p.peers {
--- a/core/spread/regions_test.go
+++ b/core/spread/regions_test.go
@@ -66,8 +66,8 @@
 	})
 })
 
-// Guards against a late version after an outage of the origin: all chunks came due at
-// several members meanwhile, were requested at once, and none was complete for seconds.
+// Guards against a late version after an outage of the origin: all chunks come due at
+// several members meanwhile, are requested at once, and none is complete for seconds.
 var _ = ginkgo.Describe("a fleet whose origin is unavailable at first", func() {
 	ginkgo.It("fetches little more than one copy once the origin recovers", func() {
 		const away, seeds = 6 * time.Second, 3
--- a/core/spread/roster.go
+++ b/core/spread/roster.go
@@ -113,9 +113,9 @@
 // come before it.
 //
 // A member without a quota is not ranked by the others, so it never counts as first.
-// When a member without a quota could rank itself first by its score, many such members
-// fetched each chunk in addition to the member responsible for it, and the origin sent
-// several copies and took several times as long.
+// If a member without a quota could rank itself first by its score, many such members
+// would fetch each chunk in addition to the member responsible for it, and the origin
+// would send several copies and take several times as long.
 func (r *roster) effectiveRank(chunk int) int {
 	if r.quota == 0 {
 		return int(r.rank[chunk]) + 1
--- a/daemon/agent/extras_test.go
+++ b/daemon/agent/extras_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Adapters and roles", func() {
 	// An operator adds an adapter to a service whose version does not change. The
 	// engine is ordered to load it without a changeover, and requests are admitted
-	// throughout. Without the order, the engine kept its previous adapters
+	// throughout. Without the order, the engine keeps its previous adapters
 	// permanently.
 	It("are ordered while the replica stays in service", func() {
 		r := newModelRig()
--- a/daemon/agent/once_test.go
+++ b/daemon/agent/once_test.go
@@ -23,8 +23,8 @@
 	// caller retries with the same key while the request runs, and again
 	// afterwards. It is first told to retry later and then receives the complete
 	// response of the single execution, because the request continues without its
-	// entry. With the context of the request bound to the stream, the request was
-	// cancelled with the stream, and the retry was told that the outcome is lost.
+	// entry. With the context of the request bound to the stream, the request is
+	// cancelled with the stream, and the retry is told that the outcome is lost.
 	It("has its response recorded when it is lost on the way back", func() {
 		r := newPlainRig()
 		release := make(chan struct{})
@@ -48,9 +48,9 @@
 
 	// Two requests with the same key arrive at the agent through two entries, and
 	// neither has ended. One of them runs and is answered; the other is told that
-	// the outcome is not known yet and when to retry. If the register let a request
-	// run whose key is already running, both were forwarded, and neither was told
-	// to wait.
+	// the outcome is not known yet and when to retry. If the register lets a
+	// request run whose key is already running, both are forwarded, and neither is
+	// told to wait.
 	It("runs once if it arrives through two entries at once", func() {
 		r := newPlainRig()
 		release := make(chan struct{})
@@ -79,7 +79,7 @@
 	// A caller retries with a key whose request another process may have run: the
 	// previous process of this instance, or another agent. This agent has the
 	// record of neither. The caller is told "unknown", and nothing is forwarded.
-	// Without the register's checks of issued keys, both ran.
+	// Without the register's checks of issued keys, both run.
 	DescribeTable("is not run if another process may have run it",
 		func(reason once.Reason, keyOf func(r *rig) once.Key) {
 			r := newPlainRig()
@@ -101,8 +101,8 @@
 	// with a new key it was not run, with a completed one it is answered from the
 	// record, and with one whose outcome was lost it stays unknown. If the gate
 	// refused a new key without recording it, a later request with that key could
-	// still run after the caller was told "not_run". Before the fix, the completed
-	// request was reported as run without its response.
+	// still run after the caller was told "not_run". Guards also against a
+	// completed request that is reported as run without its response.
 	It("is answered from the record of its key while the gate is closed", func() {
 		r := newPlainRig()
 		done, lost, fresh := r.issueKey(1), r.issueKey(2), r.issueKey(3)
@@ -132,7 +132,7 @@
 	// A caller is told "not run" and sends the request elsewhere. An earlier
 	// request with the same key, delayed at an entry, reaches the agent when the
 	// gate is open again. It is refused, since it would run the work twice. Without
-	// the register's check of when a request was received, it ran.
+	// the register's check of when a request was received, it runs.
 	It("is refused if it was sent before the caller was told that it was not run", func() {
 		r := newPlainRig()
 		key := r.issueKey(1)
@@ -177,9 +177,9 @@
 
 	// A backend server that mixes up its connections gives two callers each other's
 	// response, with the other's ID. Neither response is reported as complete, and
-	// neither is returned to a retry with the same key. Before the fix, and without
-	// the check of the ID, both were recorded, and a retry returned each caller the
-	// other's complete response.
+	// neither is returned to a retry with the same key. Without the check of the
+	// ID, both are recorded, and a retry returns each caller the other's complete
+	// response.
 	It("has no response recorded that names another request", func() {
 		r := newPlainRig()
 		swapped := map[string]string{"mine": "yours", "yours": "mine"}
--- a/daemon/agent/queue_test.go
+++ b/daemon/agent/queue_test.go
@@ -15,7 +15,7 @@
 	// have taken that long. Callers with deadlines of two seconds then reach the
 	// idle server. The first request is admitted, and the sequence of admitted
 	// requests corrects the estimate. Without the exception for an idle server, all
-	// of them were refused permanently.
+	// of them are refused permanently.
 	It("admits requests again after all have seemed slow", func() {
 		now := time.Now()
 		r := newRequestQueue(now)
--- a/daemon/agent/traffic_test.go
+++ b/daemon/agent/traffic_test.go
@@ -30,7 +30,7 @@
 	// after its caller has been told that the deadline passed. The remaining time
 	// in the request is as old as the delay; the agent's own clock reading in it
 	// reveals the delay. The request is answered "not run" and does not reach the
-	// server. Without the subtraction of the time lost on the way, it was queued
+	// server. Without the subtraction of the time lost on the way, it is queued
 	// for the server's slots.
 	DescribeTable("does not run a request that was delayed beyond its deadline", func(once bool) {
 		r := newPlainRig()
@@ -67,7 +67,7 @@
 	// The engine responds from a version other than the one for which the request
 	// was admitted, because it was changed without an order during the response.
 	// The pieces have already been sent; the end must not report them as complete.
-	// Without serving.CheckAnswer, the response ended as complete.
+	// Without serving.CheckResponse, the response ends as complete.
 	It("never reports a response of another version as complete", func() {
 		r := newModelRig()
 		r.backend.SetHandler(respondFrom(v2))
@@ -160,9 +160,9 @@
 
 	// The load changes, which waits for the next regular report, and then the
 	// instance leaves, which must be reported to entries at once. Streams wait on
-	// the channel of the report that they sent last. Before the fix, a change of
-	// load alone replaced the channel without closing it, so the leave was reported
-	// up to half a second late, and every request sent here meanwhile was refused.
+	// the channel of the report that they sent last. If a change of load alone
+	// replaces the channel without closing it, the leave is reported up to half a
+	// second late, and every request sent here meanwhile is refused.
 	It("reports to entries at once that it is leaving, even if its load has just changed", func() {
 		r := newPlainRig()
 		_, urgent := r.role.Reported()
@@ -181,9 +181,8 @@
 	// The process resumes after a pause, the queue of its control loop is full of
 	// messages from neighbours, and the engine has loaded another version. The
 	// changeover closes the gate, and since no request is running, the loop itself
-	// is notified at once. Before the fix, that event was posted to the loop's own
-	// full queue, and the process hung forever while it kept reporting its previous
-	// state.
+	// is notified at once. If that event is posted to the loop's own full queue,
+	// the process hangs forever while it keeps reporting its previous state.
 	It("does not block when it stops admitting with a full queue of the control loop", func() {
 		r := newModelRig()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -159,8 +159,8 @@
 
 	// The loop is busy and its queue is full. A caller that gives up is told that
 	// the loop is busy, not that it has ended, which a process would act on; its
-	// function is never applied. Before the fix, the error was "control loop has
-	// ended".
+	// function is never applied. Guards against the error "control loop has
+	// ended" in this case.
 	It("with a full queue is reported as busy, not as ended", func() {
 		r := startLoop(control.Options{})
 		release := r.block()
@@ -179,7 +179,8 @@
 	})
 
 	// A goroutine whose context has ended posts another event. It is rejected even
-	// though the queue has room. Before the fix, every other event was applied.
+	// though the queue has room. Guards against a loop that applies every other
+	// such event.
 	It("accepts no event with a context that has ended", func() {
 		r := startLoop(control.Options{})
 		ctx, cancel := context.WithCancel(background)
--- a/daemon/entry/dispatch_test.go
+++ b/daemon/entry/dispatch_test.go
@@ -118,8 +118,8 @@
 
 	// The only agent of a service fails after it has forwarded a request, and the
 	// retry finds no other agent. The failed retry says nothing about the first
-	// attempt, so the caller is told "unknown". Before the fix, the caller was told
-	// "not_run" of a request that had run.
+	// attempt, so the caller is told "unknown". Guards against a caller that is
+	// told "not_run" of a request that has run.
 	It("leaves the outcome unknown when no other agent is left to try", func() {
 		r := newRig(1)
 		r.agents[0].SetScript(abortAfterRead)
@@ -147,7 +147,7 @@
 	// This request was not forwarded, but an earlier one with the same key may have
 	// been, so the caller is told "unknown"; only a caller that declares its first
 	// request is told "not_run". Without the correction by correctOutcome, the
-	// outcome was "not_run" in each case.
+	// outcome is "not_run" in each case.
 	DescribeTable("is reported by an entry only for a first request",
 		func(prepare func(r *rig), edit func(r *calls.Request)) {
 			r := newRig(2)
@@ -191,8 +191,8 @@
 	})
 
 	// No process can have accepted an invalid key. The caller is told so and may
-	// correct the key and try again. Before the fix, the outcome was "unknown",
-	// after which the caller must not retry.
+	// correct the key and try again. Guards against the outcome "unknown", after
+	// which the caller must not retry.
 	It("is reported for a key that no process can have accepted", func() {
 		r := newRig(1)
 		req := r.nonIdempotentRequest(r.agents[0], requestBody)
@@ -233,7 +233,7 @@
 	// responses are mixed in one stream. The response is aborted. The caller does
 	// not receive it as complete, and no retry follows the part that it has.
 	// Without the check of the ID or of the version in handleEnd, the response
-	// counted as complete; before the fix, the version was not checked.
+	// counts as complete.
 	DescribeTable("is aborted", func(edit func(*wire.ResponseEnd)) {
 		r := newRig(2)
 		r.script(respondWithEnd(edit), (*daemontest.Exchange).Echo)
@@ -300,9 +300,9 @@
 
 	// A faulty agent sends a piece before the beginning of the response, or an end
 	// without a beginning. The caller must not receive bytes without a status, nor
-	// a complete response that never began. Before the fix, the piece was
-	// forwarded, followed by another agent's complete response, and an end without
-	// a beginning counted as a complete response.
+	// a complete response that never began. Guards against a piece that is
+	// forwarded, followed by another agent's complete response, and against an end
+	// without a beginning that counts as a complete response.
 	DescribeTable("is rejected without its beginning", func(script func(*daemontest.Exchange)) {
 		r := newRig(2)
 		r.script(script, (*daemontest.Exchange).Echo)
--- a/daemon/entry/rig_test.go
+++ b/daemon/entry/rig_test.go
@@ -135,7 +135,7 @@
 	return sum
 }
 
-// request returns an idempotent request with a deadline of daemontest.Patience.
+// request returns an idempotent request with a deadline of daemontest.WaitTimeout.
 func (r *rig) request(body string) calls.Request {
 	return calls.Request{
 		ID: "request-" + strconv.FormatInt(r.requestCount.Add(1), 10), Service: workshopService, Priority: -1,
--- a/daemon/entry/servers_test.go
+++ b/daemon/entry/servers_test.go
@@ -17,7 +17,7 @@
 	// Every server of a service fails every request. With five attempts per
 	// request, retries would multiply the load on servers that are about to
 	// recover. The retry budget limits them to a tenth of the requests, plus a
-	// fixed number at the start. Without the budget, 100 requests caused 500
+	// fixed number at the start. Without the budget, 100 requests cause 500
 	// attempts.
 	It("that all fail do not cause a retry storm", func() {
 		r := newRig(6)
@@ -37,8 +37,8 @@
 	// Callers request a service without servers and are refused; then a server of
 	// another service fails a request. Refusals for lack of a server are not
 	// attempts, so the retry budget is not used and the request is retried
-	// elsewhere. Before the fix, each refusal took a retry from the budget, and the
-	// failed request was not retried.
+	// elsewhere. If each refusal takes a retry from the budget, the failed request
+	// is not retried.
 	It("that do not exist use none of the retry budget", func() {
 		r := newRig(3)
 		const refusals = 60
@@ -53,8 +53,8 @@
 
 	// Callers with short deadlines request long responses. Each response arrives
 	// piece by piece until the deadline ends it. The server is healthy and must
-	// keep receiving requests. Before the fix, the deadlines counted as stalls of
-	// the server, and one of the two servers was ejected.
+	// keep receiving requests. If the deadlines count as stalls of the server,
+	// one of the two servers is ejected.
 	It("that respond piece by piece are not ejected by callers' deadlines", func() {
 		r := newRig(2)
 		for _, a := range r.agents {
@@ -116,7 +116,7 @@
 	// The stream of an agent's reports fails and cannot be opened again, because
 	// the agent hangs or the link has failed. Its load is unknown, and so is
 	// whether it is leaving, so it receives no requests until it reports again. If
-	// the loss of the stream was not recorded, the server stayed in use.
+	// the loss of the stream is not recorded, the server stays in use.
 	It("whose reports are lost get no requests until they report again", func() {
 		r := newRig(2)
 		silenced := r.agents[0]
@@ -132,7 +132,7 @@
 	// All datagrams of an agent are dropped, and no connection closes. The entry
 	// removes the agent after the time in which several reports should have
 	// arrived, long before QUIC detects the dead connection. Without the stall
-	// timeout of the stream, the agent was still in use after 20 s.
+	// timeout of the stream, the agent is still in use after 20 s.
 	It("whose datagrams are dropped are removed although no connection closes", func() {
 		r := newRig(2)
 		isolated := r.agents[0]
--- a/daemon/gateway/crash.go
+++ b/daemon/gateway/crash.go
@@ -37,7 +37,7 @@
 		fingerprint: j.contentFingerprint(),
 		server:      j.g.opts.Backend.CheckLiveness(ctx, server.Addr),
 	}
-	isPlanned := j.g.scheduler.IsLeaving(server.ID)
+	isPlanned := j.g.balancer.IsLeaving(server.ID)
 	switch now := time.Now(); {
 	case isPlanned:
 	case b.server == Down:
@@ -56,7 +56,7 @@
 // recordDisconnect records that the caller disconnected while the call was at a server.
 // If the server crashes before it reads the cancellation, the call was in flight.
 func (j *job) recordDisconnect(now time.Time, server placement.Server) {
-	if !j.g.scheduler.IsLeaving(server.ID) {
+	if !j.g.balancer.IsLeaving(server.ID) {
 		j.g.quarantine.RecordUnresolved(now, j.contentFingerprint(), server.ID)
 	}
 }
@@ -64,7 +64,7 @@
 // checkUnreached checks the server of an attempt that could not be sent. It may have
 // crashed with calls in flight whose outcome is unknown.
 func (j *job) checkUnreached(ctx context.Context, now time.Time, server placement.Server) {
-	if j.g.quarantine.HasUnresolved(now, server.ID) && !j.g.scheduler.IsLeaving(server.ID) &&
+	if j.g.quarantine.HasUnresolved(now, server.ID) && !j.g.balancer.IsLeaving(server.ID) &&
 		j.g.opts.Backend.CheckLiveness(ctx, server.Addr) == Down {
 		j.g.serverCrashed(now, server.ID)
 	}
--- a/daemon/gateway/crash_test.go
+++ b/daemon/gateway/crash_test.go
@@ -107,7 +107,7 @@
 			deadline: now.Add(time.Minute), serverDeadline: now.Add(time.Minute), attempts: 1}
 		request := j.placementRequest(now)
 		request.Exclude = slices.DeleteFunc([]fleet.InstanceID{"i-1", "i-2", "i-3"}, func(other fleet.InstanceID) bool { return other == id })
-		assignment, _ := g.scheduler.Choose(now, request)
+		assignment, _ := g.balancer.Choose(now, request)
 		Expect(assignment).NotTo(BeNil())
 		return j, assignment
 	}
--- a/daemon/gateway/follow_test.go
+++ b/daemon/gateway/follow_test.go
@@ -368,7 +368,7 @@
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
 		Expect(g.compose(start, nearEntry, mesh.First).Loads).To(BeEmpty())
-		assignment, _ := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
+		assignment, _ := g.balancer.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(g.hasNewLoads("10.0.0.2")).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).Loads).To(HaveLen(1))
 		Expect(g.hasNewLoads("10.0.0.2")).To(BeFalse())
@@ -379,17 +379,17 @@
 		Expect(report[0].Running).To(BeZero())
 	})
 
-	// Guards against callers that were refused for ten seconds while engines were half
+	// Guards against callers that are refused for ten seconds while engines are half
 	// empty. After a power failure, entries know few others, count them as their group
 	// and send them their loads. Seconds later they know more entries and belong to other
-	// groups, but the last loads that they had sent were kept.
+	// groups, but the last loads that they sent are kept.
 	Context("from an entry that reported a full engine", func() {
 		var g *Gateway
 		full := wire.Heartbeat{ID: "10.0.0.2", Role: fleet.RoleEntry, Brief: true, Loads: []placement.Load{
 			{Server: "i-1", Work: enginemodel.Work{Running: 90}},
 		}}
 		isPlaced := func() bool {
-			t, _ := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
+			t, _ := g.balancer.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 			return t != nil
 		}
 
@@ -416,7 +416,7 @@
 		g, _ := newGateway()
 		g.adopt(start, snapshot(5, server("i-1", "10.0.1.1:80", 2)), "platform")
 		g.publish(start)
-		_, refusal := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
+		_, refusal := g.balancer.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second})
 		Expect(refusal.Reason).To(BeEmpty())
 		Expect(g.compose(start, nearEntry, mesh.First).LoadsComplete).To(BeTrue())
 		Expect(g.compose(start, nearEntry, mesh.Brief).LoadsComplete).To(BeFalse())
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -78,13 +78,13 @@
 // Gateway holds the state of an entry. Serve, Addresses and Ready are safe for
 // concurrent use; everything else belongs to the control loop.
 type Gateway struct {
-	opts      Options
-	ctx       context.Context
-	mesh      links
-	clock     bootclock.Watch
-	scheduler *placement.Balancer
-	log       *requestLog
-	view      atomic.Pointer[view]
+	opts     Options
+	ctx      context.Context
+	mesh     links
+	clock    bootclock.Watch
+	balancer *placement.Balancer
+	log      *requestLog
+	view     atomic.Pointer[view]
 
 	snapshot      catalog.Snapshot
 	table         *routing.Table
@@ -126,7 +126,7 @@
 	// lapsed holds servers whose registration ended while the platform was not
 	// healthy.
 	lapsed            map[fleet.InstanceID]catalog.Server
-	sentLoads         map[fleet.InstanceID]uint64 // change of the scheduler up to which loads were sent, by entry
+	sentLoads         map[fleet.InstanceID]uint64 // change of the balancer up to which loads were sent, by entry
 	sentMembersDigest map[fleet.InstanceID]uint64 // digest of the member list that was sent, by agent
 	// changesReadAt is the time up to which the platform's changes of servers are known. feed
 	// holds the changes to forward, and sentServers the revision up to which each entry
@@ -205,7 +205,7 @@
 	g := &Gateway{
 		opts:              opts,
 		ctx:               ctx,
-		scheduler:         placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Disabled),
+		balancer:          placement.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), opts.Disabled),
 		log:               newRequestLog(now, opts.Logger, opts.Metrics),
 		answerer:          addressing.New(addressing.Options{Rand: chance.Shared{}}),
 		names:             make(map[string]loading.NamedVersions),
@@ -231,7 +231,7 @@
 	g.crashReports = newReportSender[quarantine.Report](g.quarantine)
 	g.limitReports = newReportSender[serverlimit.Report](g.limits)
 	g.startCatalogRequest = func(addr netip.Addr, ask wire.CatalogRequest) { go g.requestCatalog(addr, ask) }
-	g.scheduler.SetSelf(opts.Self, opts.Place)
+	g.balancer.SetSelf(opts.Self, opts.Place)
 	g.mesh = mesh.New(ctx, now, mesh.Options{
 		Self:                 opts.Self,
 		Role:                 fleet.RoleEntry,
@@ -243,7 +243,7 @@
 		Logger:               opts.Logger,
 		Metrics:              opts.Metrics,
 		Compose:              g.compose,
-		GroupLoads:           g.scheduler.RegionLoads,
+		GroupLoads:           g.balancer.RegionLoads,
 		HasChanges:           g.hasNewLoads,
 		OnHeartbeat:          g.receive,
 		OnLost:               g.dropPeer,
@@ -260,7 +260,7 @@
 	g.crashReports.reset(id)
 	g.limitReports.reset(id)
 	g.manifests.reset(id)
-	g.scheduler.RemoveEntry(id)
+	g.balancer.RemoveEntry(id)
 	g.changed = true // shares depend on the number of entries
 }
 
--- a/daemon/gateway/handover.go
+++ b/daemon/gateway/handover.go
@@ -45,7 +45,7 @@
 		return nil
 	}
 	now := time.Now()
-	next, _ := j.g.scheduler.Choose(now, j.resumeRequest(now, assignment))
+	next, _ := j.g.balancer.Choose(now, j.resumeRequest(now, assignment))
 	if next == nil {
 		return nil
 	}
--- a/daemon/gateway/limit.go
+++ b/daemon/gateway/limit.go
@@ -80,7 +80,7 @@
 	for server, perSecond := range shares {
 		shares[server] = serverlimit.Share(perSecond, server, g.opts.Self, others)
 	}
-	g.scheduler.SetLimits(now, shares)
+	g.balancer.SetLimits(now, shares)
 }
 
 func (l *requestLog) serverLimit(server fleet.InstanceID, perSecond float64, source string) {
--- a/daemon/gateway/manifests.go
+++ b/daemon/gateway/manifests.go
@@ -14,8 +14,8 @@
 // which it was sent. It belongs to the control loop.
 //
 // Each agent that reads a manifest from the origin uses a connection and a part of its
-// link. When all agents read it, they used every connection that the origin has, and the
-// time of a part of a copy. So a few agents read it, and the entries send it to the
+// link. If all agents read it, they would use every connection that the origin has, and
+// the time of a part of a copy. So a few agents read it, and the entries send it to the
 // others.
 type manifests struct {
 	newest map[string]knownManifest
--- a/daemon/gateway/outcome.go
+++ b/daemon/gateway/outcome.go
@@ -130,7 +130,7 @@
 	return max(0, j.deadline.Sub(now)/maxWaitDivisor)
 }
 
-// handleNotPlaced refuses a call for which the scheduler has no server.
+// handleNotPlaced refuses a call for which the balancer has no server.
 func (j *job) handleNotPlaced(r placement.Refusal) {
 	j.g.log.notPlaced(j, r)
 	j.giveUp(string(r.Reason), r.RetryAfter)
--- a/daemon/gateway/outdated_test.go
+++ b/daemon/gateway/outdated_test.go
@@ -27,7 +27,7 @@
 	const draws = 64
 
 	choose := func(now time.Time) *placement.Assignment {
-		t, _ := g.scheduler.Choose(now, placement.Request{Service: "pool", Engine: engine, TargetLatency: time.Second, TimeLeft: time.Minute})
+		t, _ := g.balancer.Choose(now, placement.Request{Service: "pool", Engine: engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(t).NotTo(BeNil())
 		return t
 	}
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -44,7 +44,7 @@
 			delete(g.sentLoads, to.ID)
 		}
 		b.LoadsComplete = g.sentLoads[to.ID] == 0
-		b.Loads, g.sentLoads[to.ID] = g.scheduler.LoadsSince(g.sentLoads[to.ID])
+		b.Loads, g.sentLoads[to.ID] = g.balancer.LoadsSince(g.sentLoads[to.ID])
 	} else {
 		delete(g.sentLoads, to.ID)
 	}
@@ -93,7 +93,7 @@
 // hasNewLoads reports whether the own loads have changed since they were last sent to an
 // entry.
 func (g *Gateway) hasNewLoads(to fleet.InstanceID) bool {
-	return g.scheduler.HasChangedSince(g.sentLoads[to])
+	return g.balancer.HasChangedSince(g.sentLoads[to])
 }
 
 func (g *Gateway) wantedVersions(now time.Time) []wire.WantedVersion {
@@ -160,10 +160,10 @@
 // last ones were kept, engines with free slots would count as full.
 func (g *Gateway) receiveLoads(now time.Time, from mesh.Peer, b wire.Heartbeat) {
 	if !from.SameGroup || b.LoadsComplete {
-		g.scheduler.RemoveEntry(b.ID)
+		g.balancer.RemoveEntry(b.ID)
 	}
 	if from.SameGroup {
-		g.scheduler.UpdateEntryLoads(now, b.ID, b.Loads)
+		g.balancer.UpdateEntryLoads(now, b.ID, b.Loads)
 	}
 }
 
@@ -171,7 +171,7 @@
 func (g *Gateway) receiveGroupLoads(now time.Time, digests []wire.Digest) {
 	for _, d := range digests {
 		if d.Group != g.mesh.Group() {
-			g.scheduler.UpdateGroupLoads(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
+			g.balancer.UpdateGroupLoads(now, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), d.Group, d.Loads)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 		switch {
 		case !g.knowsAllAgents(now):
 			add(s.Service, g.started.Add(allAgentsReportWithin))
-		case g.isNew(now) && !g.scheduler.HasAvailableEngine(s.Service):
+		case g.isNew(now) && !g.balancer.HasAvailableEngine(s.Service):
 			add(s.Service, g.expectedLoadTime(now))
 		}
 	}
@@ -341,7 +341,7 @@
 		}
 	}
 	g.detectReplaced(now, list)
-	g.scheduler.SetServers(now, list)
+	g.balancer.SetServers(now, list)
 	g.limitsChanged = true // limits of servers that are listed again
 	g.limits.DropUnlisted(now, func(id fleet.InstanceID) bool {
 		return slices.ContainsFunc(list, func(s placement.Server) bool { return s.ID == id })
--- a/daemon/gateway/readers.go
+++ b/daemon/gateway/readers.go
@@ -13,10 +13,10 @@
 
 const (
 	// readersPerGroup is how many entries of a region, and of each group in a large
-	// region, read the platform. The others receive from them what they read. When every
-	// entry read the platform, a large configuration filled the link between two regions,
-	// and each registration of a server caused a call of every entry. The second reader
-	// covers the time in which the loss of the first is not yet detected.
+	// region, read the platform. The others receive from them what they read. If every
+	// entry read the platform, a large configuration would fill the link between two
+	// regions, and each registration of a server would cause a call of every entry. The
+	// second reader covers the time in which the loss of the first is not yet detected.
 	readersPerGroup = 2
 	// refusalPeriod is how long an entry that got no response from the platform ranks
 	// last among the readers of its region.
--- a/daemon/gateway/region_test.go
+++ b/daemon/gateway/region_test.go
@@ -332,12 +332,12 @@
 		region.expectActive(1)
 	})
 
-	// Guards against callers with a dropped key that were served 3.3 s after the change
-	// was confirmed. The operator added 1,400 routes and then dropped a key every 1.3 s.
-	// Each of the fifteen entries of a region read each configuration completely, 260 KB
-	// over a link of 4 MB/s: a second of the link for each change. Reads that took longer
-	// than 0.8 s were cancelled, their data discarded, and started again, so the link was
-	// full of data that was never used:
+	// Guards against callers with a dropped key that are served 3.3 s after the change is
+	// confirmed. The operator adds 1,400 routes and then drops a key every 1.3 s. If each
+	// of the fifteen entries of a region reads each configuration completely, that is
+	// 260 KB over a link of 4 MB/s: a second of the link for each change. Reads that take
+	// longer than 0.8 s are cancelled, their data discarded, and started again, so the
+	// link is full of data that is never used:
 	//
 	//	platform_lost error="answer of the store: context deadline exceeded"
 	//	peer_catalog_failed error="receive: no progress in time"
@@ -400,7 +400,7 @@
 	})
 
 	// Guards against a full link after a restart of a third of the entries. Each of them
-	// read 430 KB from the platform that its peers already had:
+	// reads 430 KB from the platform that its peers already have:
 	//
 	//	platform_lost error="list brought no byte for 800ms"
 	It("sends the catalog to an entry that starts, even if the platform is slow", func() {
--- a/daemon/gateway/serve.go
+++ b/daemon/gateway/serve.go
@@ -185,7 +185,7 @@
 		j.giveUp(reasonQuarantined, s.Until.Sub(now))
 		return false
 	}
-	assignment, refusal := j.g.scheduler.Choose(now, j.placementRequest(now))
+	assignment, refusal := j.g.balancer.Choose(now, j.placementRequest(now))
 	if assignment == nil && j.mayHold(now, refusal.Reason) {
 		if !j.wasHeld {
 			j.wasHeld = true
--- a/daemon/gateway/serve_test.go
+++ b/daemon/gateway/serve_test.go
@@ -100,7 +100,7 @@
 	// occupy fills the engine that has weights loaded.
 	occupy := func() {
 		for {
-			t, _ := g.scheduler.Choose(time.Now(), placement.Request{
+			t, _ := g.balancer.Choose(time.Now(), placement.Request{
 				Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: routeAim, TimeLeft: timeout})
 			if t == nil {
 				return
@@ -168,14 +168,14 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), mayHaveRun: true, view: g.view.Load(),
 			route: &g.snapshot.Config.Routes[0], service: g.table.Service("pool"), deadline: deadline, progressAt: progress}
 		for range 50 {
-			ticket, _ := g.scheduler.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second,
+			ticket, _ := g.balancer.Choose(start, placement.Request{Service: "pool", TimeLeft: time.Second,
 				Exclude: []fleet.InstanceID{"i-2"}})
 			j.endFailedAttempt(context.Background(), deadline, ticket, failure.Timeout.New("read the answer"))
 		}
 		j.endCall(context.Background(), deadline, "stream_broken")
 		chosen := 0
 		for range 50 {
-			ticket, _ := g.scheduler.Choose(deadline, placement.Request{Service: "pool", TimeLeft: time.Second})
+			ticket, _ := g.balancer.Choose(deadline, placement.Request{Service: "pool", TimeLeft: time.Second})
 			if ticket.Server.ID == "i-1" {
 				chosen++
 			}
--- a/daemon/gateway/versiontime_test.go
+++ b/daemon/gateway/versiontime_test.go
@@ -70,9 +70,9 @@
 
 // Guards against calls that an engine begins on an outdated version after the entry has
 // withdrawn them. An engine does not notice a closed connection while a call waits in
-// its queue, so only the deadline sent with the call ends it. In one run, with the full
-// timeout of the callers (6 s) as deadline, two calls that were withdrawn at 30.03 and
-// 30.33 s began at 31.02 and 30.74 s: 10004 and 9719 ms after the newer version was
+// its queue, so only the deadline sent with the call ends it. For example, with the
+// full timeout of the callers (6 s) as deadline, two calls that are withdrawn at 30.03
+// and 30.33 s begin at 31.02 and 30.74 s: 10004 and 9719 ms after the newer version is
 // acknowledged, where 9700 ms are allowed.
 var _ = Describe("A call at an engine whose version is outdated", func() {
 	const (
@@ -162,7 +162,7 @@
 		j := &job{g: g, call: call, reply: newReply(g, call, caller), view: g.view.Load(), service: g.table.Service("pool"),
 			route: g.table.Match("a.example", "/"), mayHaveRun: true,
 			deadline: time.Now().Add(time.Minute), serverDeadline: time.Now()}
-		ticket, _ := g.scheduler.Choose(time.Now(), placement.Request{Service: "pool", TimeLeft: time.Minute})
+		ticket, _ := g.balancer.Choose(time.Now(), placement.Request{Service: "pool", TimeLeft: time.Minute})
 		var err error
 		j.lastAttempt, err = j.reply.accept(emptyResponse{})
 		Expect(err).NotTo(HaveOccurred())
--- a/daemon/gateway/withdrawn_test.go
+++ b/daemon/gateway/withdrawn_test.go
@@ -19,8 +19,9 @@
 	"chivespindle.example/core/placement"
 )
 
-// Engines began calls that entries had withdrawn from them, and no log line said which
-// calls those were, why they were withdrawn and how long the version could still be used.
+// Guards against engines that begin calls which entries have withdrawn from them while no
+// log line says which calls those are, why they were withdrawn and how long the version
+// may still be used.
 var _ = Describe("A call that an entry closes at an engine before its first event", func() {
 	const (
 		versionTime = 8 * time.Second // of the gateway in these specs
@@ -58,7 +59,7 @@
 		}
 		g.publish(failed)
 		placed := failed.Add(-waited)
-		ticket, _ = g.scheduler.Choose(placed, placement.Request{
+		ticket, _ = g.balancer.Choose(placed, placement.Request{
 			Service: "pool", Engine: g.table.Service("pool").Engine, TargetLatency: time.Second, TimeLeft: time.Minute})
 		Expect(ticket).NotTo(BeNil())
 		call := &Call{ID: "c", Arrived: placed, LastEvent: -1}
--- a/daemon/loader/catalog_test.go
+++ b/daemon/loader/catalog_test.go
@@ -14,8 +14,8 @@
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 
 	// Guards against a catalog read by each agent when 40 agents of a region start
-	// because servers are added. Each agent read the whole catalog at once, and again
-	// until its server was registered, while entries read a new configuration over the
+	// because servers are added. Each agent reads the whole catalog at once, and again
+	// until its server is registered, while entries read a new configuration over the
 	// same link. An entry sends all that the agents need.
 	It("does not read the catalog while entries report to it", func() {
 		l := &Loader{started: start}
--- a/daemon/loader/order_test.go
+++ b/daemon/loader/order_test.go
@@ -12,8 +12,8 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// Guards against an engine that loads chunks of two versions: it accepted an order
-// whose response was lost after other chunks had been let into its stage.
+// Guards against an engine that loads chunks of two versions: it accepts an order
+// whose response was lost after other chunks have been let into its stage.
 var _ = Describe("An order without a response", func() {
 	supply := wire.Supply{Model: "m"}
 	var (
--- a/daemon/loader/outdated_test.go
+++ b/daemon/loader/outdated_test.go
@@ -12,8 +12,8 @@
 	"chivespindle.example/core/policy"
 )
 
-// Guards against a missing log line: engines started calls on an expired version, and
-// no line showed how many calls were still waiting.
+// Guards against a missing log line: engines start calls on an expired version, and
+// no line shows how many calls are still waiting.
 var _ = Describe("The agent of an engine whose version has expired", func() {
 	const (
 		within       = 8 * time.Second
--- a/daemon/loader/stage_test.go
+++ b/daemon/loader/stage_test.go
@@ -253,7 +253,7 @@
 	})
 
 	// Guards against a load of mixed versions: the response to the order for version 2
-	// was lost, and the engine accepted the order after a chunk of version 3 had been
+	// is lost, and the engine accepts the order after a chunk of version 3 has been
 	// let in.
 	It("keeps other versions out of the stage until the outcome of an order is known", func() {
 		second, third := resolve(2), resolve(3)
@@ -271,7 +271,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Guards against version 3 loaded as version 2: the engine accepted an order for
+	// Guards against version 3 loaded as version 2: the engine accepts an order for
 	// version 2, whose response was lost, after the order for version 3.
 	It("lets no earlier order be accepted after a later one", func() {
 		second, third := resolve(2), resolve(3)
@@ -286,8 +286,8 @@
 		Expect(before).NotTo(HaveOccurred())
 	})
 
-	// Guards against a load of mixed versions: the fetch of version 2 ended while a
-	// chunk was being written, and the engine wrote it after the stage was verified for
+	// Guards against a load of mixed versions: the fetch of version 2 ends while a
+	// chunk is being written, and the engine writes it after the stage was verified for
 	// version 3.
 	It("lets no chunk be written late after its fetch has ended", func() {
 		second, third := resolve(2), resolve(3)
@@ -313,8 +313,9 @@
 		Expect(s.Put(ctx, second.Manifest, 1, chunk(2, 1))).To(Succeed())
 	})
 
-	// Guards against a late write of a repaired chunk: the time for the repair ended,
-	// and the engine wrote the chunk after the stage was verified for the next version.
+	// Guards against a late write of a repaired chunk: the time for the repair ends,
+	// and the engine writes the chunk after the stage was verified for the next
+	// version.
 	It("lets no repaired chunk be written late", func() {
 		second, third := resolve(2), resolve(3)
 		stageAll(2, second)
--- a/daemon/mesh/groups_test.go
+++ b/daemon/mesh/groups_test.go
@@ -38,9 +38,9 @@
 	return found, ok
 }
 
-// Guards against an overloaded network between regions: when each entry had a link with
-// each other one, the heartbeats of 99 entries filled that network. Links fell silent,
-// were dialled again and filled it even more, and callers' streams waited behind them.
+// Guards against an overloaded network between regions: if each entry has a link with
+// each other one, the heartbeats of 99 entries fill that network. Links fall silent,
+// are dialled again and fill it even more, and callers' streams wait behind them.
 var _ = Describe("Entries of several regions", func() {
 	const regions, each = 5, 4
 	var port uint16
--- a/daemon/mesh/mesh.go
+++ b/daemon/mesh/mesh.go
@@ -55,8 +55,8 @@
 	// connection can go silent permanently while new ones work.
 	linkTimeout = 1200 * time.Millisecond
 	// otherGroupLinkTimeout is the same for a link between groups. Such a link shares
-	// the network between regions with weights. When links were closed while that
-	// network was full, dialling them again filled it even more.
+	// the network between regions with weights. If links were closed while that
+	// network is full, dialling them again would fill it even more.
 	otherGroupLinkTimeout = 2500 * time.Millisecond
 	// digestLifetime is how long a digest keeps an entry live: until the loss of a
 	// bridge was detected and another bridge has reported.
--- a/daemon/node/config_test.go
+++ b/daemon/node/config_test.go
@@ -21,7 +21,7 @@
 	// processes activate both, since each process that has a configuration
 	// reports this to its neighbours and sends it to those that request it.
 	//
-	// Without requests to neighbours, the others stayed without a configuration.
+	// Without requests to neighbours, the others stay without a configuration.
 	It("reaches processes that cannot reach the platform", func() {
 		platform := daemontest.NewConfigService(1, configWith(1))
 		watcher := start("entry-1", fleet.RoleEntry, platform)
@@ -46,8 +46,8 @@
 	// and activates theirs; the old configuration is never active, so that no
 	// engine returns to a version that the fleet has left.
 	//
-	// When the process activated the platform's response at once, the old
-	// configuration was active first.
+	// If the process activates the platform's response at once, the old
+	// configuration is active first.
 	It("of the neighbours takes precedence over that of a stale platform", func() {
 		current := daemontest.NewConfigService(5, configWith(5))
 		old := []*testProcess{
@@ -69,8 +69,7 @@
 	// activate the higher revision, including those whose platform copy is still
 	// behind.
 	//
-	// When lost neighbours were never dialled again, the two sides stayed
-	// separate.
+	// If lost neighbours are never dialled again, the two sides stay separate.
 	It("is the higher revision on both sides after a partition heals", func() {
 		left, right := daemontest.NewConfigService(1, configWith(1)), daemontest.NewConfigService(1, configWith(1))
 		a, b := start("entry-1", fleet.RoleEntry, left), start("agent-1", fleet.RoleAgent, nil)
@@ -143,8 +142,8 @@
 	// link, but responds to reads as usual. A process that starts then activates
 	// the configuration from its own read.
 	//
-	// The fault was that the process waited for its watch, and was not ready for
-	// as long as that lasted.
+	// Guards against a process that waits for its watch, and is not ready for as
+	// long as that lasts.
 	It("is read by a process whose watch gets no response", func() {
 		platform := daemontest.NewConfigService(4, configWith(4))
 		platform.BlockWatches()
@@ -241,8 +240,8 @@
 	// else, a part of it, or nothing. The process keeps its own configuration,
 	// and activates the newer one when a neighbour appears that sends it.
 	//
-	// Without the progress deadline of the exchange, the neighbour that never
-	// responds was the last one to get a request.
+	// Without the stall timeout of the exchange, the neighbour that never
+	// responds is the last one to get a request.
 	It("have no effect if they do not send it", func() {
 		m := start("entry-1", fleet.RoleEntry, daemontest.NewConfigService(1, configWith(1)))
 		honest := start("entry-2", fleet.RoleEntry, daemontest.NewConfigService(9, configWith(9)))
--- a/daemon/node/link_test.go
+++ b/daemon/node/link_test.go
@@ -20,7 +20,7 @@
 	// and of no other process while the platform is down. This process closes
 	// the link and dials the neighbour, which then learns of the fleet.
 	//
-	// Without closing links that deliver no messages, the neighbour was never
+	// Without closing links that deliver no messages, the neighbour is never
 	// dialled.
 	It("that delivers no messages is closed and dialled again", func() {
 		const id = "agent-1"
--- a/daemon/swarm/peers_test.go
+++ b/daemon/swarm/peers_test.go
@@ -42,8 +42,8 @@
 	// avoids the neighbour and fetches the chunk elsewhere. No corrupt byte is
 	// staged.
 	//
-	// Without the digest check, the version became complete with corrupt bytes.
-	// Without the progress deadline, it never became complete.
+	// Without the digest check, the version becomes complete with corrupt bytes.
+	// Without the stall timeout, it never becomes complete.
 	DescribeTable("that do not serve the chunks that they report are avoided",
 		func(serveChunk func(m daemontest.Model) func(context.Context, *peer.Stream, int)) {
 			m := newModel("r1", 6)
@@ -92,8 +92,8 @@
 	// is blocked. The agent ends the exchange after the stall timeout and
 	// retries later, with at most one stream open at a time.
 	//
-	// The fault was a new stream and goroutine every 0.3 s in addition to those
-	// that still waited.
+	// Guards against a new stream and goroutine every 0.3 s in addition to those
+	// that still wait.
 	It("that never respond to an exchange hold one stream at a time", func() {
 		m := newModel("r1", 4)
 		silent := newFakePeer("agent-0", m, nil)
@@ -116,8 +116,8 @@
 	// control loop is busy. The upload slots granted after each abort are
 	// released again.
 	//
-	// The fault was that each such request kept an upload slot permanently; an
-	// agent without free slots served no chunks until it was restarted.
+	// Guards against requests each of which keeps an upload slot permanently; an
+	// agent without free slots serves no chunks until it is restarted.
 	It("that abort a request while the control loop is busy keep no upload slot", func() {
 		m := newModel("r1", 2)
 		stage := daemontest.NewStage()
@@ -155,7 +155,7 @@
 	// them, since its neighbours would then avoid it for all its chunks, and
 	// responds that it does not hold the chunk.
 	//
-	// Without the check of what the stage returns, the corrupt bytes were sent.
+	// Without the check of what the stage returns, the corrupt bytes are sent.
 	It("do not receive chunks that the stage has corrupted", func() {
 		m := newModel("r1", 2)
 		stage := daemontest.NewStage()
@@ -175,8 +175,8 @@
 	// Then the list names a neighbour that holds the complete version. The agent
 	// fetches the manifest and every chunk from it.
 	//
-	// The fault was that the search for the manifest continued with the members
-	// known at its start, which were none, for as long as the origin was down.
+	// Guards against a search for the manifest that continues with the members
+	// known at its start, which are none, for as long as the origin is down.
 	It("listed after the start of the search are asked for the manifest", func() {
 		m := newModel("r1", 4)
 		down := daemontest.NewSource(m)
--- a/daemon/swarm/sources_test.go
+++ b/daemon/swarm/sources_test.go
@@ -72,7 +72,7 @@
 	// concurrent fetches may be refused; after that the origin receives no
 	// request for that time.
 	//
-	// Without passing RetryAfter to the plan, the origin received requests again
+	// Without passing RetryAfter to the plan, the origin receives requests again
 	// at once.
 	It("receives no chunk requests during the retry delay that it requested", func() {
 		m := newModel("r1", 6)
@@ -104,8 +104,8 @@
 	// retried ten times per second would use origin capacity that live transfers
 	// need.
 	//
-	// The fault, also seen with the delay ignored, was that the origin received
-	// as many requests as the store.
+	// Guards against an origin that receives as many requests as the store,
+	// which also happens if the delay is ignored.
 	It("receives no manifest requests during the retry delay that it requested", func() {
 		m := newModel("r1", 1)
 		from := sources{origin: daemontest.NewSource(), store: daemontest.NewSource()}
@@ -122,8 +122,8 @@
 	// origin's link, so each counts against the agent's share of the copies that
 	// the fleet may fetch, and the agent uses the store.
 	//
-	// The fault, also seen without the count, was that aborted transfers were
-	// not counted: the origin received 13 fetches where 4 are allowed.
+	// Guards against aborted transfers that are not counted: the origin receives
+	// 13 fetches where 4 are allowed.
 	It("is not used beyond the limit when it aborts transfers", func() {
 		m := newModel("r1", 4)
 		from := sources{origin: daemontest.NewSource(m), store: daemontest.NewSource(m)}
--- a/daemon/swarm/versions_test.go
+++ b/daemon/swarm/versions_test.go
@@ -48,7 +48,7 @@
 	// The agent restarts while the engine continues to run with all chunks
 	// staged. The agent asks the stage and fetches no chunk.
 	//
-	// Without asking the stage what it holds, every chunk was fetched from the
+	// Without asking the stage what it holds, every chunk is fetched from the
 	// origin.
 	It("that is completely staged is not fetched after a restart of the agent", func() {
 		m := newModel("r1", 4)
@@ -78,8 +78,8 @@
 	// fetched. Its transfers end at once, its chunks are reused where the bytes
 	// are equal, and only new chunks are fetched from the origin.
 	//
-	// Without cancelling the running transfers, the blocked one continued.
-	// Without reuse, every chunk was fetched from the origin again.
+	// Without cancelling the running transfers, the blocked one continues.
+	// Without reuse, every chunk is fetched from the origin again.
 	It("is cancelled when a newer one is wanted, which reuses its equal chunks", func() {
 		shared := daemontest.RandomChunks(4, chunkBytes)
 		previous := daemontest.NewModel("r1", append(daemontest.RandomChunks(2, chunkBytes), shared...)...)
@@ -114,7 +114,7 @@
 	// The operator publishes a version with a wrong digest, which no source has,
 	// and corrects it. The agents stop searching for the wrong one.
 	//
-	// The fault was that the search continued beside the correct version, ten
+	// Guards against a search that continues beside the correct version, ten
 	// times per second at each agent.
 	It("that is no longer wanted is no longer searched for", func() {
 		wrong, right := newModel("typo", 1), newModel("r1", 2)
