--- a/standin/engine/backend/admin.go
+++ b/standin/engine/backend/admin.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Counts is a number per name.
+// Counts maps names to counts.
 type Counts map[string]int
 
 // Clone returns a copy, never nil.
@@ -17,7 +17,7 @@
 	return maps.Clone(c)
 }
 
-// Max returns the largest number, 0 if there is none.
+// Max returns the largest count, or 0 if there is none.
 func (c Counts) Max() int {
 	largest := 0
 	for _, n := range c {
@@ -26,12 +26,12 @@
 	return largest
 }
 
-// Admin is what a harness may do to a stand-in over HTTP. F is its type of
-// faults.
+// Admin holds the admin calls that a stand-in offers over HTTP. F is its type
+// of faults.
 type Admin[F any] struct {
 	Counters func() any // encoded as JSON
 	Faults   func(F)    // replaces all faults
-	Restart  func()     // a new life of the process; nil if there is none
+	Restart  func()     // simulates a restart of the process; nil if not supported
 }
 
 // Handler serves GET /admin/counters, POST /admin/faults and POST
--- a/standin/engine/backend/backend.go
+++ b/standin/engine/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend holds what the stand-ins of backend servers share: the
-// listener, the faults that a test sets, the admin port and the counts.
+// Package backend holds the code shared by the stand-ins of backend servers:
+// the listener, fault injection, the admin calls and the counters.
 package backend
 
 import (
@@ -24,36 +24,36 @@
 	HeaderOutcome        = "Request-Outcome"
 )
 
-// MaxBody bounds the body of one call in bytes.
+// MaxBody bounds the request body of one call in bytes.
 const MaxBody = 8 << 20
 
 // Clock is the source of time, replaced in tests.
 type Clock interface {
 	Now() time.Time
-	After(pause time.Duration) <-chan time.Time
+	After(delay time.Duration) <-chan time.Time
 }
 
-// WallClock is the Clock of the machine.
+// WallClock is the Clock of the operating system.
 type WallClock struct{}
 
 // Now implements Clock.
 func (WallClock) Now() time.Time { return time.Now() }
 
 // After implements Clock.
-func (WallClock) After(pause time.Duration) <-chan time.Time { return time.After(pause) }
+func (WallClock) After(delay time.Duration) <-chan time.Time { return time.After(delay) }
 
 // Server serves a handler on a loopback address.
 type Server struct {
 	mu       sync.Mutex
 	server   *http.Server
 	listener net.Listener
-	served   chan struct{} // closed when nothing serves any more
+	served   chan struct{} // closed when Serve has returned
 	addr     netip.AddrPort
 }
 
-// Start listens on listen ("127.0.0.1:0" picks a port) and serves handler
-// until Close. An address outside 127.0.0.0/8 is failure.Invalid: a stand-in
-// is for one machine.
+// Start listens on listen ("127.0.0.1:0" chooses a free port) and serves
+// handler until Close. A stand-in is reachable from its own machine only: an
+// address outside 127.0.0.0/8 is failure.Invalid.
 func (s *Server) Start(listen string, handler http.Handler) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
@@ -88,14 +88,15 @@
 	return s.addr
 }
 
-// URL returns the base URL of the server, without a slash at its end.
+// URL returns the base URL of the server, without a trailing slash.
 func (s *Server) URL() string { return "http://" + s.Addr().String() }
 
-// Close stops listening and cuts every connection, as a killed process does.
-// When it returns a connection is refused: http.Server closes only listeners
-// that Serve has reached, so one closed right after Start would go on
-// accepting for a moment, and its clients would not learn that they were not
-// served.
+// Close stops listening and closes all connections, as if the process were
+// killed. New connections are refused once it has returned. The listener is
+// closed explicitly because http.Server closes only listeners that Serve has
+// reached: a server closed right after Start would accept connections for a
+// moment longer, and its clients would not learn that their requests were not
+// run.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	server, listener, served := s.server, s.listener, s.served
@@ -113,24 +114,24 @@
 	return nil
 }
 
-// WriteJSON answers with status and value as JSON.
+// WriteJSON responds with status and value as JSON.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Problem is the body of an answer that tells why a request was declined.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// WriteProblem answers with status and a reason.
+// WriteProblem responds with status and the reason of the error.
 func WriteProblem(w http.ResponseWriter, status int, reason string) {
 	WriteJSON(w, status, Problem{Error: reason})
 }
 
-// WriteNotRun answers with status and says that the request was not run.
+// WriteNotRun responds with status and reports that the request was not run.
 func WriteNotRun(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(HeaderOutcome, failure.NotRun.String())
 	WriteProblem(w, status, reason)
@@ -138,11 +139,11 @@
 
 const (
 	defaultUrgency = 3 // RFC 9218, section 4.1
-	lowestUrgency  = 7
+	maxUrgency     = 7
 )
 
-// Urgency reads the urgency of a Priority header (RFC 9218), 0 (highest) to
-// 7. What cannot be read counts as the default of 3.
+// Urgency parses the urgency in a Priority header (RFC 9218), from 0 (highest)
+// to 7. If it is missing or invalid, Urgency returns the default of 3.
 func Urgency(header string) int {
 	for _, member := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(member), "u=")
@@ -150,7 +151,7 @@
 			continue
 		}
 		urgency, err := strconv.Atoi(value)
-		if err == nil && urgency >= 0 && urgency <= lowestUrgency {
+		if err == nil && urgency >= 0 && urgency <= maxUrgency {
 			return urgency
 		}
 	}
--- a/standin/engine/backend/faults.go
+++ b/standin/engine/backend/faults.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Faults are what a stand-in does wrong on purpose. A number counts the next
-// answers that have the fault; a flag lasts until it is cleared.
+// Faults are the faults that a test injects into a stand-in. A number is the
+// number of further responses that have the fault; a flag applies until it is
+// cleared.
 type Faults struct {
-	// Stall stops every answer in its middle without closing it.
+	// Stall stops every response halfway and keeps its connection open.
 	Stall bool `json:"stall"`
-	// Die closes the connection of the next answers in their middle.
+	// Die closes the connections of the next responses halfway.
 	Die int `json:"die"`
-	// SlowMS is added to each step of an answer, in milliseconds.
+	// SlowMS is added to the time of each step of a response, in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// WrongID makes the next answers name another request.
+	// WrongID makes the next responses name another request.
 	WrongID int `json:"wrong_id"`
-	// Swap counts the next pairs of answers that are sent to one another's
-	// caller. The first of a pair waits for the second.
+	// Swap is the number of further pairs of responses that are swapped between
+	// their callers. The first request of a pair waits for the second.
 	Swap int `json:"swap"`
 }
 
-// Job is what an answer is computed from.
+// Job is what a response is computed from.
 type Job struct {
 	ID     string
 	Prompt string
@@ -30,20 +31,20 @@
 	Body   []byte
 }
 
-// Injector hands out the faults that were set. Its zero value has none.
+// Injector applies the faults that were set. The zero value has none.
 type Injector struct {
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{} // closed at each Set; nil until someone waits
-	partner *swapper      // the first of a pair that waits for its second
+	mu          sync.Mutex
+	faults      Faults
+	changed     chan struct{} // closed at each Set; nil while nobody waits
+	waitingSwap *pendingSwap  // the first request of a pair, which waits for the second
 }
 
-type swapper struct {
-	job  Job
-	made chan Job
+type pendingSwap struct {
+	job   Job
+	other chan Job
 }
 
-// Set replaces all faults. Answers that stall go on if it clears Stall.
+// Set replaces all faults. Stalled responses continue if it clears Stall.
 func (i *Injector) Set(faults Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -54,17 +55,17 @@
 	}
 }
 
-// Slow returns the pause to add to each step of an answer.
+// Slow returns the delay to add to each step of a response.
 func (i *Injector) Slow() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return time.Duration(i.faults.SlowMS) * time.Millisecond
 }
 
-// TakeDie reports whether this answer dies in its middle.
+// TakeDie reports whether this response is to be aborted halfway.
 func (i *Injector) TakeDie() bool { return i.take(&i.faults.Die) }
 
-// TakeWrongID reports whether this answer names another request.
+// TakeWrongID reports whether this response names another request.
 func (i *Injector) TakeWrongID() bool { return i.take(&i.faults.WrongID) }
 
 func (i *Injector) take(count *int) bool {
@@ -77,7 +78,7 @@
 	return true
 }
 
-// WaitStall returns when no stall is set or ctx ends.
+// WaitStall waits until no stall is set or ctx ends.
 func (i *Injector) WaitStall(ctx context.Context) {
 	for {
 		i.mu.Lock()
@@ -98,38 +99,38 @@
 	}
 }
 
-// Swap returns the job whose answer goes to the caller of mine: mine itself,
-// or the other's when a pair is to be swapped. The first of a pair waits for
-// the second or for ctx.
-func (i *Injector) Swap(ctx context.Context, mine Job) Job {
+// Swap returns the job whose response is sent to the caller of mine: mine
+// itself, or the other job of a pair to be swapped. The first job of a pair
+// waits for the second or until ctx ends.
+func (i *Injector) Swap(ctx context.Context, own Job) Job {
 	i.mu.Lock()
-	if first := i.partner; first != nil {
-		i.partner = nil
+	if first := i.waitingSwap; first != nil {
+		i.waitingSwap = nil
 		i.mu.Unlock()
-		first.made <- mine
+		first.other <- own
 		return first.job
 	}
 	if i.faults.Swap <= 0 {
 		i.mu.Unlock()
-		return mine
+		return own
 	}
 	i.faults.Swap--
-	first := &swapper{job: mine, made: make(chan Job, 1)}
-	i.partner = first
+	first := &pendingSwap{job: own, other: make(chan Job, 1)}
+	i.waitingSwap = first
 	i.mu.Unlock()
 	select {
-	case other := <-first.made:
+	case other := <-first.other:
 		return other
 	case <-ctx.Done():
-		i.leave(first)
-		return mine
+		i.cancelSwap(first)
+		return own
 	}
 }
 
-func (i *Injector) leave(first *swapper) {
+func (i *Injector) cancelSwap(first *pendingSwap) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.partner == first {
-		i.partner = nil
+	if i.waitingSwap == first {
+		i.waitingSwap = nil
 	}
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -8,32 +8,32 @@
 	"chivespindle.example/core/failure"
 )
 
-// queueFull means that as many requests wait as may.
+// queueFull means that maxWaiting requests are already waiting.
 var queueFull = failure.Namespace.NewType("queue_full")
 
-// batch lets slots requests run at once; others wait, the most urgent first
-// and among equals the first that came.
+// batch limits the number of running requests to slots. Further requests wait,
+// ordered by urgency and then by arrival.
 type batch struct {
 	slots      int
 	maxWaiting int
-	changed    func(running, waiting int) // called with mu held
+	onChange   func(running, waiting int) // called with mu held
 
-	mu      sync.Mutex
-	running int
-	waiting waiterHeap
-	arrived uint64
+	mu          sync.Mutex
+	running     int
+	waiting     waiterHeap
+	nextArrival uint64
 }
 
 type waiter struct {
 	urgency int
 	arrival uint64
-	index   int // place in the heap; -1 once it left the heap
+	index   int // position in the heap, -1 if not in the heap
 	granted chan struct{}
 }
 
-// enter waits for a slot. After a nil error the caller owes one leave.
-func (b *batch) enter(ctx context.Context, urgency int) error {
-	w, err := b.join(urgency)
+// acquire waits for a slot. If it returns nil, the caller must call release.
+func (b *batch) acquire(ctx context.Context, urgency int) error {
+	w, err := b.enqueue(urgency)
 	if err != nil {
 		return err
 	}
@@ -41,61 +41,61 @@
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		b.abandon(w)
+		b.cancel(w)
 		return context.Cause(ctx)
 	}
 }
 
-func (b *batch) join(urgency int) (*waiter, error) {
+func (b *batch) enqueue(urgency int) (*waiter, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := &waiter{urgency: urgency, arrival: b.arrived, index: -1, granted: make(chan struct{})}
-	b.arrived++
+	w := &waiter{urgency: urgency, arrival: b.nextArrival, index: -1, granted: make(chan struct{})}
+	b.nextArrival++
 	if b.running < b.slots {
 		b.running++
 		close(w.granted)
-		b.report()
+		b.notify()
 		return w, nil
 	}
 	if len(b.waiting) >= b.maxWaiting {
 		return nil, queueFull.New("%d requests wait", len(b.waiting))
 	}
 	heap.Push(&b.waiting, w)
-	b.report()
+	b.notify()
 	return w, nil
 }
 
-// abandon takes w out of the queue, or gives its slot on if it was granted in
+// cancel removes w from the queue, or releases its slot if it was granted in
 // the meantime.
-func (b *batch) abandon(w *waiter) {
+func (b *batch) cancel(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.index < 0 {
-		b.passOn()
+		b.releaseLocked()
 		return
 	}
 	heap.Remove(&b.waiting, w.index)
-	b.report()
+	b.notify()
 }
 
-// leave gives a slot back.
-func (b *batch) leave() {
+// release releases a slot.
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.passOn()
+	b.releaseLocked()
 }
 
-func (b *batch) passOn() {
+func (b *batch) releaseLocked() {
 	if len(b.waiting) == 0 {
 		b.running--
 	} else {
 		next := heap.Pop(&b.waiting).(*waiter)
 		close(next.granted)
 	}
-	b.report()
+	b.notify()
 }
 
-func (b *batch) report() { b.changed(b.running, len(b.waiting)) }
+func (b *batch) notify() { b.onChange(b.running, len(b.waiting)) }
 
 // waiterHeap implements heap.Interface.
 type waiterHeap []*waiter
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in of a model engine: it speaks the protocol of
-// docs/PLATFORM-ENGINE.md, batches continuously, keeps staged chunks, takes
-// orders and counts what it did. Its tokens are digests of the prompt and the
-// version, so that a test can check every answer.
+// Package engine is a stand-in of a model engine. It speaks the protocol of
+// docs/PLATFORM-ENGINE.md, runs continuous batching, stores staged chunks,
+// executes orders and counts its work. Its tokens are digests of the prompt and
+// the version, so that tests can check every response.
 package engine
 
 import (
@@ -19,47 +19,48 @@
 
 const defaultSlots = 8
 
-// Options are the fixed traits of an engine. The zero value is an engine of 8
-// slots without a queue that ignores fencing numbers and takes no time.
+// Options configure an engine. The zero value is an engine with 8 slots and no
+// queue that ignores fencing numbers and responds without delay.
 type Options struct {
-	Slots      int           // requests that run at once; 0 means 8
-	MaxWaiting int           // requests that wait for a slot
-	TokenTime  time.Duration // per token of each answer
-	LoadTime   time.Duration // to load a version
-	ReportLag  time.Duration // age of the load in a status
-	CheckFence bool          // refuse orders with an old fencing number
-	Clock      backend.Clock // nil means the machine's
+	Slots      int           // maximum number of running requests; 0 means 8
+	MaxWaiting int           // maximum number of requests that wait for a slot
+	TokenTime  time.Duration // per token of a response
+	LoadTime   time.Duration // time to load a version
+	ReportLag  time.Duration // age of the load that a status reports
+	CheckFence bool          // refuse orders whose fencing number is lower than the highest seen
+	Clock      backend.Clock // nil means backend.WallClock
 }
 
-// Faults are what the engine does wrong on purpose.
+// Faults are the faults that a test injects into an engine.
 type Faults struct {
 	backend.Faults
-	// IgnoreFence makes an engine that checks fencing numbers accept any.
+	// IgnoreFence makes an engine with CheckFence accept any fencing number.
 	IgnoreFence bool `json:"ignore_fence"`
-	// ChangeVersion makes the last line of the next answers name a version
-	// other than the first line's.
+	// ChangeVersion is the number of responses whose last line will name
+	// another version than the first line.
 	ChangeVersion int `json:"change_version"`
-	// CorruptStage flips a bit of every chunk that is read back.
+	// CorruptStage flips a bit of every staged chunk that is read back.
 	CorruptStage bool `json:"corrupt_stage"`
 }
 
-// Counters are what the engine did since New. Restart does not reset them.
+// Counters count the engine's work since New. Restart does not reset them.
 type Counters struct {
 	ExecutionsByKey  backend.Counts `json:"executions_by_key"` // by Idempotency-Key
 	ExecutionsByID   backend.Counts `json:"executions_by_id"`  // by Request-Id
 	AnswersByVersion backend.Counts `json:"answers_by_version"`
-	Completed        int            `json:"completed"` // answers sent to their last line
-	NotRun           int            `json:"not_run"`   // requests declined before they ran
-	Cancelled        int            `json:"cancelled"` // the caller went away first
-	Cut              int            `json:"cut"`       // ended by a load, a restart or a fault
-	// Mixed counts requests that ran on bytes that do not match the manifest
-	// of the version that the answer names.
+	Completed        int            `json:"completed"` // responses sent completely
+	NotRun           int            `json:"not_run"`   // requests rejected before they ran
+	Cancelled        int            `json:"cancelled"` // requests whose caller disconnected
+	Cut              int            `json:"cut"`       // requests aborted by a load, a restart or a fault
+	// Mixed counts requests that ran on weights that do not match the manifest
+	// of the version named in the response.
 	Mixed         int `json:"mixed"`
 	Loads         int `json:"loads"`
-	OrdersRefused int `json:"orders_refused"` // for their fencing number
+	OrdersRefused int `json:"orders_refused"` // refused because of their fencing number
 }
 
-// Engine is one engine. Its methods may be called at once.
+// Engine is a stand-in of one model engine. Its methods are safe for concurrent
+// use.
 type Engine struct {
 	backend.Server
 	options  Options
@@ -68,29 +69,30 @@
 	history  *loadHistory
 	injector backend.Injector
 
-	mu       sync.Mutex
-	boot     string
-	life     *life // ends when the loaded version goes
-	loaded   fleet.Version
-	whole    bool // the loaded bytes match the manifest
-	loading  bool
-	target   fleet.Version // what is being loaded; zero if nothing
-	adapters []string
-	role     string
-	fence    uint64
-	staged   map[fleet.Digest]*stagedVersion
-	faults   Faults
-	counters Counters
+	mu           sync.Mutex
+	bootID       string
+	scope        *loadScope // ends when the loaded version is replaced or lost
+	loaded       fleet.Version
+	verified     bool // the loaded weights match the manifest
+	loading      bool
+	loadTarget   fleet.Version // the version being loaded; zero if none
+	adapters     []string
+	role         string
+	highestFence uint64
+	staged       map[fleet.Digest]*stagedVersion
+	faults       Faults
+	counters     Counters
 }
 
-// life is the time in which one version is loaded.
-type life struct {
+// loadScope is the period for which one version is loaded or being loaded. Its
+// end aborts the requests that run on that version.
+type loadScope struct {
 	ended chan struct{}
 }
 
-func newLife() *life { return &life{ended: make(chan struct{})} }
+func newLoadScope() *loadScope { return &loadScope{ended: make(chan struct{})} }
 
-func (l *life) over() bool {
+func (l *loadScope) hasEnded() bool {
 	select {
 	case <-l.ended:
 		return true
@@ -99,8 +101,8 @@
 	}
 }
 
-// New returns an engine that holds nothing. It serves HTTP; Start gives it an
-// address of its own.
+// New returns an engine with nothing staged or loaded. It implements
+// http.Handler; Start also makes it listen on an address of its own.
 func New(options Options) *Engine {
 	if options.Slots == 0 {
 		options.Slots = defaultSlots
@@ -110,32 +112,33 @@
 	}
 	e := &Engine{options: options}
 	e.history = &loadHistory{clock: options.Clock, lag: options.ReportLag, slots: options.Slots}
-	e.batch = &batch{slots: options.Slots, maxWaiting: options.MaxWaiting, changed: e.history.add}
+	e.batch = &batch{slots: options.Slots, maxWaiting: options.MaxWaiting, onChange: e.history.add}
 	e.reset()
 	e.mux = e.routes()
 	return e
 }
 
-// reset starts a new life of the process. The caller holds mu or is New.
+// reset puts the engine into the state of a newly started process. The caller
+// holds mu or is New.
 func (e *Engine) reset() {
-	if e.life != nil && !e.life.over() {
-		close(e.life.ended)
+	if e.scope != nil && !e.scope.hasEnded() {
+		close(e.scope.ended)
 	}
-	e.life = newLife()
-	e.boot = uuid.NewString()
+	e.scope = newLoadScope()
+	e.bootID = uuid.NewString()
 	e.loaded = fleet.Version{}
-	e.whole = false
+	e.verified = false
 	e.loading = false
-	e.target = fleet.Version{}
+	e.loadTarget = fleet.Version{}
 	e.adapters = nil
 	e.role = ""
-	e.fence = 0
+	e.highestFence = 0
 	e.staged = make(map[fleet.Digest]*stagedVersion)
 }
 
-// Restart replaces the engine's process: running answers are cut, and the
-// boot name changes; staged chunks, the loaded version and the fencing number
-// are gone.
+// Restart simulates a restart of the engine's process: running requests are
+// aborted, the boot ID changes, and the staged chunks, the loaded version and
+// the fencing number are lost.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,7 +164,7 @@
 	return mux
 }
 
-// AdminHandler serves the harness: counters, faults and restart.
+// AdminHandler serves the admin calls for counters, faults and restart.
 func (e *Engine) AdminHandler() http.Handler {
 	return backend.Admin[Faults]{
 		Counters: func() any { return e.Counters() },
@@ -178,7 +181,7 @@
 	e.injector.Set(faults.Faults)
 }
 
-// Counters returns a copy of the counts.
+// Counters returns a copy of the counters.
 func (e *Engine) Counters() Counters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,18 +192,18 @@
 	return c
 }
 
-// Status returns what GET /v1/status answers.
+// Status returns the response to GET /v1/status.
 func (e *Engine) Status() serving.EngineStatus {
-	load := e.history.report()
+	load := e.history.current()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return serving.EngineStatus{
-		BootID:     e.boot,
+		BootID:     e.bootID,
 		Loaded:     e.loaded,
 		Loading:    e.loading,
 		Adapters:   append([]string{}, e.adapters...),
 		EngineRole: e.role,
-		Fence:      e.fence,
+		Fence:      e.highestFence,
 		Load:       load,
 	}
 }
--- a/standin/engine/engine_suite_test.go
+++ b/standin/engine/engine_suite_test.go
@@ -9,5 +9,5 @@
 
 func TestEngine(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "model engine: the stand-in met through its adapter")
+	RunSpecs(t, "model engine: stand-in and adapter")
 }
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -12,18 +12,20 @@
 	"chivespindle.example/standin/engine/backend"
 )
 
-// maxTokens bounds one answer.
+// maxTokens bounds the number of tokens of a response.
 const maxTokens = 1 << 16
 
-// versionChanged marks the version that the fault ChangeVersion names.
-const versionChanged = "-changed"
+// changedVersionSuffix is appended to the version in the last line by the fault
+// ChangeVersion.
+const changedVersionSuffix = "-changed"
 
-// wrongID marks the request id that the fault WrongID names.
-const wrongID = "-wrong"
+// wrongIDSuffix is appended to the request ID of a response by the fault
+// WrongID.
+const wrongIDSuffix = "-wrong"
 
 var (
-	notLoaded = failure.Namespace.NewType("not_loaded")
-	lifeEnded = failure.Namespace.NewType("life_ended")
+	notLoaded      = failure.Namespace.NewType("not_loaded")
+	loadScopeEnded = failure.Namespace.NewType("life_ended")
 )
 
 type prompt struct {
@@ -31,7 +33,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// The lines of an answer, one JSON object each.
+// Lines of a response, one JSON object each.
 type (
 	firstLine struct {
 		ID      string        `json:"id"`
@@ -50,46 +52,46 @@
 	}
 )
 
-// execution is one request that runs.
+// execution is a running request.
 type execution struct {
-	job     backend.Job
-	version fleet.Version // what the answer names
-	last    fleet.Version // what its last line names
-	bytes   fleet.Version // what its tokens are computed from
+	job          backend.Job
+	version      fleet.Version // named in the first line
+	finalVersion fleet.Version // named in the last line
+	computedFrom fleet.Version // the version that the tokens are computed from
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	job, reason := readJob(w, r)
 	if reason != "" {
-		e.decline(w, http.StatusBadRequest, reason)
+		e.reject(w, http.StatusBadRequest, reason)
 		return
 	}
-	ctx, current, end := e.lifeContext(r.Context())
-	defer end()
-	if !e.serves(current) {
-		e.decline(w, http.StatusServiceUnavailable, "no version is loaded")
+	ctx, scope, release := e.requestContext(r.Context())
+	defer release()
+	if !e.canServe(scope) {
+		e.reject(w, http.StatusServiceUnavailable, "no version is loaded")
 		return
 	}
-	if err := e.batch.enter(ctx, backend.Urgency(r.Header.Get(backend.HeaderPriority))); err != nil {
-		e.notEntered(w, r, err)
+	if err := e.batch.acquire(ctx, backend.Urgency(r.Header.Get(backend.HeaderPriority))); err != nil {
+		e.handleAcquireError(w, r, err)
 		return
 	}
-	defer e.batch.leave()
-	run, err := e.start(current, r.Header.Get(backend.HeaderIdempotencyKey), job)
+	defer e.batch.release()
+	run, err := e.start(scope, r.Header.Get(backend.HeaderIdempotencyKey), job)
 	if err != nil {
-		e.decline(w, http.StatusServiceUnavailable, err.Error())
+		e.reject(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	run.job = e.injector.Swap(ctx, run.job)
-	if how := e.send(ctx, w, run); how != completed {
-		e.record(how, run)
-		// The connection is cut, so that the caller cannot take what came for
-		// a whole answer.
+	if result := e.stream(ctx, w, run); result != completed {
+		e.recordResult(result, run)
+		// Abort the connection, so that the caller cannot mistake the received
+		// part for a complete response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// readJob reads a request; reason is empty if it is sound.
+// readJob parses a request. The reason is empty if the request is valid.
 func readJob(w http.ResponseWriter, r *http.Request) (job backend.Job, reason string) {
 	id := r.Header.Get(backend.HeaderRequestID)
 	if id == "" {
@@ -105,49 +107,50 @@
 	return backend.Job{ID: id, Prompt: p.Prompt, Tokens: p.MaxTokens}, ""
 }
 
-// lifeContext returns a context that ends with the request or the loaded
-// version.
-func (e *Engine) lifeContext(ctx context.Context) (context.Context, *life, func()) {
+// requestContext returns a context that ends with the request or with the
+// current loadScope, that loadScope, and a function that releases the context.
+func (e *Engine) requestContext(ctx context.Context) (context.Context, *loadScope, func()) {
 	e.mu.Lock()
-	current := e.life
+	scope := e.scope
 	e.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	finished := make(chan struct{})
 	go func() {
 		select {
-		case <-current.ended:
-			cancel(lifeEnded.New("the loaded version went"))
+		case <-scope.ended:
+			cancel(loadScopeEnded.New("the loaded version went"))
 		case <-finished:
 		}
 	}()
-	return ctx, current, func() {
+	return ctx, scope, func() {
 		close(finished)
 		cancel(nil)
 	}
 }
 
-func (e *Engine) notEntered(w http.ResponseWriter, r *http.Request, err error) {
+func (e *Engine) handleAcquireError(w http.ResponseWriter, r *http.Request, err error) {
 	if r.Context().Err() != nil {
 		e.mu.Lock()
 		e.counters.Cancelled++
 		e.mu.Unlock()
 		return
 	}
-	e.decline(w, http.StatusServiceUnavailable, err.Error())
+	e.reject(w, http.StatusServiceUnavailable, err.Error())
 }
 
-func (e *Engine) decline(w http.ResponseWriter, status int, reason string) {
+func (e *Engine) reject(w http.ResponseWriter, status int, reason string) {
 	e.mu.Lock()
 	e.counters.NotRun++
 	e.mu.Unlock()
 	backend.WriteNotRun(w, status, reason)
 }
 
-// start counts an execution and fixes the version that it is computed from.
-func (e *Engine) start(current *life, key string, job backend.Job) (*execution, error) {
+// start counts an execution and determines the version that its tokens are
+// computed from.
+func (e *Engine) start(scope *loadScope, key string, job backend.Job) (*execution, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.servesLocked(current) {
+	if !e.canServeLocked(scope) {
 		return nil, notLoaded.New("the loaded version went")
 	}
 	if e.counters.ExecutionsByID == nil {
@@ -159,52 +162,52 @@
 	if key != "" {
 		e.counters.ExecutionsByKey[key]++
 	}
-	run := &execution{job: job, version: e.loaded, last: e.loaded, bytes: e.loaded}
-	if !e.whole {
+	run := &execution{job: job, version: e.loaded, finalVersion: e.loaded, computedFrom: e.loaded}
+	if !e.verified {
 		e.counters.Mixed++
-		run.bytes.Manifest = fleet.Digest{}
+		run.computedFrom.Manifest = fleet.Digest{}
 	}
 	if e.faults.ChangeVersion > 0 {
 		e.faults.ChangeVersion--
-		run.last.Name += versionChanged
+		run.finalVersion.Name += changedVersionSuffix
 	}
 	return run, nil
 }
 
-func (e *Engine) serves(current *life) bool {
+func (e *Engine) canServe(scope *loadScope) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.servesLocked(current)
+	return e.canServeLocked(scope)
 }
 
-func (e *Engine) servesLocked(current *life) bool {
-	return !current.over() && !e.loading && !e.loaded.IsZero()
+func (e *Engine) canServeLocked(scope *loadScope) bool {
+	return !scope.hasEnded() && !e.loading && !e.loaded.IsZero()
 }
 
-// ending is how an execution ended.
-type ending int
+// executionResult is how an execution ended.
+type executionResult int
 
 const (
-	completed ending = iota
-	cancelled        // the caller went away
-	cut              // by a load, a restart or a fault
+	completed executionResult = iota
+	cancelled                 // the caller disconnected
+	aborted                   // aborted by a load, a restart or a fault
 )
 
-func endingOf(ctx context.Context) ending {
-	if errorx.IsOfType(context.Cause(ctx), lifeEnded) {
-		return cut
+func abortResult(ctx context.Context) executionResult {
+	if errorx.IsOfType(context.Cause(ctx), loadScopeEnded) {
+		return aborted
 	}
 	return cancelled
 }
 
-// send streams the answer.
-func (e *Engine) send(ctx context.Context, w http.ResponseWriter, run *execution) ending {
+// stream sends the response.
+func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, run *execution) executionResult {
 	id := run.job.ID
 	if e.injector.TakeWrongID() {
-		id += wrongID
+		id += wrongIDSuffix
 	}
-	dies := e.injector.TakeDie()
-	tokens := newSampler(run.job.Prompt, run.bytes)
+	aborts := e.injector.TakeDie()
+	tokenSampler := newSampler(run.job.Prompt, run.computedFrom)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	out := lineWriter{w: w, control: http.NewResponseController(w)}
 	if !out.write(firstLine{ID: id, Version: run.version}) {
@@ -212,47 +215,48 @@
 	}
 	for seq := range run.job.Tokens {
 		if seq == run.job.Tokens/2 {
-			if dies {
-				return cut
+			if aborts {
+				return aborted
 			}
 			e.injector.WaitStall(ctx)
 		}
 		e.pause(ctx)
 		if ctx.Err() != nil {
-			return endingOf(ctx)
+			return abortResult(ctx)
 		}
-		if !out.write(tokenLine{ID: id, Seq: seq, Token: tokens.token(seq)}) {
+		if !out.write(tokenLine{ID: id, Seq: seq, Token: tokenSampler.token(seq)}) {
 			return cancelled
 		}
 	}
-	// Recorded first, so that a caller who has the last line finds it counted.
-	e.record(completed, run)
-	out.write(lastLine{ID: id, Done: true, Tokens: run.job.Tokens, Version: run.last})
+	// Recorded before the last line is sent, so that a caller who has received
+	// it finds the request counted.
+	e.recordResult(completed, run)
+	out.write(lastLine{ID: id, Done: true, Tokens: run.job.Tokens, Version: run.finalVersion})
 	return completed
 }
 
-// pause takes the time of one token, less if ctx ends.
+// pause waits for the time of one token or until ctx ends.
 func (e *Engine) pause(ctx context.Context) {
-	pause := e.options.TokenTime + e.injector.Slow()
-	if pause <= 0 {
+	delay := e.options.TokenTime + e.injector.Slow()
+	if delay <= 0 {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-e.options.Clock.After(pause):
+	case <-e.options.Clock.After(delay):
 	}
 }
 
-func (e *Engine) record(how ending, run *execution) {
+func (e *Engine) recordResult(result executionResult, run *execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	switch how {
+	switch result {
 	case completed:
 		e.counters.Completed++
 		e.counters.AnswersByVersion[run.version.String()]++
 	case cancelled:
 		e.counters.Cancelled++
-	case cut:
+	case aborted:
 		e.counters.Cut++
 	}
 }
@@ -262,7 +266,8 @@
 	control *http.ResponseController
 }
 
-// write sends one line at once; false if the connection is gone.
+// write sends and flushes one line. It returns false if the connection is
+// closed.
 func (l lineWriter) write(line any) bool {
 	raw, err := json.Marshal(line)
 	if err != nil {
--- a/standin/engine/helpers_test.go
+++ b/standin/engine/helpers_test.go
@@ -18,7 +18,8 @@
 	"chivespindle.example/standin/engine"
 )
 
-// start runs an engine and a client of it until the spec ends.
+// start starts an engine and a client for it, both for the duration of the
+// spec.
 func start(options engine.Options, clientOptions ...func(*adapter.Options)) (*engine.Engine, *adapter.Client) {
 	GinkgoHelper()
 	e := engine.New(options)
@@ -32,16 +33,16 @@
 	return e, adapter.New(o)
 }
 
-// stallAfter shortens a client's progress deadline. The wait for the first
-// line is long, so that no other clock can end a stalled answer.
-func stallAfter(pause time.Duration) func(*adapter.Options) {
+// withStallTimeout shortens a client's progress timeout. The timeout of the first
+// line is long, so that only the progress timeout can end a stalled response.
+func withStallTimeout(pause time.Duration) func(*adapter.Options) {
 	return func(o *adapter.Options) {
 		o.StallTimeout = pause
 		o.FirstLineTimeout = time.Hour
 	}
 }
 
-// release is a version and its bytes.
+// release is a version with its weights.
 type release struct {
 	version  fleet.Version
 	manifest []byte
@@ -62,7 +63,7 @@
 	return r
 }
 
-// stage puts all of r.
+// stage stages the manifest and all chunks of r.
 func stage(ctx context.Context, client *adapter.Client, r release) {
 	GinkgoHelper()
 	Expect(client.PutManifest(ctx, r.version.Manifest, r.manifest)).To(Succeed())
@@ -71,32 +72,32 @@
 	}
 }
 
-// load stages r and has it loaded by an engine without a load time.
+// load stages r and orders the engine to load it.
 func load(ctx context.Context, client *adapter.Client, r release) {
 	GinkgoHelper()
 	stage(ctx, client, r)
 	Expect(client.Order(ctx, serving.Order{Fence: 1, Version: r.version})).To(Succeed())
 }
 
-func callOf(id, prompt string, tokens int) serving.Call {
+func newCall(id, prompt string, tokens int) serving.Call {
 	GinkgoHelper()
 	body, err := json.Marshal(map[string]any{"prompt": prompt, "max_tokens": tokens})
 	Expect(err).NotTo(HaveOccurred())
 	return serving.Call{ID: id, IdempotencyKey: "key-" + id, Priority: 3, Body: body}
 }
 
-// result is what one call came to.
+// result is the result of one call.
 type result struct {
-	answer serving.Response
-	err    error
-	tokens []string
-	last   bool // the last line was handed over
+	response serving.Response
+	err      error
+	tokens   []string
+	last     bool // the last line was forwarded
 }
 
-// do makes a call and reads its pieces.
-func do(ctx context.Context, client *adapter.Client, call serving.Call) result {
+// doCall makes a call and reads its response.
+func doCall(ctx context.Context, client *adapter.Client, call serving.Call) result {
 	var r result
-	r.answer, r.err = client.Do(ctx, call, func(p serving.Piece) error {
+	r.response, r.err = client.Do(ctx, call, func(p serving.Piece) error {
 		var l struct {
 			Token *string
 			Done  bool
@@ -113,21 +114,21 @@
 	return r
 }
 
-// running starts a call and returns a channel that will hold its result.
-func running(ctx context.Context, client *adapter.Client, call serving.Call) <-chan result {
+// startCall starts a call and returns a channel that receives its result.
+func startCall(ctx context.Context, client *adapter.Client, call serving.Call) <-chan result {
 	done := make(chan result, 1)
-	go func() { done <- do(ctx, client, call) }()
+	go func() { done <- doCall(ctx, client, call) }()
 	return done
 }
 
-// manualClock is a backend.Clock that the spec moves.
+// manualClock is a backend.Clock that the spec advances.
 type manualClock struct {
 	mu     sync.Mutex
 	now    time.Time
-	alarms []alarm
+	timers []timer
 }
 
-type alarm struct {
+type timer struct {
 	at time.Time
 	ch chan time.Time
 }
@@ -142,28 +143,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ch := make(chan time.Time, 1)
-	c.alarms = append(c.alarms, alarm{at: c.now.Add(pause), ch: ch})
+	c.timers = append(c.timers, timer{at: c.now.Add(pause), ch: ch})
 	return ch
 }
 
-// pending returns how many wait for the clock.
-func (c *manualClock) pending() int {
+// pendingTimers returns the number of pending timers.
+func (c *manualClock) pendingTimers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.alarms)
+	return len(c.timers)
 }
 
 func (c *manualClock) advance(pause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(pause)
-	kept := c.alarms[:0]
-	for _, a := range c.alarms {
+	kept := c.timers[:0]
+	for _, a := range c.timers {
 		if a.at.After(c.now) {
 			kept = append(kept, a)
 			continue
 		}
 		a.ch <- c.now
 	}
-	c.alarms = kept
+	c.timers = kept
 }
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -8,15 +8,15 @@
 	"chivespindle.example/standin/engine/backend"
 )
 
-// loadHistory reports the load as it was some time ago, as a real engine
-// does that publishes its numbers now and then.
+// loadHistory reports the load as it was one lag ago, like a real engine that
+// publishes its load only from time to time.
 type loadHistory struct {
 	clock backend.Clock
 	lag   time.Duration
 	slots int
 
 	mu      sync.Mutex
-	samples []loadSample // oldest first; the first is the one to report
+	samples []loadSample // oldest first
 }
 
 type loadSample struct {
@@ -31,7 +31,7 @@
 	h.prune()
 }
 
-// prune drops the samples that a later one has replaced at the reported time.
+// prune drops the samples that were superseded before the reported time.
 func (h *loadHistory) prune() {
 	reported := h.clock.Now().Add(-h.lag)
 	for len(h.samples) > 1 && !h.samples[1].at.After(reported) {
@@ -39,7 +39,7 @@
 	}
 }
 
-func (h *loadHistory) report() serving.Load {
+func (h *loadHistory) current() serving.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.prune()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,39 +10,39 @@
 	"chivespindle.example/standin/engine/backend"
 )
 
-// maxOrder bounds an order's JSON in bytes.
-const maxOrder = 1 << 20
+// maxOrderBytes bounds the JSON of an order.
+const maxOrderBytes = 1 << 20
 
 func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order serving.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder)).Decode(&order); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
 		backend.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if status, reason := e.accept(order); status != http.StatusOK {
+	if status, reason := e.applyOrder(order); status != http.StatusOK {
 		backend.WriteProblem(w, status, reason)
 		return
 	}
 	backend.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// accept checks an order and starts to carry it out. All of it is refused or
-// none.
-func (e *Engine) accept(order serving.Order) (status int, reason string) {
+// applyOrder checks an order and starts to execute it. An order is accepted or
+// refused as a whole.
+func (e *Engine) applyOrder(order serving.Order) (status int, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	checks := e.options.CheckFence && !e.faults.IgnoreFence
-	if checks && order.Fence < e.fence {
+	checksFence := e.options.CheckFence && !e.faults.IgnoreFence
+	if checksFence && order.Fence < e.highestFence {
 		e.counters.OrdersRefused++
 		return http.StatusConflict, "a higher fencing number was seen"
 	}
-	if e.changes(order.Version) {
+	if e.needsLoad(order.Version) {
 		if missing := e.startLoad(order.Version); missing != "" {
 			return http.StatusUnprocessableEntity, missing
 		}
 	}
 	if e.options.CheckFence {
-		e.fence = max(e.fence, order.Fence)
+		e.highestFence = max(e.highestFence, order.Fence)
 	}
 	if order.Adapters != nil {
 		e.adapters = append([]string{}, order.Adapters...)
@@ -53,79 +53,80 @@
 	return http.StatusOK, ""
 }
 
-// changes reports whether an order for version needs a load. A repeated order
-// does not, so that a giver who does not know whether the first arrived may
-// send it again.
-func (e *Engine) changes(version fleet.Version) bool {
+// needsLoad reports whether an order for version requires a load. A retried
+// order does not, so that a sender who does not know whether the first one
+// arrived can retry it safely.
+func (e *Engine) needsLoad(version fleet.Version) bool {
 	if version.IsZero() {
 		return false
 	}
 	if e.loading {
-		return version != e.target
+		return version != e.loadTarget
 	}
 	return version != e.loaded
 }
 
-// startLoad ends what runs and loads version. A load that goes on already is
-// given up. It does nothing and tells what is missing if not all is staged.
+// startLoad aborts the running requests and loads version. A load in progress
+// is abandoned. If not everything is staged, startLoad does nothing and returns
+// what is missing.
 func (e *Engine) startLoad(version fleet.Version) (missing string) {
-	whole, missing := e.takeStaged(version.Manifest)
+	verified, missing := e.verifyStaged(version.Manifest)
 	if missing != "" {
 		return missing
 	}
-	if !e.life.over() {
-		close(e.life.ended)
+	if !e.scope.hasEnded() {
+		close(e.scope.ended)
 	}
 	e.loaded = fleet.Version{}
 	e.loading = true
-	e.target = version
-	current := newLife()
-	e.life = current
+	e.loadTarget = version
+	scope := newLoadScope()
+	e.scope = scope
 	if e.options.LoadTime <= 0 {
-		e.finishLoad(version, whole)
+		e.finishLoad(version, verified)
 		return ""
 	}
 	done := e.options.Clock.After(e.options.LoadTime)
 	go func() {
 		select {
 		case <-done:
-		case <-current.ended:
+		case <-scope.ended:
 			return
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if !current.over() {
-			e.finishLoad(version, whole)
+		if !scope.hasEnded() {
+			e.finishLoad(version, verified)
 		}
 	}()
 	return ""
 }
 
-func (e *Engine) finishLoad(version fleet.Version, whole bool) {
+func (e *Engine) finishLoad(version fleet.Version, verified bool) {
 	e.loading = false
-	e.target = fleet.Version{}
+	e.loadTarget = fleet.Version{}
 	e.loaded = version
-	e.whole = whole
+	e.verified = verified
 	e.counters.Loads++
 }
 
-// takeStaged reports whether the staged bytes match the manifest, or what is
-// missing. Like a real engine it loads bytes that do not match;
-// the requests that run on them are counted as Mixed.
-func (e *Engine) takeStaged(manifest fleet.Digest) (whole bool, missing string) {
+// verifyStaged reports whether the staged chunks match the manifest, or what is
+// missing. Like a real engine, the stand-in loads chunks that do not match; the
+// requests that run on them are counted as Mixed.
+func (e *Engine) verifyStaged(manifest fleet.Digest) (verified bool, missing string) {
 	staged := e.staged[manifest]
 	if staged == nil || staged.manifest == nil {
 		return false, "the manifest is not staged"
 	}
-	whole = true
+	verified = true
 	for _, chunk := range staged.manifest.Chunks {
 		data, ok := staged.chunks[chunk.Index]
 		if !ok {
 			return false, fmt.Sprintf("chunk %d is not staged", chunk.Index)
 		}
 		if chunk.Verify(data) != nil {
-			whole = false
+			verified = false
 		}
 	}
-	return whole, ""
+	return verified, ""
 }
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -16,10 +16,11 @@
 )
 
 var _ = Describe("serving.Engine", func() {
-	// An agent is replaced while it is paused; its successor gave an order
-	// with a higher number. When the old one wakes and sends its order, a
-	// checking engine refuses it; one that does not check carries it out.
-	DescribeTable("meets an order by its fencing number",
+	// While an agent is paused, its successor sends an order with a higher
+	// fencing number. When the paused agent continues and sends its own order,
+	// an engine that checks fencing numbers refuses it; an engine that does not
+	// check executes it.
+	DescribeTable("accepts or refuses an order by its fencing number",
 		func(ctx SpecContext, checks bool, faults engine.Faults, fence uint64, accepted bool, reported uint64) {
 			e, client := start(engine.Options{CheckFence: checks})
 			Expect(client.Order(ctx, serving.Order{Fence: 5, Role: "decode"})).To(Succeed())
@@ -41,7 +42,7 @@
 		Entry("lower, not checked", false, engine.Faults{}, uint64(4), true, uint64(0)),
 	)
 
-	It("refuses to load what is not whole", func(ctx SpecContext) {
+	It("refuses to load a version that is not completely staged", func(ctx SpecContext) {
 		e, client := start(engine.Options{})
 		r := newRelease("v1")
 		order := serving.Order{Version: r.version, Role: "decode"}
@@ -50,7 +51,7 @@
 			err := client.Order(ctx, order)
 			Expect(errorx.IsOfType(err, failure.NotFound)).To(BeTrue(), "%v", err)
 			Expect(e.Status().Loaded.IsZero()).To(BeTrue())
-			Expect(e.Status().EngineRole).To(BeEmpty(), "an order is refused whole")
+			Expect(e.Status().EngineRole).To(BeEmpty(), "a refused order changes nothing")
 		}
 		missing()
 		Expect(client.PutManifest(ctx, r.version.Manifest, r.manifest)).To(Succeed())
@@ -64,37 +65,38 @@
 		Expect(e.Status().Loaded).To(Equal(r.version))
 	})
 
-	// An agent that stages a chunk without a check gets a wrong one in. Like
-	// a real engine this one loads it and answers; it must be counted, and
-	// the tokens must not be those of the version.
-	It("counts answers from bytes that do not match the manifest", func(ctx SpecContext) {
+	// An agent that stages a chunk without verifying it may stage corrupt
+	// bytes. Like a real engine, the stand-in loads them and responds. Such
+	// requests must be counted, and the tokens must differ from those of the
+	// version.
+	It("counts requests that ran on weights that do not match the manifest", func(ctx SpecContext) {
 		e, client := start(engine.Options{})
 		r := newRelease("v1")
 		stage(ctx, client, r)
 		Expect(client.Put(ctx, r.version.Manifest, 1, []byte("0123456789abcdef"))).To(Succeed())
 		Expect(client.Order(ctx, serving.Order{Version: r.version})).To(Succeed())
 
-		got := do(ctx, client, callOf("a1", "p", 4))
+		got := doCall(ctx, client, newCall("a1", "p", 4))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.tokens).NotTo(Equal(engine.ExpectedTokens("p", 4, r.version)))
 		Expect(e.Counters().Mixed).To(Equal(1))
 	})
 
-	// A load takes a while. A request in that time must be declined as not
-	// run, and an answer that ran when the order came must be cut, not
-	// continued on the new version.
-	It("answers nothing while it loads", func(ctx SpecContext) {
+	// A request during a load must be rejected as not run. A request that runs
+	// when the order arrives must be aborted and must not continue on the new
+	// version.
+	It("rejects requests while it loads", func(ctx SpecContext) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		e, client := start(engine.Options{LoadTime: time.Minute, Clock: clock})
 		v1, v2 := newRelease("v1"), newRelease("v2")
 		load(ctx, client, v1)
 		Expect(e.Status().Loading).To(BeTrue())
-		Expect(failure.OutcomeOf(do(ctx, client, callOf("a1", "p", 4)).err)).To(Equal(failure.NotRun))
+		Expect(failure.OutcomeOf(doCall(ctx, client, newCall("a1", "p", 4)).err)).To(Equal(failure.NotRun))
 		clock.advance(time.Minute)
 		Eventually(ctx, func() fleet.Version { return e.Status().Loaded }).Should(Equal(v1.version))
 
 		e.SetFaults(engine.Faults{Faults: backend.Faults{Stall: true}})
-		runs := running(ctx, client, callOf("a2", "p", 4))
+		runs := startCall(ctx, client, newCall("a2", "p", 4))
 		Eventually(ctx, func() int { return e.Counters().ExecutionsByID["a2"] }).Should(Equal(1))
 		load(ctx, client, v2)
 		var got result
@@ -106,11 +108,11 @@
 
 		clock.advance(time.Minute)
 		Eventually(ctx, func() fleet.Version { return e.Status().Loaded }).Should(Equal(v2.version))
-		Expect(do(ctx, client, callOf("a3", "p", 4)).answer.Version).To(Equal(v2.version))
+		Expect(doCall(ctx, client, newCall("a3", "p", 4)).response.Version).To(Equal(v2.version))
 		Expect(e.Counters().Cut).To(Equal(1))
 	})
 
-	It("does not load again when an order is repeated, and the last order counts", func(ctx SpecContext) {
+	It("does not load again for a retried order, and follows the latest order", func(ctx SpecContext) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		e, client := start(engine.Options{LoadTime: time.Minute, Clock: clock})
 		v1, v2 := newRelease("v1"), newRelease("v2")
@@ -124,7 +126,7 @@
 		Expect(e.Counters().Loads).To(Equal(1))
 	})
 
-	It("changes adapters and role, and leaves what is not named", func(ctx SpecContext) {
+	It("changes adapters and role, and keeps those that an order omits", func(ctx SpecContext) {
 		_, client := start(engine.Options{})
 		r := newRelease("v1")
 		load(ctx, client, r)
@@ -146,7 +148,7 @@
 		e, client := start(engine.Options{Slots: 4, ReportLag: 3 * time.Second, Clock: clock})
 		load(ctx, client, newRelease("v1"))
 		e.SetFaults(engine.Faults{Faults: backend.Faults{Stall: true}})
-		running(ctx, client, callOf("a1", "p", 4))
+		startCall(ctx, client, newCall("a1", "p", 4))
 		Eventually(ctx, func() int { return e.Counters().ExecutionsByID["a1"] }).Should(Equal(1))
 		clock.advance(2 * time.Second)
 		Expect(client.Status(ctx)).To(HaveField("Load", serving.Load{Slots: 4}))
@@ -154,7 +156,7 @@
 		Expect(client.Status(ctx)).To(HaveField("Load", serving.Load{Running: 1, Slots: 4, KVUsed: 0.25}))
 	})
 
-	It("fails when the engine is gone or stalls", func(ctx SpecContext) {
+	It("fails if the engine does not listen", func(ctx SpecContext) {
 		e, client := start(engine.Options{})
 		Expect(e.Close()).To(Succeed())
 		_, err := client.Status(ctx)
@@ -165,7 +167,7 @@
 })
 
 var _ = Describe("weights.Stage of an engine", func() {
-	It("keeps chunks for a later agent and gives them back", func(ctx SpecContext) {
+	It("stores chunks and returns them to a later agent", func(ctx SpecContext) {
 		_, client := start(engine.Options{})
 		r := newRelease("v1")
 		Expect(client.Held(ctx, r.version.Manifest)).To(BeEmpty())
@@ -188,7 +190,7 @@
 		Expect(errorx.IsOfType(err, failure.Corrupt)).To(BeTrue(), "%v", err)
 	})
 
-	It("gives corrupt bytes back under the fault", func(ctx SpecContext) {
+	It("returns corrupt chunks under the fault", func(ctx SpecContext) {
 		e, client := start(engine.Options{})
 		r := newRelease("v1")
 		stage(ctx, client, r)
@@ -198,7 +200,7 @@
 		Expect(client.Get(ctx, r.version.Manifest, 0)).To(Equal(r.chunks[0]))
 	})
 
-	It("loses everything when the engine restarts", func(ctx SpecContext) {
+	It("loses all state when the engine restarts", func(ctx SpecContext) {
 		e, client := start(engine.Options{CheckFence: true})
 		r := newRelease("v1")
 		load(ctx, client, r)
--- a/standin/engine/session_test.go
+++ b/standin/engine/session_test.go
@@ -14,7 +14,7 @@
 	"chivespindle.example/standin/engine"
 )
 
-// goldenSession is written anew when the environment has UPDATE_GOLDEN=1.
+// goldenSession is rewritten if the environment has UPDATE_GOLDEN=1.
 const goldenSession = "testdata/session.golden"
 
 // step is one request of the session.
@@ -23,14 +23,14 @@
 }
 
 var (
-	bootName = regexp.MustCompile(`"boot":"[^"]*"`) // another in each run
-	rawByte  = regexp.MustCompile(`[^\x20-\x7e\n]`)
+	bootID     = regexp.MustCompile(`"boot":"[^"]*"`) // differs in each run
+	binaryByte = regexp.MustCompile(`[^\x20-\x7e\n]`)
 )
 
-var _ = Describe("the engine's protocol", func() {
-	// The session of docs/PLATFORM-ENGINE.md, byte for byte: a change of the
-	// protocol shows here first.
-	It("is that of the golden session", func(ctx SpecContext) {
+var _ = Describe("the protocol of the engine", func() {
+	// Compares the session of docs/PLATFORM-ENGINE.md byte for byte, so that
+	// any change of the protocol is detected here.
+	It("matches the golden session", func(ctx SpecContext) {
 		e, _ := start(engine.Options{Slots: 2, CheckFence: true})
 		r := newRelease("v1")
 		staging := "/v1/staging/" + r.version.Manifest.String()
@@ -69,7 +69,8 @@
 	})
 })
 
-// record makes the request of s and writes it and its answer.
+// record sends the request of s and writes the request and its response to
+// session.
 func record(ctx SpecContext, session io.Writer, base string, s step) {
 	GinkgoHelper()
 	request, err := http.NewRequestWithContext(ctx, s.method, base+s.path, strings.NewReader(s.body))
@@ -98,8 +99,8 @@
 }
 
 func writeBody(session io.Writer, mark, body string) {
-	body = bootName.ReplaceAllString(body, `"boot":"(a new name)"`)
-	if rawByte.MatchString(body) {
+	body = bootID.ReplaceAllString(body, `"boot":"(a new name)"`)
+	if binaryByte.MatchString(body) {
 		body = fmt.Sprintf("(%d bytes)", len(body))
 	}
 	for _, line := range strings.Split(strings.TrimSuffix(body, "\n"), "\n") {
--- a/standin/engine/staging.go
+++ b/standin/engine/staging.go
@@ -13,18 +13,18 @@
 	"chivespindle.example/standin/engine/backend"
 )
 
-// maxManifest bounds an encoded manifest in bytes.
-const maxManifest = 16 << 20
+// maxManifestBytes bounds an encoded manifest.
+const maxManifestBytes = 16 << 20
 
-// stagedVersion is what the engine keeps of one version before it loads it.
+// stagedVersion holds the manifest and chunks of one version that is staged.
 type stagedVersion struct {
-	manifest *weights.Manifest // nil until it was put
+	manifest *weights.Manifest // nil until it is staged
 	chunks   map[int][]byte
 }
 
-// stage returns the entry of a manifest, made if there is none. The caller
-// holds mu.
-func (e *Engine) stage(manifest fleet.Digest) *stagedVersion {
+// stagedEntry returns the entry of a manifest and creates it if necessary. The
+// caller holds mu.
+func (e *Engine) stagedEntry(manifest fleet.Digest) *stagedVersion {
 	staged := e.staged[manifest]
 	if staged == nil {
 		staged = &stagedVersion{chunks: make(map[int][]byte)}
@@ -34,7 +34,7 @@
 }
 
 func (e *Engine) putManifest(w http.ResponseWriter, r *http.Request) {
-	digest, raw, ok := readStaged(w, r, maxManifest)
+	digest, raw, ok := readStaged(w, r, maxManifestBytes)
 	if !ok {
 		return
 	}
@@ -44,7 +44,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.stage(digest).manifest = &manifest
+	e.stagedEntry(digest).manifest = &manifest
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.stage(digest).chunks[index] = data
+	e.stagedEntry(digest).chunks[index] = data
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -119,8 +119,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readStaged reads the digest of the path and the body; it has answered if ok
-// is false.
+// readStaged reads the digest from the path and the body of the request. If ok
+// is false, the error response has been written.
 func readStaged(w http.ResponseWriter, r *http.Request, limit int64) (digest fleet.Digest, data []byte, ok bool) {
 	digest, ok = manifestDigest(w, r)
 	if !ok {
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -7,12 +7,12 @@
 	"chivespindle.example/core/fleet"
 )
 
-// tokenBytes is the part of a digest that makes one token.
+// tokenBytes is the number of digest bytes in one token.
 const tokenBytes = 4
 
-// ExpectedTokens returns the whole answer to a prompt by a version, so that a
-// caller can check that it got the answer to its own request, whole and from
-// one version.
+// ExpectedTokens returns all tokens of the response of a version to a prompt,
+// so that a caller can check that a response belongs to its own request, is
+// complete and comes from one version.
 func ExpectedTokens(prompt string, maxTokens int, version fleet.Version) []string {
 	s := newSampler(prompt, version)
 	tokens := make([]string, maxTokens)
