--- a/cmd/wholepath/leaving_test.go
+++ b/cmd/wholepath/leaving_test.go
@@ -96,7 +96,7 @@
 
 		Expect(<-long).NotTo(HaveOccurred(), "the long answer")
 		Expect(leaver.Wait(patience)).To(Succeed(), "exit of the agent")
-		Expect(engine.Counters().Cut + engine.Counters().Cancelled).To(BeZero())
+		Expect(engine.Counters().Aborted + engine.Counters().Cancelled).To(BeZero())
 		f.expectWhole(load.Stop())
 		Expect(load.Tally().Unknown).To(BeZero(), "requests that were cut")
 	})
--- a/cmd/wholepath/pause_test.go
+++ b/cmd/wholepath/pause_test.go
@@ -73,7 +73,7 @@
 		f.expectWhole(models.Stop())
 		f.expectOnce(plain.Stop())
 		after := f.Engines[frozen].Counters()
-		Expect(after.AnswersByVersion).NotTo(HaveKey(versions[1].String()), "a version that was past when the agent woke")
+		Expect(after.ResponsesByVersion).NotTo(HaveKey(versions[1].String()), "a version that was past when the agent woke")
 		Expect(after.Loads).To(Equal(before.Loads+1), "loads after the pause")
 	})
 
@@ -100,7 +100,7 @@
 		f.waitAdmitting()
 		answersAfter(models, 50)
 		f.expectWhole(models.Stop())
-		for version := range f.Engines[frozen].Counters().AnswersByVersion {
+		for version := range f.Engines[frozen].Counters().ResponsesByVersion {
 			Expect(version).To(BeElementOf(texts(versions)))
 		}
 	})
--- a/standin/bench/burst/fleet.go
+++ b/standin/bench/burst/fleet.go
@@ -219,7 +219,7 @@
 func (f *Fleet) mixed() int {
 	sum := 0
 	for _, m := range f.members {
-		sum += m.engine.Counters().Mixed
+		sum += m.engine.Counters().WeightMismatches
 	}
 	return sum
 }
--- a/standin/bench/requests/cases.go
+++ b/standin/bench/requests/cases.go
@@ -113,7 +113,7 @@
 	case FaultNone:
 		return func() error { return nil }, nil
 	case FaultSlow:
-		e.SetFaults(engine.Faults{Faults: backend.Faults{SlowMS: slowMS}})
+		e.SetFaults(engine.Faults{Faults: backend.Faults{StepDelayMS: slowMS}})
 		return clear, nil
 	case FaultStall:
 		e.SetFaults(engine.Faults{Faults: backend.Faults{Stall: true}})
--- a/standin/cmd/backend/command.go
+++ b/standin/cmd/backend/command.go
@@ -65,7 +65,7 @@
 	flags.IntVar(&options.MaxWaiting, "max-waiting", 64, "requests that wait for a slot")
 	flags.DurationVar(&options.TokenTime, "token-time", 20*time.Millisecond, "time of one token")
 	flags.DurationVar(&options.LoadTime, "load-time", 2*time.Second, "time to load a version")
-	flags.DurationVar(&options.ReportLag, "report-lag", time.Second, "age of the load in a status")
+	flags.DurationVar(&options.LoadReportLag, "report-lag", time.Second, "age of the load in a status")
 	flags.BoolVar(&options.CheckFence, "check-fence", false, "refuse orders with an old fencing number")
 	addListens(command, &at)
 	return command
--- a/standin/engine/backend/admin.go
+++ b/standin/engine/backend/admin.go
@@ -56,7 +56,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&faults); err != nil {
-		WriteProblem(w, http.StatusBadRequest, err.Error())
+		WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	a.Faults(faults)
--- a/standin/engine/backend/backend.go
+++ b/standin/engine/backend/backend.go
@@ -121,20 +121,20 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// Problem is the body of an error response.
-type Problem struct {
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// WriteProblem responds with status and the reason of the error.
-func WriteProblem(w http.ResponseWriter, status int, reason string) {
-	WriteJSON(w, status, Problem{Error: reason})
+// WriteError responds with status and the reason of the error.
+func WriteError(w http.ResponseWriter, status int, reason string) {
+	WriteJSON(w, status, ErrorResponse{Error: reason})
 }
 
 // WriteNotRun responds with status and reports that the request was not run.
 func WriteNotRun(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(HeaderOutcome, failure.NotRun.String())
-	WriteProblem(w, status, reason)
+	WriteError(w, status, reason)
 }
 
 const (
@@ -142,9 +142,10 @@
 	maxUrgency     = 7
 )
 
-// Urgency parses the urgency in a Priority header (RFC 9218), from 0 (highest)
-// to 7. If it is missing or invalid, Urgency returns the default of 3.
-func Urgency(header string) int {
+// ParseUrgency parses the urgency in a Priority header (RFC 9218), from 0
+// (highest) to 7. If it is missing or invalid, ParseUrgency returns the default
+// of 3.
+func ParseUrgency(header string) int {
 	for _, member := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(member), "u=")
 		if !found {
--- a/standin/engine/backend/faults.go
+++ b/standin/engine/backend/faults.go
@@ -12,10 +12,12 @@
 type Faults struct {
 	// Stall stops every response halfway and keeps its connection open.
 	Stall bool `json:"stall"`
-	// Die closes the connections of the next responses halfway.
-	Die int `json:"die"`
-	// SlowMS is added to the time of each step of a response, in milliseconds.
-	SlowMS int `json:"slow_ms"`
+	// Abort is the number of further responses whose connection is closed
+	// halfway.
+	Abort int `json:"die"`
+	// StepDelayMS is added to the time of each step of a response, in
+	// milliseconds.
+	StepDelayMS int `json:"slow_ms"`
 	// WrongID makes the next responses name another request.
 	WrongID int `json:"wrong_id"`
 	// Swap is the number of further pairs of responses that are swapped between
@@ -31,8 +33,8 @@
 	Body   []byte
 }
 
-// Injector applies the faults that were set. The zero value has none.
-type Injector struct {
+// FaultInjector applies the faults that were set. The zero value has none.
+type FaultInjector struct {
 	mu          sync.Mutex
 	faults      Faults
 	changed     chan struct{} // closed at each Set; nil while nobody waits
@@ -45,7 +47,7 @@
 }
 
 // Set replaces all faults. Stalled responses continue if it clears Stall.
-func (i *Injector) Set(faults Faults) {
+func (i *FaultInjector) Set(faults Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.faults = faults
@@ -55,20 +57,20 @@
 	}
 }
 
-// Slow returns the delay to add to each step of a response.
-func (i *Injector) Slow() time.Duration {
+// StepDelay returns the delay to add to each step of a response.
+func (i *FaultInjector) StepDelay() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return time.Duration(i.faults.SlowMS) * time.Millisecond
+	return time.Duration(i.faults.StepDelayMS) * time.Millisecond
 }
 
-// TakeDie reports whether this response is to be aborted halfway.
-func (i *Injector) TakeDie() bool { return i.take(&i.faults.Die) }
+// TakeAbort reports whether this response is to be aborted halfway.
+func (i *FaultInjector) TakeAbort() bool { return i.take(&i.faults.Abort) }
 
 // TakeWrongID reports whether this response names another request.
-func (i *Injector) TakeWrongID() bool { return i.take(&i.faults.WrongID) }
+func (i *FaultInjector) TakeWrongID() bool { return i.take(&i.faults.WrongID) }
 
-func (i *Injector) take(count *int) bool {
+func (i *FaultInjector) take(count *int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if *count <= 0 {
@@ -79,7 +81,7 @@
 }
 
 // WaitStall waits until no stall is set or ctx ends.
-func (i *Injector) WaitStall(ctx context.Context) {
+func (i *FaultInjector) WaitStall(ctx context.Context) {
 	for {
 		i.mu.Lock()
 		if !i.faults.Stall {
@@ -102,7 +104,7 @@
 // Swap returns the job whose response is sent to the caller of mine: mine
 // itself, or the other job of a pair to be swapped. The first job of a pair
 // waits for the second or until ctx ends.
-func (i *Injector) Swap(ctx context.Context, own Job) Job {
+func (i *FaultInjector) Swap(ctx context.Context, own Job) Job {
 	i.mu.Lock()
 	if first := i.waitingSwap; first != nil {
 		i.waitingSwap = nil
@@ -127,7 +129,7 @@
 	}
 }
 
-func (i *Injector) cancelSwap(first *pendingSwap) {
+func (i *FaultInjector) cancelSwap(first *pendingSwap) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.waitingSwap == first {
--- a/standin/engine/calls_test.go
+++ b/standin/engine/calls_test.go
@@ -37,8 +37,8 @@
 		counters := e.Counters()
 		Expect(counters.ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 1}))
 		Expect(counters.ExecutionsByID).To(Equal(backend.Counts{"a1": 1}))
-		Expect(counters.AnswersByVersion).To(Equal(backend.Counts{r.version.String(): 1}))
-		Expect(counters.Mixed).To(BeZero())
+		Expect(counters.ResponsesByVersion).To(Equal(backend.Counts{r.version.String(): 1}))
+		Expect(counters.WeightMismatches).To(BeZero())
 	})
 
 	// The caller must never receive a response that looks complete but belongs
@@ -60,7 +60,7 @@
 			Expect(e.Counters().ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 1}))
 		},
 		Entry("stall", engine.Faults{Faults: backend.Faults{Stall: true}}, failure.Timeout, 4, SpecTimeout(30*time.Second)),
-		Entry("abort in the middle", engine.Faults{Faults: backend.Faults{Die: 1}}, failure.Unavailable, 4),
+		Entry("abort in the middle", engine.Faults{Faults: backend.Faults{Abort: 1}}, failure.Unavailable, 4),
 		Entry("wrong ID", engine.Faults{Faults: backend.Faults{WrongID: 1}}, failure.Corrupt, 0),
 		Entry("version change in the stream", engine.Faults{ChangeVersion: 1}, failure.Corrupt, 8),
 	)
@@ -152,7 +152,7 @@
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		e, client := start(engine.Options{TokenTime: time.Second, Clock: clock})
 		load(ctx, client, newRelease("v1"))
-		e.SetFaults(engine.Faults{Faults: backend.Faults{SlowMS: 500}})
+		e.SetFaults(engine.Faults{Faults: backend.Faults{StepDelayMS: 500}})
 		call := startCall(ctx, client, newCall("a1", "p", 1))
 		Eventually(ctx, clock.pendingTimers).Should(Equal(1))
 		clock.advance(time.Second)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -22,13 +22,13 @@
 // Options configure an engine. The zero value is an engine with 8 slots and no
 // queue that ignores fencing numbers and responds without delay.
 type Options struct {
-	Slots      int           // maximum number of running requests; 0 means 8
-	MaxWaiting int           // maximum number of requests that wait for a slot
-	TokenTime  time.Duration // per token of a response
-	LoadTime   time.Duration // time to load a version
-	ReportLag  time.Duration // age of the load that a status reports
-	CheckFence bool          // refuse orders whose fencing number is lower than the highest seen
-	Clock      backend.Clock // nil means backend.WallClock
+	Slots         int           // maximum number of running requests; 0 means 8
+	MaxWaiting    int           // maximum number of requests that wait for a slot
+	TokenTime     time.Duration // per token of a response
+	LoadTime      time.Duration // time to load a version
+	LoadReportLag time.Duration // age of the load that a status reports
+	CheckFence    bool          // refuse orders whose fencing number is lower than the highest seen
+	Clock         backend.Clock // nil means backend.WallClock
 }
 
 // Faults are the faults that a test injects into an engine.
@@ -45,18 +45,18 @@
 
 // Counters count the engine's work since New. Restart does not reset them.
 type Counters struct {
-	ExecutionsByKey  backend.Counts `json:"executions_by_key"` // by Idempotency-Key
-	ExecutionsByID   backend.Counts `json:"executions_by_id"`  // by Request-Id
-	AnswersByVersion backend.Counts `json:"answers_by_version"`
-	Completed        int            `json:"completed"` // responses sent completely
-	NotRun           int            `json:"not_run"`   // requests rejected before they ran
-	Cancelled        int            `json:"cancelled"` // requests whose caller disconnected
-	Cut              int            `json:"cut"`       // requests aborted by a load, a restart or a fault
-	// Mixed counts requests that ran on weights that do not match the manifest
-	// of the version named in the response.
-	Mixed         int `json:"mixed"`
-	Loads         int `json:"loads"`
-	OrdersRefused int `json:"orders_refused"` // refused because of their fencing number
+	ExecutionsByKey    backend.Counts `json:"executions_by_key"` // by Idempotency-Key
+	ExecutionsByID     backend.Counts `json:"executions_by_id"`  // by Request-Id
+	ResponsesByVersion backend.Counts `json:"answers_by_version"`
+	Completed          int            `json:"completed"` // responses sent completely
+	NotRun             int            `json:"not_run"`   // requests rejected before they ran
+	Cancelled          int            `json:"cancelled"` // requests whose caller disconnected
+	Aborted            int            `json:"cut"`       // requests aborted by a load, a restart or a fault
+	// WeightMismatches counts requests that ran on weights that do not match
+	// the manifest of the version named in the response.
+	WeightMismatches int `json:"mixed"`
+	Loads            int `json:"loads"`
+	OrdersRefused    int `json:"orders_refused"` // refused because of their fencing number
 }
 
 // Engine is a stand-in of one model engine. Its methods are safe for concurrent
@@ -67,7 +67,7 @@
 	mux      *http.ServeMux
 	batch    *batch
 	history  *loadHistory
-	injector backend.Injector
+	injector backend.FaultInjector
 
 	mu           sync.Mutex
 	bootID       string
@@ -111,7 +111,7 @@
 		options.Clock = backend.WallClock{}
 	}
 	e := &Engine{options: options}
-	e.history = &loadHistory{clock: options.Clock, lag: options.ReportLag, slots: options.Slots}
+	e.history = &loadHistory{clock: options.Clock, lag: options.LoadReportLag, slots: options.Slots}
 	e.batch = &batch{slots: options.Slots, maxWaiting: options.MaxWaiting, onChange: e.history.add}
 	e.reset()
 	e.mux = e.routes()
@@ -188,7 +188,7 @@
 	c := e.counters
 	c.ExecutionsByKey = c.ExecutionsByKey.Clone()
 	c.ExecutionsByID = c.ExecutionsByID.Clone()
-	c.AnswersByVersion = c.AnswersByVersion.Clone()
+	c.ResponsesByVersion = c.ResponsesByVersion.Clone()
 	return c
 }
 
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -72,7 +72,7 @@
 		e.reject(w, http.StatusServiceUnavailable, "no version is loaded")
 		return
 	}
-	if err := e.batch.acquire(ctx, backend.Urgency(r.Header.Get(backend.HeaderPriority))); err != nil {
+	if err := e.batch.acquire(ctx, backend.ParseUrgency(r.Header.Get(backend.HeaderPriority))); err != nil {
 		e.handleAcquireError(w, r, err)
 		return
 	}
@@ -156,7 +156,7 @@
 	if e.counters.ExecutionsByID == nil {
 		e.counters.ExecutionsByID = backend.Counts{}
 		e.counters.ExecutionsByKey = backend.Counts{}
-		e.counters.AnswersByVersion = backend.Counts{}
+		e.counters.ResponsesByVersion = backend.Counts{}
 	}
 	e.counters.ExecutionsByID[job.ID]++
 	if key != "" {
@@ -164,7 +164,7 @@
 	}
 	run := &execution{job: job, version: e.loaded, finalVersion: e.loaded, computedFrom: e.loaded}
 	if !e.verified {
-		e.counters.Mixed++
+		e.counters.WeightMismatches++
 		run.computedFrom.Manifest = fleet.Digest{}
 	}
 	if e.faults.ChangeVersion > 0 {
@@ -206,7 +206,7 @@
 	if e.injector.TakeWrongID() {
 		id += wrongIDSuffix
 	}
-	aborts := e.injector.TakeDie()
+	aborts := e.injector.TakeAbort()
 	tokenSampler := newSampler(run.job.Prompt, run.computedFrom)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	out := lineWriter{w: w, control: http.NewResponseController(w)}
@@ -237,7 +237,7 @@
 
 // pause waits for the time of one token or until ctx ends.
 func (e *Engine) pause(ctx context.Context) {
-	delay := e.options.TokenTime + e.injector.Slow()
+	delay := e.options.TokenTime + e.injector.StepDelay()
 	if delay <= 0 {
 		return
 	}
@@ -253,11 +253,11 @@
 	switch result {
 	case completed:
 		e.counters.Completed++
-		e.counters.AnswersByVersion[run.version.String()]++
+		e.counters.ResponsesByVersion[run.version.String()]++
 	case cancelled:
 		e.counters.Cancelled++
 	case aborted:
-		e.counters.Cut++
+		e.counters.Aborted++
 	}
 }
 
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -16,11 +16,11 @@
 func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order serving.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
-		backend.WriteProblem(w, http.StatusBadRequest, err.Error())
+		backend.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if status, reason := e.applyOrder(order); status != http.StatusOK {
-		backend.WriteProblem(w, status, reason)
+		backend.WriteError(w, status, reason)
 		return
 	}
 	backend.WriteJSON(w, http.StatusOK, struct{}{})
@@ -112,7 +112,7 @@
 
 // verifyStaged reports whether the staged chunks match the manifest, or what is
 // missing. Like a real engine, the stand-in loads chunks that do not match; the
-// requests that run on them are counted as Mixed.
+// requests that run on them are counted as WeightMismatches.
 func (e *Engine) verifyStaged(manifest fleet.Digest) (verified bool, missing string) {
 	staged := e.staged[manifest]
 	if staged == nil || staged.manifest == nil {
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -79,7 +79,7 @@
 		got := doCall(ctx, client, newCall("a1", "p", 4))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.tokens).NotTo(Equal(engine.ExpectedTokens("p", 4, r.version)))
-		Expect(e.Counters().Mixed).To(Equal(1))
+		Expect(e.Counters().WeightMismatches).To(Equal(1))
 	})
 
 	// A request during a load must be rejected as not run. A request that runs
@@ -109,7 +109,7 @@
 		clock.advance(time.Minute)
 		Eventually(ctx, func() fleet.Version { return e.Status().Loaded }).Should(Equal(v2.version))
 		Expect(doCall(ctx, client, newCall("a3", "p", 4)).response.Version).To(Equal(v2.version))
-		Expect(e.Counters().Cut).To(Equal(1))
+		Expect(e.Counters().Aborted).To(Equal(1))
 	})
 
 	It("does not load again for a retried order, and follows the latest order", func(ctx SpecContext) {
@@ -145,7 +145,7 @@
 
 	It("reports its load with a lag", func(ctx SpecContext) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
-		e, client := start(engine.Options{Slots: 4, ReportLag: 3 * time.Second, Clock: clock})
+		e, client := start(engine.Options{Slots: 4, LoadReportLag: 3 * time.Second, Clock: clock})
 		load(ctx, client, newRelease("v1"))
 		e.SetFaults(engine.Faults{Faults: backend.Faults{Stall: true}})
 		startCall(ctx, client, newCall("a1", "p", 4))
--- a/standin/engine/staging.go
+++ b/standin/engine/staging.go
@@ -40,7 +40,7 @@
 	}
 	manifest, err := weights.Decode(raw, digest)
 	if err != nil {
-		backend.WriteProblem(w, http.StatusUnprocessableEntity, err.Error())
+		backend.WriteError(w, http.StatusUnprocessableEntity, err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -81,7 +81,7 @@
 	corrupt := e.faults.CorruptStage
 	e.mu.Unlock()
 	if data == nil {
-		backend.WriteProblem(w, http.StatusNotFound, "the chunk is not staged")
+		backend.WriteError(w, http.StatusNotFound, "the chunk is not staged")
 		return
 	}
 	if corrupt && len(data) > 0 {
@@ -128,7 +128,7 @@
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
-		backend.WriteProblem(w, http.StatusRequestEntityTooLarge, err.Error())
+		backend.WriteError(w, http.StatusRequestEntityTooLarge, err.Error())
 		return digest, nil, false
 	}
 	return digest, data, true
@@ -137,7 +137,7 @@
 func manifestDigest(w http.ResponseWriter, r *http.Request) (fleet.Digest, bool) {
 	digest, err := fleet.ParseDigest(r.PathValue("manifest"))
 	if err != nil {
-		backend.WriteProblem(w, http.StatusBadRequest, err.Error())
+		backend.WriteError(w, http.StatusBadRequest, err.Error())
 		return fleet.Digest{}, false
 	}
 	return digest, true
@@ -146,7 +146,7 @@
 func chunkIndex(w http.ResponseWriter, r *http.Request) (int, bool) {
 	index, err := strconv.Atoi(r.PathValue("index"))
 	if err != nil || index < 0 || index >= weights.MaxChunks {
-		backend.WriteProblem(w, http.StatusBadRequest, "the chunk index is not a number in range")
+		backend.WriteError(w, http.StatusBadRequest, "the chunk index is not a number in range")
 		return 0, false
 	}
 	return index, true
--- a/standin/harness/load.go
+++ b/standin/harness/load.go
@@ -270,7 +270,7 @@
 func (f *Fleet) Mixed() int {
 	mixed := 0
 	for _, e := range f.Engines {
-		mixed += e.Counters().Mixed
+		mixed += e.Counters().WeightMismatches
 	}
 	return mixed
 }
--- a/standin/plainservice/calls_test.go
+++ b/standin/plainservice/calls_test.go
@@ -103,7 +103,7 @@
 			Expect(service.Counters().ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 1}))
 		},
 		Entry("stall", stall, failure.Timeout, true),
-		Entry("die in the middle", backend.Faults{Die: 1}, failure.Unavailable, true),
+		Entry("die in the middle", backend.Faults{Abort: 1}, failure.Unavailable, true),
 		Entry("wrong id", backend.Faults{WrongID: 1}, failure.Corrupt, false),
 	)
 
--- a/standin/plainservice/plainservice.go
+++ b/standin/plainservice/plainservice.go
@@ -49,7 +49,7 @@
 	Completed       int            `json:"completed"`
 	NotRun          int            `json:"not_run"`
 	Cancelled       int            `json:"cancelled"` // the caller went away; it ran all the same
-	Cut             int            `json:"cut"`       // by a fault
+	Aborted         int            `json:"cut"`       // by a fault
 }
 
 // Service is one plain service. Its methods may be called at once.
@@ -57,7 +57,7 @@
 	backend.Server
 	options  Options
 	mux      *http.ServeMux
-	injector backend.Injector
+	injector backend.FaultInjector
 
 	mu       sync.Mutex
 	running  int
@@ -177,7 +177,7 @@
 	}
 	raw, err := json.Marshal(receipt)
 	if err != nil {
-		backend.WriteProblem(w, http.StatusInternalServerError, err.Error())
+		backend.WriteError(w, http.StatusInternalServerError, err.Error())
 		return
 	}
 	sent := s.injector.Swap(ctx, backend.Job{ID: receipt.ID, Body: raw})
@@ -186,8 +186,8 @@
 	half := len(sent.Body) / 2
 	_, _ = w.Write(sent.Body[:half])
 	_ = http.NewResponseController(w).Flush()
-	if s.injector.TakeDie() {
-		s.cut(&s.counters.Cut)
+	if s.injector.TakeAbort() {
+		s.cut(&s.counters.Aborted)
 	}
 	s.injector.WaitStall(ctx)
 	if ctx.Err() != nil {
@@ -200,7 +200,7 @@
 }
 
 func (s *Service) pause(ctx context.Context) {
-	pause := s.options.Delay + s.injector.Slow()
+	pause := s.options.Delay + s.injector.StepDelay()
 	if pause <= 0 {
 		return
 	}
