--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// callWindow is the span over which calls are counted for the rate.
-const callWindow = time.Second
+// rateWindow is the sliding window of the call rate.
+const rateWindow = time.Second
 
-// callCounter counts calls, in all and over the last callWindow.
+// callCounter counts calls in total and within the last rateWindow.
 type callCounter struct {
 	mu     sync.Mutex
 	now    func() time.Time
@@ -29,13 +29,13 @@
 	c.record()
 }
 
-// addBelow counts one call unless ceiling calls lie in the window already.
-// A ceiling of 0 is none.
-func (c *callCounter) addBelow(ceiling int) bool {
+// addIfBelow counts one call unless the window already holds limit calls. A limit
+// of 0 means no limit.
+func (c *callCounter) addIfBelow(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.prune()
-	if ceiling > 0 && len(c.recent) >= ceiling {
+	if limit > 0 && len(c.recent) >= limit {
 		return false
 	}
 	c.record()
@@ -49,28 +49,28 @@
 }
 
 func (c *callCounter) prune() {
-	oldest := c.now().Add(-callWindow)
-	keep := 0
-	for keep < len(c.recent) && !c.recent[keep].After(oldest) {
-		keep++
+	windowStart := c.now().Add(-rateWindow)
+	expired := 0
+	for expired < len(c.recent) && !c.recent[expired].After(windowStart) {
+		expired++
 	}
-	c.recent = append(c.recent[:0], c.recent[keep:]...)
+	c.recent = append(c.recent[:0], c.recent[expired:]...)
 }
 
-func (c *callCounter) sum() uint64 {
+func (c *callCounter) totalCalls() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.total
 }
 
-func (c *callCounter) lastWindow() int {
+func (c *callCounter) windowCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.prune()
 	return len(c.recent)
 }
 
-func (c *callCounter) peakWindow() int {
+func (c *callCounter) peakCalls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peak
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	// RevisionHeader carries the revision of a configuration answer.
+	// RevisionHeader carries the revision of a configuration response.
 	RevisionHeader = "Config-Revision"
-	// keptRevisions is how many states of the text stay for SetStale.
-	keptRevisions = 64
-	// maxWait is the longest time that a watch may wait.
+	// maxKeptRevisions is the number of configurations that are retained for
+	// SetStale.
+	maxKeptRevisions = 64
+	// maxWait bounds the wait of a watch.
 	maxWait = 10 * time.Minute
 )
 
-// ConfigOptions shapes a ConfigService. The zero value has no ceiling.
+// ConfigOptions configure a ConfigService. The zero value has no rate limit.
 type ConfigOptions struct {
-	// CallsPerSecond is the ceiling over all readers, beyond which a call is
-	// answered 429; 0 is none.
+	// CallsPerSecond limits the calls of all clients together. Calls beyond it
+	// get 429; 0 means no limit.
 	CallsPerSecond int
-	// Now is the clock that calls are counted by; nil is time.Now.
+	// Now is the clock of the rate limit; nil means time.Now.
 	Now func() time.Time
 }
 
 // ConfigService is a stand-in of the platform's configuration service. It
-// holds revision 1 with an empty text until SetText.
+// starts with an empty configuration at revision 1.
 type ConfigService struct {
-	mux     *http.ServeMux
-	outage  *outage
-	ceiling int
-	calls   *callCounter // every call that arrived
-	granted *callCounter // calls below the ceiling
-	sent    atomic.Uint64
+	mux       *http.ServeMux
+	outage    *outage
+	callLimit int
+	calls     *callCounter // all received calls
+	admitted  *callCounter // calls within the rate limit
+	sentBytes atomic.Uint64
 
-	mu      sync.Mutex
-	kept    []revision.Document // oldest first, never empty
-	stale   revision.Revision   // 0: answer the newest
-	waiting int
-	changed chan struct{} // closed and replaced at each change of the text
+	mu        sync.Mutex
+	documents []revision.Document // oldest first, never empty
+	stale     revision.Revision   // 0: serve the newest
+	waiting   int
+	changed   chan struct{} // closed and replaced at each change of the configuration
 }
 
-// NewConfigService returns a service that answers at once.
+// NewConfigService returns a service without faults.
 func NewConfigService(options ConfigOptions) *ConfigService {
 	now := clockOrDefault(options.Now)
 	s := &ConfigService{
-		outage:  newOutage(),
-		mux:     http.NewServeMux(),
-		ceiling: options.CallsPerSecond,
-		calls:   newCallCounter(now),
-		granted: newCallCounter(now),
-		kept:    []revision.Document{{Revision: 1}},
-		changed: make(chan struct{}),
+		outage:    newOutage(),
+		mux:       http.NewServeMux(),
+		callLimit: options.CallsPerSecond,
+		calls:     newCallCounter(now),
+		admitted:  newCallCounter(now),
+		documents: []revision.Document{{Revision: 1}},
+		changed:   make(chan struct{}),
 	}
 	s.mux.HandleFunc("GET /v1/config", s.get)
 	return s
@@ -68,109 +69,109 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// SetText holds text under the next revision, which it returns, and wakes the
-// waiting watches unless the service is stale.
+// SetText stores the configuration under the next revision, which it returns,
+// and ends the waiting watches unless the service is stale.
 func (s *ConfigService) SetText(text []byte) revision.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := s.kept[len(s.kept)-1].Revision + 1
-	s.put(revision.Document{Revision: next, Text: slices.Clone(text)})
+	next := s.documents[len(s.documents)-1].Revision + 1
+	s.appendDocument(revision.Document{Revision: next, Text: slices.Clone(text)})
 	return next
 }
 
-// SetTextAt holds text under a revision of the caller's choice, as a platform
-// restored from an old copy does: it may repeat or fall below a revision that
-// was given before.
+// SetTextAt stores the configuration under the given revision, as a platform
+// restored from a backup does: the revision may be the same as or lower than an
+// earlier one.
 func (s *ConfigService) SetTextAt(at revision.Revision, text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(revision.Document{Revision: at, Text: slices.Clone(text)})
+	s.appendDocument(revision.Document{Revision: at, Text: slices.Clone(text)})
 }
 
-func (s *ConfigService) put(document revision.Document) {
-	s.kept = append(s.kept, document)
-	if len(s.kept) > keptRevisions {
-		s.kept = slices.Delete(s.kept, 0, 1)
+func (s *ConfigService) appendDocument(document revision.Document) {
+	s.documents = append(s.documents, document)
+	if len(s.documents) > maxKeptRevisions {
+		s.documents = slices.Delete(s.documents, 0, 1)
 	}
-	s.announce()
+	s.notifyWaiters()
 }
 
-// SetStale makes the service answer with an older revision until
-// SetStale(0). failure.NotFound if that revision is not kept any more.
+// SetStale makes the service serve an older revision until SetStale(0). It
+// returns failure.NotFound if that revision is no longer retained.
 func (s *ConfigService) SetStale(to revision.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if to != 0 && s.find(to) < 0 {
+	if to != 0 && s.indexOf(to) < 0 {
 		return failure.NotFound.New("revision %d is not kept", to)
 	}
 	s.stale = to
-	s.announce()
+	s.notifyWaiters()
 	return nil
 }
 
-// SetDown makes every call, waiting watches too, end with 503 until
+// SetDown makes all calls, including waiting watches, fail with 503 until
 // SetDown(false).
 func (s *ConfigService) SetDown(down bool) { s.outage.setDown(down) }
 
-// SetSilent makes the service take calls and leave them, and waiting watches
-// too, without an answer until SetSilent(false).
+// SetSilent makes the service accept calls without responding, including
+// waiting watches, until SetSilent(false).
 func (s *ConfigService) SetSilent(silent bool) { s.outage.setSilent(silent) }
 
-// Calls returns the number of calls so far: each read and each watch is one,
-// also those that were refused or met an outage.
-func (s *ConfigService) Calls() uint64 { return s.calls.sum() }
+// Calls returns the total number of calls. Each read and each watch is one
+// call, including those that were refused or failed in an outage.
+func (s *ConfigService) Calls() uint64 { return s.calls.totalCalls() }
 
-// CallsLastSecond returns the calls of the last second.
-func (s *ConfigService) CallsLastSecond() int { return s.calls.lastWindow() }
+// CallsLastSecond returns the number of calls within the last second.
+func (s *ConfigService) CallsLastSecond() int { return s.calls.windowCalls() }
 
-// PeakCallsPerSecond returns the most calls that any one second held.
-func (s *ConfigService) PeakCallsPerSecond() int { return s.calls.peakWindow() }
+// PeakCallsPerSecond returns the highest number of calls within one second.
+func (s *ConfigService) PeakCallsPerSecond() int { return s.calls.peakCalls() }
 
-// BytesSent returns the body bytes of texts given to the network so far.
-func (s *ConfigService) BytesSent() uint64 { return s.sent.Load() }
+// BytesSent returns the number of body bytes of configurations sent so far.
+func (s *ConfigService) BytesSent() uint64 { return s.sentBytes.Load() }
 
-// Waiting returns the number of watches that wait now.
+// Waiting returns the number of waiting watches.
 func (s *ConfigService) Waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
 }
 
-// Revision returns the revision that the service answers with now.
+// Revision returns the revision that the service currently serves.
 func (s *ConfigService) Revision() revision.Revision {
 	document, _ := s.current()
 	return document.Revision
 }
 
-func (s *ConfigService) announce() {
+func (s *ConfigService) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *ConfigService) find(at revision.Revision) int {
-	for i := len(s.kept) - 1; i >= 0; i-- {
-		if s.kept[i].Revision == at {
+func (s *ConfigService) indexOf(at revision.Revision) int {
+	for i := len(s.documents) - 1; i >= 0; i-- {
+		if s.documents[i].Revision == at {
 			return i
 		}
 	}
 	return -1
 }
 
-// current returns the document to answer with and a channel that closes when
-// another may be due.
+// current returns the document to serve and a channel that is closed at the
+// next change.
 func (s *ConfigService) current() (revision.Document, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at := s.find(s.stale); s.stale != 0 && at >= 0 {
-		return s.kept[at], s.changed
+	if at := s.indexOf(s.stale); s.stale != 0 && at >= 0 {
+		return s.documents[at], s.changed
 	}
-	return s.kept[len(s.kept)-1], s.changed
+	return s.documents[len(s.documents)-1], s.changed
 }
 
 func (s *ConfigService) get(w http.ResponseWriter, r *http.Request) {
 	s.calls.add()
-	if !s.granted.addBelow(s.ceiling) {
-		refuseRate(w, callWindow)
+	if !s.admitted.addIfBelow(s.callLimit) {
+		writeTooManyRequests(w, rateWindow)
 		return
 	}
 	watch, err := parseWatch(r)
@@ -178,7 +179,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if watch.asked && !s.await(r, watch) {
+	if watch.isWatch && !s.awaitChange(r, watch) {
 		return
 	}
 	if !s.outage.admit(w, r) {
@@ -186,17 +187,18 @@
 	}
 	document, _ := s.current()
 	w.Header().Set(RevisionHeader, strconv.FormatUint(uint64(document.Revision), 10))
-	if watch.asked && document.Revision == watch.after {
+	if watch.isWatch && document.Revision == watch.after {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(document.Text)))
-	s.sent.Add(writeBody(w, document.Text))
+	s.sentBytes.Add(writeBody(w, document.Text))
 }
 
-// await returns when the answer of a watch is due, false if its client left.
-func (s *ConfigService) await(r *http.Request, watch watchQuery) bool {
+// awaitChange waits until the response to a watch is due. It returns false if the
+// client has disconnected.
+func (s *ConfigService) awaitChange(r *http.Request, watch watchQuery) bool {
 	s.addWaiting(1)
 	defer s.addWaiting(-1)
 	timer := time.NewTimer(watch.wait)
@@ -227,11 +229,12 @@
 	s.waiting += change
 }
 
-// watchQuery is the query of a watch; asked is false for a plain read.
+// watchQuery holds the query parameters of a watch; isWatch is false for a plain
+// read.
 type watchQuery struct {
-	asked bool
-	after revision.Revision
-	wait  time.Duration
+	isWatch bool
+	after   revision.Revision
+	wait    time.Duration
 }
 
 func parseWatch(r *http.Request) (watchQuery, error) {
@@ -250,5 +253,5 @@
 	if wait < 0 || wait > maxWait {
 		return watchQuery{}, failure.Invalid.New("wait=%s is not within 0s and %s", wait, maxWait)
 	}
-	return watchQuery{asked: true, after: revision.Revision(after), wait: wait}, nil
+	return watchQuery{isWatch: true, after: revision.Revision(after), wait: wait}, nil
 }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -7,26 +7,28 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Fault is what goes wrong with one transfer of a WeightServer.
+// Fault is a fault of one transfer of a WeightServer.
 type Fault string
 
 const (
-	// FaultNone sends the bytes as they are.
+	// FaultNone sends the bytes unchanged.
 	FaultNone Fault = ""
 	// FaultCorrupt flips one bit in the middle of the body.
 	FaultCorrupt Fault = "corrupt"
-	// FaultShort sends a whole answer that lacks the body's last byte.
+	// FaultShort sends a complete response that lacks the last byte of the
+	// body.
 	FaultShort Fault = "short"
-	// FaultLong sends a whole answer with one byte too many.
+	// FaultLong sends a complete response with one extra byte.
 	FaultLong Fault = "long"
-	// FaultStall sends half of the body, then nothing until ReleaseStalled,
-	// and keeps the connection open.
+	// FaultStall sends half of the body, then nothing until ReleaseStalled, and
+	// keeps the connection open.
 	FaultStall Fault = "stall"
 	// FaultCut sends half of the body and closes the connection.
 	FaultCut Fault = "cut"
 )
 
-// ParseFault reads the name of a fault. failure.Invalid if there is none.
+// ParseFault parses the name of a fault. It returns failure.Invalid for an
+// unknown name.
 func ParseFault(name string) (Fault, error) {
 	switch fault := Fault(name); fault {
 	case FaultNone, FaultCorrupt, FaultShort, FaultLong, FaultStall, FaultCut:
@@ -36,54 +38,54 @@
 	}
 }
 
-// ManifestIndex names the manifest itself where an index of a chunk is asked.
+// ManifestIndex stands for the manifest where a chunk index is expected.
 const ManifestIndex = -1
 
-// transferID names what a transfer carries.
+// transferID identifies the content of a transfer.
 type transferID struct {
-	manifest fleet.Digest
-	index    int // ManifestIndex for the manifest
+	manifest   fleet.Digest
+	chunkIndex int // ManifestIndex for the manifest
 }
 
-// faultPlan decides the fault of each transfer.
+// faultPlan determines the fault of each transfer.
 type faultPlan struct {
-	mu      sync.Mutex
-	next    []Fault // for the next chunk transfers, in order
-	always  map[transferID]Fault
-	stalled int
-	release chan struct{} // closed and replaced to release stalled transfers
+	mu               sync.Mutex
+	queued           []Fault // faults of the next chunk transfers, in order
+	permanent        map[transferID]Fault
+	stalledTransfers int
+	release          chan struct{} // closed and replaced to release stalled transfers
 }
 
 func newFaultPlan() *faultPlan {
 	return &faultPlan{
-		always:  map[transferID]Fault{},
-		release: make(chan struct{}),
+		permanent: map[transferID]Fault{},
+		release:   make(chan struct{}),
 	}
 }
 
-func (p *faultPlan) addNext(fault Fault, count int) {
+func (p *faultPlan) enqueue(fault Fault, count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range count {
-		p.next = append(p.next, fault)
+		p.queued = append(p.queued, fault)
 	}
 }
 
-func (p *faultPlan) setAlways(id transferID, fault Fault) {
+func (p *faultPlan) setPermanent(id transferID, fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if fault == FaultNone {
-		delete(p.always, id)
+		delete(p.permanent, id)
 		return
 	}
-	p.always[id] = fault
+	p.permanent[id] = fault
 }
 
 func (p *faultPlan) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next = nil
-	clear(p.always)
+	p.queued = nil
+	clear(p.permanent)
 	p.releaseLocked()
 }
 
@@ -98,37 +100,39 @@
 	p.release = make(chan struct{})
 }
 
-// take returns the fault of the transfer that starts now.
-func (p *faultPlan) take(id transferID) Fault {
+// nextFault returns the fault of the transfer that starts now and removes it from
+// the plan unless it is permanent.
+func (p *faultPlan) nextFault(id transferID) Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if fault, ok := p.always[id]; ok {
+	if fault, ok := p.permanent[id]; ok {
 		return fault
 	}
-	if id.index == ManifestIndex || len(p.next) == 0 {
+	if id.chunkIndex == ManifestIndex || len(p.queued) == 0 {
 		return FaultNone
 	}
-	fault := p.next[0]
-	p.next = p.next[1:]
+	fault := p.queued[0]
+	p.queued = p.queued[1:]
 	return fault
 }
 
-// enterStall counts a stalled transfer and returns the channel that ends it.
-func (p *faultPlan) enterStall() <-chan struct{} {
+// beginStall counts a stalled transfer and returns a channel that is closed to
+// release it.
+func (p *faultPlan) beginStall() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalled++
+	p.stalledTransfers++
 	return p.release
 }
 
-func (p *faultPlan) leaveStall() {
+func (p *faultPlan) endStall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalled--
+	p.stalledTransfers--
 }
 
-func (p *faultPlan) stalledNow() int {
+func (p *faultPlan) stalledCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stalled
+	return p.stalledTransfers
 }
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -13,29 +13,29 @@
 	"chivespindle.example/core/fleet"
 )
 
-// InstanceListOptions shapes an InstanceList. The zero value has no lag.
+// InstanceListOptions configure an InstanceList. The zero value has no lag.
 type InstanceListOptions struct {
-	// Lag is how long a change stays hidden; see SetLag.
+	// Lag is the time until a change becomes visible; see SetLag.
 	Lag time.Duration
-	// Now is the clock that the lag is measured by; nil is time.Now.
+	// Now is the clock that measures the lag; nil means time.Now.
 	Now func() time.Time
 }
 
-// instanceChange is one change that readers may not see yet.
+// instanceChange is a change that is not visible yet.
 type instanceChange struct {
 	at       time.Time
 	instance fleet.Instance
 	removed  bool
 }
 
-// InstanceList is a stand-in of the platform's list of instances. Readers see
-// it as it was one lag ago.
+// InstanceList is a stand-in of the platform's list of instances. Clients see
+// the list as it was one lag ago.
 type InstanceList struct {
-	mux    *http.ServeMux
-	outage *outage
-	now    func() time.Time
-	calls  *callCounter
-	sent   atomic.Uint64
+	mux       *http.ServeMux
+	outage    *outage
+	now       func() time.Time
+	calls     *callCounter
+	sentBytes atomic.Uint64
 
 	mu      sync.Mutex
 	lag     time.Duration
@@ -65,15 +65,15 @@
 	l.mux.ServeHTTP(w, r)
 }
 
-// Set adds an instance or replaces the one with its id.
+// Set adds an instance or replaces the instance with the same ID.
 func (l *InstanceList) Set(instance fleet.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(instance)
 }
 
-// SetLeaving changes whether an instance is announced as leaving. It reports
-// whether the list holds the instance.
+// SetLeaving sets whether an instance is reported as leaving. It returns false
+// if the list does not contain the instance.
 func (l *InstanceList) SetLeaving(id fleet.InstanceID, leaving bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// Remove takes an instance off the list. It reports whether the list held it.
+// Remove removes an instance. It returns false if the list does not contain it.
 func (l *InstanceList) Remove(id fleet.InstanceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,34 +99,35 @@
 	return true
 }
 
-// SetLag changes how long a change stays hidden. A shorter lag shows waiting
-// changes that are old enough for it; a longer one hides nothing again that
-// readers could see.
+// SetLag changes the time until a change becomes visible. A shorter lag also
+// applies to pending changes. A longer lag does not hide changes that are
+// visible already.
 func (l *InstanceList) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
+	l.applyDue()
 	l.lag = lag
 }
 
-// SetDown makes every call end with 503 until SetDown(false).
+// SetDown makes all calls fail with 503 until SetDown(false).
 func (l *InstanceList) SetDown(down bool) { l.outage.setDown(down) }
 
-// SetSilent makes the list take calls and leave them without an answer until
+// SetSilent makes the list accept calls without responding until
 // SetSilent(false).
 func (l *InstanceList) SetSilent(silent bool) { l.outage.setSilent(silent) }
 
-// Calls returns the number of calls so far, also those that met an outage.
-func (l *InstanceList) Calls() uint64 { return l.calls.sum() }
+// Calls returns the total number of calls, including those that failed in an
+// outage.
+func (l *InstanceList) Calls() uint64 { return l.calls.totalCalls() }
 
-// BytesSent returns the body bytes of lists given to the network so far.
-func (l *InstanceList) BytesSent() uint64 { return l.sent.Load() }
+// BytesSent returns the number of body bytes of lists sent so far.
+func (l *InstanceList) BytesSent() uint64 { return l.sentBytes.Load() }
 
-// Visible returns what a reader sees now, ordered by id.
+// Visible returns the list that clients currently see, ordered by ID.
 func (l *InstanceList) Visible() []fleet.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
+	l.applyDue()
 	instances := make([]fleet.Instance, 0, len(l.visible))
 	for _, instance := range l.visible {
 		instances = append(instances, instance)
@@ -140,8 +141,8 @@
 	l.pending = append(l.pending, instanceChange{at: l.now(), instance: instance})
 }
 
-// settle shows the changes that are at least one lag old.
-func (l *InstanceList) settle() {
+// applyDue applies the pending changes that are at least one lag old.
+func (l *InstanceList) applyDue() {
 	now := l.now()
 	for len(l.pending) > 0 && now.Sub(l.pending[0].at) >= l.lag {
 		change := l.pending[0]
@@ -172,5 +173,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	l.sent.Add(writeBody(w, body))
+	l.sentBytes.Add(writeBody(w, body))
 }
--- a/standin/platform/model.go
+++ b/standin/platform/model.go
@@ -10,26 +10,26 @@
 	"chivespindle.example/core/weights"
 )
 
-// MaxModelBytes bounds a made-up model, which is held in memory.
+// MaxModelBytes bounds a synthetic model, which is held in memory.
 const MaxModelBytes = 4 << 30
 
-// ModelSpec says what NewModel makes.
+// ModelSpec is the specification of a synthetic model.
 type ModelSpec struct {
 	Name       string
-	Bytes      int64  // size of one whole copy, 1 to MaxModelBytes
-	ChunkBytes int    // size of each chunk but the last, 1 to weights.MaxChunkBytes
-	Seed       uint64 // equal seeds give equal chunks, whatever the name
+	Bytes      int64  // total size, 1 to MaxModelBytes
+	ChunkBytes int    // size of all chunks but the last, 1 to weights.MaxChunkBytes
+	Seed       uint64 // equal seeds give equal chunks, independent of the name
 }
 
-// Model is one version of a made-up model.
+// Model is one version of a synthetic model.
 type Model struct {
 	Version  fleet.Version
 	Manifest weights.Manifest
-	Encoded  []byte   // the manifest as it is sent
+	Encoded  []byte   // the encoded manifest
 	Chunks   [][]byte // by index
 }
 
-// NewModel makes a model whose bytes follow from the spec alone. Failures
+// NewModel generates a model whose bytes depend only on the spec. Its errors
 // are failure.Invalid.
 func NewModel(spec ModelSpec) (Model, error) {
 	if err := spec.check(); err != nil {
@@ -43,9 +43,8 @@
 	return assemble(spec.Name, chunks)
 }
 
-// Change returns another version that differs from m in the chunks at the
-// given indexes only, as a fine-tuned model does. Failures are
-// failure.Invalid.
+// Change returns another version that differs from m only in the chunks with
+// the given indexes, like a fine-tuned model. Its errors are failure.Invalid.
 func (m Model) Change(name string, seed uint64, indexes ...int) (Model, error) {
 	chunks := slices.Clone(m.Chunks)
 	for _, index := range indexes {
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// chunkBytes makes the bytes of one chunk from the model's seed.
+// chunkBytes generates the bytes of one chunk from the seed of the model.
 func chunkBytes(seed uint64, index, size int) []byte {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[0:], seed)
--- a/standin/platform/outage.go
+++ b/standin/platform/outage.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// outage is the state that a service answers from: up, down or silent.
+// outage is the availability of a service: up, down or silent (it accepts
+// requests and does not respond).
 type outage struct {
 	mu      sync.Mutex
 	down    bool
@@ -21,17 +22,17 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
-	o.announce()
+	o.notifyWaiters()
 }
 
 func (o *outage) setSilent(silent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.silent = silent
-	o.announce()
+	o.notifyWaiters()
 }
 
-func (o *outage) announce() {
+func (o *outage) notifyWaiters() {
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -42,8 +43,9 @@
 	return o.down, o.silent, o.changed
 }
 
-// admit waits while the service is silent and reports whether the request
-// may be answered. If not, it has been answered or its client has left.
+// admit waits while the service is silent and reports whether the request may
+// be processed. If not, the error response has been written or the client has
+// disconnected.
 func (o *outage) admit(w http.ResponseWriter, r *http.Request) bool {
 	for {
 		down, silent, changed := o.state()
--- a/standin/platform/platform_suite_test.go
+++ b/standin/platform/platform_suite_test.go
@@ -10,7 +10,7 @@
 
 func TestPlatform(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// Long enough for a machine that is busy with other tests.
+	// Long enough for a machine under load from other tests.
 	SetDefaultEventuallyTimeout(30 * time.Second)
 	RunSpecs(t, "standin/platform")
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -17,8 +17,8 @@
 	"chivespindle.example/standin/platform"
 )
 
-// ask passes one request to a handler and returns what it answered.
-func ask(handler http.Handler, method, target string) *httptest.ResponseRecorder {
+// serve sends one request to a handler and returns the response.
+func serve(handler http.Handler, method, target string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(method, target, nil))
 	return recorder
@@ -31,7 +31,7 @@
 	return model
 }
 
-var _ = DescribeTable("a path of the platform that is never written",
+var _ = DescribeTable("rejects writes to paths of the platform",
 	func(method, path string) {
 		handlers := []http.Handler{
 			platform.NewConfigService(platform.ConfigOptions{}),
@@ -39,7 +39,7 @@
 			platform.NewWeightServer(platform.WeightOptions{}),
 		}
 		for _, handler := range handlers {
-			code := ask(handler, method, path).Code
+			code := serve(handler, method, path).Code
 			Expect(code).To(Or(Equal(http.StatusMethodNotAllowed), Equal(http.StatusNotFound)))
 		}
 	},
@@ -51,14 +51,14 @@
 )
 
 var _ = Describe("ConfigService", func() {
-	It("counts every call and refuses those beyond its ceiling", func() {
+	It("counts all calls and refuses those beyond the rate limit", func() {
 		now := time.Unix(0, 0)
 		clock := func() time.Time { return now }
 		service := platform.NewConfigService(platform.ConfigOptions{CallsPerSecond: 2, Now: clock})
 		codes := func() []int {
 			var codes []int
 			for range 3 {
-				codes = append(codes, ask(service, http.MethodGet, "/v1/config").Code)
+				codes = append(codes, serve(service, http.MethodGet, "/v1/config").Code)
 			}
 			return codes
 		}
@@ -73,34 +73,34 @@
 		Expect(service.PeakCallsPerSecond()).To(Equal(6))
 	})
 
-	DescribeTable("a watch that cannot be read",
+	DescribeTable("rejects an invalid watch",
 		func(query string) {
 			service := platform.NewConfigService(platform.ConfigOptions{})
-			Expect(ask(service, http.MethodGet, "/v1/config?"+query).Code).To(Equal(http.StatusBadRequest))
+			Expect(serve(service, http.MethodGet, "/v1/config?"+query).Code).To(Equal(http.StatusBadRequest))
 		},
-		Entry("after is no number", "after=x&wait=1s"),
+		Entry("after is not a number", "after=x&wait=1s"),
 		Entry("wait is missing", "after=1"),
 		Entry("wait is negative", "after=1&wait=-1s"),
 		Entry("wait is too long", "after=1&wait=11m"),
 	)
 
-	It("refuses to become stale at a revision that it does not keep", func() {
+	It("refuses to serve a stale revision that it does not retain", func() {
 		service := platform.NewConfigService(platform.ConfigOptions{})
 		Expect(errorx.IsOfType(service.SetStale(7), failure.NotFound)).To(BeTrue())
 		Expect(service.Revision()).To(BeEquivalentTo(1))
 	})
 
-	It("keeps what a caller gave, not the caller's slice", func() {
+	It("copies the configuration that is set", func() {
 		service := platform.NewConfigService(platform.ConfigOptions{})
 		text := []byte("good")
 		service.SetText(text)
 		text[0] = 'x'
-		Expect(ask(service, http.MethodGet, "/v1/config").Body.String()).To(Equal("good"))
+		Expect(serve(service, http.MethodGet, "/v1/config").Body.String()).To(Equal("good"))
 	})
 })
 
 var _ = Describe("InstanceList", func() {
-	It("shows a change once it is as old as the lag, also a lag made shorter", func() {
+	It("shows a change after the lag, also after the lag was shortened", func() {
 		now := time.Unix(0, 0)
 		clock := func() time.Time { return now }
 		list := platform.NewInstanceList(platform.InstanceListOptions{Lag: time.Minute, Now: clock})
@@ -116,14 +116,14 @@
 		Expect(list.Visible()[0].Leaving).To(BeTrue())
 	})
 
-	It("hides nothing again when the lag grows", func() {
+	It("does not hide visible changes when the lag grows", func() {
 		list := platform.NewInstanceList(platform.InstanceListOptions{})
 		list.Set(fleet.Instance{ID: "a"})
 		list.SetLag(time.Hour)
 		Expect(list.Visible()).To(HaveLen(1))
 	})
 
-	It("knows what it does not hold", func() {
+	It("reports that an instance is not in the list", func() {
 		list := platform.NewInstanceList(platform.InstanceListOptions{})
 		Expect(list.Remove("a")).To(BeFalse())
 		Expect(list.SetLeaving("a", true)).To(BeFalse())
@@ -131,16 +131,16 @@
 })
 
 var _ = Describe("WeightServer", func() {
-	It("refuses blobs that do not fit the manifest", func() {
+	It("refuses a number of blobs that differs from the manifest", func() {
 		model := newModel("relay", 3<<20, 1)
 		_, err := platform.NewWeightServer(platform.WeightOptions{}).Add(model.Manifest, model.Chunks[:2])
 		Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 	})
 
-	// The client of a small chunk has it while that of a large one still
-	// reads. Both share one slow link; without turns in small pieces the small
-	// chunk would come after the whole large one.
-	It("shares its link between transfers", func() {
+	// Two transfers share one slow link. They must take turns in small pieces:
+	// otherwise the small chunk would arrive only after the complete large
+	// chunk.
+	It("shares the link between concurrent transfers", func() {
 		large := newModel("large", 1<<20, 1)
 		small := newModel("small", 32<<10, 2)
 		server := platform.NewWeightServer(platform.WeightOptions{BytesPerSecond: 128 << 10})
@@ -159,7 +159,7 @@
 		}()
 		Eventually(server.BytesSent).Should(BeNumerically(">", 0))
 
-		Expect(ask(server, http.MethodGet, path(small)).Body.Bytes()).To(Equal(small.Chunks[0]))
+		Expect(serve(server, http.MethodGet, path(small)).Body.Bytes()).To(Equal(small.Chunks[0]))
 		Expect(server.ManifestBytesSent(small.Version.Manifest)).To(BeEquivalentTo(32 << 10))
 		Expect(ended).NotTo(BeClosed())
 
@@ -169,7 +169,7 @@
 		Expect(server.Transfers()).To(BeZero())
 	})
 
-	It("sends faults in the order they were planned", func() {
+	It("applies faults in the order in which they were set", func() {
 		model := newModel("relay", 1000, 1)
 		server := platform.NewWeightServer(platform.WeightOptions{})
 		Expect(server.Add(model.Manifest, model.Chunks)).Error().NotTo(HaveOccurred())
@@ -179,7 +179,7 @@
 		var sizes []int
 		for range 5 {
 			path := "/v1/weights/" + model.Version.Manifest.String() + "/chunks/0"
-			sizes = append(sizes, ask(server, http.MethodGet, path).Body.Len())
+			sizes = append(sizes, serve(server, http.MethodGet, path).Body.Len())
 		}
 		Expect(sizes).To(Equal([]int{999, 999, 1000, 1001, 1000}))
 		Expect(server.BytesSent()).To(BeEquivalentTo(4999))
@@ -187,9 +187,9 @@
 })
 
 var _ = Describe("NewModel", func() {
-	// The digest is pinned so that figures measured with a made-up model can
-	// be taken again later with the same bytes.
-	It("makes the same bytes from the same spec", func() {
+	// The digest is pinned so that measurements with a synthetic model can be
+	// repeated with the same bytes.
+	It("generates the same bytes from the same spec", func() {
 		model := newModel("relay", 2<<20+5, 7)
 		Expect(model.Manifest.TotalBytes()).To(BeEquivalentTo(2<<20 + 5))
 		Expect(model.Version.Manifest.String()).To(Equal(
@@ -199,7 +199,7 @@
 		}
 	})
 
-	It("changes only the chunks that are named", func() {
+	It("changes only the given chunks", func() {
 		base := newModel("relay", 3<<20, 7)
 		next, err := base.Change("relay-2", 8, 1)
 		Expect(err).NotTo(HaveOccurred())
@@ -209,14 +209,14 @@
 		Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 	})
 
-	DescribeTable("a spec that is refused",
+	DescribeTable("refuses an invalid spec",
 		func(spec platform.ModelSpec, reason string) {
 			_, err := platform.NewModel(spec)
 			Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("without a name", platform.ModelSpec{Bytes: 1, ChunkBytes: 1}, "needs a name"),
-		Entry("without bytes", platform.ModelSpec{Name: "a", ChunkBytes: 1}, "model size 0"),
+		Entry("with size 0", platform.ModelSpec{Name: "a", ChunkBytes: 1}, "model size 0"),
 		Entry("too large", platform.ModelSpec{Name: "a", Bytes: 5 << 30, ChunkBytes: 1}, "model size"),
 		Entry("without a chunk size", platform.ModelSpec{Name: "a", Bytes: 1}, "chunk size 0"),
 		Entry("with too many chunks", platform.ModelSpec{Name: "a", Bytes: 1 << 20, ChunkBytes: 1}, "chunks are more than"),
@@ -224,17 +224,17 @@
 })
 
 var _ = Describe("Start", func() {
-	DescribeTable("an address that is refused",
+	DescribeTable("refuses an invalid address",
 		func(addr string) {
 			_, err := platform.Start(http.NotFoundHandler(), addr)
 			Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 		},
-		Entry("beyond this machine", "0.0.0.0:0"),
-		Entry("a name", "localhost:0"),
+		Entry("not a loopback address", "0.0.0.0:0"),
+		Entry("a host name", "localhost:0"),
 		Entry("without a port", "127.0.0.1"),
 	)
 
-	It("fails as Unavailable on a port that is taken", func() {
+	It("fails with Unavailable if the port is in use", func() {
 		server, err := platform.Start(http.NotFoundHandler(), platform.AnyPort)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Stop)
@@ -242,10 +242,10 @@
 		Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue())
 	})
 
-	// The client of a waiting watch sees its connection close. Stop must not
-	// wait for the watch's half minute, nor leave its handler running into the
-	// next test.
-	It("ends waiting handlers on Stop and leaves nothing behind", func() {
+	// When Stop is called during a watch, the connection must be closed. Stop
+	// must not wait for the 30 s of the watch, and the handler must not still
+	// run in the next test.
+	It("ends waiting handlers on Stop without leaking goroutines", func() {
 		before := goleak.IgnoreCurrent()
 		service := platform.NewConfigService(platform.ConfigOptions{})
 		server, err := platform.Start(service, platform.AnyPort)
--- a/standin/platform/answer.go
+++ b/standin/platform/response.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// refuseRate answers 429 and tells the client how long to pause, in whole
-// seconds rounded up.
-func refuseRate(w http.ResponseWriter, pause time.Duration) {
-	seconds := int((pause + time.Second - 1) / time.Second)
+// writeTooManyRequests responds with 429 and a Retry-After header in whole seconds,
+// rounded up.
+func writeTooManyRequests(w http.ResponseWriter, retryAfter time.Duration) {
+	seconds := int((retryAfter + time.Second - 1) / time.Second)
 	w.Header().Set("Retry-After", strconv.Itoa(max(seconds, 1)))
 	http.Error(w, "too many requests", http.StatusTooManyRequests)
 }
 
-// writeBody returns how many bytes the network took. Fewer than all means that
-// the client has left, which is no failure of the service.
+// writeBody returns the number of bytes that the network accepted. Fewer than
+// all means that the client has disconnected, which is not a failure of the
+// service.
 func writeBody(w http.ResponseWriter, body []byte) uint64 {
 	n, _ := w.Write(body)
 	return uint64(n)
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -11,10 +11,11 @@
 	"chivespindle.example/core/failure"
 )
 
-// AnyPort is the address for Start that lets the kernel choose a port.
+// AnyPort is an address for Start with which the operating system chooses a
+// free port.
 const AnyPort = "127.0.0.1:0"
 
-// readHeaderTimeout bounds how long a client may take over a request's header.
+// readHeaderTimeout bounds the time for reading the header of a request.
 const readHeaderTimeout = 10 * time.Second
 
 // Server serves one handler on one local TCP address.
@@ -26,9 +27,9 @@
 	served   chan struct{}
 }
 
-// Start listens on addr, which must be an address of 127.0.0.0/8 such as
-// AnyPort, and serves handler until Stop. Failures are failure.Invalid for
-// the address and failure.Unavailable when it cannot be listened on.
+// Start listens on addr, which must be an address in 127.0.0.0/8 such as
+// AnyPort, and serves handler until Stop. It returns failure.Invalid for an
+// invalid address and failure.Unavailable if listening fails.
 func Start(handler http.Handler, addr string) (*Server, error) {
 	local, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -59,14 +60,14 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return s.addr }
 
-// URL returns the base URL of the server, without a slash at the end.
+// URL returns the base URL of the server, without a trailing slash.
 func (s *Server) URL() string { return "http://" + s.addr.String() }
 
-// Stop closes the listener and every connection, and returns once no handler
-// runs. It may be called more than once.
+// Stop closes the listener and all connections and waits until no handler runs.
+// It may be called more than once.
 func (s *Server) Stop() {
 	s.cancel()
-	// The only failure is that the listener was closed before.
+	// Close fails only if the listener is closed already.
 	_ = s.http.Close()
 	<-s.served
 	s.handlers.Wait()
@@ -74,15 +75,16 @@
 
 func (s *Server) serve(listener net.Listener) {
 	defer close(s.served)
-	// Serve ends only by Stop; a local listener has no other end.
+	// Serve on a local listener ends only through Stop.
 	_ = s.http.Serve(listener)
 }
 
-// track counts the running handlers, since http.Server.Close does not wait
+// track counts the running handlers, because http.Server.Close does not wait
 // for them: without it a test could end while a handler still writes.
 //
-// A handler that Stop ends before its answer is aborted. net/http would
-// otherwise send an empty 200 for it, which no service that dies does.
+// A handler that Stop ends before it has responded is aborted. Otherwise
+// net/http would send an empty 200 response, which a service that is killed
+// does not do.
 func (s *Server) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.handlers.Add(1)
--- a/standin/platform/transfer.go
+++ b/standin/platform/transfer.go
@@ -7,25 +7,25 @@
 	"golang.org/x/time/rate"
 )
 
-// transfer is one body on its way to a client.
+// transfer is one response body that is being sent.
 type transfer struct {
-	ctx    context.Context
-	writer http.ResponseWriter
-	shared *rate.Limiter // the link
-	own    *rate.Limiter // this transfer's own rate
-	count  func(n int)   // told of each piece that the network took
+	ctx             context.Context
+	writer          http.ResponseWriter
+	linkLimiter     *rate.Limiter // limits all transfers of the link together
+	transferLimiter *rate.Limiter // limits this transfer
+	onSent          func(n int)   // called with the size of each piece sent
 }
 
-// write sends data in pieces as the limiters allow. It reports whether all
-// was sent; if not, the client has left.
+// write sends data in pieces at the rate of the limiters. It returns false if
+// the client has disconnected.
 func (t *transfer) write(data []byte) bool {
 	for len(data) > 0 {
-		size := min(maxPieceBytes, t.own.Burst(), t.shared.Burst(), len(data))
-		if !t.await(t.own, size) || !t.await(t.shared, size) {
+		size := min(maxPieceBytes, t.transferLimiter.Burst(), t.linkLimiter.Burst(), len(data))
+		if !t.waitFor(t.transferLimiter, size) || !t.waitFor(t.linkLimiter, size) {
 			return false
 		}
 		n, err := t.writer.Write(data[:size])
-		t.count(n)
+		t.onSent(n)
 		if err != nil {
 			return false
 		}
@@ -34,10 +34,12 @@
 	return true
 }
 
-// await takes size bytes from a limiter, false if the client left.
-func (t *transfer) await(limiter *rate.Limiter, size int) bool {
-	// WaitN refuses more than the burst, which SetLinkRate may have lowered
-	// since the piece was cut: such a piece goes in smaller parts.
+// waitFor takes size bytes from a limiter. It returns false if the client has
+// disconnected.
+func (t *transfer) waitFor(limiter *rate.Limiter, size int) bool {
+	// WaitN fails for more than the burst, which SetLinkRate may have lowered
+	// since the size of the piece was determined. Such a piece takes its bytes
+	// in smaller parts.
 	for size > 0 && t.ctx.Err() == nil {
 		part := min(size, limiter.Burst())
 		if limiter.WaitN(t.ctx, part) == nil {
@@ -47,14 +49,14 @@
 	return size == 0
 }
 
-// flush pushes out what the server still buffers.
+// flush sends the data that the server has buffered.
 func (t *transfer) flush() {
-	// A failed flush means that the client has left, which ctx shows.
+	// Flush fails only if the client has disconnected, which ctx reports.
 	_ = http.NewResponseController(t.writer).Flush()
 }
 
-// cut closes the connection in the middle of the body.
-func (t *transfer) cut() {
+// abort flushes the part of the body that was written and closes the connection.
+func (t *transfer) abort() {
 	t.flush()
 	panic(http.ErrAbortHandler)
 }
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	// maxPieceBytes is the most that one transfer sends before the next one
-	// has its turn, so that transfers share the link evenly.
+	// maxPieceBytes bounds what a transfer sends before the next transfer takes
+	// its turn, so that transfers share the link evenly.
 	maxPieceBytes = 16 << 10
-	// minPieceBytes is the least, which keeps a slow link from one timer a
-	// byte.
+	// minPieceBytes keeps a slow link from using one timer per byte.
 	minPieceBytes = 512
-	// burstShare is the part of a second that an idle link makes up for. It
-	// covers late timers, which would otherwise lower a fast link's rate.
+	// burstShare is the share of a second that an idle link can catch up on. It
+	// compensates for timers that fire late, which would otherwise lower the
+	// rate of a fast link.
 	burstShare = 0.02
 )
 
-// WeightOptions shapes a WeightServer. The zero value has no limits.
+// WeightOptions configure a WeightServer. The zero value has no limits.
 type WeightOptions struct {
-	// BytesPerSecond is the rate of the link that all transfers share; 0 is
+	// BytesPerSecond is the rate of the link that all transfers share; 0 means
 	// no limit.
 	BytesPerSecond int64
-	// RequestsPerSecond is the ceiling beyond which a request is answered
-	// 429; 0 is no limit.
+	// RequestsPerSecond limits the request rate. Requests beyond it get 429; 0
+	// means no limit.
 	RequestsPerSecond float64
-	// Now is the clock of the request limit; nil is time.Now.
+	// Now is the clock of the request limit; nil means time.Now.
 	Now func() time.Time
 }
 
-// WeightServer is a stand-in of the origin of weights or, with a request
-// limit, of the rate-limited weight store.
+// WeightServer is a stand-in of the origin of weights or, with a request limit,
+// of the rate-limited weight store.
 type WeightServer struct {
-	mux      *http.ServeMux
-	outage   *outage
-	faults   *faultPlan
-	link     *rate.Limiter
-	requests *rate.Limiter
-	now      func() time.Time
-
-	mu           sync.Mutex
-	models       map[fleet.Digest]storedModel
-	transferRate int64 // bytes a second of each transfer; 0: no limit
-	requestCount uint64
-	sent         uint64
-	sentOf       map[fleet.Digest]uint64
-	transfers    int
+	mux            *http.ServeMux
+	outage         *outage
+	faults         *faultPlan
+	linkLimiter    *rate.Limiter
+	requestLimiter *rate.Limiter
+	now            func() time.Time
+
+	mu                  sync.Mutex
+	models              map[fleet.Digest]storedModel
+	transferRate        int64 // bytes per second of each transfer; 0: no limit
+	requestCount        uint64
+	sentBytes           uint64
+	sentBytesByManifest map[fleet.Digest]uint64
+	transfers           int
 }
 
-// storedModel is what the server sends of one version.
+// storedModel is the manifest and the chunks of one version.
 type storedModel struct {
 	manifest []byte
 	chunks   [][]byte
 }
 
-// NewWeightServer returns a server that holds nothing.
+// NewWeightServer returns a server that holds no versions.
 func NewWeightServer(options WeightOptions) *WeightServer {
 	s := &WeightServer{
-		mux:      http.NewServeMux(),
-		outage:   newOutage(),
-		faults:   newFaultPlan(),
-		link:     newByteLimiter(options.BytesPerSecond),
-		requests: newRequestLimiter(options.RequestsPerSecond),
-		now:      clockOrDefault(options.Now),
-		models:   map[fleet.Digest]storedModel{},
-		sentOf:   map[fleet.Digest]uint64{},
+		mux:                 http.NewServeMux(),
+		outage:              newOutage(),
+		faults:              newFaultPlan(),
+		linkLimiter:         newByteLimiter(options.BytesPerSecond),
+		requestLimiter:      newRequestLimiter(options.RequestsPerSecond),
+		now:                 clockOrDefault(options.Now),
+		models:              map[fleet.Digest]storedModel{},
+		sentBytesByManifest: map[fleet.Digest]uint64{},
 	}
 	s.mux.HandleFunc("GET /v1/weights/{manifest}", s.getManifest)
 	s.mux.HandleFunc("GET /v1/weights/{manifest}/chunks/{index}", s.getChunk)
@@ -86,10 +86,10 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Add holds a version: its manifest and the bytes of its chunks by index.
-// The digests of the bytes are not checked, since a real source may hold bad
-// bytes. It returns the manifest's digest; failure.Invalid if the number of
-// blobs is not that of the chunks.
+// Add stores a version: its manifest and the bytes of its chunks by index. The
+// bytes are not verified against their digests, since a real source may hold
+// corrupt bytes. It returns the digest of the manifest, or failure.Invalid if
+// the number of blobs differs from the number of chunks.
 func (s *WeightServer) Add(manifest weights.Manifest, blobs [][]byte) (fleet.Digest, error) {
 	if len(blobs) != len(manifest.Chunks) {
 		return fleet.Digest{}, failure.Invalid.New("%d blobs for %d chunks", len(blobs), len(manifest.Chunks))
@@ -104,57 +104,57 @@
 	return digest, nil
 }
 
-// SetDown makes every request end with 503 until SetDown(false). Transfers
-// that run go on.
+// SetDown makes all further requests fail with 503 until SetDown(false).
+// Running transfers continue.
 func (s *WeightServer) SetDown(down bool) { s.outage.setDown(down) }
 
-// SetSilent makes the server take requests and leave them without an answer
-// until SetSilent(false). Transfers that run go on.
+// SetSilent makes the server accept further requests without responding until
+// SetSilent(false). Running transfers continue.
 func (s *WeightServer) SetSilent(silent bool) { s.outage.setSilent(silent) }
 
-// SetLinkRate changes the rate of the link that all transfers share; 0 is no
+// SetLinkRate changes the rate of the link that all transfers share; 0 means no
 // limit.
 func (s *WeightServer) SetLinkRate(bytesPerSecond int64) {
 	limit, burst := byteLimit(bytesPerSecond)
-	s.link.SetBurst(burst)
-	s.link.SetLimit(limit)
+	s.linkLimiter.SetBurst(burst)
+	s.linkLimiter.SetLimit(limit)
 }
 
-// SetTransferRate makes each later transfer slow on its own, at most
-// bytesPerSecond, below the link's rate; 0 is no limit.
+// SetTransferRate limits each later transfer to bytesPerSecond, in addition to
+// the rate of the link; 0 means no limit.
 func (s *WeightServer) SetTransferRate(bytesPerSecond int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.transferRate = bytesPerSecond
 }
 
-// FailNext gives the next count transfers of chunks this fault, after those
-// that were planned before. FaultNone leaves a transfer whole.
-func (s *WeightServer) FailNext(fault Fault, count int) { s.faults.addNext(fault, count) }
+// FailNext applies fault to the next count transfers of chunks, after those set
+// by earlier calls. FaultNone leaves a transfer unchanged.
+func (s *WeightServer) FailNext(fault Fault, count int) { s.faults.enqueue(fault, count) }
 
-// FailAlways gives every transfer of one chunk, or of the manifest at
-// ManifestIndex, this fault; FaultNone ends it. It goes before FailNext.
+// FailAlways applies fault to all transfers of one chunk, or of the manifest at
+// ManifestIndex. FaultNone removes it. It takes precedence over FailNext.
 func (s *WeightServer) FailAlways(manifest fleet.Digest, index int, fault Fault) {
-	s.faults.setAlways(transferID{manifest: manifest, index: index}, fault)
+	s.faults.setPermanent(transferID{manifest: manifest, chunkIndex: index}, fault)
 }
 
-// ClearFaults forgets all planned faults and releases stalled transfers.
+// ClearFaults removes all faults and releases the stalled transfers.
 func (s *WeightServer) ClearFaults() { s.faults.clear() }
 
-// ReleaseStalled lets the transfers that stall now send their other half.
+// ReleaseStalled lets the stalled transfers send the rest of their bodies.
 func (s *WeightServer) ReleaseStalled() { s.faults.releaseStalled() }
 
-// Stalled returns the number of transfers that stall now.
-func (s *WeightServer) Stalled() int { return s.faults.stalledNow() }
+// Stalled returns the number of stalled transfers.
+func (s *WeightServer) Stalled() int { return s.faults.stalledCount() }
 
-// Transfers returns the number of transfers that run now.
+// Transfers returns the number of running transfers.
 func (s *WeightServer) Transfers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.transfers
 }
 
-// Requests returns the number of requests so far, also those that were
+// Requests returns the total number of requests, including those that were
 // refused or failed.
 func (s *WeightServer) Requests() uint64 {
 	s.mu.Lock()
@@ -162,33 +162,32 @@
 	return s.requestCount
 }
 
-// BytesSent returns the body bytes given to the network so far, of manifests
-// and chunks.
+// BytesSent returns the number of body bytes of manifests and chunks sent so
+// far.
 func (s *WeightServer) BytesSent() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sent
+	return s.sentBytes
 }
 
-// ManifestBytesSent returns the part of BytesSent that belongs to one
-// version.
+// ManifestBytesSent returns the part of BytesSent that belongs to one version.
 func (s *WeightServer) ManifestBytesSent(manifest fleet.Digest) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sentOf[manifest]
+	return s.sentBytesByManifest[manifest]
 }
 
 func (s *WeightServer) getManifest(w http.ResponseWriter, r *http.Request) {
-	digest, model, ok := s.requested(w, r)
+	digest, model, ok := s.resolve(w, r)
 	if !ok {
 		return
 	}
 	w.Header().Set("Content-Type", "application/cbor")
-	s.send(w, r, transferID{manifest: digest, index: ManifestIndex}, model.manifest)
+	s.send(w, r, transferID{manifest: digest, chunkIndex: ManifestIndex}, model.manifest)
 }
 
 func (s *WeightServer) getChunk(w http.ResponseWriter, r *http.Request) {
-	digest, model, ok := s.requested(w, r)
+	digest, model, ok := s.resolve(w, r)
 	if !ok {
 		return
 	}
@@ -198,7 +197,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	s.send(w, r, transferID{manifest: digest, index: int(index)}, model.chunks[index])
+	s.send(w, r, transferID{manifest: digest, chunkIndex: int(index)}, model.chunks[index])
 }
 
 func (s *WeightServer) admit(w http.ResponseWriter, r *http.Request) bool {
@@ -206,17 +205,18 @@
 	s.requestCount++
 	s.mu.Unlock()
 	now := s.now()
-	reservation := s.requests.ReserveN(now, 1)
+	reservation := s.requestLimiter.ReserveN(now, 1)
 	if pause := reservation.DelayFrom(now); pause > 0 {
 		reservation.CancelAt(now)
-		refuseRate(w, pause)
+		writeTooManyRequests(w, pause)
 		return false
 	}
 	return s.outage.admit(w, r)
 }
 
-// requested returns the model of a request, or refuses the request.
-func (s *WeightServer) requested(w http.ResponseWriter, r *http.Request) (fleet.Digest, storedModel, bool) {
+// resolve returns the model that a request names. If it returns false, the
+// error response has been written or the client has disconnected.
+func (s *WeightServer) resolve(w http.ResponseWriter, r *http.Request) (fleet.Digest, storedModel, bool) {
 	if !s.admit(w, r) {
 		return fleet.Digest{}, storedModel{}, false
 	}
@@ -234,18 +234,18 @@
 	return digest, model, ok
 }
 
-// send answers with data, spoilt as the fault plan says.
+// send responds with data, altered by the fault of this transfer.
 func (s *WeightServer) send(w http.ResponseWriter, r *http.Request, id transferID, data []byte) {
-	transfer := s.begin(w, r, id)
-	defer s.end()
-	fault := s.faults.take(id)
-	body := spoil(data, fault)
+	transfer := s.beginTransfer(w, r, id)
+	defer s.endTransfer()
+	fault := s.faults.nextFault(id)
+	body := applyFault(data, fault)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	half := len(body) / 2
 	switch fault {
 	case FaultCut:
 		transfer.write(body[:half])
-		transfer.cut()
+		transfer.abort()
 	case FaultStall:
 		if transfer.write(body[:half]) && s.stall(transfer) {
 			transfer.write(body[half:])
@@ -255,13 +255,13 @@
 	}
 }
 
-// spoil returns the body of an answer whose fault changes its bytes.
-func spoil(data []byte, fault Fault) []byte {
+// applyFault returns the body altered by a fault that changes its bytes.
+func applyFault(data []byte, fault Fault) []byte {
 	switch fault {
 	case FaultCorrupt:
-		bad := bytes.Clone(data)
-		bad[len(bad)/2] ^= 1
-		return bad
+		corrupted := bytes.Clone(data)
+		corrupted[len(corrupted)/2] ^= 1
+		return corrupted
 	case FaultShort:
 		return data[:len(data)-1]
 	case FaultLong:
@@ -271,11 +271,12 @@
 	}
 }
 
-// stall waits for ReleaseStalled, false if the client left before.
+// stall waits for ReleaseStalled. It returns false if the client disconnects
+// first.
 func (s *WeightServer) stall(t *transfer) bool {
 	t.flush()
-	release := s.faults.enterStall()
-	defer s.faults.leaveStall()
+	release := s.faults.beginStall()
+	defer s.faults.endStall()
 	select {
 	case <-release:
 		return true
@@ -284,20 +285,20 @@
 	}
 }
 
-func (s *WeightServer) begin(w http.ResponseWriter, r *http.Request, id transferID) *transfer {
+func (s *WeightServer) beginTransfer(w http.ResponseWriter, r *http.Request, id transferID) *transfer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.transfers++
 	return &transfer{
-		ctx:    r.Context(),
-		writer: w,
-		shared: s.link,
-		own:    newByteLimiter(s.transferRate),
-		count:  func(n int) { s.countSent(id.manifest, n) },
+		ctx:             r.Context(),
+		writer:          w,
+		linkLimiter:     s.linkLimiter,
+		transferLimiter: newByteLimiter(s.transferRate),
+		onSent:          func(n int) { s.countSent(id.manifest, n) },
 	}
 }
 
-func (s *WeightServer) end() {
+func (s *WeightServer) endTransfer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.transfers--
@@ -306,16 +307,16 @@
 func (s *WeightServer) countSent(manifest fleet.Digest, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sent += uint64(n)
-	s.sentOf[manifest] += uint64(n)
+	s.sentBytes += uint64(n)
+	s.sentBytesByManifest[manifest] += uint64(n)
 }
 
 func newByteLimiter(bytesPerSecond int64) *rate.Limiter {
 	return rate.NewLimiter(byteLimit(bytesPerSecond))
 }
 
-// byteLimit returns the limit and burst of a link. Transfers send pieces no
-// larger than the burst, since a limiter never lets more through at once.
+// byteLimit returns the rate limit and the burst of a link. Transfers send
+// pieces no larger than the burst, the most that a limiter admits at once.
 func byteLimit(bytesPerSecond int64) (rate.Limit, int) {
 	if bytesPerSecond <= 0 {
 		return rate.Inf, maxPieceBytes
