--- a/adapters/platform/config_test.go
+++ b/adapters/platform/config_test.go
@@ -22,7 +22,7 @@
 	BeforeEach(func() {
 		service = standin.NewConfigService(standin.ConfigOptions{})
 		first = revision.Document{Text: []byte("[service kielimalli]\n")}
-		first.Revision = service.SetText(first.Text)
+		first.Revision = service.SetConfig(first.Text)
 	})
 
 	// watch starts a watch in the background and waits until it has arrived.
@@ -34,14 +34,14 @@
 			return err
 		})
 		DeferCleanup(cancel)
-		Eventually(service.Waiting).Should(Equal(1))
+		Eventually(service.WaitingWatches).Should(Equal(1))
 		return documents, failures
 	}
 
 	It("reads the newest text", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
-		Expect(service.SetText([]byte("other"))).To(Equal(first.Revision + 1))
+		Expect(service.SetConfig([]byte("other"))).To(Equal(first.Revision + 1))
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: first.Revision + 1, Text: []byte("other")}))
 		Expect(service.Calls()).To(BeEquivalentTo(2))
 	})
@@ -49,11 +49,11 @@
 	It("answers a waiting watch when the text changes, as one call", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		documents, failures := watch(source, first.Revision)
-		service.SetText([]byte("other"))
+		service.SetConfig([]byte("other"))
 		Eventually(failures).Should(Receive(BeNil()))
 		Expect(documents).To(Receive(Equal(revision.Document{Revision: first.Revision + 1, Text: []byte("other")})))
 		Expect(service.Calls()).To(BeEquivalentTo(1))
-		Expect(service.Waiting()).To(BeZero())
+		Expect(service.WaitingWatches()).To(BeZero())
 	})
 
 	It("answers a watch at once whose revision is not the one held", func(ctx SpecContext) {
@@ -74,7 +74,7 @@
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: shortWait})
 		Expect(source.Read(ctx)).To(Equal(first))
 		second := revision.Document{Text: []byte("second")}
-		second.Revision = service.SetText(second.Text)
+		second.Revision = service.SetConfig(second.Text)
 		Expect(source.Watch(ctx, second.Revision)).To(Equal(second))
 	})
 
@@ -83,7 +83,7 @@
 	// hides neither, since only the core knows which revision is in force.
 	It("passes a stale answer on", func(ctx SpecContext) {
 		second := revision.Document{Text: []byte("second")}
-		second.Revision = service.SetText(second.Text)
+		second.Revision = service.SetConfig(second.Text)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		Expect(source.Read(ctx)).To(Equal(second))
 
@@ -103,7 +103,7 @@
 	It("passes a second text of one revision on", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
-		service.SetTextAt(first.Revision, []byte("forked"))
+		service.SetConfigAt(first.Revision, []byte("forked"))
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: first.Revision, Text: []byte("forked")}))
 	})
 
@@ -133,9 +133,9 @@
 	It("ends a waiting watch when the service falls silent", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: time.Second, Margin: shortStall})
 		_, failures := watch(source, first.Revision)
-		service.SetSilent(true)
+		service.SetUnresponsive(true)
 		Eventually(failures).Should(Receive(beOfType(failure.Timeout)))
-		Eventually(service.Waiting).Should(BeZero())
+		Eventually(service.WaitingWatches).Should(BeZero())
 	})
 
 	It("frees the service of a watch that is given up", func() {
@@ -144,18 +144,18 @@
 			_, err := source.Watch(ctx, first.Revision)
 			return err
 		})
-		Eventually(service.Waiting).Should(Equal(1))
+		Eventually(service.WaitingWatches).Should(Equal(1))
 		cancel()
 		Eventually(failures).Should(Receive(beOfType(platform.Canceled)))
-		Eventually(service.Waiting).Should(BeZero())
+		Eventually(service.WaitingWatches).Should(BeZero())
 	})
 
 	It("takes a text of the largest size and no larger one", func(ctx SpecContext) {
 		largest := []byte(strings.Repeat("x", platform.MaxTextBytes))
-		number := service.SetText(largest)
+		number := service.SetConfig(largest)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: number, Text: largest}))
-		service.SetText(append(largest, 'x'))
+		service.SetConfig(append(largest, 'x'))
 		_, err := source.Read(ctx)
 		Expect(err).To(beOfType(failure.Corrupt))
 	})
--- a/adapters/platform/contract_test.go
+++ b/adapters/platform/contract_test.go
@@ -21,7 +21,7 @@
 type service interface {
 	http.Handler
 	SetDown(down bool)
-	SetSilent(silent bool)
+	SetUnresponsive(silent bool)
 }
 
 // contractCall is one call of a port. Every case of commonFaults holds for
@@ -119,7 +119,7 @@
 	{
 		name: "fails as Timeout when the service takes the call and never answers",
 		serve: func(s service) string {
-			s.SetSilent(true)
+			s.SetUnresponsive(true)
 			return serve(s)
 		},
 		short: true,
@@ -212,7 +212,7 @@
 
 			It("fails as Canceled when its caller gives it up", func() {
 				silent := port.service()
-				silent.SetSilent(true)
+				silent.SetUnresponsive(true)
 				ctx, cancel := context.WithCancel(context.Background())
 				cancel()
 				err := port.call(ctx, serve(silent), longWait)
@@ -221,7 +221,7 @@
 
 			It("fails as Timeout when its caller's deadline passes", func() {
 				silent := port.service()
-				silent.SetSilent(true)
+				silent.SetUnresponsive(true)
 				ctx, cancel := context.WithDeadline(context.Background(), time.Now())
 				defer cancel()
 				Expect(port.call(ctx, serve(silent), longWait)).To(beOfType(failure.Timeout))
--- a/adapters/platform/weights_test.go
+++ b/adapters/platform/weights_test.go
@@ -78,9 +78,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(chunk.Verify(data)).To(Succeed())
 		},
-		Entry("one byte short", standin.FaultShort, longWait, failure.Corrupt),
-		Entry("one byte long", standin.FaultLong, longWait, failure.Corrupt),
-		Entry("cut in the middle", standin.FaultCut, longWait, failure.Unavailable),
+		Entry("one byte short", standin.FaultTruncate, longWait, failure.Corrupt),
+		Entry("one byte long", standin.FaultExtend, longWait, failure.Corrupt),
+		Entry("cut in the middle", standin.FaultAbort, longWait, failure.Unavailable),
 		Entry("stalled in the middle", standin.FaultStall, shortStall, failure.Timeout),
 	)
 
--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -134,7 +134,7 @@
 	f.mu.Lock()
 	f.intended[harness.VersionText(v)] = true
 	f.mu.Unlock()
-	return f.Config.SetText([]byte(f.textOf(v)))
+	return f.Config.SetConfig([]byte(f.textOf(v)))
 }
 
 func (f *testFleet) isIntended(version string) bool {
--- a/cmd/wholepath/platform_test.go
+++ b/cmd/wholepath/platform_test.go
@@ -49,7 +49,7 @@
 		load := f.modelLoad(4, 8, pool, assist)
 		former := f.Config.Revision()
 		bad := strings.Replace(f.textOf(r2), "version = "+r2.Name, "version = r9", 1)
-		f.Config.SetText([]byte(bad))
+		f.Config.SetConfig([]byte(bad))
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(HaveField("Config.Refused",
 				ConsistOf(ContainSubstring("fleet.ini:7: version: there is no section [version r9]"))))
--- a/standin/bench/burst/fleet.go
+++ b/standin/bench/burst/fleet.go
@@ -159,7 +159,7 @@
 
 // write writes the operator's text.
 func (f *Fleet) write(v fleet.Version, policy string, maxUnavailable int) {
-	f.Config.SetText([]byte(fmt.Sprintf(`[fleet]
+	f.Config.SetConfig([]byte(fmt.Sprintf(`[fleet]
 name = burst
 [version %[1]s]
 manifest = %[2]s
--- a/standin/bench/entryload/entryload.go
+++ b/standin/bench/entryload/entryload.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	f.Config.SetText(fmt.Appendf(nil, "[fleet]\nname = entry\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = model\nversion = r1\n",
+	f.Config.SetConfig(fmt.Appendf(nil, "[fleet]\nname = entry\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = model\nversion = r1\n",
 		m.Version.Manifest, quick, paced))
 	if f.entry, err = f.StartEntry("entry-1", place); err != nil {
 		return err
--- a/standin/bench/relay/relay.go
+++ b/standin/bench/relay/relay.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	p.Config.SetText(text(0))
+	p.Config.SetConfig(text(0))
 	if err := waitAll(members, p.Config.Revision()); err != nil {
 		return Result{}, err
 	}
@@ -168,7 +168,7 @@
 			watch.lose(loseWatcher(members))
 		}
 		at := time.Now()
-		watch.published(p.Config.SetText(text(i)), at)
+		watch.published(p.Config.SetConfig(text(i)), at)
 		time.Sleep(changeEvery)
 	}
 	deadline := time.Now().Add(settle)
--- a/standin/bench/requests/fleet.go
+++ b/standin/bench/requests/fleet.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	f.intended = harness.VersionText(m.Version)
-	f.Config.SetText([]byte(fmt.Sprintf("[fleet]\nname = requests\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = plain\n",
+	f.Config.SetConfig([]byte(fmt.Sprintf("[fleet]\nname = requests\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = plain\n",
 		m.Version.Manifest, model, plain)))
 	for i, place := range places {
 		p, err := f.StartEntry(fleet.InstanceID(fmt.Sprintf("entry-%d", i+1)), place)
--- a/standin/bench/slopes/crowd.go
+++ b/standin/bench/slopes/crowd.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	c.said = said{Revision: c.fleet.Config.SetText([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
+	c.said = said{Revision: c.fleet.Config.SetConfig([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
 	return nil
 }
 
--- a/standin/bench/slopes/fleets.go
+++ b/standin/bench/slopes/fleets.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	f.Config.SetText(fmt.Appendf(nil, "[fleet]\nname = idle\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n",
+	f.Config.SetConfig(fmt.Appendf(nil, "[fleet]\nname = idle\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n",
 		f.model.Version.Manifest, serviceOf(0)))
 	for i := range n {
 		if err := f.add(i); err != nil {
--- a/standin/bench/slopes/stub.go
+++ b/standin/bench/slopes/stub.go
@@ -247,7 +247,7 @@
 		s.news(ctx, st)
 		return
 	}
-	data := s.crowd.model.Encoded
+	data := s.crowd.model.EncodedManifest
 	if open.Index != manifestIndex {
 		data = s.crowd.model.Chunks[open.Index]
 	}
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -146,7 +146,7 @@
 	d.mu.Lock()
 	d.intended[harness.VersionText(m.Version)] = true
 	d.mu.Unlock()
-	d.fleet.Config.SetText([]byte(fmt.Sprintf(`[fleet]
+	d.fleet.Config.SetConfig([]byte(fmt.Sprintf(`[fleet]
 name = demo
 [version %[1]s]
 manifest = %[2]s
--- a/standin/cmd/standins/admin.go
+++ b/standin/cmd/standins/admin.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return configAnswer{Revision: a.config.SetText(text)}, nil
+	return configAnswer{Revision: a.config.SetConfig(text)}, nil
 }
 
 func (a *admin) putInstance(r *http.Request) (any, error) {
@@ -185,7 +185,7 @@
 		ConfigCalls:              a.config.Calls(),
 		ConfigCallsLastSecond:    a.config.CallsLastSecond(),
 		ConfigPeakCallsPerSecond: a.config.PeakCallsPerSecond(),
-		ConfigWaiting:            a.config.Waiting(),
+		ConfigWaiting:            a.config.WaitingWatches(),
 		ConfigBytes:              a.config.BytesSent(),
 		InstancesCalls:           a.list.Calls(),
 		InstancesBytes:           a.list.BytesSent(),
--- a/standin/cmd/standins/command.go
+++ b/standin/cmd/standins/command.go
@@ -125,7 +125,7 @@
 		return nil, failure.Invalid.New("--config-file %s has %d bytes, the platform holds at most %d",
 			opts.configFile, len(text), maxTextBytes)
 	}
-	s.config.SetText(text)
+	s.config.SetConfig(text)
 	return s, nil
 }
 
--- a/standin/cmd/standins/faults.go
+++ b/standin/cmd/standins/faults.go
@@ -69,14 +69,14 @@
 // outages are the faults that every stand-in has.
 type outages interface {
 	SetDown(down bool)
-	SetSilent(silent bool)
+	SetUnresponsive(silent bool)
 }
 
 func parseOutage(service outages, kind string) (change, error) {
 	set := func(down, silent bool) change {
 		return func() error {
 			service.SetDown(down)
-			service.SetSilent(silent)
+			service.SetUnresponsive(silent)
 			return nil
 		}
 	}
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -69,23 +69,23 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// SetText stores the configuration under the next revision, which it returns,
+// SetConfig stores the configuration under the next revision, which it returns,
 // and ends the waiting watches unless the service is stale.
-func (s *ConfigService) SetText(text []byte) revision.Revision {
+func (s *ConfigService) SetConfig(config []byte) revision.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.documents[len(s.documents)-1].Revision + 1
-	s.appendDocument(revision.Document{Revision: next, Text: slices.Clone(text)})
+	s.appendDocument(revision.Document{Revision: next, Text: slices.Clone(config)})
 	return next
 }
 
-// SetTextAt stores the configuration under the given revision, as a platform
+// SetConfigAt stores the configuration under the given revision, as a platform
 // restored from a backup does: the revision may be the same as or lower than an
 // earlier one.
-func (s *ConfigService) SetTextAt(at revision.Revision, text []byte) {
+func (s *ConfigService) SetConfigAt(at revision.Revision, config []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.appendDocument(revision.Document{Revision: at, Text: slices.Clone(text)})
+	s.appendDocument(revision.Document{Revision: at, Text: slices.Clone(config)})
 }
 
 func (s *ConfigService) appendDocument(document revision.Document) {
@@ -113,9 +113,9 @@
 // SetDown(false).
 func (s *ConfigService) SetDown(down bool) { s.outage.setDown(down) }
 
-// SetSilent makes the service accept calls without responding, including
-// waiting watches, until SetSilent(false).
-func (s *ConfigService) SetSilent(silent bool) { s.outage.setSilent(silent) }
+// SetUnresponsive makes the service accept calls without responding, including
+// waiting watches, until SetUnresponsive(false).
+func (s *ConfigService) SetUnresponsive(unresponsive bool) { s.outage.setUnresponsive(unresponsive) }
 
 // Calls returns the total number of calls. Each read and each watch is one
 // call, including those that were refused or failed in an outage.
@@ -130,8 +130,8 @@
 // BytesSent returns the number of body bytes of configurations sent so far.
 func (s *ConfigService) BytesSent() uint64 { return s.sentBytes.Load() }
 
-// Waiting returns the number of waiting watches.
-func (s *ConfigService) Waiting() int {
+// WaitingWatches returns the number of waiting watches.
+func (s *ConfigService) WaitingWatches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
@@ -204,16 +204,16 @@
 	timer := time.NewTimer(watch.wait)
 	defer timer.Stop()
 	for {
-		document, textChanged := s.current()
-		down, silent, outageChanged := s.outage.state()
-		if down && !silent {
+		document, configChanged := s.current()
+		down, unresponsive, outageChanged := s.outage.state()
+		if down && !unresponsive {
 			return true
 		}
-		if document.Revision != watch.after && !silent {
+		if document.Revision != watch.after && !unresponsive {
 			return true
 		}
 		select {
-		case <-textChanged:
+		case <-configChanged:
 		case <-outageChanged:
 		case <-timer.C:
 			return true
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -15,23 +15,23 @@
 	FaultNone Fault = ""
 	// FaultCorrupt flips one bit in the middle of the body.
 	FaultCorrupt Fault = "corrupt"
-	// FaultShort sends a complete response that lacks the last byte of the
+	// FaultTruncate sends a complete response that lacks the last byte of the
 	// body.
-	FaultShort Fault = "short"
-	// FaultLong sends a complete response with one extra byte.
-	FaultLong Fault = "long"
+	FaultTruncate Fault = "short"
+	// FaultExtend sends a complete response with one extra byte.
+	FaultExtend Fault = "long"
 	// FaultStall sends half of the body, then nothing until ReleaseStalled, and
 	// keeps the connection open.
 	FaultStall Fault = "stall"
-	// FaultCut sends half of the body and closes the connection.
-	FaultCut Fault = "cut"
+	// FaultAbort sends half of the body and closes the connection.
+	FaultAbort Fault = "cut"
 )
 
 // ParseFault parses the name of a fault. It returns failure.Invalid for an
 // unknown name.
 func ParseFault(name string) (Fault, error) {
 	switch fault := Fault(name); fault {
-	case FaultNone, FaultCorrupt, FaultShort, FaultLong, FaultStall, FaultCut:
+	case FaultNone, FaultCorrupt, FaultTruncate, FaultExtend, FaultStall, FaultAbort:
 		return fault, nil
 	default:
 		return FaultNone, failure.Invalid.New("there is no fault %q", name)
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -112,9 +112,9 @@
 // SetDown makes all calls fail with 503 until SetDown(false).
 func (l *InstanceList) SetDown(down bool) { l.outage.setDown(down) }
 
-// SetSilent makes the list accept calls without responding until
-// SetSilent(false).
-func (l *InstanceList) SetSilent(silent bool) { l.outage.setSilent(silent) }
+// SetUnresponsive makes the list accept calls without responding until
+// SetUnresponsive(false).
+func (l *InstanceList) SetUnresponsive(unresponsive bool) { l.outage.setUnresponsive(unresponsive) }
 
 // Calls returns the total number of calls, including those that failed in an
 // outage.
--- a/standin/platform/model.go
+++ b/standin/platform/model.go
@@ -23,10 +23,10 @@
 
 // Model is one version of a synthetic model.
 type Model struct {
-	Version  fleet.Version
-	Manifest weights.Manifest
-	Encoded  []byte   // the encoded manifest
-	Chunks   [][]byte // by index
+	Version         fleet.Version
+	Manifest        weights.Manifest
+	EncodedManifest []byte   // the encoded manifest
+	Chunks          [][]byte // by index
 }
 
 // NewModel generates a model whose bytes depend only on the spec. Its errors
@@ -43,9 +43,9 @@
 	return assemble(spec.Name, chunks)
 }
 
-// Change returns another version that differs from m only in the chunks with
+// Variant returns another version that differs from m only in the chunks with
 // the given indexes, like a fine-tuned model. Its errors are failure.Invalid.
-func (m Model) Change(name string, seed uint64, indexes ...int) (Model, error) {
+func (m Model) Variant(name string, seed uint64, indexes ...int) (Model, error) {
 	chunks := slices.Clone(m.Chunks)
 	for _, index := range indexes {
 		if index < 0 || index >= len(chunks) {
@@ -97,9 +97,9 @@
 		return Model{}, err
 	}
 	return Model{
-		Version:  fleet.Version{Name: name, Manifest: digest},
-		Manifest: manifest,
-		Encoded:  encoded,
-		Chunks:   chunks,
+		Version:         fleet.Version{Name: name, Manifest: digest},
+		Manifest:        manifest,
+		EncodedManifest: encoded,
+		Chunks:          chunks,
 	}, nil
 }
--- a/standin/platform/outage.go
+++ b/standin/platform/outage.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// outage is the availability of a service: up, down or silent (it accepts
+// outage is the availability of a service: up, down or unresponsive (it accepts
 // requests and does not respond).
 type outage struct {
-	mu      sync.Mutex
-	down    bool
-	silent  bool
-	changed chan struct{} // closed and replaced at each change
+	mu           sync.Mutex
+	down         bool
+	unresponsive bool
+	changed      chan struct{} // closed and replaced at each change
 }
 
 func newOutage() *outage {
@@ -25,10 +25,10 @@
 	o.notifyWaiters()
 }
 
-func (o *outage) setSilent(silent bool) {
+func (o *outage) setUnresponsive(unresponsive bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.silent = silent
+	o.unresponsive = unresponsive
 	o.notifyWaiters()
 }
 
@@ -37,19 +37,19 @@
 	o.changed = make(chan struct{})
 }
 
-func (o *outage) state() (down, silent bool, changed <-chan struct{}) {
+func (o *outage) state() (down, unresponsive bool, changed <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.down, o.silent, o.changed
+	return o.down, o.unresponsive, o.changed
 }
 
-// admit waits while the service is silent and reports whether the request may
-// be processed. If not, the error response has been written or the client has
-// disconnected.
+// admit waits while the service is unresponsive and reports whether the request
+// may be processed. If not, the error response has been written or the client
+// has disconnected.
 func (o *outage) admit(w http.ResponseWriter, r *http.Request) bool {
 	for {
-		down, silent, changed := o.state()
-		if silent {
+		down, unresponsive, changed := o.state()
+		if unresponsive {
 			select {
 			case <-changed:
 				continue
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -93,7 +93,7 @@
 	It("copies the configuration that is set", func() {
 		service := platform.NewConfigService(platform.ConfigOptions{})
 		text := []byte("good")
-		service.SetText(text)
+		service.SetConfig(text)
 		text[0] = 'x'
 		Expect(serve(service, http.MethodGet, "/v1/config").Body.String()).To(Equal("good"))
 	})
@@ -173,9 +173,9 @@
 		model := newModel("relay", 1000, 1)
 		server := platform.NewWeightServer(platform.WeightOptions{})
 		Expect(server.Add(model.Manifest, model.Chunks)).Error().NotTo(HaveOccurred())
-		server.FailNext(platform.FaultShort, 2)
+		server.FailNext(platform.FaultTruncate, 2)
 		server.FailNext(platform.FaultNone, 1)
-		server.FailNext(platform.FaultLong, 1)
+		server.FailNext(platform.FaultExtend, 1)
 		var sizes []int
 		for range 5 {
 			path := "/v1/weights/" + model.Version.Manifest.String() + "/chunks/0"
@@ -201,11 +201,11 @@
 
 	It("changes only the given chunks", func() {
 		base := newModel("relay", 3<<20, 7)
-		next, err := base.Change("relay-2", 8, 1)
+		next, err := base.Variant("relay-2", 8, 1)
 		Expect(err).NotTo(HaveOccurred())
 		same := func(i int) bool { return base.Manifest.Chunks[i].Digest == next.Manifest.Chunks[i].Digest }
 		Expect([]bool{same(0), same(1), same(2)}).To(Equal([]bool{true, false, true}))
-		_, err = base.Change("relay-3", 8, 3)
+		_, err = base.Variant("relay-3", 8, 3)
 		Expect(errorx.IsOfType(err, failure.Invalid)).To(BeTrue())
 	})
 
@@ -261,9 +261,9 @@
 			}
 			ended <- err
 		}()
-		Eventually(service.Waiting).Should(Equal(1))
+		Eventually(service.WaitingWatches).Should(Equal(1))
 		server.Stop()
-		Expect(service.Waiting()).To(BeZero())
+		Expect(service.WaitingWatches()).To(BeZero())
 		Eventually(ended).Should(Receive(HaveOccurred()))
 		server.Stop()
 		transport.CloseIdleConnections()
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -108,9 +108,9 @@
 // Running transfers continue.
 func (s *WeightServer) SetDown(down bool) { s.outage.setDown(down) }
 
-// SetSilent makes the server accept further requests without responding until
-// SetSilent(false). Running transfers continue.
-func (s *WeightServer) SetSilent(silent bool) { s.outage.setSilent(silent) }
+// SetUnresponsive makes the server accept further requests without responding
+// until SetUnresponsive(false). Running transfers continue.
+func (s *WeightServer) SetUnresponsive(unresponsive bool) { s.outage.setUnresponsive(unresponsive) }
 
 // SetLinkRate changes the rate of the link that all transfers share; 0 means no
 // limit.
@@ -243,7 +243,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	half := len(body) / 2
 	switch fault {
-	case FaultCut:
+	case FaultAbort:
 		transfer.write(body[:half])
 		transfer.abort()
 	case FaultStall:
@@ -262,9 +262,9 @@
 		corrupted := bytes.Clone(data)
 		corrupted[len(corrupted)/2] ^= 1
 		return corrupted
-	case FaultShort:
+	case FaultTruncate:
 		return data[:len(data)-1]
-	case FaultLong:
+	case FaultExtend:
 		return append(bytes.Clone(data), 0)
 	default:
 		return data
