--- a/standin/harness/harness.go
+++ b/standin/harness/harness.go
@@ -1,7 +1,7 @@
-// Package harness starts a small fleet on loopback: the platform's stand-ins
-// and backend servers in this process, and the system's own programs as
+// Package harness runs a small fleet on loopback: the stand-ins of the platform
+// and of backend servers in this process, and the system's own programs as
 // separate processes. The demo, the whole-path tests and the capacity
-// measurement share it.
+// measurements share it.
 package harness
 
 import (
@@ -23,27 +23,28 @@
 	"chivespindle.example/standin/platform"
 )
 
-// Options of a Fleet.
+// Options configure a Fleet.
 type Options struct {
 	// Daemon is the path of the chivespindled program.
 	Daemon string
-	// Dir takes settings, keys and logs; it must exist. If it is empty, a temporary
-	// folder takes them until the Fleet is closed.
+	// Dir is an existing directory for settings, keys and logs. If it is empty,
+	// New creates a temporary directory, which Close removes.
 	Dir string
-	// OriginBytesPerSecond limits the origin's link; 0: not limited.
+	// OriginBytesPerSecond limits the link of the origin; 0 means no limit.
 	OriginBytesPerSecond int64
-	// LinkBytesPerSecond is put into the agents' settings; 0: unknown.
+	// LinkBytesPerSecond is the link rate in the settings of the agents; 0
+	// means unknown.
 	LinkBytesPerSecond int64
-	// ListLag is how late the instance list shows changes.
+	// ListLag is the time until a change becomes visible in the instance list.
 	ListLag time.Duration
-	// Spans writes trace spans to the logs.
+	// Spans makes the processes write trace spans to their logs.
 	Spans bool
 }
 
 // Fleet is a running set of stand-ins and processes.
 type Fleet struct {
 	opts      Options
-	temporary bool // opts.Dir is removed at the end
+	temporary bool // opts.Dir is removed by Close
 	Config    *platform.ConfigService
 	Instances *platform.InstanceList
 	Origin    *platform.WeightServer
@@ -59,7 +60,7 @@
 	Plain     map[fleet.InstanceID]*plainservice.Service
 }
 
-// Names of the stand-ins that the settings point to.
+// Names of the stand-ins whose URLs the settings contain.
 const (
 	configServer    = "config"
 	instancesServer = "instances"
@@ -67,10 +68,10 @@
 	storeServer     = "store"
 )
 
-// storeRequestRate is the store's request limit for a loopback fleet.
-const storeRequestRate = 20
+// storeRequestsPerSecond is the request limit of the store.
+const storeRequestsPerSecond = 20
 
-// New starts the stand-ins. The caller must Close the fleet.
+// New starts the stand-ins of the platform. The caller must Close the fleet.
 func New(opts Options) (*Fleet, error) {
 	authority, err := pki.NewAuthority()
 	if err != nil {
@@ -79,7 +80,7 @@
 	temporary := opts.Dir == ""
 	if temporary {
 		if opts.Dir, err = os.MkdirTemp("", "chivespindle-"); err != nil {
-			return nil, failure.Unavailable.Wrap(err, "work folder")
+			return nil, failure.Unavailable.Wrap(err, "create the working directory")
 		}
 	}
 	f := &Fleet{
@@ -88,29 +89,29 @@
 		Config:    platform.NewConfigService(platform.ConfigOptions{}),
 		Instances: platform.NewInstanceList(platform.InstanceListOptions{Lag: opts.ListLag}),
 		Origin:    platform.NewWeightServer(platform.WeightOptions{BytesPerSecond: opts.OriginBytesPerSecond}),
-		Store:     platform.NewWeightServer(platform.WeightOptions{RequestsPerSecond: storeRequestRate}),
+		Store:     platform.NewWeightServer(platform.WeightOptions{RequestsPerSecond: storeRequestsPerSecond}),
 		authority: authority,
-		lastPort:  rand.IntN(portChoices),
+		lastPort:  rand.IntN(portCount),
 		urls:      make(map[string]string),
 		processes: make(map[fleet.InstanceID]*Process),
 		Engines:   make(map[fleet.InstanceID]*engine.Engine),
 		Plain:     make(map[fleet.InstanceID]*plainservice.Service),
 	}
-	if err := f.prepare(); err != nil {
+	if err := f.setUp(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) prepare() error {
+func (f *Fleet) setUp() error {
 	if err := f.authority.Save(f.opts.Dir); err != nil {
 		return err
 	}
 	return f.startPlatform()
 }
 
-// Dir is the folder of settings, keys and logs.
+// Dir returns the directory of settings, keys and logs.
 func (f *Fleet) Dir() string { return f.opts.Dir }
 
 func (f *Fleet) startPlatform() error {
@@ -124,7 +125,7 @@
 		{storeServer, f.Store},
 	}
 	for _, h := range handlers {
-		server, err := platform.Start(h.handler, loopbackAny)
+		server, err := platform.Start(h.handler, anyPort)
 		if err != nil {
 			return err
 		}
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// AddModel makes a model's weights known to the origin and the store.
+// AddModel generates a model and adds its weights to the origin and the store.
 func (f *Fleet) AddModel(spec platform.ModelSpec) (platform.Model, error) {
 	model, err := platform.NewModel(spec)
 	if err != nil {
@@ -148,14 +149,14 @@
 	return model, nil
 }
 
-// Process returns a started process.
+// Process returns the process of an instance, or nil if none was started.
 func (f *Fleet) Process(id fleet.InstanceID) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[id]
 }
 
-// Close kills what still runs and stops the stand-ins.
+// Close kills the running processes and stops the stand-ins.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,36 +177,36 @@
 	}
 }
 
-// loopbackAny asks the kernel for a free port.
-const loopbackAny = "127.0.0.1:0"
+// anyPort lets the operating system choose a free port.
+const anyPort = "127.0.0.1:0"
 
-// Ports of processes lie below those that the kernel gives to connections and
-// to listeners that ask for any. A port from there could be taken by anyone on
-// the machine in the moment between its choice and the process's start.
+// Processes listen on ports below the ephemeral range of the operating system.
+// Any other program on the machine could be given an ephemeral port between its
+// choice here and the start of the process.
 const (
-	lowestPort  = 10000
-	portChoices = 20000
+	lowestPort = 10000
+	portCount  = 20000
 )
 
-// freePorts returns n ports that were free for both TCP and UDP a moment ago.
-// A fleet goes through the ports one by one, so that it never reuses one
-// whose process does not listen yet. It starts anywhere,
-// since other tests may choose at the same time.
+// freePorts returns n ports that are currently free for both TCP and UDP. A
+// fleet takes the ports in sequence, so that it does not choose a port again
+// before the process that was given it listens. The sequence starts at a random
+// port, since other tests may choose ports at the same time.
 func (f *Fleet) freePorts(n int) ([]netip.AddrPort, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ports []netip.AddrPort
-	for range portChoices {
+	for range portCount {
 		if len(ports) == n {
 			return ports, nil
 		}
-		f.lastPort = (f.lastPort + 1) % portChoices
+		f.lastPort = (f.lastPort + 1) % portCount
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(lowestPort+f.lastPort))
 		if isFree(addr) {
 			ports = append(ports, addr)
 		}
 	}
-	return nil, failure.Unavailable.New("no %d free ports on 127.0.0.1", n)
+	return nil, failure.Unavailable.New("fewer than %d free ports on 127.0.0.1", n)
 }
 
 func isFree(addr netip.AddrPort) bool {
@@ -221,8 +222,8 @@
 	return udp.Close() == nil
 }
 
-// write puts a file under the fleet's directory and returns its path.
-func (f *Fleet) write(name, text string) (string, error) {
+// writeFile writes a file to the directory of the fleet and returns its path.
+func (f *Fleet) writeFile(name, text string) (string, error) {
 	path := filepath.Join(f.opts.Dir, name)
 	const ownerOnly = 0o600
 	if err := os.WriteFile(path, []byte(text), ownerOnly); err != nil {
--- a/standin/harness/load.go
+++ b/standin/harness/load.go
@@ -18,25 +18,25 @@
 	"chivespindle.example/standin/plainservice"
 )
 
-// Tally counts what callers saw. Callers check each answer against what the
-// stand-in must have answered, not against what the system says.
+// Tally counts the results that callers received. A response is checked against
+// what the stand-in must have sent, not against what the system reports.
 type Tally struct {
-	Answers      int // whole and right
-	Lost         int // asked for and never answered, though asked again as docs/CALLERS.md allows
-	WrongVersion int // from a version that the caller's header does not name, or from none that was intended
-	Wrong        int // not the answer to the caller's own request
-	Refusals     int // responses "not run" before the last
-	Unknown      int // outcomes unknown before the last
+	Answers      int // complete and correct responses
+	Lost         int // requests without a response after all retries that docs/CALLERS.md allows
+	WrongVersion int // responses from another version than the header names, or from an unpublished one
+	Wrong        int // responses that are incomplete or belong to another request
+	Refusals     int // failed attempts with the outcome "not run"
+	Unknown      int // failed attempts with another outcome
 	Latencies    []time.Duration
-	NotRunKeys   []string // keys of non-idempotent requests whose last response was "not run"
-	RanKeys      []string // keys of non-idempotent requests that were answered
-	UnknownKeys  []string // keys of non-idempotent requests that ended otherwise
+	NotRunKeys   []string // keys of lost non-idempotent requests with the outcome "not run"
+	RanKeys      []string // keys of non-idempotent requests with a response
+	UnknownKeys  []string // keys of lost non-idempotent requests with another outcome
 }
 
 // Load sends requests until it is stopped.
 type Load struct {
-	client   *callerclient.Client
-	intended func(version string) bool
+	client      *callerclient.Client
+	isPublished func(version string) bool
 
 	mu    sync.Mutex
 	tally Tally
@@ -44,76 +44,77 @@
 	wait  sync.WaitGroup
 }
 
-// LoadSpec says what callers ask for.
+// LoadSpec specifies the requests of a Load.
 type LoadSpec struct {
-	// Models are asked for tokens, Plain for calls that must not be repeated.
+	// Models are sent generation requests, Plain are sent non-idempotent calls.
 	Models, Plain []fleet.ServiceName
-	// Callers is how many ask at once.
+	// Callers is the number of concurrent callers.
 	Callers   int
 	MaxTokens int
 	Deadline  time.Duration
-	// Intended tells whether "name@digest" is a version that the operator's
-	// text has published so far.
+	// Intended reports whether "name@digest" is a version that the operator's
+	// configuration has published so far.
 	Intended func(version string) bool
 }
 
-// StartLoad starts callers that go on until Stop.
+// StartLoad starts the callers, which send requests until Stop.
 func StartLoad(client *callerclient.Client, spec LoadSpec) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{client: client, intended: spec.Intended, stop: cancel}
+	l := &Load{client: client, isPublished: spec.Intended, stop: cancel}
 	for i := range spec.Callers {
 		l.wait.Add(1)
-		go l.caller(ctx, spec, i)
+		go l.runCaller(ctx, spec, i)
 	}
 	return l
 }
 
-// Stop lets each caller finish its request and returns what they saw.
+// Stop waits until each caller has finished its request and returns the
+// results.
 func (l *Load) Stop() Tally {
 	l.stop()
 	l.wait.Wait()
 	return l.Tally()
 }
 
-// Tally returns what was seen so far.
+// Tally returns the results so far.
 func (l *Load) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally
 }
 
-func (l *Load) count(f func(t *Tally)) {
+func (l *Load) update(f func(t *Tally)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.tally)
 }
 
-func (l *Load) caller(ctx context.Context, spec LoadSpec, number int) {
+func (l *Load) runCaller(ctx context.Context, spec LoadSpec, number int) {
 	defer l.wait.Done()
-	for turn := number; ctx.Err() == nil; turn++ {
-		if n := len(spec.Models); turn%(n+len(spec.Plain)) < n {
-			l.askModel(spec, spec.Models[turn%n])
+	for sequence := number; ctx.Err() == nil; sequence++ {
+		if n := len(spec.Models); sequence%(n+len(spec.Plain)) < n {
+			l.callModel(spec, spec.Models[sequence%n])
 		} else {
-			l.callPlain(spec, spec.Plain[turn%len(spec.Plain)])
+			l.callPlain(spec, spec.Plain[sequence%len(spec.Plain)])
 		}
 	}
 }
 
-// askTimes bounds how often a caller asks again before it counts the request
-// as lost.
-const askTimes = 20
+// maxAttempts bounds the attempts of a caller before it counts a request as lost.
+const maxAttempts = 20
 
-// persist asks until there is an answer, or asking again is not allowed.
-func (l *Load) persist(r callerclient.Request) (callerclient.Answer, error) {
-	var last error
-	for range askTimes {
-		answer, err := l.client.Do(context.Background(), r)
+// doWithRetries retries a request until there is a response or a retry is not
+// allowed.
+func (l *Load) doWithRetries(r callerclient.Request) (callerclient.Answer, error) {
+	var lastErr error
+	for range maxAttempts {
+		response, err := l.client.Do(context.Background(), r)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
-		last = err
+		lastErr = err
 		outcome := failure.OutcomeOf(err)
-		l.count(func(t *Tally) {
+		l.update(func(t *Tally) {
 			if outcome == failure.NotRun {
 				t.Refusals++
 			} else {
@@ -123,10 +124,10 @@
 		if outcome != failure.NotRun && r.NonIdempotent {
 			return callerclient.Answer{}, err
 		}
-		const shortest = 20 * time.Millisecond
-		time.Sleep(max(shortest, failure.RetryAfter(err)))
+		const minPause = 20 * time.Millisecond
+		time.Sleep(max(minPause, failure.RetryAfter(err)))
 	}
-	return callerclient.Answer{}, last
+	return callerclient.Answer{}, lastErr
 }
 
 // Prompt is the body of a request to a model engine.
@@ -135,23 +136,23 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-func (l *Load) askModel(spec LoadSpec, service fleet.ServiceName) {
+func (l *Load) callModel(spec LoadSpec, service fleet.ServiceName) {
 	prompt := Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: spec.MaxTokens}
 	body, _ := json.Marshal(prompt)
 	started := time.Now()
-	answer, err := l.persist(callerclient.Request{Service: service, Deadline: spec.Deadline, Body: body})
-	took := time.Since(started)
+	response, err := l.doWithRetries(callerclient.Request{Service: service, Deadline: spec.Deadline, Body: body})
+	latency := time.Since(started)
 	if err != nil {
-		l.count(func(t *Tally) { t.Lost++ })
+		l.update(func(t *Tally) { t.Lost++ })
 		return
 	}
-	version, whole := CheckAnswer(answer.Body, prompt)
-	l.count(func(t *Tally) {
-		t.Latencies = append(t.Latencies, took)
+	version, complete := CheckAnswer(response.Body, prompt)
+	l.update(func(t *Tally) {
+		t.Latencies = append(t.Latencies, latency)
 		switch {
-		case !whole:
+		case !complete:
 			t.Wrong++
-		case answer.Version != version || !l.intended(version):
+		case response.Version != version || !l.isPublished(version):
 			t.WrongVersion++
 		default:
 			t.Answers++
@@ -159,17 +160,17 @@
 	})
 }
 
-// CheckAnswer reads a model's answer and reports the version that it names
-// and whether its tokens are those of the prompt from that version, all of
-// them.
-func CheckAnswer(body []byte, prompt Prompt) (version string, whole bool) {
+// CheckAnswer parses a model's response. It returns the version that the
+// response names and whether the response is complete and has exactly the
+// tokens that this version generates for the prompt.
+func CheckAnswer(body []byte, prompt Prompt) (version string, complete bool) {
 	type line struct {
 		Token   *string        `json:"token"`
 		Done    bool           `json:"done"`
 		Version *fleet.Version `json:"version"`
 	}
 	var tokens []string
-	var named fleet.Version
+	var responseVersion fleet.Version
 	done := false
 	for _, text := range strings.Split(strings.TrimSpace(string(body)), "\n") {
 		var l line
@@ -177,28 +178,28 @@
 			return "", false
 		}
 		if l.Version != nil {
-			named = *l.Version
+			responseVersion = *l.Version
 		}
 		if l.Token != nil {
 			tokens = append(tokens, *l.Token)
 		}
 		done = l.Done
 	}
-	want := engine.ExpectedTokens(prompt.Prompt, prompt.MaxTokens, named)
-	same := strings.Join(tokens, " ") == strings.Join(want, " ") && len(tokens) == len(want)
-	return VersionText(named), done && same
+	want := engine.ExpectedTokens(prompt.Prompt, prompt.MaxTokens, responseVersion)
+	tokensMatch := strings.Join(tokens, " ") == strings.Join(want, " ") && len(tokens) == len(want)
+	return VersionText(responseVersion), done && tokensMatch
 }
 
-// VersionText is the form of the header Model-Version.
+// VersionText formats a version as in the header Model-Version.
 func VersionText(v fleet.Version) string {
 	return fmt.Sprintf("%s@%s", v.Name, v.Manifest)
 }
 
-// issueKey asks for a key until there is one.
+// issueKey requests an idempotency key, with retries.
 func (l *Load) issueKey(service fleet.ServiceName) (string, error) {
 	var key string
 	var err error
-	for range askTimes {
+	for range maxAttempts {
 		key, err = l.client.IssueKey(context.Background(), service)
 		if err == nil {
 			return key, nil
@@ -209,20 +210,20 @@
 	return "", err
 }
 
-// callPlain sends work that must run at most once.
+// callPlain sends a non-idempotent call, which must run at most once.
 func (l *Load) callPlain(spec LoadSpec, service fleet.ServiceName) {
 	key, err := l.issueKey(service)
 	if err != nil {
-		l.count(func(t *Tally) { t.Lost++ })
+		l.update(func(t *Tally) { t.Lost++ })
 		return
 	}
 	body := []byte("parts order " + key)
 	started := time.Now()
-	answer, err := l.persist(callerclient.Request{Service: service, Path: "orders", FirstAsk: true, IdempotencyKey: key,
+	response, err := l.doWithRetries(callerclient.Request{Service: service, Path: "orders", FirstAsk: true, IdempotencyKey: key,
 		NonIdempotent: true, Deadline: spec.Deadline, Body: body})
-	took := time.Since(started)
+	latency := time.Since(started)
 	if err != nil {
-		l.count(func(t *Tally) {
+		l.update(func(t *Tally) {
 			t.Lost++
 			if failure.OutcomeOf(err) == failure.NotRun {
 				t.NotRunKeys = append(t.NotRunKeys, key)
@@ -233,11 +234,11 @@
 		return
 	}
 	var receipt plainservice.Receipt
-	wrong := json.Unmarshal(answer.Body, &receipt) != nil || receipt.Key != key || string(receipt.Body) != string(body)
-	l.count(func(t *Tally) {
-		t.Latencies = append(t.Latencies, took)
+	incorrect := json.Unmarshal(response.Body, &receipt) != nil || receipt.Key != key || string(receipt.Body) != string(body)
+	l.update(func(t *Tally) {
+		t.Latencies = append(t.Latencies, latency)
 		t.RanKeys = append(t.RanKeys, key)
-		if wrong {
+		if incorrect {
 			t.Wrong++
 			return
 		}
@@ -245,7 +246,8 @@
 	})
 }
 
-// Executions sums how often each key ran over all plain services.
+// Executions returns the number of executions of each key, summed over all
+// plain services.
 func (f *Fleet) Executions() map[string]int {
 	sum := make(map[string]int)
 	for _, p := range f.Plain {
@@ -265,8 +267,8 @@
 	return duplicates
 }
 
-// Mixed counts requests that engines ran on bytes which do not match the
-// version that the answer names.
+// Mixed counts requests that engines ran on weights that do not match the
+// version named in the response.
 func (f *Fleet) Mixed() int {
 	mixed := 0
 	for _, e := range f.Engines {
@@ -275,7 +277,8 @@
 	return mixed
 }
 
-// PercentileMS returns a percentile of durations in milliseconds; 0 of none.
+// PercentileMS returns a percentile of durations in milliseconds, 0 if there
+// are none.
 func PercentileMS(all []time.Duration, percent int) float64 {
 	if len(all) == 0 {
 		return 0
--- a/standin/harness/process.go
+++ b/standin/harness/process.go
@@ -15,25 +15,25 @@
 	"chivespindle.example/standin/plainservice"
 )
 
-// Process is one running program of the system.
+// Process is a process of the system: an entry or an agent.
 type Process struct {
 	Instance fleet.Instance
 	Ops      netip.AddrPort
-	Log      string // path of its log
+	Log      string // path of the log file
 
-	settings string  // path of its settings
-	backend  backend // of an agent
-	cmd      *exec.Cmd
-	done     chan struct{}
-	err      error
+	settingsPath string        // path of the settings file
+	backend      backendServer // set for an agent
+	cmd          *exec.Cmd
+	done         chan struct{}
+	err          error
 }
 
-// backend is what an agent's settings say of its backend server.
-type backend struct {
+// backendServer is the backend server in an agent's settings.
+type backendServer struct {
 	kind, url string
 }
 
-// Kill ends the process at once, as a power cut would.
+// Kill kills the process without a graceful stop, like a power failure.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
@@ -43,13 +43,13 @@
 // Terminate asks the process to stop gracefully.
 func (p *Process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Freeze stops the process from running until Thaw; it does not notice.
+// Freeze suspends the process until Thaw. The process is not notified.
 func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process run on.
+// Thaw resumes a suspended process.
 func (p *Process) Thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Wait waits for the process's end and returns its error, or a
+// Wait waits until the process has exited and returns its error, or
 // failure.Timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Pid returns the process id, for measurements of a running process.
+// Pid returns the process ID, for measurements of a running process.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 // StartEntry starts an entry instance and adds it to the instance list.
@@ -79,12 +79,12 @@
 	return f.start(instance, ports[2], text)
 }
 
-// AgentSpec says what kind of backend server an agent stands beside.
+// AgentSpec specifies the backend server of an agent.
 type AgentSpec struct {
 	Service fleet.ServiceName
-	// Engine options of a model engine; nil for a plain service.
+	// Engine configures a model engine; nil for a plain service.
 	Engine *engine.Options
-	// Plain options of a plain service; nil for a model engine.
+	// Plain configures a plain service; nil for a model engine.
 	Plain *plainservice.Options
 }
 
@@ -97,26 +97,26 @@
 	return f.startAgentProcess(id, place, spec.Service, server)
 }
 
-// RestartAgent starts the agent of a backend server that still runs anew,
-// under the same id with other ports, as after a crash of the agent alone.
+// RestartAgent restarts the agent of a running backend server under the same ID
+// with other ports, as after a crash of the agent alone.
 func (f *Fleet) RestartAgent(id fleet.InstanceID) (*Process, error) {
 	old := f.Process(id)
 	if old == nil {
-		return nil, failure.NotFound.New("no process %s", id)
+		return nil, failure.NotFound.New("no process with the ID %s", id)
 	}
 	old.Kill()
 	return f.startAgentProcess(id, old.Instance.Place, old.Instance.Service, old.backend)
 }
 
-// Restart starts a process anew with the settings that it had, ports too, as
-// a supervisor on the instance does.
+// Restart restarts a process with the same settings, including the ports, like
+// a supervisor on the instance.
 func (f *Fleet) Restart(id fleet.InstanceID) (*Process, error) {
 	old := f.Process(id)
 	if old == nil {
-		return nil, failure.NotFound.New("no process %s", id)
+		return nil, failure.NotFound.New("no process with the ID %s", id)
 	}
 	old.Kill()
-	p, err := f.run(old.Instance, old.Ops, old.settings)
+	p, err := f.run(old.Instance, old.Ops, old.settingsPath)
 	if err != nil {
 		return nil, err
 	}
@@ -124,36 +124,36 @@
 	return p, nil
 }
 
-// StartSecondAgent starts another agent, named id, beside the backend server
-// that the agent of stands beside already, as a mistaken supervisor does.
-func (f *Fleet) StartSecondAgent(id, of fleet.InstanceID) (*Process, error) {
-	first := f.Process(of)
+// StartSecondAgent starts another agent, named id, for the backend server of
+// the agent firstID, like a misconfigured supervisor.
+func (f *Fleet) StartSecondAgent(id, firstID fleet.InstanceID) (*Process, error) {
+	first := f.Process(firstID)
 	if first == nil {
-		return nil, failure.NotFound.New("no process %s", of)
+		return nil, failure.NotFound.New("no process with the ID %s", firstID)
 	}
 	return f.startAgentProcess(id, first.Instance.Place, first.Instance.Service, first.backend)
 }
 
-func (f *Fleet) startBackend(id fleet.InstanceID, spec AgentSpec) (backend, error) {
+func (f *Fleet) startBackend(id fleet.InstanceID, spec AgentSpec) (backendServer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if spec.Engine != nil {
 		e := engine.New(*spec.Engine)
-		if _, err := e.Start(loopbackAny); err != nil {
-			return backend{}, err
+		if _, err := e.Start(anyPort); err != nil {
+			return backendServer{}, err
 		}
 		f.Engines[id] = e
-		return backend{kind: "engine", url: e.URL()}, nil
+		return backendServer{kind: "engine", url: e.URL()}, nil
 	}
 	p := plainservice.New(*spec.Plain)
-	if _, err := p.Start(loopbackAny); err != nil {
-		return backend{}, err
+	if _, err := p.Start(anyPort); err != nil {
+		return backendServer{}, err
 	}
 	f.Plain[id] = p
-	return backend{kind: "plain", url: p.URL()}, nil
+	return backendServer{kind: "plain", url: p.URL()}, nil
 }
 
-func (f *Fleet) startAgentProcess(id fleet.InstanceID, place fleet.Place, service fleet.ServiceName, server backend) (*Process, error) {
+func (f *Fleet) startAgentProcess(id fleet.InstanceID, place fleet.Place, service fleet.ServiceName, server backendServer) (*Process, error) {
 	ports, err := f.freePorts(2)
 	if err != nil {
 		return nil, err
@@ -175,27 +175,28 @@
 }
 
 func (f *Fleet) start(instance fleet.Instance, ops netip.AddrPort, settings string) (*Process, error) {
-	path, err := f.write(string(instance.ID)+".ini", settings)
+	path, err := f.writeFile(string(instance.ID)+".ini", settings)
 	if err != nil {
 		return nil, err
 	}
 	return f.run(instance, ops, path)
 }
 
-// run starts a program with a settings file and lists its instance.
-func (f *Fleet) run(instance fleet.Instance, ops netip.AddrPort, settings string) (*Process, error) {
+// run starts a process with a settings file and adds its instance to the
+// instance list.
+func (f *Fleet) run(instance fleet.Instance, ops netip.AddrPort, settingsPath string) (*Process, error) {
 	logPath := filepath.Join(f.opts.Dir, string(instance.ID)+".log")
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, failure.Unavailable.Wrap(err, "open log")
+		return nil, failure.Unavailable.Wrap(err, "open the log file")
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(f.opts.Daemon, string(instance.Role), "--settings", settings)
+	cmd := exec.Command(f.opts.Daemon, string(instance.Role), "--settings", settingsPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return nil, failure.Unavailable.Wrap(err, "start %s", instance.ID)
 	}
-	p := &Process{Instance: instance, Ops: ops, Log: logPath, settings: settings, cmd: cmd, done: make(chan struct{})}
+	p := &Process{Instance: instance, Ops: ops, Log: logPath, settingsPath: settingsPath, cmd: cmd, done: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		close(p.done)
--- a/standin/pki/files.go
+++ b/standin/pki/files.go
@@ -12,22 +12,23 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Names of the authority's files in a directory.
+// Names of the authority's files.
 const (
 	AuthorityFile    = "authority.pem"
 	AuthorityKeyFile = "authority-key.pem"
 )
 
 const (
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "PRIVATE KEY"
+	certificateBlockType = "CERTIFICATE"
+	keyBlockType         = "PRIVATE KEY"
 
 	dirMode  = 0o755
 	certMode = 0o644
 	keyMode  = 0o600
 )
 
-// Save writes the authority's certificate and key into dir, for Open.
+// Save writes the authority's certificate and key to dir, where Open can read
+// them.
 func (a *Authority) Save(dir string) error {
 	keyPEM, err := encodeKey(a.key)
 	if err != nil {
@@ -39,13 +40,13 @@
 	return writeFile(dir, AuthorityKeyFile, keyPEM, keyMode)
 }
 
-// Open reads an authority that Save wrote.
+// Open reads an authority written by Save.
 func Open(dir string) (*Authority, error) {
-	certDER, err := readBlock(filepath.Join(dir, AuthorityFile), certificateBlock)
+	certDER, err := readBlock(filepath.Join(dir, AuthorityFile), certificateBlockType)
 	if err != nil {
 		return nil, err
 	}
-	keyDER, err := readBlock(filepath.Join(dir, AuthorityKeyFile), keyBlock)
+	keyDER, err := readBlock(filepath.Join(dir, AuthorityKeyFile), keyBlockType)
 	if err != nil {
 		return nil, err
 	}
@@ -65,13 +66,13 @@
 }
 
 // WriteFiles issues a certificate and writes it, its key and the authority's
-// certificate into dir: <role>-<id>.pem, <role>-<id>-key.pem, authority.pem.
-// Files of the same identity are replaced.
+// certificate to dir, as <role>-<id>.pem, <role>-<id>-key.pem and
+// authority.pem. It replaces existing files of the same identity.
 func (a *Authority) WriteFiles(dir string, role fleet.Role, id fleet.InstanceID) (keys.Files, error) {
 	return a.WriteTemplate(dir, Template{Identity: keys.Identity{ID: id, Role: role}})
 }
 
-// WriteTemplate is WriteFiles for any certificate.
+// WriteTemplate is like WriteFiles for the certificate described by a template.
 func (a *Authority) WriteTemplate(dir string, t Template) (keys.Files, error) {
 	certPEM, keyPEM, err := a.Sign(t)
 	if err != nil {
@@ -97,9 +98,9 @@
 func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "encode a key")
+		return nil, failure.Internal.Wrap(err, "encode the key")
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: der}), nil
+	return pem.EncodeToMemory(&pem.Block{Type: keyBlockType, Bytes: der}), nil
 }
 
 func readBlock(path, blockType string) ([]byte, error) {
@@ -116,10 +117,10 @@
 
 func writeFile(dir, name string, data []byte, mode os.FileMode) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return failure.Invalid.Wrap(err, "make the directory")
+		return failure.Invalid.Wrap(err, "create the directory")
 	}
 	if err := os.WriteFile(filepath.Join(dir, name), data, mode); err != nil {
-		return failure.Invalid.Wrap(err, "write a file")
+		return failure.Invalid.Wrap(err, "write the file")
 	}
 	return nil
 }
--- a/standin/pki/pki.go
+++ b/standin/pki/pki.go
@@ -1,6 +1,7 @@
-// Package pki makes an authority and certificates for tests, the demo and the
-// bench. It stands in for the users' own authority: everything that it signs
-// is short-lived and none of it belongs on a real instance.
+// Package pki creates a certificate authority and certificates for tests, the
+// demo and the benchmarks. It stands in for the users' own authority:
+// everything that it signs is short-lived and must not be used on a real
+// instance.
 package pki
 
 import (
@@ -19,33 +20,33 @@
 	"chivespindle.example/core/fleet"
 )
 
-// Lifetimes of what the stand-in signs. Certificates start a little in the
-// past, so that clocks of two machines may differ.
+// Lifetimes of certificates. They become valid clockSkewAllowance before they are
+// issued, because the clocks of two machines may differ.
 const (
 	authorityLifetime   = 30 * 24 * time.Hour
 	certificateLifetime = 7 * 24 * time.Hour
-	clockAllowance      = time.Hour
+	clockSkewAllowance  = time.Hour
 )
 
 const serialBits = 128
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// Template is what a certificate says. The zero times give the usual
-// lifetime. Tests use it to make certificates that must be refused.
+// Template describes a certificate. A zero time selects the default lifetime.
+// Tests use it to create certificates that must be refused.
 type Template struct {
 	Identity  keys.Identity
 	NotBefore time.Time
 	NotAfter  time.Time
-	// URIs replace the name made from Identity if not nil.
+	// URIs replace the URI derived from Identity if not nil.
 	URIs []*url.URL
 }
 
-// NewAuthority makes an authority with a new key.
+// NewAuthority creates an authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := newKey()
 	if err != nil {
@@ -59,7 +60,7 @@
 	template := &x509.Certificate{
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: "chivespindle stand-in authority"},
-		NotBefore:             now.Add(-clockAllowance),
+		NotBefore:             now.Add(-clockSkewAllowance),
 		NotAfter:              now.Add(authorityLifetime),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
@@ -67,28 +68,28 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "sign the authority")
+		return nil, failure.Internal.Wrap(err, "sign the certificate of the authority")
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "read the authority back")
+		return nil, failure.Internal.Wrap(err, "parse the certificate of the authority")
 	}
 	return &Authority{cert: cert, key: key}, nil
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate in PEM.
 func (a *Authority) PEM() []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: a.cert.Raw})
+	return pem.EncodeToMemory(&pem.Block{Type: certificateBlockType, Bytes: a.cert.Raw})
 }
 
-// Issue makes a key and a certificate for one process.
+// Issue creates a key and a certificate for one process.
 func (a *Authority) Issue(role fleet.Role, id fleet.InstanceID) (certPEM, keyPEM []byte, err error) {
 	return a.Sign(Template{Identity: keys.Identity{ID: id, Role: role}})
 }
 
-// Sign makes a key and a certificate as the template says.
+// Sign creates a key and the certificate described by the template.
 func (a *Authority) Sign(t Template) (certPEM, keyPEM []byte, err error) {
-	request, err := t.certificate()
+	template, err := t.certificate()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -96,7 +97,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, request, a.cert, key.Public(), a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, key.Public(), a.key)
 	if err != nil {
 		return nil, nil, failure.Internal.Wrap(err, "sign the certificate of %s", t.Identity)
 	}
@@ -104,7 +105,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	certPEM = pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der})
+	certPEM = pem.EncodeToMemory(&pem.Block{Type: certificateBlockType, Bytes: der})
 	return certPEM, keyPEM, nil
 }
 
@@ -132,7 +133,7 @@
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
 	if cert.NotBefore.IsZero() {
-		cert.NotBefore = now.Add(-clockAllowance)
+		cert.NotBefore = now.Add(-clockSkewAllowance)
 	}
 	if cert.NotAfter.IsZero() {
 		cert.NotAfter = now.Add(certificateLifetime)
@@ -143,7 +144,7 @@
 func newKey() (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "make a key")
+		return nil, failure.Internal.Wrap(err, "generate a key")
 	}
 	return key, nil
 }
@@ -151,7 +152,7 @@
 func newSerial() (*big.Int, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "make a serial number")
+		return nil, failure.Internal.Wrap(err, "generate a serial number")
 	}
 	return serial, nil
 }
--- a/standin/plainservice/calls_test.go
+++ b/standin/plainservice/calls_test.go
@@ -19,32 +19,32 @@
 	"chivespindle.example/standin/plainservice"
 )
 
-// shortStall is a progress deadline for specs in which it must pass.
-const shortStall = 50 * time.Millisecond
+// shortStallTimeout is the progress timeout of specs in which it must expire.
+const shortStallTimeout = 50 * time.Millisecond
 
-// result is what one call came to.
+// result is the result of one call.
 type result struct {
-	answer serving.Response
-	err    error
-	body   []byte
+	response serving.Response
+	err      error
+	body     []byte
 }
 
-func do(ctx context.Context, client *adapter.Client, call serving.Call) result {
+func doCall(ctx context.Context, client *adapter.Client, call serving.Call) result {
 	var r result
-	r.answer, r.err = client.Do(ctx, call, func(p serving.Piece) error {
+	r.response, r.err = client.Do(ctx, call, func(p serving.Piece) error {
 		r.body = append(r.body, p.Data...)
 		return nil
 	})
 	return r
 }
 
-func running(ctx context.Context, client *adapter.Client, call serving.Call) <-chan result {
+func startCall(ctx context.Context, client *adapter.Client, call serving.Call) <-chan result {
 	done := make(chan result, 1)
-	go func() { done <- do(ctx, client, call) }()
+	go func() { done <- doCall(ctx, client, call) }()
 	return done
 }
 
-func callOf(id string) serving.Call {
+func newCall(id string) serving.Call {
 	return serving.Call{ID: id, IdempotencyKey: "key-" + id, Path: "parts/order", Body: []byte("mast chain " + id)}
 }
 
@@ -58,59 +58,59 @@
 		addr, err := service.Start("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(service.Close)
-		client = adapter.New(adapter.Options{Addr: addr, StallTimeout: shortStall})
+		client = adapter.New(adapter.Options{Addr: addr, StallTimeout: shortStallTimeout})
 	})
 	stall := backend.Faults{Stall: true}
 
-	It("hands over the receipt of the call", func(ctx SpecContext) {
-		got := do(ctx, client, callOf("a1"))
+	It("forwards the receipt of the call", func(ctx SpecContext) {
+		got := doCall(ctx, client, newCall("a1"))
 		Expect(got.err).NotTo(HaveOccurred())
-		Expect(got.answer).To(Equal(serving.Response{ID: "a1", Status: 200}))
+		Expect(got.response).To(Equal(serving.Response{ID: "a1", Status: 200}))
 		var receipt plainservice.Receipt
 		Expect(json.Unmarshal(got.body, &receipt)).To(Succeed())
 		Expect(receipt).To(Equal(plainservice.Receipt{
 			ID: "a1", Key: "key-a1", Path: "parts/order", Execution: 1, Body: []byte("mast chain a1"),
 		}))
-		again := callOf("a2")
+		again := newCall("a2")
 		again.IdempotencyKey = "key-a1"
-		Expect(do(ctx, client, again).body).To(ContainSubstring(`"execution":2`))
+		Expect(doCall(ctx, client, again).body).To(ContainSubstring(`"execution":2`))
 		Expect(service.Counters().ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 2}))
 	})
 
-	It("carries a body of many pieces, and none", func(ctx SpecContext) {
-		call := callOf("a1")
+	It("forwards a large body and an empty body", func(ctx SpecContext) {
+		call := newCall("a1")
 		call.Body = bytes.Repeat([]byte("0123456789"), 100_000)
-		got := do(ctx, client, call)
+		got := doCall(ctx, client, call)
 		Expect(got.err).NotTo(HaveOccurred())
 		var receipt plainservice.Receipt
 		Expect(json.Unmarshal(got.body, &receipt)).To(Succeed())
 		Expect(bytes.Equal(receipt.Body, call.Body)).To(BeTrue())
-		call = callOf("a2")
+		call = newCall("a2")
 		call.Body = nil
-		Expect(do(ctx, client, call).err).NotTo(HaveOccurred())
+		Expect(doCall(ctx, client, call).err).NotTo(HaveOccurred())
 	})
 
-	// A parts order is sent and its answer is spoiled in another way at each
-	// entry. The service ran it once, so the outcome must be unknown, never
-	// not run, or the workshop's second attempt would buy a second chain.
-	DescribeTable("leaves the outcome of a spoiled answer unknown",
+	// The response to a parts order is corrupted in a different way in each
+	// entry. The service has run the call, so the outcome must be unknown and
+	// never "not run": otherwise a retry would place a second order.
+	DescribeTable("reports an unknown outcome for a faulty response",
 		func(ctx SpecContext, faults backend.Faults, kind *errorx.Type, pieces bool) {
 			service.SetFaults(faults)
-			got := do(ctx, client, callOf("a1"))
+			got := doCall(ctx, client, newCall("a1"))
 			Expect(errorx.IsOfType(got.err, kind)).To(BeTrue(), "%v", got.err)
 			Expect(failure.OutcomeOf(got.err)).To(Equal(failure.Unknown))
 			Expect(len(got.body) > 0).To(Equal(pieces))
 			Expect(service.Counters().ExecutionsByKey).To(Equal(backend.Counts{"key-a1": 1}))
 		},
 		Entry("stall", stall, failure.Timeout, true),
-		Entry("die in the middle", backend.Faults{Abort: 1}, failure.Unavailable, true),
-		Entry("wrong id", backend.Faults{WrongID: 1}, failure.Corrupt, false),
+		Entry("abort in the middle", backend.Faults{Abort: 1}, failure.Unavailable, true),
+		Entry("wrong ID", backend.Faults{WrongID: 1}, failure.Corrupt, false),
 	)
 
-	It("hands over nothing of swapped answers", func(ctx SpecContext) {
+	It("forwards nothing of swapped responses", func(ctx SpecContext) {
 		service.SetFaults(backend.Faults{Swap: 1})
-		first := running(ctx, client, callOf("a1"))
-		second := running(ctx, client, callOf("a2"))
+		first := startCall(ctx, client, newCall("a1"))
+		second := startCall(ctx, client, newCall("a2"))
 		for _, done := range []<-chan result{first, second} {
 			var got result
 			Eventually(ctx, done).Should(Receive(&got))
@@ -119,46 +119,46 @@
 		}
 	})
 
-	// Both slots are held. The next call must be told at once that it was not
-	// run, and the status must show the service full.
-	It("says not run when the service is full", func(ctx SpecContext) {
+	// Two calls hold both slots. The next call must be rejected immediately as
+	// not run, and the status must report that all slots are in use.
+	It("reports not run when the service is full", func(ctx SpecContext) {
 		service.SetFaults(stall)
-		held := []<-chan result{running(ctx, client, callOf("h1")), running(ctx, client, callOf("h2"))}
+		held := []<-chan result{startCall(ctx, client, newCall("h1")), startCall(ctx, client, newCall("h2"))}
 		Eventually(ctx, func() int { return service.Status().Running }).Should(Equal(2))
 		Expect(client.Status(ctx)).To(Equal(serving.Load{Running: 2, Slots: 2}))
-		got := do(ctx, client, callOf("a1"))
+		got := doCall(ctx, client, newCall("a1"))
 		Expect(errorx.IsOfType(got.err, failure.Unavailable)).To(BeTrue(), "%v", got.err)
 		Expect(failure.OutcomeOf(got.err)).To(Equal(failure.NotRun))
-		Expect(got.answer.Status).To(Equal(503))
+		Expect(got.response.Status).To(Equal(503))
 		Expect(service.Counters().ExecutionsByID).NotTo(HaveKey("a1"))
 		for _, call := range held {
 			Eventually(ctx, call).Should(Receive())
 		}
 	})
 
-	It("says not run for a call that the service declines", func(ctx SpecContext) {
-		got := do(ctx, client, serving.Call{Path: "parts"})
+	It("reports not run for a call that the service rejects", func(ctx SpecContext) {
+		got := doCall(ctx, client, serving.Call{Path: "parts"})
 		Expect(errorx.IsOfType(got.err, failure.Invalid)).To(BeTrue(), "%v", got.err)
 		Expect(failure.OutcomeOf(got.err)).To(Equal(failure.NotRun))
 	})
 
-	It("says not run if nothing listens", func(ctx SpecContext) {
+	It("reports not run if nothing listens", func(ctx SpecContext) {
 		Expect(service.Close()).To(Succeed())
-		got := do(ctx, client, callOf("a1"))
+		got := doCall(ctx, client, newCall("a1"))
 		Expect(errorx.IsOfType(got.err, failure.Unavailable)).To(BeTrue(), "%v", got.err)
 		Expect(failure.OutcomeOf(got.err)).To(Equal(failure.NotRun))
 		_, err := client.Status(ctx)
 		Expect(errorx.IsOfType(err, failure.Unavailable)).To(BeTrue(), "%v", err)
 	})
 
-	// The caller gives up in the middle of an answer. It ran, so nobody may
-	// say that it did not, and its connection is not used again: the next
-	// answer must hold no byte of the first.
-	It("ends a call that is given up", func(ctx SpecContext) {
+	// The caller cancels in the middle of a response. The call has run, so the
+	// outcome must not be "not run", and its connection must not be reused: the
+	// next response must not contain any byte of the first.
+	It("aborts a canceled call", func(ctx SpecContext) {
 		patient := adapter.New(adapter.Options{Addr: service.Addr()})
 		service.SetFaults(stall)
 		callCtx, cancel := context.WithCancel(ctx)
-		call := running(callCtx, patient, callOf("a1"))
+		call := startCall(callCtx, patient, newCall("a1"))
 		Eventually(ctx, func() int { return service.Status().Running }).Should(Equal(1))
 		cancel()
 		var got result
@@ -168,30 +168,30 @@
 		Eventually(ctx, func() int { return service.Counters().Cancelled }).Should(Equal(1))
 
 		service.SetFaults(backend.Faults{})
-		next := do(ctx, patient, callOf("a2"))
+		next := doCall(ctx, patient, newCall("a2"))
 		Expect(next.err).NotTo(HaveOccurred())
 		Expect(next.body).To(HavePrefix(`{"id":"a2"`))
 	})
 
-	DescribeTable("does not let a path leave the calls",
+	DescribeTable("rejects a path that leaves the prefix of calls",
 		func(ctx SpecContext, path string) {
-			call := callOf("a1")
+			call := newCall("a1")
 			call.Path = path
-			got := do(ctx, client, call)
+			got := doCall(ctx, client, call)
 			Expect(errorx.IsOfType(got.err, failure.Invalid)).To(BeTrue(), "%v", got.err)
 			Expect(failure.OutcomeOf(got.err)).To(Equal(failure.NotRun))
 		},
-		Entry("up", "../status"),
-		Entry("up in the middle", "parts/../../status"),
-		Entry("here", "parts/./order"),
-		Entry("rooted", "/parts"),
+		Entry("parent directory", "../status"),
+		Entry("parent directory in the middle", "parts/../../status"),
+		Entry("current directory", "parts/./order"),
+		Entry("absolute path", "/parts"),
 		Entry("empty segment", "parts//order"),
 	)
 
-	It("escapes what a path may hold", func(ctx SpecContext) {
-		call := callOf("a1")
+	It("escapes special characters in a path", func(ctx SpecContext) {
+		call := newCall("a1")
 		call.Path = "parts/%2e%2e/a b?c#d"
-		got := do(ctx, client, call)
+		got := doCall(ctx, client, call)
 		Expect(got.err).NotTo(HaveOccurred())
 		var receipt plainservice.Receipt
 		Expect(json.Unmarshal(got.body, &receipt)).To(Succeed())
--- a/standin/plainservice/plainservice.go
+++ b/standin/plainservice/plainservice.go
@@ -1,6 +1,6 @@
 // Package plainservice is a stand-in of a plain service, some of whose calls
-// may not be repeated. It answers a call with a receipt and the call's body,
-// and counts what it ran (docs/PLATFORM-ENGINE.md).
+// are not idempotent. It responds to a call with a receipt that contains the
+// body of the call, and counts executions (docs/PLATFORM-ENGINE.md).
 package plainservice
 
 import (
@@ -17,42 +17,43 @@
 
 const defaultSlots = 16
 
-// wrongID marks the request id that the fault WrongID names.
-const wrongID = "-wrong"
+// wrongIDSuffix is appended to the request ID of a response by the fault WrongID.
+const wrongIDSuffix = "-wrong"
 
-// Options are the fixed traits of a service.
+// Options configure a service.
 type Options struct {
-	Slots int           // calls that run at once; 0 means 16, more are declined
-	Delay time.Duration // per call
-	Clock backend.Clock // nil means the machine's
+	Slots int           // maximum number of running calls, further calls are rejected; 0 means 16
+	Delay time.Duration // time that each call takes
+	Clock backend.Clock // nil means backend.WallClock
 }
 
-// Receipt is the answer to a call.
+// Receipt is the response to a call.
 type Receipt struct {
 	ID        string `json:"id"`        // the Request-Id
 	Key       string `json:"key"`       // the Idempotency-Key, "" if none
 	Path      string `json:"path"`      // below /v1/call/
-	Execution int    `json:"execution"` // how often this key, or id, has run
-	Body      []byte `json:"body"`      // as it came, base64
+	Execution int    `json:"execution"` // number of executions of this key, or of this ID if there is no key
+	Body      []byte `json:"body"`      // body of the call, encoded in base64
 }
 
-// Status is the service's report of its work.
+// Status is the load that the service reports.
 type Status struct {
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 }
 
-// Counters are what the service did since New.
+// Counters count the service's work since New.
 type Counters struct {
 	ExecutionsByKey backend.Counts `json:"executions_by_key"`
 	ExecutionsByID  backend.Counts `json:"executions_by_id"`
 	Completed       int            `json:"completed"`
 	NotRun          int            `json:"not_run"`
-	Cancelled       int            `json:"cancelled"` // the caller went away; it ran all the same
-	Aborted         int            `json:"cut"`       // by a fault
+	Cancelled       int            `json:"cancelled"` // the caller disconnected; the call had run
+	Aborted         int            `json:"cut"`       // aborted by a fault
 }
 
-// Service is one plain service. Its methods may be called at once.
+// Service is a stand-in of one plain service. Its methods are safe for
+// concurrent use.
 type Service struct {
 	backend.Server
 	options  Options
@@ -64,7 +65,8 @@
 	counters Counters
 }
 
-// New returns a service. It serves HTTP; Start gives it an address of its own.
+// New returns a service. It implements http.Handler; Start also makes it listen
+// on an address of its own.
 func New(options Options) *Service {
 	if options.Slots == 0 {
 		options.Slots = defaultSlots
@@ -86,7 +88,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// AdminHandler serves the harness: counters and faults.
+// AdminHandler serves the admin calls for counters and faults.
 func (s *Service) AdminHandler() http.Handler {
 	return backend.Admin[backend.Faults]{
 		Counters: func() any { return s.Counters() },
@@ -97,7 +99,7 @@
 // SetFaults replaces all faults.
 func (s *Service) SetFaults(faults backend.Faults) { s.injector.Set(faults) }
 
-// Counters returns a copy of the counts.
+// Counters returns a copy of the counters.
 func (s *Service) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +109,7 @@
 	return c
 }
 
-// Status returns what GET /v1/status answers.
+// Status returns the response to GET /v1/status.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,31 +123,32 @@
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(backend.HeaderRequestID)
 	if id == "" {
-		s.decline(w, http.StatusBadRequest, "the header Request-Id is missing")
+		s.reject(w, http.StatusBadRequest, "the header Request-Id is missing")
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, backend.MaxBody))
 	if err != nil {
-		s.decline(w, http.StatusRequestEntityTooLarge, err.Error())
+		s.reject(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
 	receipt := Receipt{ID: id, Key: r.Header.Get(backend.HeaderIdempotencyKey), Path: r.PathValue("path"), Body: body}
 	if !s.start(&receipt) {
-		s.decline(w, http.StatusServiceUnavailable, "every slot is taken")
+		s.reject(w, http.StatusServiceUnavailable, "every slot is taken")
 		return
 	}
 	defer s.finish()
-	s.answer(w, r, receipt)
+	s.respond(w, r, receipt)
 }
 
-func (s *Service) decline(w http.ResponseWriter, status int, reason string) {
+func (s *Service) reject(w http.ResponseWriter, status int, reason string) {
 	s.mu.Lock()
 	s.counters.NotRun++
 	s.mu.Unlock()
 	backend.WriteNotRun(w, status, reason)
 }
 
-// start takes a slot and counts the execution; false if no slot is free.
+// start takes a slot and counts the execution. It returns false if no slot is
+// free.
 func (s *Service) start(receipt *Receipt) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,51 +171,51 @@
 	s.running--
 }
 
-// answer sends the receipt in two halves, the faults between them.
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, receipt Receipt) {
+// respond sends the receipt in two halves and applies the faults between them.
+func (s *Service) respond(w http.ResponseWriter, r *http.Request, receipt Receipt) {
 	ctx := r.Context()
 	s.pause(ctx)
 	if s.injector.TakeWrongID() {
-		receipt.ID += wrongID
+		receipt.ID += wrongIDSuffix
 	}
-	raw, err := json.Marshal(receipt)
+	encoded, err := json.Marshal(receipt)
 	if err != nil {
 		backend.WriteError(w, http.StatusInternalServerError, err.Error())
 		return
 	}
-	sent := s.injector.Swap(ctx, backend.Job{ID: receipt.ID, Body: raw})
+	job := s.injector.Swap(ctx, backend.Job{ID: receipt.ID, Body: encoded})
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(backend.HeaderRequestID, sent.ID)
-	half := len(sent.Body) / 2
-	_, _ = w.Write(sent.Body[:half])
+	w.Header().Set(backend.HeaderRequestID, job.ID)
+	half := len(job.Body) / 2
+	_, _ = w.Write(job.Body[:half])
 	_ = http.NewResponseController(w).Flush()
 	if s.injector.TakeAbort() {
-		s.cut(&s.counters.Aborted)
+		s.abort(&s.counters.Aborted)
 	}
 	s.injector.WaitStall(ctx)
 	if ctx.Err() != nil {
-		s.cut(&s.counters.Cancelled)
+		s.abort(&s.counters.Cancelled)
 	}
 	s.mu.Lock()
 	s.counters.Completed++
 	s.mu.Unlock()
-	_, _ = w.Write(sent.Body[half:])
+	_, _ = w.Write(job.Body[half:])
 }
 
 func (s *Service) pause(ctx context.Context) {
-	pause := s.options.Delay + s.injector.StepDelay()
-	if pause <= 0 {
+	delay := s.options.Delay + s.injector.StepDelay()
+	if delay <= 0 {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-s.options.Clock.After(pause):
+	case <-s.options.Clock.After(delay):
 	}
 }
 
-// cut counts the call and closes its connection, so that the caller cannot
-// take half an answer for a whole one.
-func (s *Service) cut(counter *int) {
+// abort counts the call and aborts its connection, so that the caller cannot
+// mistake half of the response for a complete one.
+func (s *Service) abort(counter *int) {
 	s.mu.Lock()
 	*counter++
 	s.mu.Unlock()
--- a/standin/plainservice/plainservice_suite_test.go
+++ b/standin/plainservice/plainservice_suite_test.go
@@ -9,5 +9,5 @@
 
 func TestPlainService(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "plain service: the stand-in met through its adapter")
+	RunSpecs(t, "plain service: stand-in and adapter")
 }
