--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -62,7 +62,7 @@
 // newFleet starts the stand-ins of a fleet, which is closed after the suite.
 func newFleet(options harness.Options) *testFleet {
 	GinkgoHelper()
-	options.Daemon = daemonPath()
+	options.DaemonPath = daemonPath()
 	options.Dir = tempDir()
 	f, err := harness.New(options)
 	Expect(err).NotTo(HaveOccurred())
@@ -132,7 +132,7 @@
 // publish puts a text that names v in the configuration service.
 func (f *testFleet) publish(v fleet.Version) revision.Revision {
 	f.mu.Lock()
-	f.intended[harness.VersionText(v)] = true
+	f.intended[harness.FormatVersion(v)] = true
 	f.mu.Unlock()
 	return f.Config.SetConfig([]byte(f.textOf(v)))
 }
@@ -154,8 +154,8 @@
 
 // load starts callers. Those without a deadline wait for five seconds, which
 // bounds how long they wait for an agent that was killed.
-func (f *testFleet) load(spec harness.LoadSpec) *harness.Load {
-	spec.Intended = f.isIntended
+func (f *testFleet) load(spec harness.LoadSpec) *harness.LoadGenerator {
+	spec.IsPublished = f.isIntended
 	if spec.Deadline == 0 {
 		spec.Deadline = 5 * time.Second
 	}
@@ -163,32 +163,32 @@
 }
 
 // modelLoad starts callers that ask for tokens.
-func (f *testFleet) modelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.Load {
-	return f.load(harness.LoadSpec{Models: services, Callers: callers, MaxTokens: tokens})
+func (f *testFleet) modelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.LoadGenerator {
+	return f.load(harness.LoadSpec{ModelServices: services, Callers: callers, MaxTokens: tokens})
 }
 
 // plainLoad starts callers of work that must run at most once.
-func (f *testFleet) plainLoad(callers int, services ...fleet.ServiceName) *harness.Load {
-	return f.load(harness.LoadSpec{Plain: services, Callers: callers})
+func (f *testFleet) plainLoad(callers int, services ...fleet.ServiceName) *harness.LoadGenerator {
+	return f.load(harness.LoadSpec{PlainServices: services, Callers: callers})
 }
 
 // answersAfter waits until a load has n answers more than it has now.
-func answersAfter(load *harness.Load, n int) {
+func answersAfter(load *harness.LoadGenerator, n int) {
 	GinkgoHelper()
-	before := load.Tally().Answers
-	Eventually(func() int { return load.Tally().Answers }).Should(BeNumerically(">=", before+n))
+	before := load.Tally().Correct
+	Eventually(func() int { return load.Tally().Correct }).Should(BeNumerically(">=", before+n))
 }
 
 // expectWhole checks that callers got every answer, each right, and that no
 // engine ran on bytes of another version.
 func (f *testFleet) expectWhole(t harness.Tally) {
 	GinkgoHelper()
-	AddReportEntry("callers saw", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Answers, t.Refusals, t.Unknown))
-	Expect(t.Answers).To(BeNumerically(">", 0))
+	AddReportEntry("callers saw", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Correct, t.NotRunAttempts, t.UnknownAttempts))
+	Expect(t.Correct).To(BeNumerically(">", 0))
 	Expect(t.Lost).To(BeZero(), "lost requests")
 	Expect(t.WrongVersion).To(BeZero(), "answers of a version that was not asked for")
-	Expect(t.Wrong).To(BeZero(), "answers to other requests")
-	Expect(f.Mixed()).To(BeZero(), "requests that ran on mixed weights")
+	Expect(t.Incorrect).To(BeZero(), "answers to other requests")
+	Expect(f.WeightMismatches()).To(BeZero(), "requests that ran on mixed weights")
 }
 
 // modelAgents are the agents beside engines, of one service or of all.
@@ -284,7 +284,7 @@
 
 func statusOf[T any](p *harness.Process) (T, error) {
 	var status T
-	resp, err := operator.Get("http://" + p.Ops.String() + "/status")
+	resp, err := operator.Get("http://" + p.OpsAddr.String() + "/status")
 	if err != nil {
 		return status, err
 	}
--- a/cmd/wholepath/leaving_test.go
+++ b/cmd/wholepath/leaving_test.go
@@ -66,7 +66,7 @@
 		Expect(leaver.Wait(patience)).To(Succeed(), "exit of the entry")
 		Expect(<-long).NotTo(HaveOccurred(), "the answer that outlasted the entry's notice")
 		f.expectWhole(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were cut")
+		Expect(load.Tally().UnknownAttempts).To(BeZero(), "requests that were cut")
 		Expect(f.Instances.Remove(leaver.Instance.ID)).To(BeTrue(), "the list named it to the end")
 	})
 
@@ -98,7 +98,7 @@
 		Expect(leaver.Wait(patience)).To(Succeed(), "exit of the agent")
 		Expect(engine.Counters().Aborted + engine.Counters().Cancelled).To(BeZero())
 		f.expectWhole(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were cut")
+		Expect(load.Tally().UnknownAttempts).To(BeZero(), "requests that were cut")
 	})
 })
 
@@ -121,7 +121,7 @@
 	go func() {
 		r := callerclient.Request{Service: pool, IdempotencyKey: key, Deadline: patience, Body: body}
 		answer, err := f.client(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
-		if _, whole := harness.CheckAnswer(answer.Body, prompt); err == nil && !whole {
+		if _, whole := harness.CheckResponse(answer.Body, prompt); err == nil && !whole {
 			err = fmt.Errorf("not the whole answer: %s", answer.Body)
 		}
 		done <- err
@@ -146,7 +146,7 @@
 // refusals is how many requests an agent has refused, by its log.
 func refusals(p *harness.Process) int {
 	GinkgoHelper()
-	log, err := os.ReadFile(p.Log)
+	log, err := os.ReadFile(p.LogPath)
 	Expect(err).NotTo(HaveOccurred())
 	return len(refusalLine.FindAll(log, -1))
 }
--- a/cmd/wholepath/path_test.go
+++ b/cmd/wholepath/path_test.go
@@ -23,7 +23,7 @@
 	var r1, r2 fleet.Version
 
 	startWithSuite(func() {
-		f = newFleet(harness.Options{Spans: true, OriginBytesPerSecond: 40 << 20})
+		f = newFleet(harness.Options{TraceSpans: true, OriginBytesPerSecond: 40 << 20})
 		r1, r2 = f.model("r1", 1), f.model("r2", 2)
 		f.publish(r1)
 		f.addEntry("entry-1", apapa)
@@ -50,9 +50,9 @@
 				prompt := harness.Prompt{Prompt: fmt.Sprintf("yarn break %d", i), MaxTokens: 12}
 				answer, err := f.askAt(p, service, prompt.Prompt, prompt.MaxTokens)
 				Expect(err).NotTo(HaveOccurred())
-				version, whole := harness.CheckAnswer(answer.Body, prompt)
+				version, whole := harness.CheckResponse(answer.Body, prompt)
 				Expect(whole).To(BeTrue(), "%s", answer.Body)
-				Expect(version).To(Equal(harness.VersionText(r1)))
+				Expect(version).To(Equal(harness.FormatVersion(r1)))
 				Expect(answer.Version).To(Equal(version))
 			}
 			key, err := f.client(apapa).IssueKey(context.Background(), orders)
@@ -173,13 +173,13 @@
 			answersAfter(models, 50)
 			answer, err := f.askAt(f.entries[0], assist, "which one is it", 4)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Version).To(Equal(harness.VersionText(v)))
+			Expect(answer.Version).To(Equal(harness.FormatVersion(v)))
 		}
 		f.expectWhole(models.Stop())
 		orders := plain.Stop()
 		f.expectWhole(orders)
 		Expect(f.Duplicates()).To(BeZero())
-		Expect(f.notOnce(orders.RanKeys)).To(BeEmpty(), "keys that were answered and did not run once")
+		Expect(f.notOnce(orders.RespondedKeys)).To(BeEmpty(), "keys that were answered and did not run once")
 	})
 
 	// Two agents, one beside an engine and one beside the plain service, are
@@ -193,7 +193,7 @@
 		answersAfter(models, 20)
 		answersAfter(plain, 20)
 		f.killAtWork("pool-1", func() int { return f.Engines["pool-1"].Status().Load.Running })
-		f.killAtWork("orders-1", func() int { return f.Plain["orders-1"].Status().Running })
+		f.killAtWork("orders-1", func() int { return f.PlainServices["orders-1"].Status().Running })
 		answersAfter(models, 50)
 		answersAfter(plain, 50)
 		for _, id := range []fleet.InstanceID{"pool-1", "orders-1"} {
@@ -239,11 +239,11 @@
 func (f *testFleet) expectOnce(t harness.Tally) {
 	GinkgoHelper()
 	AddReportEntry("work that must run once", fmt.Sprintf("ran=%d not_run=%d unknown=%d refusals=%d",
-		len(t.RanKeys), len(t.NotRunKeys), len(t.UnknownKeys), t.Refusals))
+		len(t.RespondedKeys), len(t.NotRunKeys), len(t.UnknownKeys), t.NotRunAttempts))
 	Expect(t.Lost).To(Equal(len(t.NotRunKeys) + len(t.UnknownKeys)))
-	Expect(t.Wrong).To(BeZero(), "answers to other requests")
+	Expect(t.Incorrect).To(BeZero(), "answers to other requests")
 	Expect(f.Duplicates()).To(BeZero())
-	Expect(f.notOnce(t.RanKeys)).To(BeEmpty(), "keys that were answered and did not run once")
+	Expect(f.notOnce(t.RespondedKeys)).To(BeEmpty(), "keys that were answered and did not run once")
 	Expect(f.thatRan(t.NotRunKeys)).To(BeEmpty(), "keys that ran though the last word was not_run")
 }
 
@@ -269,7 +269,7 @@
 func (f *testFleet) spansOf(traceID string) map[string]span {
 	spans := make(map[string]span)
 	for _, p := range f.all() {
-		log, err := os.ReadFile(p.Log)
+		log, err := os.ReadFile(p.LogPath)
 		if err != nil {
 			continue
 		}
--- a/cmd/wholepath/pause_test.go
+++ b/cmd/wholepath/pause_test.go
@@ -37,8 +37,8 @@
 	BeforeAll(func() { f.waitReady(versions[0]) })
 	AfterEach(func() {
 		f.showLogs()
-		f.Process(frozen).Thaw()
-		f.Process(frozenPlain).Thaw()
+		f.Process(frozen).Resume()
+		f.Process(frozenPlain).Resume()
 	})
 
 	// Two agents stop running under live requests, as on an instance that is
@@ -50,11 +50,11 @@
 	// goes to the newest one, and work that its caller gave up is not run late.
 	It("wakes from a long pause and catches up", func() {
 		models := f.modelLoad(8, 16, pool, assist)
-		plain := f.load(harness.LoadSpec{Plain: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
+		plain := f.load(harness.LoadSpec{PlainServices: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
 		answersAfter(models, 20)
 		answersAfter(plain, 20)
-		f.Process(frozen).Freeze()
-		f.Process(frozenPlain).Freeze()
+		f.Process(frozen).Suspend()
+		f.Process(frozenPlain).Suspend()
 		for _, v := range versions[1:3] {
 			f.publish(v)
 			f.waitLoaded(v, others...)
@@ -64,8 +64,8 @@
 		before := f.Engines[frozen].Counters()
 		Expect(f.Engines[frozen].Status().Loaded).To(Equal(versions[0]))
 
-		f.Process(frozen).Thaw()
-		f.Process(frozenPlain).Thaw()
+		f.Process(frozen).Resume()
+		f.Process(frozenPlain).Resume()
 		f.waitLoaded(versions[2])
 		f.waitAdmitting()
 		answersAfter(models, 50)
@@ -89,13 +89,13 @@
 		past, newest := versions[3], versions[4]
 		f.publish(past)
 		Eventually(func() bool { return f.Engines[frozen].Status().Loading }).WithPolling(time.Millisecond).Should(BeTrue())
-		f.Process(frozen).Freeze()
+		f.Process(frozen).Suspend()
 		f.publish(newest)
 		f.waitLoaded(newest, others...)
 		f.waitSilent(frozen)
 		f.waitLoaded(past, frozen)
 
-		f.Process(frozen).Thaw()
+		f.Process(frozen).Resume()
 		f.waitLoaded(newest)
 		f.waitAdmitting()
 		answersAfter(models, 50)
--- a/cmd/wholepath/platform_test.go
+++ b/cmd/wholepath/platform_test.go
@@ -83,7 +83,7 @@
 		Expect(code).To(BeZero())
 		Expect(stdout).To(ContainSubstring("good: fleet ffsan, 3 services"))
 
-		code, stdout, stderr := client("", "status", "--ops", entry.Ops.String())
+		code, stdout, stderr := client("", "status", "--ops", entry.OpsAddr.String())
 		Expect(code).To(BeZero(), stderr)
 		Expect(stdout).To(ContainSubstring(fmt.Sprintf("revision %d in force at %s", f.Config.Revision(), entry.Instance.ID)))
 		Expect(stdout).To(MatchRegexp(`%s +%s@\w+ +2 +2 +0 +0`, pool, r2.Name))
@@ -93,9 +93,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		code, stdout, stderr = client(string(body), "request", string(pool), "--body", "-", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(BeZero(), stderr)
-		version, whole := harness.CheckAnswer([]byte(stdout), prompt)
+		version, whole := harness.CheckResponse([]byte(stdout), prompt)
 		Expect(whole).To(BeTrue(), stdout)
-		Expect(version).To(Equal(harness.VersionText(r2)))
+		Expect(version).To(Equal(harness.FormatVersion(r2)))
 		Expect(stderr).To(ContainSubstring("outcome=ran status=200 version=" + version))
 		code, _, stderr = client("", "request", "no-such-service", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(Equal(5), "not run: %s", stderr)
@@ -192,7 +192,7 @@
 func (f *testFleet) expectNoReturn() {
 	GinkgoHelper()
 	for _, p := range f.all() {
-		log, err := os.ReadFile(p.Log)
+		log, err := os.ReadFile(p.LogPath)
 		Expect(err).NotTo(HaveOccurred())
 		var newest revision.Revision
 		for _, m := range inForceLine.FindAllStringSubmatch(string(log), -1) {
--- a/standin/bench/burst/live.go
+++ b/standin/bench/burst/live.go
@@ -47,8 +47,8 @@
 	defer func() { running.Stop(); entry.Close() }()
 	client := callerclient.New(callerclient.Options{Seeds: []netip.AddrPort{entry.Self().CallerAddr}})
 	spec := harness.LoadSpec{
-		Models: []fleet.ServiceName{service}, Callers: liveCallers, MaxTokens: liveTokens, Deadline: 5 * time.Second,
-		Intended: func(string) bool { return true },
+		ModelServices: []fleet.ServiceName{service}, Callers: liveCallers, MaxTokens: liveTokens, Deadline: 5 * time.Second,
+		IsPublished: func(string) bool { return true },
 	}
 	if err := waitAnswer(client, spec); err != nil {
 		return r, err
@@ -71,7 +71,7 @@
 func (r *LiveResult) add(t harness.Tally, latencies *[]time.Duration) {
 	*latencies = t.Latencies
 	r.Lost += t.Lost
-	r.Wrong += t.Wrong + t.WrongVersion
+	r.Wrong += t.Incorrect + t.WrongVersion
 }
 
 // startEntry starts an entry behind a link of its own.
@@ -110,7 +110,7 @@
 	load := harness.StartLoad(client, spec)
 	defer load.Stop()
 	const most = 30 * time.Second
-	for started := time.Now(); load.Tally().Answers == 0; {
+	for started := time.Now(); load.Tally().Correct == 0; {
 		if time.Since(started) > most {
 			return failure.Timeout.New("no request is answered after %s", most)
 		}
--- a/standin/bench/entryload/entryload.go
+++ b/standin/bench/entryload/entryload.go
@@ -39,7 +39,7 @@
 
 // New starts the fleet. daemon is the path of chivespindled.
 func New(daemon string) (*Fleet, error) {
-	h, err := harness.New(harness.Options{Daemon: daemon})
+	h, err := harness.New(harness.Options{DaemonPath: daemon})
 	if err != nil {
 		return nil, err
 	}
--- a/standin/bench/entryload/requests.go
+++ b/standin/bench/entryload/requests.go
@@ -105,7 +105,7 @@
 var client = callerclient.New(callerclient.Options{})
 
 func checked(body []byte, prompt harness.Prompt) error {
-	if _, whole := harness.CheckAnswer(body, prompt); !whole {
+	if _, whole := harness.CheckResponse(body, prompt); !whole {
 		return failure.Corrupt.New("an answer of %d bytes is not whole", len(body))
 	}
 	return nil
@@ -190,10 +190,10 @@
 }
 
 func countersOf(p *harness.Process) (counters, error) {
-	used, err := usage.Of(p.Pid())
+	used, err := usage.Of(p.PID())
 	if err != nil {
 		return counters{}, err
 	}
-	metrics, err := usage.MetricsOf(p.Ops)
+	metrics, err := usage.MetricsOf(p.OpsAddr)
 	return counters{cpu: used.CPU, mallocs: metrics[usage.Mallocs]}, err
 }
--- a/standin/bench/entryload/streams.go
+++ b/standin/bench/entryload/streams.go
@@ -126,7 +126,7 @@
 func (f *Fleet) readings() ([]usage.Reading, error) {
 	var all []usage.Reading
 	for _, p := range append([]*harness.Process{f.entry}, f.paced...) {
-		r, err := usage.Of(p.Pid())
+		r, err := usage.Of(p.PID())
 		if err != nil {
 			return nil, err
 		}
--- a/standin/bench/requests/baseline.go
+++ b/standin/bench/requests/baseline.go
@@ -58,7 +58,7 @@
 				took, whole := ask(clients[pick()])
 				mu.Lock()
 				if whole {
-					r.Tally.Answers++
+					r.Tally.Correct++
 					r.Tally.Latencies = append(r.Tally.Latencies, took)
 				} else {
 					r.Tally.Lost++
@@ -97,7 +97,7 @@
 			return nil
 		})
 		if err == nil {
-			_, whole := harness.CheckAnswer(answer, prompt)
+			_, whole := harness.CheckResponse(answer, prompt)
 			return time.Since(started), whole
 		}
 	}
--- a/standin/bench/requests/cases.go
+++ b/standin/bench/requests/cases.go
@@ -55,10 +55,10 @@
 // String returns the line that bench prints.
 func (r Result) String() string {
 	t := r.Tally
-	answered := t.Answers
+	answered := t.Correct
 	line := fmt.Sprintf("bench=requests fault=%s policy=%s requests=%d answered=%d lost=%d unknown=%d duplicates=%d wrong=%d p50_ms=%.0f p99_ms=%.0f not_run_but_ran=%d refusals=%d",
-		r.Fault, r.Policy, answered+t.Lost+t.Wrong+t.WrongVersion, answered, t.Lost-len(t.UnknownKeys), len(t.UnknownKeys), r.Duplicates, t.Wrong+t.WrongVersion,
-		harness.PercentileMS(t.Latencies, 50), harness.PercentileMS(t.Latencies, 99), r.NotRunButRan, t.Refusals)
+		r.Fault, r.Policy, answered+t.Lost+t.Incorrect+t.WrongVersion, answered, t.Lost-len(t.UnknownKeys), len(t.UnknownKeys), r.Duplicates, t.Incorrect+t.WrongVersion,
+		harness.PercentileMS(t.Latencies, 50), harness.PercentileMS(t.Latencies, 99), r.NotRunButRan, t.NotRunAttempts)
 	if r.Fault == FaultDrain {
 		line += fmt.Sprintf(" drain_ms=%d", r.Drain.Milliseconds())
 	}
@@ -123,8 +123,8 @@
 		process.Kill()
 		return restart, nil
 	case FaultFreeze:
-		process.Freeze()
-		time.AfterFunc(held, process.Thaw)
+		process.Suspend()
+		time.AfterFunc(held, process.Resume)
 		return func() error { return nil }, nil
 	case FaultDrain:
 		process.Terminate()
--- a/standin/bench/requests/fleet.go
+++ b/standin/bench/requests/fleet.go
@@ -48,7 +48,7 @@
 // NewFleet starts two entries, six engines and two plain services with their
 // agents. daemon is the path of chivespindled.
 func NewFleet(daemon string) (*Fleet, error) {
-	h, err := harness.New(harness.Options{Daemon: daemon, ListLag: time.Second})
+	h, err := harness.New(harness.Options{DaemonPath: daemon, InstanceListLag: time.Second})
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	f.intended = harness.VersionText(m.Version)
+	f.intended = harness.FormatVersion(m.Version)
 	f.Config.SetConfig([]byte(fmt.Sprintf("[fleet]\nname = requests\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = plain\n",
 		m.Version.Manifest, model, plain)))
 	for i, place := range places {
@@ -112,7 +112,7 @@
 	load := harness.StartLoad(f.client(), f.spec(1))
 	defer load.Stop()
 	const enough = 10
-	for load.Tally().Answers < enough {
+	for load.Tally().Correct < enough {
 		if time.Now().After(deadline) {
 			return failure.Timeout.New("requests are not answered after %s", settle)
 		}
@@ -127,9 +127,9 @@
 
 func (f *Fleet) spec(callers int) harness.LoadSpec {
 	return harness.LoadSpec{
-		Models: []fleet.ServiceName{model, model, model, model}, Plain: []fleet.ServiceName{plain},
+		ModelServices: []fleet.ServiceName{model, model, model, model}, PlainServices: []fleet.ServiceName{plain},
 		Callers: callers, MaxTokens: tokens, Deadline: 5 * time.Second,
-		Intended: func(version string) bool { return version == f.intended },
+		IsPublished: func(version string) bool { return version == f.intended },
 	}
 }
 
--- a/standin/bench/requests/overload.go
+++ b/standin/bench/requests/overload.go
@@ -164,7 +164,7 @@
 		o.failure = failure.OutcomeOf(err)
 		return o
 	}
-	version, whole := harness.CheckAnswer(answer.Body, prompt)
+	version, whole := harness.CheckResponse(answer.Body, prompt)
 	o.served = whole && version == f.intended
 	o.wrong = !o.served
 	return o
--- a/standin/bench/slopes/crowd.go
+++ b/standin/bench/slopes/crowd.go
@@ -82,7 +82,7 @@
 
 func (c *crowd) start(daemon string) error {
 	var err error
-	c.fleet, err = harness.New(harness.Options{Daemon: daemon})
+	c.fleet, err = harness.New(harness.Options{DaemonPath: daemon})
 	if err != nil {
 		return err
 	}
@@ -337,7 +337,7 @@
 		r.bytes += s.wireBytes()
 	}
 	var err error
-	r.used, err = usage.Of(c.process.Pid())
+	r.used, err = usage.Of(c.process.PID())
 	return r, err
 }
 
--- a/standin/bench/slopes/fleets.go
+++ b/standin/bench/slopes/fleets.go
@@ -30,7 +30,7 @@
 }
 
 func newIdleFleet(daemon string, n int) (*idleFleet, error) {
-	h, err := harness.New(harness.Options{Daemon: daemon})
+	h, err := harness.New(harness.Options{DaemonPath: daemon})
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 		for e.Status().Loaded != f.model.Version {
 			if time.Since(started) > longestStart {
 				return failure.Timeout.New("%s of %d does not serve; the end of its log: %s",
-					id, len(f.entries)+len(f.agents), lastLine(f.Process(id).Log))
+					id, len(f.entries)+len(f.agents), lastLine(f.Process(id).LogPath))
 			}
 			time.Sleep(pollEvery)
 		}
@@ -116,7 +116,7 @@
 	}
 	all := append(append([]*harness.Process(nil), f.entries...), f.agents...)
 	for _, p := range all {
-		metrics, err := usage.MetricsOf(p.Ops)
+		metrics, err := usage.MetricsOf(p.OpsAddr)
 		if err != nil {
 			return r, err
 		}
@@ -128,7 +128,7 @@
 func meanUsage(processes []*harness.Process) (usage.Reading, error) {
 	var mean usage.Reading
 	for _, p := range processes {
-		used, err := usage.Of(p.Pid())
+		used, err := usage.Of(p.PID())
 		if err != nil {
 			return mean, err
 		}
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -61,10 +61,10 @@
 		}
 	}
 	f, err := harness.New(harness.Options{
-		Daemon:               filepath.Join(bin, "chivespindled"),
+		DaemonPath:           filepath.Join(bin, "chivespindled"),
 		Dir:                  keep,
 		OriginBytesPerSecond: originRate,
-		Spans:                true,
+		TraceSpans:           true,
 	})
 	if err != nil {
 		return err
@@ -99,11 +99,11 @@
 	if err := d.waitServing(first.Version); err != nil {
 		return err
 	}
-	say("fleet serves", "version", first.Version.Name, "instances", len(d.fleet.Engines)+len(d.fleet.Plain))
+	say("fleet serves", "version", first.Version.Name, "instances", len(d.fleet.Engines)+len(d.fleet.PlainServices))
 	client := callerclient.New(callerclient.Options{Seeds: d.entries, Near: lagos[0]})
 	load := harness.StartLoad(client, harness.LoadSpec{
-		Models: []fleet.ServiceName{pool, assist}, Plain: []fleet.ServiceName{orders},
-		Callers: 8, MaxTokens: 16, Deadline: 10 * time.Second, Intended: d.isIntended,
+		ModelServices: []fleet.ServiceName{pool, assist}, PlainServices: []fleet.ServiceName{orders},
+		Callers: 8, MaxTokens: 16, Deadline: 10 * time.Second, IsPublished: d.isIntended,
 	})
 	time.Sleep(flow)
 	d.publish(second)
@@ -119,11 +119,11 @@
 // verdict prints what was counted and fails if anything was broken.
 func (d *demo) verdict(t harness.Tally, second platform.Model) error {
 	copies := float64(d.fleet.Origin.ManifestBytesSent(second.Version.Manifest)) / float64(modelBytes)
-	wrong := t.WrongVersion + d.fleet.Mixed()
-	say("callers saw", "refusals", t.Refusals, "unknown", t.Unknown, "wrong", t.Wrong)
+	wrong := t.WrongVersion + d.fleet.WeightMismatches()
+	say("callers saw", "refusals", t.NotRunAttempts, "unknown", t.UnknownAttempts, "wrong", t.Incorrect)
 	fmt.Printf("msg=\"demo finished\" answers=%d lost=%d duplicates=%d wrong_version=%d origin_copies=%.2f instances=%d\n",
-		t.Answers, t.Lost, d.fleet.Duplicates(), wrong, copies, len(d.fleet.Engines))
-	if t.Answers == 0 || t.Lost+d.fleet.Duplicates()+wrong+t.Wrong > 0 {
+		t.Correct, t.Lost, d.fleet.Duplicates(), wrong, copies, len(d.fleet.Engines))
+	if t.Correct == 0 || t.Lost+d.fleet.Duplicates()+wrong+t.Incorrect > 0 {
 		return failure.Internal.New("the demo did not go as it should")
 	}
 	return nil
@@ -144,7 +144,7 @@
 // publish writes the operator's text.
 func (d *demo) publish(m platform.Model) {
 	d.mu.Lock()
-	d.intended[harness.VersionText(m.Version)] = true
+	d.intended[harness.FormatVersion(m.Version)] = true
 	d.mu.Unlock()
 	d.fleet.Config.SetConfig([]byte(fmt.Sprintf(`[fleet]
 name = demo
--- a/standin/harness/harness.go
+++ b/standin/harness/harness.go
@@ -25,8 +25,8 @@
 
 // Options configure a Fleet.
 type Options struct {
-	// Daemon is the path of the chivespindled program.
-	Daemon string
+	// DaemonPath is the path of the chivespindled program.
+	DaemonPath string
 	// Dir is an existing directory for settings, keys and logs. If it is empty,
 	// New creates a temporary directory, which Close removes.
 	Dir string
@@ -35,10 +35,10 @@
 	// LinkBytesPerSecond is the link rate in the settings of the agents; 0
 	// means unknown.
 	LinkBytesPerSecond int64
-	// ListLag is the time until a change becomes visible in the instance list.
-	ListLag time.Duration
-	// Spans makes the processes write trace spans to their logs.
-	Spans bool
+	// InstanceListLag is the time until a change becomes visible in the instance list.
+	InstanceListLag time.Duration
+	// TraceSpans makes the processes write trace spans to their logs.
+	TraceSpans bool
 }
 
 // Fleet is a running set of stand-ins and processes.
@@ -53,11 +53,11 @@
 	servers   []*platform.Server
 	urls      map[string]string
 
-	mu        sync.Mutex
-	lastPort  int
-	processes map[fleet.InstanceID]*Process
-	Engines   map[fleet.InstanceID]*engine.Engine
-	Plain     map[fleet.InstanceID]*plainservice.Service
+	mu            sync.Mutex
+	lastPort      int
+	processes     map[fleet.InstanceID]*Process
+	Engines       map[fleet.InstanceID]*engine.Engine
+	PlainServices map[fleet.InstanceID]*plainservice.Service
 }
 
 // Names of the stand-ins whose URLs the settings contain.
@@ -84,18 +84,18 @@
 		}
 	}
 	f := &Fleet{
-		opts:      opts,
-		temporary: temporary,
-		Config:    platform.NewConfigService(platform.ConfigOptions{}),
-		Instances: platform.NewInstanceList(platform.InstanceListOptions{Lag: opts.ListLag}),
-		Origin:    platform.NewWeightServer(platform.WeightOptions{BytesPerSecond: opts.OriginBytesPerSecond}),
-		Store:     platform.NewWeightServer(platform.WeightOptions{RequestsPerSecond: storeRequestsPerSecond}),
-		authority: authority,
-		lastPort:  rand.IntN(portCount),
-		urls:      make(map[string]string),
-		processes: make(map[fleet.InstanceID]*Process),
-		Engines:   make(map[fleet.InstanceID]*engine.Engine),
-		Plain:     make(map[fleet.InstanceID]*plainservice.Service),
+		opts:          opts,
+		temporary:     temporary,
+		Config:        platform.NewConfigService(platform.ConfigOptions{}),
+		Instances:     platform.NewInstanceList(platform.InstanceListOptions{Lag: opts.InstanceListLag}),
+		Origin:        platform.NewWeightServer(platform.WeightOptions{BytesPerSecond: opts.OriginBytesPerSecond}),
+		Store:         platform.NewWeightServer(platform.WeightOptions{RequestsPerSecond: storeRequestsPerSecond}),
+		authority:     authority,
+		lastPort:      rand.IntN(portCount),
+		urls:          make(map[string]string),
+		processes:     make(map[fleet.InstanceID]*Process),
+		Engines:       make(map[fleet.InstanceID]*engine.Engine),
+		PlainServices: make(map[fleet.InstanceID]*plainservice.Service),
 	}
 	if err := f.setUp(); err != nil {
 		f.Close()
@@ -166,7 +166,7 @@
 	for _, e := range f.Engines {
 		_ = e.Close()
 	}
-	for _, p := range f.Plain {
+	for _, p := range f.PlainServices {
 		_ = p.Close()
 	}
 	for _, s := range f.servers {
@@ -238,7 +238,7 @@
 		return "", err
 	}
 	spans := "off"
-	if f.opts.Spans {
+	if f.opts.TraceSpans {
 		spans = "log"
 	}
 	return fmt.Sprintf(`[instance]
--- a/standin/harness/load.go
+++ b/standin/harness/load.go
@@ -21,20 +21,20 @@
 // Tally counts the results that callers received. A response is checked against
 // what the stand-in must have sent, not against what the system reports.
 type Tally struct {
-	Answers      int // complete and correct responses
-	Lost         int // requests without a response after all retries that docs/CALLERS.md allows
-	WrongVersion int // responses from another version than the header names, or from an unpublished one
-	Wrong        int // responses that are incomplete or belong to another request
-	Refusals     int // failed attempts with the outcome "not run"
-	Unknown      int // failed attempts with another outcome
-	Latencies    []time.Duration
-	NotRunKeys   []string // keys of lost non-idempotent requests with the outcome "not run"
-	RanKeys      []string // keys of non-idempotent requests with a response
-	UnknownKeys  []string // keys of lost non-idempotent requests with another outcome
+	Correct         int // complete and correct responses
+	Lost            int // requests without a response after all retries that docs/CALLERS.md allows
+	WrongVersion    int // responses from another version than the header names, or from an unpublished one
+	Incorrect       int // responses that are incomplete or belong to another request
+	NotRunAttempts  int // failed attempts with the outcome "not run"
+	UnknownAttempts int // failed attempts with another outcome
+	Latencies       []time.Duration
+	NotRunKeys      []string // keys of lost non-idempotent requests with the outcome "not run"
+	RespondedKeys   []string // keys of non-idempotent requests with a response
+	UnknownKeys     []string // keys of lost non-idempotent requests with another outcome
 }
 
-// Load sends requests until it is stopped.
-type Load struct {
+// LoadGenerator sends requests until it is stopped.
+type LoadGenerator struct {
 	client      *callerclient.Client
 	isPublished func(version string) bool
 
@@ -44,23 +44,24 @@
 	wait  sync.WaitGroup
 }
 
-// LoadSpec specifies the requests of a Load.
+// LoadSpec specifies the requests of a LoadGenerator.
 type LoadSpec struct {
-	// Models are sent generation requests, Plain are sent non-idempotent calls.
-	Models, Plain []fleet.ServiceName
+	// ModelServices are sent generation requests, PlainServices are sent
+	// non-idempotent calls.
+	ModelServices, PlainServices []fleet.ServiceName
 	// Callers is the number of concurrent callers.
 	Callers   int
 	MaxTokens int
 	Deadline  time.Duration
-	// Intended reports whether "name@digest" is a version that the operator's
+	// IsPublished reports whether "name@digest" is a version that the operator's
 	// configuration has published so far.
-	Intended func(version string) bool
+	IsPublished func(version string) bool
 }
 
 // StartLoad starts the callers, which send requests until Stop.
-func StartLoad(client *callerclient.Client, spec LoadSpec) *Load {
+func StartLoad(client *callerclient.Client, spec LoadSpec) *LoadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{client: client, isPublished: spec.Intended, stop: cancel}
+	l := &LoadGenerator{client: client, isPublished: spec.IsPublished, stop: cancel}
 	for i := range spec.Callers {
 		l.wait.Add(1)
 		go l.runCaller(ctx, spec, i)
@@ -70,32 +71,32 @@
 
 // Stop waits until each caller has finished its request and returns the
 // results.
-func (l *Load) Stop() Tally {
+func (l *LoadGenerator) Stop() Tally {
 	l.stop()
 	l.wait.Wait()
 	return l.Tally()
 }
 
 // Tally returns the results so far.
-func (l *Load) Tally() Tally {
+func (l *LoadGenerator) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally
 }
 
-func (l *Load) update(f func(t *Tally)) {
+func (l *LoadGenerator) update(f func(t *Tally)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.tally)
 }
 
-func (l *Load) runCaller(ctx context.Context, spec LoadSpec, number int) {
+func (l *LoadGenerator) runCaller(ctx context.Context, spec LoadSpec, number int) {
 	defer l.wait.Done()
 	for sequence := number; ctx.Err() == nil; sequence++ {
-		if n := len(spec.Models); sequence%(n+len(spec.Plain)) < n {
-			l.callModel(spec, spec.Models[sequence%n])
+		if n := len(spec.ModelServices); sequence%(n+len(spec.PlainServices)) < n {
+			l.callModel(spec, spec.ModelServices[sequence%n])
 		} else {
-			l.callPlain(spec, spec.Plain[sequence%len(spec.Plain)])
+			l.callPlain(spec, spec.PlainServices[sequence%len(spec.PlainServices)])
 		}
 	}
 }
@@ -105,7 +106,7 @@
 
 // doWithRetries retries a request until there is a response or a retry is not
 // allowed.
-func (l *Load) doWithRetries(r callerclient.Request) (callerclient.Answer, error) {
+func (l *LoadGenerator) doWithRetries(r callerclient.Request) (callerclient.Answer, error) {
 	var lastErr error
 	for range maxAttempts {
 		response, err := l.client.Do(context.Background(), r)
@@ -116,9 +117,9 @@
 		outcome := failure.OutcomeOf(err)
 		l.update(func(t *Tally) {
 			if outcome == failure.NotRun {
-				t.Refusals++
+				t.NotRunAttempts++
 			} else {
-				t.Unknown++
+				t.UnknownAttempts++
 			}
 		})
 		if outcome != failure.NotRun && r.NonIdempotent {
@@ -136,7 +137,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-func (l *Load) callModel(spec LoadSpec, service fleet.ServiceName) {
+func (l *LoadGenerator) callModel(spec LoadSpec, service fleet.ServiceName) {
 	prompt := Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: spec.MaxTokens}
 	body, _ := json.Marshal(prompt)
 	started := time.Now()
@@ -146,24 +147,24 @@
 		l.update(func(t *Tally) { t.Lost++ })
 		return
 	}
-	version, complete := CheckAnswer(response.Body, prompt)
+	version, complete := CheckResponse(response.Body, prompt)
 	l.update(func(t *Tally) {
 		t.Latencies = append(t.Latencies, latency)
 		switch {
 		case !complete:
-			t.Wrong++
+			t.Incorrect++
 		case response.Version != version || !l.isPublished(version):
 			t.WrongVersion++
 		default:
-			t.Answers++
+			t.Correct++
 		}
 	})
 }
 
-// CheckAnswer parses a model's response. It returns the version that the
+// CheckResponse parses a model's response. It returns the version that the
 // response names and whether the response is complete and has exactly the
 // tokens that this version generates for the prompt.
-func CheckAnswer(body []byte, prompt Prompt) (version string, complete bool) {
+func CheckResponse(body []byte, prompt Prompt) (version string, complete bool) {
 	type line struct {
 		Token   *string        `json:"token"`
 		Done    bool           `json:"done"`
@@ -187,16 +188,16 @@
 	}
 	want := engine.ExpectedTokens(prompt.Prompt, prompt.MaxTokens, responseVersion)
 	tokensMatch := strings.Join(tokens, " ") == strings.Join(want, " ") && len(tokens) == len(want)
-	return VersionText(responseVersion), done && tokensMatch
+	return FormatVersion(responseVersion), done && tokensMatch
 }
 
-// VersionText formats a version as in the header Model-Version.
-func VersionText(v fleet.Version) string {
+// FormatVersion formats a version as in the header Model-Version.
+func FormatVersion(v fleet.Version) string {
 	return fmt.Sprintf("%s@%s", v.Name, v.Manifest)
 }
 
 // issueKey requests an idempotency key, with retries.
-func (l *Load) issueKey(service fleet.ServiceName) (string, error) {
+func (l *LoadGenerator) issueKey(service fleet.ServiceName) (string, error) {
 	var key string
 	var err error
 	for range maxAttempts {
@@ -211,7 +212,7 @@
 }
 
 // callPlain sends a non-idempotent call, which must run at most once.
-func (l *Load) callPlain(spec LoadSpec, service fleet.ServiceName) {
+func (l *LoadGenerator) callPlain(spec LoadSpec, service fleet.ServiceName) {
 	key, err := l.issueKey(service)
 	if err != nil {
 		l.update(func(t *Tally) { t.Lost++ })
@@ -237,12 +238,12 @@
 	incorrect := json.Unmarshal(response.Body, &receipt) != nil || receipt.Key != key || string(receipt.Body) != string(body)
 	l.update(func(t *Tally) {
 		t.Latencies = append(t.Latencies, latency)
-		t.RanKeys = append(t.RanKeys, key)
+		t.RespondedKeys = append(t.RespondedKeys, key)
 		if incorrect {
-			t.Wrong++
+			t.Incorrect++
 			return
 		}
-		t.Answers++
+		t.Correct++
 	})
 }
 
@@ -250,7 +251,7 @@
 // plain services.
 func (f *Fleet) Executions() map[string]int {
 	sum := make(map[string]int)
-	for _, p := range f.Plain {
+	for _, p := range f.PlainServices {
 		for key, n := range p.Counters().ExecutionsByKey {
 			sum[key] += n
 		}
@@ -267,9 +268,9 @@
 	return duplicates
 }
 
-// Mixed counts requests that engines ran on weights that do not match the
+// WeightMismatches counts requests that engines ran on weights that do not match the
 // version named in the response.
-func (f *Fleet) Mixed() int {
+func (f *Fleet) WeightMismatches() int {
 	mixed := 0
 	for _, e := range f.Engines {
 		mixed += e.Counters().WeightMismatches
--- a/standin/harness/process.go
+++ b/standin/harness/process.go
@@ -18,8 +18,8 @@
 // Process is a process of the system: an entry or an agent.
 type Process struct {
 	Instance fleet.Instance
-	Ops      netip.AddrPort
-	Log      string // path of the log file
+	OpsAddr  netip.AddrPort
+	LogPath  string // path of the log file
 
 	settingsPath string        // path of the settings file
 	backend      backendServer // set for an agent
@@ -43,11 +43,11 @@
 // Terminate asks the process to stop gracefully.
 func (p *Process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Freeze suspends the process until Thaw. The process is not notified.
-func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
+// Suspend suspends the process until Resume. The process is not notified.
+func (p *Process) Suspend() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process.
-func (p *Process) Thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process.
+func (p *Process) Resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
 // Wait waits until the process has exited and returns its error, or
 // failure.Timeout.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Pid returns the process ID, for measurements of a running process.
-func (p *Process) Pid() int { return p.cmd.Process.Pid }
+// PID returns the process ID, for measurements of a running process.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // StartEntry starts an entry instance and adds it to the instance list.
 func (f *Fleet) StartEntry(id fleet.InstanceID, place fleet.Place) (*Process, error) {
@@ -116,7 +116,7 @@
 		return nil, failure.NotFound.New("no process with the ID %s", id)
 	}
 	old.Kill()
-	p, err := f.run(old.Instance, old.Ops, old.settingsPath)
+	p, err := f.run(old.Instance, old.OpsAddr, old.settingsPath)
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 	if _, err := p.Start(anyPort); err != nil {
 		return backendServer{}, err
 	}
-	f.Plain[id] = p
+	f.PlainServices[id] = p
 	return backendServer{kind: "plain", url: p.URL()}, nil
 }
 
@@ -191,12 +191,12 @@
 		return nil, failure.Unavailable.Wrap(err, "open the log file")
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(f.opts.Daemon, string(instance.Role), "--settings", settingsPath)
+	cmd := exec.Command(f.opts.DaemonPath, string(instance.Role), "--settings", settingsPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return nil, failure.Unavailable.Wrap(err, "start %s", instance.ID)
 	}
-	p := &Process{Instance: instance, Ops: ops, Log: logPath, settingsPath: settingsPath, cmd: cmd, done: make(chan struct{})}
+	p := &Process{Instance: instance, OpsAddr: ops, LogPath: logPath, settingsPath: settingsPath, cmd: cmd, done: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		close(p.done)
