--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -78,7 +78,7 @@
 	b.notify()
 }
 
-// release releases a slot.
+// release frees a slot and grants it to the next waiting request, if any.
 func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/harness/load.go
+++ b/standin/harness/load.go
@@ -271,11 +271,11 @@
 // WeightMismatches counts requests that engines ran on weights that do not match the
 // version named in the response.
 func (f *Fleet) WeightMismatches() int {
-	mixed := 0
+	mismatches := 0
 	for _, e := range f.Engines {
-		mixed += e.Counters().WeightMismatches
+		mismatches += e.Counters().WeightMismatches
 	}
-	return mixed
+	return mismatches
 }
 
 // PercentileMS returns a percentile of durations in milliseconds, 0 if there
