--- a/adapters/platform/config_test.go
+++ b/adapters/platform/config_test.go
@@ -22,7 +22,7 @@
 	BeforeEach(func() {
 		service = standin.NewConfigService(standin.ConfigOptions{})
 		first = revision.Document{Text: []byte("[service kielimalli]\n")}
-		first.Revision = service.SetText(first.Text)
+		first.Revision = service.SetConfig(first.Text)
 	})
 
 	// watch starts a watch in the background and waits until it has reached the
@@ -35,14 +35,14 @@
 			return err
 		})
 		DeferCleanup(cancel)
-		Eventually(service.Waiting).Should(Equal(1))
+		Eventually(service.WaitingWatches).Should(Equal(1))
 		return documents, failures
 	}
 
 	It("reads the latest text", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
-		Expect(service.SetText([]byte("other"))).To(Equal(first.Revision + 1))
+		Expect(service.SetConfig([]byte("other"))).To(Equal(first.Revision + 1))
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: first.Revision + 1, Text: []byte("other")}))
 		Expect(service.Calls()).To(BeEquivalentTo(2))
 	})
@@ -50,11 +50,11 @@
 	It("completes a waiting watch when the text changes, with a single call", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		documents, failures := watch(source, first.Revision)
-		service.SetText([]byte("other"))
+		service.SetConfig([]byte("other"))
 		Eventually(failures).Should(Receive(BeNil()))
 		Expect(documents).To(Receive(Equal(revision.Document{Revision: first.Revision + 1, Text: []byte("other")})))
 		Expect(service.Calls()).To(BeEquivalentTo(1))
-		Expect(service.Waiting()).To(BeZero())
+		Expect(service.WaitingWatches()).To(BeZero())
 	})
 
 	It("completes a watch immediately if its revision is not the current one", func(ctx SpecContext) {
@@ -75,7 +75,7 @@
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: shortWait})
 		Expect(source.Read(ctx)).To(Equal(first))
 		second := revision.Document{Text: []byte("second")}
-		second.Revision = service.SetText(second.Text)
+		second.Revision = service.SetConfig(second.Text)
 		Expect(source.Watch(ctx, second.Revision)).To(Equal(second))
 	})
 
@@ -84,7 +84,7 @@
 	// which revision is active.
 	It("returns an outdated revision unchanged", func(ctx SpecContext) {
 		second := revision.Document{Text: []byte("second")}
-		second.Revision = service.SetText(second.Text)
+		second.Revision = service.SetConfig(second.Text)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: longWait})
 		Expect(source.Read(ctx)).To(Equal(second))
 
@@ -104,7 +104,7 @@
 	It("returns a second text of the same revision", func(ctx SpecContext) {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(first))
-		service.SetTextAt(first.Revision, []byte("forked"))
+		service.SetConfigAt(first.Revision, []byte("forked"))
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: first.Revision, Text: []byte("forked")}))
 	})
 
@@ -134,9 +134,9 @@
 	It("ends a waiting watch when the service stops responding", func() {
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service), Wait: time.Second, Margin: shortStall})
 		_, failures := watch(source, first.Revision)
-		service.SetSilent(true)
+		service.SetUnresponsive(true)
 		Eventually(failures).Should(Receive(beOfType(failure.Timeout)))
-		Eventually(service.Waiting).Should(BeZero())
+		Eventually(service.WaitingWatches).Should(BeZero())
 	})
 
 	It("ends a canceled watch at the service", func() {
@@ -145,18 +145,18 @@
 			_, err := source.Watch(ctx, first.Revision)
 			return err
 		})
-		Eventually(service.Waiting).Should(Equal(1))
+		Eventually(service.WaitingWatches).Should(Equal(1))
 		cancel()
 		Eventually(failures).Should(Receive(beOfType(platform.Canceled)))
-		Eventually(service.Waiting).Should(BeZero())
+		Eventually(service.WaitingWatches).Should(BeZero())
 	})
 
 	It("accepts a text of the maximum size and no larger one", func(ctx SpecContext) {
 		largest := []byte(strings.Repeat("x", platform.MaxConfigBytes))
-		number := service.SetText(largest)
+		number := service.SetConfig(largest)
 		source := configSource(platform.ConfigOptions{BaseURL: serve(service)})
 		Expect(source.Read(ctx)).To(Equal(revision.Document{Revision: number, Text: largest}))
-		service.SetText(append(largest, 'x'))
+		service.SetConfig(append(largest, 'x'))
 		_, err := source.Read(ctx)
 		Expect(err).To(beOfType(failure.Corrupt))
 	})
--- a/adapters/platform/contract_test.go
+++ b/adapters/platform/contract_test.go
@@ -21,7 +21,7 @@
 type service interface {
 	http.Handler
 	SetDown(down bool)
-	SetSilent(silent bool)
+	SetUnresponsive(silent bool)
 }
 
 // contractCall is one method of a port. All commonFaults apply to each of them.
@@ -118,7 +118,7 @@
 	{
 		name: "fails as Timeout when the service accepts the call and never responds",
 		serve: func(s service) string {
-			s.SetSilent(true)
+			s.SetUnresponsive(true)
 			return serve(s)
 		},
 		timesOut: true,
@@ -211,7 +211,7 @@
 
 			It("fails as Canceled when its caller cancels", func() {
 				unresponsive := port.service()
-				unresponsive.SetSilent(true)
+				unresponsive.SetUnresponsive(true)
 				ctx, cancel := context.WithCancel(context.Background())
 				cancel()
 				err := port.call(ctx, serve(unresponsive), longWait)
@@ -220,7 +220,7 @@
 
 			It("fails as Timeout when its caller's deadline passes", func() {
 				unresponsive := port.service()
-				unresponsive.SetSilent(true)
+				unresponsive.SetUnresponsive(true)
 				ctx, cancel := context.WithDeadline(context.Background(), time.Now())
 				defer cancel()
 				Expect(port.call(ctx, serve(unresponsive), longWait)).To(beOfType(failure.Timeout))
--- a/adapters/platform/weights_test.go
+++ b/adapters/platform/weights_test.go
@@ -79,9 +79,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(chunk.Verify(data)).To(Succeed())
 		},
-		Entry("one byte too short", standin.FaultShort, longWait, failure.Corrupt),
-		Entry("one byte too long", standin.FaultLong, longWait, failure.Corrupt),
-		Entry("aborted in the middle", standin.FaultCut, longWait, failure.Unavailable),
+		Entry("one byte too short", standin.FaultTruncate, longWait, failure.Corrupt),
+		Entry("one byte too long", standin.FaultExtend, longWait, failure.Corrupt),
+		Entry("aborted in the middle", standin.FaultAbort, longWait, failure.Unavailable),
 		Entry("stalled in the middle", standin.FaultStall, shortStall, failure.Timeout),
 	)
 
--- a/cmd/wholepath/fleet_test.go
+++ b/cmd/wholepath/fleet_test.go
@@ -63,7 +63,7 @@
 // newFleet starts the stand-ins of a fleet, which is closed after the suite.
 func newFleet(options harness.Options) *testFleet {
 	GinkgoHelper()
-	options.Daemon = daemonPath()
+	options.DaemonPath = daemonPath()
 	options.Dir = tempDir()
 	f, err := harness.New(options)
 	Expect(err).NotTo(HaveOccurred())
@@ -134,9 +134,9 @@
 // publish publishes a configuration that names v.
 func (f *testFleet) publish(v fleet.Version) revision.Revision {
 	f.mu.Lock()
-	f.published[harness.VersionText(v)] = true
+	f.published[harness.FormatVersion(v)] = true
 	f.mu.Unlock()
-	return f.Config.SetText([]byte(f.configNaming(v)))
+	return f.Config.SetConfig([]byte(f.configNaming(v)))
 }
 
 func (f *testFleet) isPublished(version string) bool {
@@ -156,8 +156,8 @@
 
 // startLoad starts callers. The default deadline of five seconds bounds how
 // long they wait for an agent that was killed.
-func (f *testFleet) startLoad(spec harness.LoadSpec) *harness.Load {
-	spec.Intended = f.isPublished
+func (f *testFleet) startLoad(spec harness.LoadSpec) *harness.LoadGenerator {
+	spec.IsPublished = f.isPublished
 	if spec.Deadline == 0 {
 		spec.Deadline = 5 * time.Second
 	}
@@ -165,32 +165,32 @@
 }
 
 // startModelLoad starts callers that request tokens.
-func (f *testFleet) startModelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.Load {
-	return f.startLoad(harness.LoadSpec{Models: services, Callers: callers, MaxTokens: tokens})
+func (f *testFleet) startModelLoad(callers, tokens int, services ...fleet.ServiceName) *harness.LoadGenerator {
+	return f.startLoad(harness.LoadSpec{ModelServices: services, Callers: callers, MaxTokens: tokens})
 }
 
 // startPlainLoad starts callers of work that must run at most once.
-func (f *testFleet) startPlainLoad(callers int, services ...fleet.ServiceName) *harness.Load {
-	return f.startLoad(harness.LoadSpec{Plain: services, Callers: callers})
+func (f *testFleet) startPlainLoad(callers int, services ...fleet.ServiceName) *harness.LoadGenerator {
+	return f.startLoad(harness.LoadSpec{PlainServices: services, Callers: callers})
 }
 
 // waitForResponses waits until a load has received n more responses.
-func waitForResponses(load *harness.Load, n int) {
+func waitForResponses(load *harness.LoadGenerator, n int) {
 	GinkgoHelper()
-	before := load.Tally().Answers
-	Eventually(func() int { return load.Tally().Answers }).Should(BeNumerically(">=", before+n))
+	before := load.Tally().Correct
+	Eventually(func() int { return load.Tally().Correct }).Should(BeNumerically(">=", before+n))
 }
 
 // expectComplete checks that callers received every response, each correct, and
 // that no engine ran on bytes of another version.
 func (f *testFleet) expectComplete(t harness.Tally) {
 	GinkgoHelper()
-	AddReportEntry("callers received", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Answers, t.Refusals, t.Unknown))
-	Expect(t.Answers).To(BeNumerically(">", 0))
+	AddReportEntry("callers received", fmt.Sprintf("answers=%d refusals=%d unknown=%d", t.Correct, t.NotRunAttempts, t.UnknownAttempts))
+	Expect(t.Correct).To(BeNumerically(">", 0))
 	Expect(t.Lost).To(BeZero(), "lost requests")
 	Expect(t.WrongVersion).To(BeZero(), "responses of a version that was not published")
-	Expect(t.Wrong).To(BeZero(), "responses to other requests")
-	Expect(f.Mixed()).To(BeZero(), "requests that ran on mixed weights")
+	Expect(t.Incorrect).To(BeZero(), "responses to other requests")
+	Expect(f.WeightMismatches()).To(BeZero(), "requests that ran on mixed weights")
 }
 
 // modelAgents returns the agents of engines, of the given services or of all.
@@ -286,7 +286,7 @@
 
 func statusOf[T any](p *harness.Process) (T, error) {
 	var status T
-	resp, err := opsHTTP.Get("http://" + p.Ops.String() + "/status")
+	resp, err := opsHTTP.Get("http://" + p.OpsAddr.String() + "/status")
 	if err != nil {
 		return status, err
 	}
--- a/cmd/wholepath/leaving_test.go
+++ b/cmd/wholepath/leaving_test.go
@@ -67,7 +67,7 @@
 		Expect(leaver.Wait(waitTimeout)).To(Succeed(), "exit of the entry")
 		Expect(<-long).NotTo(HaveOccurred(), "the response that outlasted the entry's notice period")
 		f.expectComplete(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were aborted")
+		Expect(load.Tally().UnknownAttempts).To(BeZero(), "requests that were aborted")
 		Expect(f.Instances.Remove(leaver.Instance.ID)).To(BeTrue(), "the platform's list named it until the end")
 	})
 
@@ -97,9 +97,9 @@
 
 		Expect(<-long).NotTo(HaveOccurred(), "the long response")
 		Expect(leaver.Wait(waitTimeout)).To(Succeed(), "exit of the agent")
-		Expect(engine.Counters().Cut + engine.Counters().Cancelled).To(BeZero())
+		Expect(engine.Counters().Aborted + engine.Counters().Cancelled).To(BeZero())
 		f.expectComplete(load.Stop())
-		Expect(load.Tally().Unknown).To(BeZero(), "requests that were aborted")
+		Expect(load.Tally().UnknownAttempts).To(BeZero(), "requests that were aborted")
 	})
 })
 
@@ -124,7 +124,7 @@
 	go func() {
 		r := callerclient.Request{Service: pool, IdempotencyKey: key, Deadline: waitTimeout, Body: body}
 		response, err := f.newCaller(apapa).DoAt(context.Background(), p.Instance.CallerAddr, r)
-		if _, whole := harness.CheckAnswer(response.Body, prompt); err == nil && !whole {
+		if _, whole := harness.CheckResponse(response.Body, prompt); err == nil && !whole {
 			err = fmt.Errorf("incomplete response: %s", response.Body)
 		}
 		done <- err
@@ -150,7 +150,7 @@
 // log.
 func refusals(p *harness.Process) int {
 	GinkgoHelper()
-	log, err := os.ReadFile(p.Log)
+	log, err := os.ReadFile(p.LogPath)
 	Expect(err).NotTo(HaveOccurred())
 	return len(refusalLine.FindAll(log, -1))
 }
--- a/cmd/wholepath/path_test.go
+++ b/cmd/wholepath/path_test.go
@@ -23,7 +23,7 @@
 	var r1, r2 fleet.Version
 
 	startWithSuite(func() {
-		f = newFleet(harness.Options{Spans: true, OriginBytesPerSecond: 40 << 20})
+		f = newFleet(harness.Options{TraceSpans: true, OriginBytesPerSecond: 40 << 20})
 		r1, r2 = f.addModel("r1", 1), f.addModel("r2", 2)
 		f.publish(r1)
 		f.addEntry("entry-1", apapa)
@@ -51,9 +51,9 @@
 				prompt := harness.Prompt{Prompt: fmt.Sprintf("yarn break %d", i), MaxTokens: 12}
 				response, err := f.sendTo(p, service, prompt.Prompt, prompt.MaxTokens)
 				Expect(err).NotTo(HaveOccurred())
-				version, whole := harness.CheckAnswer(response.Body, prompt)
+				version, whole := harness.CheckResponse(response.Body, prompt)
 				Expect(whole).To(BeTrue(), "%s", response.Body)
-				Expect(version).To(Equal(harness.VersionText(r1)))
+				Expect(version).To(Equal(harness.FormatVersion(r1)))
 				Expect(response.Version).To(Equal(version))
 			}
 			key, err := f.newCaller(apapa).IssueKey(context.Background(), orders)
@@ -175,13 +175,13 @@
 			waitForResponses(models, 50)
 			response, err := f.sendTo(f.entries[0], assist, "which one is it", 4)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(response.Version).To(Equal(harness.VersionText(v)))
+			Expect(response.Version).To(Equal(harness.FormatVersion(v)))
 		}
 		f.expectComplete(models.Stop())
 		orders := plain.Stop()
 		f.expectComplete(orders)
 		Expect(f.Duplicates()).To(BeZero())
-		Expect(f.notRunOnce(orders.RanKeys)).To(BeEmpty(), "keys with a response that did not run once")
+		Expect(f.notRunOnce(orders.RespondedKeys)).To(BeEmpty(), "keys with a response that did not run once")
 	})
 
 	// Two agents, one of an engine and one of the plain service, are killed
@@ -196,7 +196,7 @@
 		waitForResponses(models, 20)
 		waitForResponses(plain, 20)
 		f.killWhileBusy("pool-1", func() int { return f.Engines["pool-1"].Status().Load.Running })
-		f.killWhileBusy("orders-1", func() int { return f.Plain["orders-1"].Status().Running })
+		f.killWhileBusy("orders-1", func() int { return f.PlainServices["orders-1"].Status().Running })
 		waitForResponses(models, 50)
 		waitForResponses(plain, 50)
 		for _, id := range []fleet.InstanceID{"pool-1", "orders-1"} {
@@ -243,11 +243,11 @@
 func (f *testFleet) expectRunOnce(t harness.Tally) {
 	GinkgoHelper()
 	AddReportEntry("work that must run once", fmt.Sprintf("ran=%d not_run=%d unknown=%d refusals=%d",
-		len(t.RanKeys), len(t.NotRunKeys), len(t.UnknownKeys), t.Refusals))
+		len(t.RespondedKeys), len(t.NotRunKeys), len(t.UnknownKeys), t.NotRunAttempts))
 	Expect(t.Lost).To(Equal(len(t.NotRunKeys) + len(t.UnknownKeys)))
-	Expect(t.Wrong).To(BeZero(), "responses to other requests")
+	Expect(t.Incorrect).To(BeZero(), "responses to other requests")
 	Expect(f.Duplicates()).To(BeZero())
-	Expect(f.notRunOnce(t.RanKeys)).To(BeEmpty(), "keys with a response that did not run once")
+	Expect(f.notRunOnce(t.RespondedKeys)).To(BeEmpty(), "keys with a response that did not run once")
 	Expect(f.executedKeys(t.NotRunKeys)).To(BeEmpty(), "keys that ran although the last outcome was not_run")
 }
 
@@ -273,7 +273,7 @@
 func (f *testFleet) spansOf(traceID string) map[string]span {
 	spans := make(map[string]span)
 	for _, p := range f.allProcesses() {
-		log, err := os.ReadFile(p.Log)
+		log, err := os.ReadFile(p.LogPath)
 		if err != nil {
 			continue
 		}
--- a/cmd/wholepath/pause_test.go
+++ b/cmd/wholepath/pause_test.go
@@ -37,8 +37,8 @@
 	BeforeAll(func() { f.waitReady(versions[0]) })
 	AfterEach(func() {
 		f.printLogsOnFailure()
-		f.Process(frozen).Thaw()
-		f.Process(frozenPlain).Thaw()
+		f.Process(frozen).Resume()
+		f.Process(frozenPlain).Resume()
 	})
 
 	// Two agents are suspended under live requests, as when an instance is
@@ -51,11 +51,11 @@
 	// abandoned must not run late.
 	It("recovers from a long pause", func() {
 		models := f.startModelLoad(8, 16, pool, assist)
-		plain := f.startLoad(harness.LoadSpec{Plain: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
+		plain := f.startLoad(harness.LoadSpec{PlainServices: []fleet.ServiceName{orders}, Callers: 8, Deadline: 2 * time.Second})
 		waitForResponses(models, 20)
 		waitForResponses(plain, 20)
-		f.Process(frozen).Freeze()
-		f.Process(frozenPlain).Freeze()
+		f.Process(frozen).Suspend()
+		f.Process(frozenPlain).Suspend()
 		for _, v := range versions[1:3] {
 			f.publish(v)
 			f.waitLoaded(v, others...)
@@ -65,8 +65,8 @@
 		before := f.Engines[frozen].Counters()
 		Expect(f.Engines[frozen].Status().Loaded).To(Equal(versions[0]))
 
-		f.Process(frozen).Thaw()
-		f.Process(frozenPlain).Thaw()
+		f.Process(frozen).Resume()
+		f.Process(frozenPlain).Resume()
 		f.waitLoaded(versions[2])
 		f.waitAdmitting()
 		waitForResponses(models, 50)
@@ -74,7 +74,7 @@
 		f.expectComplete(models.Stop())
 		f.expectRunOnce(plain.Stop())
 		after := f.Engines[frozen].Counters()
-		Expect(after.AnswersByVersion).NotTo(HaveKey(versions[1].String()), "a version that was outdated when the agent resumed")
+		Expect(after.ResponsesByVersion).NotTo(HaveKey(versions[1].String()), "a version that was outdated when the agent resumed")
 		Expect(after.Loads).To(Equal(before.Loads+1), "loads after the pause")
 	})
 
@@ -91,18 +91,18 @@
 		intermediate, newest := versions[3], versions[4]
 		f.publish(intermediate)
 		Eventually(func() bool { return f.Engines[frozen].Status().Loading }).WithPolling(time.Millisecond).Should(BeTrue())
-		f.Process(frozen).Freeze()
+		f.Process(frozen).Suspend()
 		f.publish(newest)
 		f.waitLoaded(newest, others...)
 		f.waitSilent(frozen)
 		f.waitLoaded(intermediate, frozen)
 
-		f.Process(frozen).Thaw()
+		f.Process(frozen).Resume()
 		f.waitLoaded(newest)
 		f.waitAdmitting()
 		waitForResponses(models, 50)
 		f.expectComplete(models.Stop())
-		for version := range f.Engines[frozen].Counters().AnswersByVersion {
+		for version := range f.Engines[frozen].Counters().ResponsesByVersion {
 			Expect(version).To(BeElementOf(versionStrings(versions)))
 		}
 	})
--- a/cmd/wholepath/platform_test.go
+++ b/cmd/wholepath/platform_test.go
@@ -50,7 +50,7 @@
 		load := f.startModelLoad(4, 8, pool, assist)
 		active := f.Config.Revision()
 		bad := strings.Replace(f.configNaming(r2), "version = "+r2.Name, "version = r9", 1)
-		f.Config.SetText([]byte(bad))
+		f.Config.SetConfig([]byte(bad))
 		for _, p := range f.entries {
 			Eventually(entryStatus).WithArguments(p).Should(HaveField("Config.Refused",
 				ConsistOf(ContainSubstring("fleet.ini:7: version: there is no section [version r9]"))))
@@ -84,7 +84,7 @@
 		Expect(code).To(BeZero())
 		Expect(stdout).To(ContainSubstring("good: fleet ffsan, 3 services"))
 
-		code, stdout, stderr := runClient("", "status", "--ops", entry.Ops.String())
+		code, stdout, stderr := runClient("", "status", "--ops", entry.OpsAddr.String())
 		Expect(code).To(BeZero(), stderr)
 		Expect(stdout).To(ContainSubstring(fmt.Sprintf("revision %d in force at %s", f.Config.Revision(), entry.Instance.ID)))
 		Expect(stdout).To(MatchRegexp(`%s +%s@\w+ +2 +2 +0 +0`, pool, r2.Name))
@@ -94,9 +94,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		code, stdout, stderr = runClient(string(body), "request", string(pool), "--body", "-", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(BeZero(), stderr)
-		version, whole := harness.CheckAnswer([]byte(stdout), prompt)
+		version, whole := harness.CheckResponse([]byte(stdout), prompt)
 		Expect(whole).To(BeTrue(), stdout)
-		Expect(version).To(Equal(harness.VersionText(r2)))
+		Expect(version).To(Equal(harness.FormatVersion(r2)))
 		Expect(stderr).To(ContainSubstring("outcome=ran status=200 version=" + version))
 		code, _, stderr = runClient("", "request", "no-such-service", "--entry", entry.Instance.CallerAddr.String())
 		Expect(code).To(Equal(5), "not run: %s", stderr)
@@ -196,7 +196,7 @@
 func (f *testFleet) expectNoRollback() {
 	GinkgoHelper()
 	for _, p := range f.allProcesses() {
-		log, err := os.ReadFile(p.Log)
+		log, err := os.ReadFile(p.LogPath)
 		Expect(err).NotTo(HaveOccurred())
 		var newest revision.Revision
 		for _, m := range activeConfigLine.FindAllStringSubmatch(string(log), -1) {
--- a/standin/bench/entryload/entryload.go
+++ b/standin/bench/entryload/entryload.go
@@ -39,7 +39,7 @@
 
 // New starts the fleet. daemon is the path of chivespindled.
 func New(daemon string) (*Fleet, error) {
-	h, err := harness.New(harness.Options{Daemon: daemon})
+	h, err := harness.New(harness.Options{DaemonPath: daemon})
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	f.Config.SetText(fmt.Appendf(nil, "[fleet]\nname = entry\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = model\nversion = r1\n",
+	f.Config.SetConfig(fmt.Appendf(nil, "[fleet]\nname = entry\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = model\nversion = r1\n",
 		m.Version.Manifest, quick, paced))
 	if f.entry, err = f.StartEntry("entry-1", place); err != nil {
 		return err
--- a/standin/bench/slopes/crowd.go
+++ b/standin/bench/slopes/crowd.go
@@ -82,7 +82,7 @@
 
 func (c *crowd) start(daemon string) error {
 	var err error
-	c.fleet, err = harness.New(harness.Options{Daemon: daemon})
+	c.fleet, err = harness.New(harness.Options{DaemonPath: daemon})
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	c.said = said{Revision: c.fleet.Config.SetText([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
+	c.said = said{Revision: c.fleet.Config.SetConfig([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
 	return nil
 }
 
@@ -337,7 +337,7 @@
 		r.bytes += s.wireBytes()
 	}
 	var err error
-	r.used, err = usage.Of(c.process.Pid())
+	r.used, err = usage.Of(c.process.PID())
 	return r, err
 }
 
--- a/standin/cmd/backend/command.go
+++ b/standin/cmd/backend/command.go
@@ -65,7 +65,7 @@
 	flags.IntVar(&options.MaxWaiting, "max-waiting", 64, "number of requests that may wait for a slot")
 	flags.DurationVar(&options.TokenTime, "token-time", 20*time.Millisecond, "time to generate one token")
 	flags.DurationVar(&options.LoadTime, "load-time", 2*time.Second, "time to load a model version")
-	flags.DurationVar(&options.ReportLag, "report-lag", time.Second, "age of the load that a status reports")
+	flags.DurationVar(&options.LoadReportLag, "report-lag", time.Second, "age of the load that a status reports")
 	flags.BoolVar(&options.CheckFence, "check-fence", false, "refuse orders with an outdated fencing number")
 	addListenFlags(command, &addrs)
 	return command
--- a/standin/cmd/standins/admin.go
+++ b/standin/cmd/standins/admin.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return configResponse{Revision: a.config.SetText(text)}, nil
+	return configResponse{Revision: a.config.SetConfig(text)}, nil
 }
 
 func (a *admin) putInstance(r *http.Request) (any, error) {
@@ -187,7 +187,7 @@
 		ConfigCalls:              a.config.Calls(),
 		ConfigCallsLastSecond:    a.config.CallsLastSecond(),
 		ConfigPeakCallsPerSecond: a.config.PeakCallsPerSecond(),
-		ConfigWaiting:            a.config.Waiting(),
+		ConfigWaiting:            a.config.WaitingWatches(),
 		ConfigBytes:              a.config.BytesSent(),
 		InstancesCalls:           a.list.Calls(),
 		InstancesBytes:           a.list.BytesSent(),
--- a/standin/cmd/standins/faults.go
+++ b/standin/cmd/standins/faults.go
@@ -70,14 +70,14 @@
 // outageSetter sets the faults that every stand-in supports.
 type outageSetter interface {
 	SetDown(down bool)
-	SetSilent(silent bool)
+	SetUnresponsive(silent bool)
 }
 
 func parseOutage(service outageSetter, kind string) (change, error) {
 	set := func(down, silent bool) change {
 		return func() error {
 			service.SetDown(down)
-			service.SetSilent(silent)
+			service.SetUnresponsive(silent)
 			return nil
 		}
 	}
