--- a/standin/bench/slopes/fit.go
+++ b/standin/bench/slopes/fit.go
@@ -1,10 +1,9 @@
 // Package slopes measures what one process of the system costs at several
-// sizes and works out what it costs at the target. docs/CAPACITY.md is made
+// sizes and calculates its cost at the target size. docs/CAPACITY.md is made
 // from its figures.
 //
 // Each measurement gives Slopes: points at three sizes or more, a straight
-// line through them, and the cost at the target's size beside the budget that
-// it is paid from.
+// line fitted to them, and the cost at the target size next to its budget.
 package slopes
 
 import (
@@ -14,7 +13,7 @@
 	"chivespindle.example/core/failure"
 )
 
-// Point is one measured size.
+// Point is the value measured at one size.
 type Point struct {
 	Size  float64
 	Value float64
@@ -22,29 +21,29 @@
 
 // Slope is one cost, measured at several sizes.
 type Slope struct {
-	// Name says what was measured, Of what the size counts, Unit what the
-	// value is in. None has spaces.
+	// Name says what was measured, Of what the size counts, Unit the unit of
+	// the value. None of them contains spaces.
 	Name, Of, Unit string
 	Points         []Point
-	// Target is the size at the target; 0: the sizes measured are too far from
-	// it to follow the line that far.
+	// Target is the size at the target. It is 0 if the measured sizes are too
+	// far from it to extrapolate.
 	Target float64
-	// Budget is what a node may spend on all control in the same unit; 0: the
-	// cost is not paid from a budget.
+	// Budget is what a node may spend on all control tasks, in the same unit. It
+	// is 0 if there is no budget for this cost.
 	Budget float64
 }
 
-// Line is a straight line through measured points.
+// Line is a straight line fitted to measured points.
 type Line struct {
 	Base    float64 // at size 0
-	PerUnit float64 // for each one more
+	PerUnit float64 // per unit of size
 }
 
-// At returns the line's value at a size.
+// At returns the line's value at size.
 func (l Line) At(size float64) float64 { return l.Base + l.PerUnit*size }
 
-// Fit returns the line with the least squares of the distances; failure.Invalid
-// for fewer than two different sizes.
+// Fit returns the least-squares line through points. It returns
+// failure.Invalid for fewer than two different sizes.
 func Fit(points []Point) (Line, error) {
 	var meanSize, meanValue float64
 	for _, p := range points {
@@ -63,18 +62,18 @@
 	return Line{Base: meanValue - slope*meanSize, PerUnit: slope}, nil
 }
 
-// Source tells where a cost at the target comes from.
+// Source says how a cost at the target was obtained.
 type Source string
 
 // Sources of a cost at the target.
 const (
-	Measured  Source = "measured"   // at the target's size itself
-	Fitted    Source = "fitted"     // from the line
-	WorkedOut Source = "worked_out" // from others by arithmetic
+	Measured  Source = "measured"   // measured at the target size
+	Fitted    Source = "fitted"     // extrapolated with the fitted line
+	WorkedOut Source = "worked_out" // calculated from other values
 )
 
-// AtTarget returns the cost at the target: as measured if the target's size is
-// one of the points, else the line's.
+// AtTarget returns the cost at the target: the measured value if one of the
+// points has the target size, otherwise that of the fitted line.
 func (s Slope) AtTarget() (float64, Source, error) {
 	for _, p := range s.Points {
 		if p.Size == s.Target {
@@ -85,8 +84,8 @@
 	return line.At(s.Target), Fitted, err
 }
 
-// Lines returns what the program prints: one line of key=value pairs for each
-// point and one for the fit.
+// Lines returns the program's output: a line of key=value pairs for each point
+// and one for the fit.
 func (s Slope) Lines() ([]string, error) {
 	line, err := Fit(s.Points)
 	if err != nil {
@@ -94,9 +93,9 @@
 	}
 	var lines []string
 	for _, p := range s.Points {
-		lines = append(lines, fmt.Sprintf("capacity=%s size=%.0f of=%s value=%s unit=%s", s.Name, p.Size, s.Of, short(p.Value), s.Unit))
+		lines = append(lines, fmt.Sprintf("capacity=%s size=%.0f of=%s value=%s unit=%s", s.Name, p.Size, s.Of, formatValue(p.Value), s.Unit))
 	}
-	fit := fmt.Sprintf("capacity=%s slope_per_unit=%s base=%s of=%s unit=%s", s.Name, short(line.PerUnit), short(line.Base), s.Of, s.Unit)
+	fit := fmt.Sprintf("capacity=%s slope_per_unit=%s base=%s of=%s unit=%s", s.Name, formatValue(line.PerUnit), formatValue(line.Base), s.Of, s.Unit)
 	if s.Target == 0 {
 		return append(lines, fit), nil
 	}
@@ -108,19 +107,19 @@
 }
 
 func atTarget(at float64, source Source, budget float64) string {
-	text := fmt.Sprintf(" at_target=%s from=%s", short(at), source)
+	text := fmt.Sprintf(" at_target=%s from=%s", formatValue(at), source)
 	if budget > 0 {
-		text += fmt.Sprintf(" budget=%s share=%.2f", short(budget), at/budget)
+		text += fmt.Sprintf(" budget=%s share=%.2f", formatValue(budget), at/budget)
 	}
 	return text
 }
 
-// Figure is a cost that follows from others by arithmetic.
+// Figure is a cost that is calculated from other values.
 type Figure struct {
 	Name, Unit string
 	At         float64 // at the target
 	Budget     float64 // 0: none
-	// How is the arithmetic, without spaces.
+	// How is the calculation, without spaces.
 	How string
 }
 
@@ -129,8 +128,8 @@
 	return fmt.Sprintf("capacity=%s unit=%s", f.Name, f.Unit) + atTarget(f.At, WorkedOut, f.Budget) + " how=" + f.How
 }
 
-// short prints a value with four significant digits and no exponent.
-func short(v float64) string {
+// formatValue formats a value with four significant digits and no exponent.
+func formatValue(v float64) string {
 	const digits, bits = 4, 64
 	rounded, err := strconv.ParseFloat(strconv.FormatFloat(v, 'g', digits, bits), bits)
 	if err != nil {
--- a/standin/bench/slopes/fleets.go
+++ b/standin/bench/slopes/fleets.go
@@ -15,14 +15,14 @@
 	"chivespindle.example/standin/platform"
 )
 
-// idleSizes are fleets of programs that talk to each other, a third of them
-// entries. All run at the same time.
+// idleSizes are the sizes of the fleets of real processes, a third of them
+// entries. All fleets run at the same time.
 var idleSizes = []int{9, 18, 45}
 
-// entryEvery makes every third process an entry.
-const entryEvery = 3
+// processesPerEntry makes every third process an entry.
+const processesPerEntry = 3
 
-// idleFleet is a fleet without requests.
+// idleFleet is a fleet that receives no requests.
 type idleFleet struct {
 	*harness.Fleet
 	model           platform.Model
@@ -61,9 +61,10 @@
 
 func (f *idleFleet) add(i int) error {
 	id := fleet.InstanceID(fmt.Sprintf("i-%03d", i))
-	if i%entryEvery == 0 {
-		// Entries would else all be of one region: PlaceOf goes round in threes.
-		p, err := f.StartEntry(id, local.PlaceOf(i/entryEvery, Regions, Zones/Regions))
+	if i%processesPerEntry == 0 {
+		// PlaceOf cycles through the three regions, so with i itself all entries
+		// would be in one region.
+		p, err := f.StartEntry(id, local.PlaceOf(i/processesPerEntry, Regions, Zones/Regions))
 		f.entries = append(f.entries, p)
 		return err
 	}
@@ -72,22 +73,22 @@
 	return err
 }
 
-// waitReady waits until all engines serve.
+// waitReady waits until all engines have loaded the model.
 func (f *idleFleet) waitReady() error {
 	started := time.Now()
 	for id, e := range f.Engines {
 		for e.Status().Loaded != f.model.Version {
-			if time.Since(started) > longestStart {
-				return failure.Timeout.New("%s of %d does not serve; the end of its log: %s",
+			if time.Since(started) > startTimeout {
+				return failure.Timeout.New("%s: engine in a fleet of %d has not loaded the model; last log line: %s",
 					id, len(f.entries)+len(f.agents), lastLine(f.Process(id).Log))
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// lastLine returns the end of a log, to say what a process was doing.
+// lastLine returns the last line of a log file, for error messages.
 func lastLine(path string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -97,12 +98,12 @@
 	return lines[len(lines)-1]
 }
 
-// idleReading is the state of a fleet's counters at one moment.
+// idleReading holds a fleet's counters at one point in time.
 type idleReading struct {
 	at              time.Time
 	entries, agents usage.Reading // means
-	sent            float64       // bytes of frames, mean
-	calls           float64       // of the platform, sum
+	sent            float64       // bytes of frames, mean per process
+	calls           float64       // calls of the platform by all processes
 }
 
 func (f *idleFleet) read() (idleReading, error) {
@@ -138,12 +139,12 @@
 	return mean, nil
 }
 
-// idleCost is what a process of an idle fleet spends.
+// idleCost is what a process of an idle fleet uses.
 type idleCost struct {
 	size         int
 	entry, agent cost
-	frames       float64 // bytes of frames a second, sent and received
-	calls        float64 // of all, a second
+	frames       float64 // bytes of frames per second, sent and received
+	calls        float64 // by all processes, per second
 }
 
 func (r idleReading) since(before idleReading, size int) idleCost {
@@ -155,13 +156,14 @@
 		size:   size,
 		entry:  perSecond(r.entries, before.entries),
 		agent:  perSecond(r.agents, before.agents),
-		frames: bothWays * (r.sent - before.sent) / seconds,
+		frames: bothDirections * (r.sent - before.sent) / seconds,
 		calls:  (r.calls - before.calls) / seconds,
 	}
 }
 
-// idleSlopes arranges what the fleets cost. They show how the costs begin; most
-// of them stop growing at sizes that a machine cannot run.
+// idleSlopes converts the costs of the idle fleets to slopes. They show the
+// growth at small sizes only, since most of these costs stop growing at sizes
+// that do not fit on one machine.
 func idleSlopes(costs []idleCost) []Slope {
 	parts := []struct {
 		name, unit string
--- a/standin/bench/slopes/outcome.go
+++ b/standin/bench/slopes/outcome.go
@@ -6,22 +6,23 @@
 	"chivespindle.example/core/fleet"
 )
 
-// outcome is what one crowd cost.
+// outcome is what was measured of one simFleet.
 type outcome struct {
-	spec         crowdSpec
+	spec         simSpec
 	followed     int
 	quiet, burst cost
-	join         float64 // bytes of getting to know the fleet
+	join         float64 // bytes for joining the fleet
 }
 
-// series picks the outcomes of one slope and names its sizes. The target of
-// servers that an entry follows is what came out for manyServices.
+// series selects the outcomes of one slope and returns their sizes.
 type series struct {
 	name, of string
 	target   float64
 	size     func(outcome) (size int, belongs bool)
 }
 
+// allSeries returns the series of slopes. The target of servers_followed is
+// the largest measured number of servers, that of manyServices.
 func allSeries(outcomes []outcome) []series {
 	followed := 0
 	for _, o := range outcomes {
@@ -46,8 +47,8 @@
 	}
 }
 
-// crowdSlopes arranges the outcomes.
-func crowdSlopes(outcomes []outcome) []Slope {
+// simSlopes converts the outcomes to slopes.
+func simSlopes(outcomes []outcome) []Slope {
 	parts := []struct {
 		name, unit string
 		budget     float64
--- a/standin/bench/slopes/processes.go
+++ b/standin/bench/slopes/processes.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// settleTime is how long processes run before they are measured. In its
-	// first ten seconds each reads the instance list as often as a watcher, and
-	// in the largest fleet it takes 16 s to send each neighbour what it knows.
+	// settleTime is how long processes run before the measurement. In its first
+	// ten seconds each process reads the instance list as often as a watcher,
+	// and in the largest fleet it takes 16 s to send its records to each
+	// neighbour.
 	settleTime = 22 * time.Second
-	// longestStart bounds the wait until a process has its connections.
-	longestStart = 40 * time.Second
-	pollEvery    = 100 * time.Millisecond
-	// startsAtOnce bounds how many start at the same time: on a busy machine
-	// processes would else take their neighbours for dead before they have met.
-	startsAtOnce = 2
-	// quietTime and burstWindow are how long they are measured.
+	// startTimeout limits the wait until a process has its connections.
+	startTimeout = 40 * time.Second
+	pollInterval = 100 * time.Millisecond
+	// maxConcurrentStarts limits how many processes start at the same time: on
+	// a busy machine, processes would otherwise consider their neighbours dead
+	// before they have connected to them.
+	maxConcurrentStarts = 2
+	// quietTime and burstWindow are the lengths of the two measurements.
 	quietTime   = 8 * time.Second
 	burstWindow = 5 * time.Second
-	// burstChanges is how many processes' state changes a node receives in a
-	// second of a burst: of BurstInstances in burstTime, four states each in
-	// its own zone and two elsewhere, rounded up.
+	// burstChanges is the number of state changes that a node receives per
+	// second of a burst: of BurstInstances within burstTime, four states each
+	// in its own zone and two elsewhere, rounded up.
 	burstChanges = 5
 )
 
-// environment gives the programs the settings that the harness shortens for
-// tests, as a fleet has them.
+// environment overrides settings that the harness shortens for tests with the
+// values of a production fleet.
 var environment = map[string]string{
-	"CHIVESPINDLE_PLATFORM_LIST_EVERY": listEvery.String(),
+	"CHIVESPINDLE_PLATFORM_LIST_EVERY": listInterval.String(),
 	"CHIVESPINDLE_PLATFORM_WATCH_WAIT": watchWait.String(),
 }
 
@@ -46,50 +48,51 @@
 	return nil
 }
 
-// crowdSpecs are the processes measured in large made-up fleets. All run at
-// the same time.
-func crowdSpecs() []crowdSpec {
-	var specs []crowdSpec
+// simSpecs returns the processes to measure in simulated fleets. All of them
+// run at the same time.
+func simSpecs() []simSpec {
+	var specs []simSpec
 	for _, n := range fleetSizes {
 		specs = append(specs,
-			crowdSpec{Role: fleet.RoleEntry, Fleet: n, Services: 1},
-			crowdSpec{Role: fleet.RoleAgent, Fleet: n, Services: 1, Subscribers: subscriberCounts[0]})
+			simSpec{Role: fleet.RoleEntry, Fleet: n, Services: 1},
+			simSpec{Role: fleet.RoleAgent, Fleet: n, Services: 1, Subscribers: subscriberCounts[0]})
 	}
 	for _, entries := range demandCounts[1:] {
-		specs = append(specs, crowdSpec{Role: fleet.RoleEntry, Fleet: Processes, Services: 1, Subscribers: entries})
+		specs = append(specs, simSpec{Role: fleet.RoleEntry, Fleet: Processes, Services: 1, Subscribers: entries})
 	}
 	for _, services := range serviceCounts[1:] {
-		specs = append(specs, crowdSpec{Role: fleet.RoleEntry, Fleet: Processes, Services: services})
+		specs = append(specs, simSpec{Role: fleet.RoleEntry, Fleet: Processes, Services: services})
 	}
 	for _, subscribers := range subscriberCounts {
-		specs = append(specs, crowdSpec{Role: fleet.RoleAgent, Fleet: Processes, Services: manyServices, Subscribers: subscribers})
+		specs = append(specs, simSpec{Role: fleet.RoleAgent, Fleet: Processes, Services: manyServices, Subscribers: subscribers})
 	}
 	return specs
 }
 
-// manyServices is how many there are if each has BurstInstances replicas.
+// manyServices is the number of services if each has BurstInstances replicas.
 const manyServices = (Servers + BurstInstances - 1) / BurstInstances
 
 var (
 	serviceCounts = []int{1, 3, manyServices}
-	// subscriberCounts are the entries that follow an agent: of a service of
-	// all servers, of one of BurstInstances, of one of a hundred, and of a
-	// service so small that every entry follows all of it.
+	// subscriberCounts are the numbers of entries that subscribe to an agent:
+	// for a service of all servers, one of BurstInstances, one of a hundred,
+	// and one so small that every entry subscribes to all of its servers.
 	subscriberCounts = []int{4, 26, 100, Entries}
-	// demandCounts are the entries that follow the demand of an entry: of most,
-	// the mean, and of the few that all follow.
+	// demandCounts are the numbers of entries that subscribe to the demand of
+	// an entry: for most entries, the mean, and for the few that all others
+	// subscribe to.
 	demandCounts = []int{0, 32, Entries - 1}
 )
 
-// Programs measures programs: small fleets of them that talk to each other, and
-// single ones in made-up fleets up to the target's size. daemon is the path of
-// chivespindled.
+// Programs measures real processes: small fleets that communicate with each
+// other, and single processes in simulated fleets up to the target size.
+// daemon is the path of chivespindled.
 func Programs(daemon string) ([]Slope, error) {
 	if err := setEnvironment(); err != nil {
 		return nil, err
 	}
-	crowds, err := startAll(crowdSpecs(), func(s crowdSpec) (*crowd, error) { return newCrowd(daemon, s) })
-	defer closeAll(crowds, (*crowd).close)
+	simFleets, err := startAll(simSpecs(), func(s simSpec) (*simFleet, error) { return newSimFleet(daemon, s) })
+	defer closeAll(simFleets, (*simFleet).close)
 	if err != nil {
 		return nil, err
 	}
@@ -104,28 +107,28 @@
 			return nil, err
 		}
 	}
-	for _, c := range crowds {
-		if err := c.ready(); err != nil {
+	for _, c := range simFleets {
+		if err := c.checkReady(); err != nil {
 			return nil, err
 		}
 	}
-	return observe(fleets, crowds)
+	return observe(fleets, simFleets)
 }
 
-// startAll starts one of each spec, a few at a time. On a failure it returns
-// those that did start.
+// startAll starts one value for each spec, at most maxConcurrentStarts at a
+// time. On failure it also returns those that did start.
 func startAll[S any, T any](specs []S, start func(S) (*T, error)) ([]*T, error) {
 	made := make([]*T, len(specs))
 	failures := make([]error, len(specs))
 	var started errgroup.Group
-	started.SetLimit(startsAtOnce)
+	started.SetLimit(maxConcurrentStarts)
 	for i, spec := range specs {
 		started.Go(func() error {
 			made[i], failures[i] = start(spec)
 			return nil
 		})
 	}
-	_ = started.Wait() // the failures are in their list
+	_ = started.Wait() // errors are collected in failures
 	var running []*T
 	var failed error
 	for i, one := range made {
@@ -138,24 +141,25 @@
 	return running, failed
 }
 
-func closeAll[T any](running []*T, end func(*T)) {
+func closeAll[T any](running []*T, closeOne func(*T)) {
 	for _, one := range running {
-		end(one)
+		closeOne(one)
 	}
 }
 
-// observe measures a quiet time, and one with changes in the made-up fleets.
-func observe(fleets []*idleFleet, crowds []*crowd) ([]Slope, error) {
+// observe measures a quiet period, then a period with state changes in the
+// simulated fleets.
+func observe(fleets []*idleFleet, simFleets []*simFleet) ([]Slope, error) {
 	fleetsBefore, err := readAll(fleets, (*idleFleet).read)
 	if err != nil {
 		return nil, err
 	}
-	begin, err := readAll(crowds, (*crowd).read)
+	begin, err := readAll(simFleets, (*simFleet).read)
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(quietTime)
-	quiet, err := readAll(crowds, (*crowd).read)
+	quiet, err := readAll(simFleets, (*simFleet).read)
 	if err != nil {
 		return nil, err
 	}
@@ -163,15 +167,15 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, c := range crowds {
-		c.change(burstChanges)
+	for _, c := range simFleets {
+		c.setChangeRate(burstChanges)
 	}
-	changing, err := readAll(crowds, (*crowd).read)
+	changing, err := readAll(simFleets, (*simFleet).read)
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(burstWindow)
-	end, err := readAll(crowds, (*crowd).read)
+	end, err := readAll(simFleets, (*simFleet).read)
 	if err != nil {
 		return nil, err
 	}
@@ -180,15 +184,15 @@
 		costs = append(costs, fleetsAfter[i].since(fleetsBefore[i], n))
 	}
 	var outcomes []outcome
-	for i, c := range crowds {
+	for i, c := range simFleets {
 		steady := quiet[i].since(begin[i])
 		outcomes = append(outcomes, outcome{spec: c.spec, followed: c.followed, quiet: steady,
-			burst: end[i].since(changing[i]), join: begin[i].beyond(steady, c.started)})
+			burst: end[i].since(changing[i]), join: begin[i].excessBytes(steady, c.started)})
 	}
-	return append(idleSlopes(costs), crowdSlopes(outcomes)...), nil
+	return append(idleSlopes(costs), simSlopes(outcomes)...), nil
 }
 
-// readAll reads each one's counters.
+// readAll reads the counters of each element.
 func readAll[T, R any](all []*T, read func(*T) (R, error)) ([]R, error) {
 	var readings []R
 	for _, one := range all {
--- a/standin/bench/slopes/rollout.go
+++ b/standin/bench/slopes/rollout.go
@@ -8,24 +8,24 @@
 	"chivespindle.example/core/rollout"
 )
 
-// Rollout measures one decision about a change-over, as an agent makes it
-// twenty times a second, by the replicas of its service.
+// Rollout measures one rollout decision, which an agent makes twenty times a
+// second, by the number of replicas of its service.
 func Rollout() ([]Slope, error) {
 	s := Slope{Name: "rollout_decision", Of: "replicas", Unit: "ms", Target: BurstInstances}
 	for _, n := range []int{43, BurstInstances, 1170, Servers} {
-		question := questionOf(n)
-		s.Points = append(s.Points, Point{float64(n), perCall(func() {
-			q := question()
-			rollout.NextOrder(q)
-			rollout.Decide(q)
+		newRequest := newRequestFunc(n)
+		s.Points = append(s.Points, Point{float64(n), cpuPerCall(func() {
+			request := newRequest()
+			rollout.NextOrder(request)
+			rollout.Decide(request)
 		})})
 	}
 	return []Slope{s}, nil
 }
 
-// questionOf returns what an agent does to ask: it reads the replicas from the
-// view, all of one service.
-func questionOf(n int) func() rollout.Request {
+// newRequestFunc returns a function that builds an agent's rollout request
+// from its view, in which all n replicas belong to one service.
+func newRequestFunc(n int) func() rollout.Request {
 	view := viewOf(n)
 	target := fleet.Version{Name: "next", Manifest: fleet.DigestOf([]byte("next"))}
 	return func() rollout.Request {
@@ -34,14 +34,14 @@
 	}
 }
 
-// viewOf is the view of one of n replicas of a service.
+// viewOf returns the view of one of n replicas of a service.
 func viewOf(n int) *gossip.View {
 	now := time.Now()
 	var records []gossip.Record
 	for i := range n {
-		p := phantom(i, 1)
+		p := simInstance(i, 1)
 		p.Role, p.Service = fleet.RoleAgent, serviceOf(0)
-		records = append(records, recordOf(p, anySaid))
+		records = append(records, recordOf(p, defaultConfig))
 	}
 	table := gossip.New(gossip.Options{Self: records[0]})
 	table.Merge(now, records[1].ID, records[1:])
--- a/standin/bench/slopes/routing.go
+++ b/standin/bench/slopes/routing.go
@@ -14,35 +14,35 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// SubsetSize is how many servers of each service an entry follows at the
-// least, as daemon/entry has it.
+// SubsetSize is the minimum number of servers of each service that an entry
+// subscribes to. It matches daemon/entry.
 const SubsetSize = 24
 
-// Routing measures what an entry spends on knowing the servers: choosing those
-// that it follows among all, making the picture that requests read, one report, and one
-// answer about addresses.
+// Routing measures the work of an entry to track the servers: the assignment
+// of the servers that it subscribes to, the snapshot that requests read, and
+// one address response.
 func Routing() ([]Slope, error) {
-	assign := measured(Slope{Name: "assign", Of: "services_of_390", Unit: "ms", Target: manyServices}, []int{1, 3, manyServices},
+	assign := measurePoints(Slope{Name: "assign", Of: "services_of_390", Unit: "ms", Target: manyServices}, []int{1, 3, manyServices},
 		func(services int) float64 {
 			servers := serversOf(BurstInstances)
 			entries := assigneesOf(Entries)
-			return perCall(func() {
+			return cpuPerCall(func() {
 				for range services {
 					balance.Assign(entries[0], entries, servers, SubsetSize)
 				}
 			})
 		})
-	snapshot := measured(Slope{Name: "snapshot", Of: "servers_followed", Unit: "ms", Target: SubsetSize}, []int{SubsetSize, 240, Servers},
+	snapshot := measurePoints(Slope{Name: "snapshot", Of: "servers_followed", Unit: "ms", Target: SubsetSize}, []int{SubsetSize, 240, Servers},
 		func(n int) float64 {
 			servers := serversOf(n)
 			tracker := balance.NewTracker(time.Now(), newRand())
-			return perCall(func() { balance.NewSnapshot(servers[0].Place, servers, tracker, balance.Settings{}) })
+			return cpuPerCall(func() { balance.NewSnapshot(servers[0].Place, servers, tracker, balance.Settings{}) })
 		})
-	address := measured(Slope{Name: "address_answer", Of: "entries", Unit: "ms", Target: Entries}, []int{46, 137, Entries},
+	address := measurePoints(Slope{Name: "address_answer", Of: "entries", Unit: "ms", Target: Entries}, []int{46, 137, Entries},
 		func(n int) float64 {
 			entries := entriesOf(n)
-			answerer := addressing.New(addressing.Options{Rand: newRand()})
-			return perCall(func() { answerer.Resolve(time.Now(), entries[0].Place, entries) })
+			resolver := addressing.New(addressing.Options{Rand: newRand()})
+			return cpuPerCall(func() { resolver.Resolve(time.Now(), entries[0].Place, entries) })
 		})
 	return []Slope{assign, snapshot, address}, nil
 }
@@ -50,10 +50,10 @@
 func serversOf(n int) []balance.Server {
 	servers := make([]balance.Server, n)
 	for i := range servers {
-		p := phantom(i, 1)
+		p := simInstance(i, 1)
 		report := balance.Report{Load: loadOf(i), Received: time.Now()}
 		servers[i] = balance.Server{ID: p.ID, Place: p.Place, Addr: p.PeerAddr, Service: serviceOf(0),
-			Version: anySaid.Version, Report: report}
+			Version: defaultConfig.Version, Report: report}
 	}
 	return servers
 }
@@ -65,7 +65,7 @@
 func entriesOf(n int) []addressing.Entry {
 	entries := make([]addressing.Entry, n)
 	for i := range entries {
-		p := phantom(i, 1)
+		p := simInstance(i, 1)
 		entries[i] = addressing.Entry{ID: p.ID, Place: p.Place, Addr: p.PeerAddr, Load: rand.Float64()}
 	}
 	return entries
@@ -74,20 +74,20 @@
 func assigneesOf(n int) []balance.Entry {
 	entries := make([]balance.Entry, n)
 	for i := range entries {
-		p := phantom(i, 1)
+		p := simInstance(i, 1)
 		entries[i] = balance.Entry{ID: p.ID, Place: p.Place}
 	}
 	return entries
 }
 
-// reportOf is a report as an agent sends it each half second.
+// reportOf returns a load report as an agent sends it every half second.
 func reportOf(service fleet.ServiceName, version fleet.Version, i int) wire.Report {
-	const life = 1_900_000_000_000
+	const incarnation = 1_900_000_000_000
 	return wire.Report{Service: service, State: gossip.StateServing, Admitting: true, Serving: version, Load: loadOf(i),
-		Clock: admission.ClockReading{Incarnation: life, Elapsed: time.Duration(i+1) * reportEvery}}
+		Clock: admission.ClockReading{Incarnation: incarnation, Elapsed: time.Duration(i+1) * reportInterval}}
 }
 
-// demandOf is what ten workspaces ask of an entry.
+// demandOf returns the demand of ten workspaces at an entry.
 func demandOf() wire.Demand {
 	const workspaces = 10
 	rates := make(map[fleet.Workspace]float64, workspaces)
--- a/standin/bench/slopes/crowd.go
+++ b/standin/bench/slopes/sim_fleet.go
@@ -21,46 +21,47 @@
 	"chivespindle.example/standin/platform"
 )
 
-// crowdSpec says which process is measured and what it meets.
-type crowdSpec struct {
+// simSpec describes the measured process and its simulated fleet.
+type simSpec struct {
 	Role fleet.Role
-	// Fleet is the number of processes that the instance list names.
+	// Fleet is the number of processes in the instance list.
 	Fleet int
-	// Services is how many services their agents belong to. An entry follows
-	// about SubsetSize servers of each.
+	// Services is the number of services that the agents belong to. An entry
+	// subscribes to about SubsetSize servers of each.
 	Services int
-	// Subscribers is how many entries follow the load of the measured agent, or
-	// the demand of the measured entry.
+	// Subscribers is the number of entries that subscribe to the load reports
+	// of the measured agent, or to the demand reports of the measured entry.
 	Subscribers int
 }
 
-// crowd is one process of the system, a program of its own, that believes to
-// be in a large fleet: the platform lists all of it, and the processes that it
-// talks to are stubs. So its memory, processor time and traffic are those of a
-// node at that size, on a machine that could not run the whole.
-type crowd struct {
-	spec     crowdSpec
+// simFleet runs one real process, a program of its own, in a simulated large
+// fleet: the platform lists all instances, and the processes that it connects
+// to are stubs. Its memory, processor time and traffic are therefore those of
+// a node in a fleet that is too large to run on one machine.
+type simFleet struct {
+	spec     simSpec
 	fleet    *harness.Fleet
 	process  *harness.Process
 	started  time.Time
 	measured fleet.Instance
 	model    platform.Model
-	said     said
-	list     []fleet.Instance // without the measured one
+	config   configState
+	list     []fleet.Instance // without the measured process
 	records  []gossip.Record
 	byID     map[fleet.InstanceID]gossip.Record
-	zone     []gossip.Record // of the measured one's zone
+	zone     []gossip.Record // of the measured process's zone
 	stubs    map[fleet.InstanceID]*stub
-	choosers []fleet.InstanceID // choose the measured one as a neighbour
-	followed int                // servers whose load the measured entry follows
-	// following counts the streams of load reports that are open.
-	following atomic.Int64
-	cancel    context.CancelFunc
+	inbound  []fleet.InstanceID // choose the measured process as a neighbour
+	followed int                // servers that the measured entry subscribes to
+	// openReportStreams is the number of open streams of load reports.
+	openReportStreams atomic.Int64
+	cancel            context.CancelFunc
 }
 
-// newCrowd starts the measured process. daemon is the path of chivespindled.
-func newCrowd(daemon string, spec crowdSpec) (*crowd, error) {
-	c := &crowd{spec: spec, stubs: make(map[fleet.InstanceID]*stub)}
+// newSimFleet starts the stubs and the measured process. daemon is the path of
+// chivespindled.
+func newSimFleet(daemon string, spec simSpec) (*simFleet, error) {
+	c := &simFleet{spec: spec, stubs: make(map[fleet.InstanceID]*stub)}
 	if err := c.start(daemon); err != nil {
 		c.close()
 		return nil, err
@@ -68,7 +69,7 @@
 	return c, nil
 }
 
-func (c *crowd) close() {
+func (c *simFleet) close() {
 	if c.cancel != nil {
 		c.cancel()
 	}
@@ -80,7 +81,7 @@
 	}
 }
 
-func (c *crowd) start(daemon string) error {
+func (c *simFleet) start(daemon string) error {
 	var err error
 	c.fleet, err = harness.New(harness.Options{Daemon: daemon})
 	if err != nil {
@@ -89,8 +90,9 @@
 	if err := c.publish(); err != nil {
 		return err
 	}
-	all := phantoms(c.spec.Fleet, c.spec.Services)
-	// An entry of the first few would be one whose demand all others follow.
+	all := simInstances(c.spec.Fleet, c.spec.Services)
+	// All other entries subscribe to the demand of the first few entries, so the
+	// measured process is taken from the end of the list.
 	self := len(all) - 1
 	for all[self].Role != c.spec.Role {
 		self--
@@ -103,7 +105,7 @@
 	for _, i := range c.list {
 		c.fleet.Instances.Set(i)
 	}
-	c.records = recordsOf(c.list, c.said)
+	c.records = recordsOf(c.list, c.config)
 	c.byID = make(map[fleet.InstanceID]gossip.Record, len(c.records))
 	for _, r := range c.records {
 		c.byID[r.ID] = r
@@ -115,25 +117,25 @@
 	if err := c.startMeasured(); err != nil {
 		return err
 	}
-	return c.waitFollowed()
+	return c.waitSubscribed()
 }
 
-// waitFollowed waits until nearly all streams of load reports are open.
-func (c *crowd) waitFollowed() error {
+// waitSubscribed waits until nearly all streams of load reports are open.
+func (c *simFleet) waitSubscribed() error {
 	const nearly = 0.95
 	wanted := nearly * float64(c.followed+c.spec.Subscribers)
-	for float64(c.following.Load()) < wanted {
-		if time.Since(c.started) > longestStart {
+	for float64(c.openReportStreams.Load()) < wanted {
+		if time.Since(c.started) > startTimeout {
 			return failure.Timeout.New("%d of %.0f streams of reports are open after %s: %+v",
-				c.following.Load(), wanted, longestStart, c.spec)
+				c.openReportStreams.Load(), wanted, startTimeout, c.spec)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// heartbeats are the short forms of all records.
-func (c *crowd) heartbeats() []gossip.Record {
+// heartbeats returns the heartbeat form of all records.
+func (c *simFleet) heartbeats() []gossip.Record {
 	short := make([]gossip.Record, len(c.records))
 	for i, r := range c.records {
 		short[i] = heartbeat(r, r.HeartbeatSeq)
@@ -141,8 +143,8 @@
 	return short
 }
 
-// publish makes the text that the fleet follows.
-func (c *crowd) publish() error {
+// publish publishes the fleet's model and configuration.
+func (c *simFleet) publish() error {
 	const modelBytes, chunkBytes = 64 << 10, 1 << 10
 	var err error
 	c.model, err = c.fleet.AddModel(platform.ModelSpec{Name: "r1", Bytes: modelBytes, ChunkBytes: chunkBytes, Seed: 1})
@@ -157,18 +159,19 @@
 	if err != nil {
 		return err
 	}
-	c.said = said{Revision: c.fleet.Config.SetText([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
+	c.config = configState{Revision: c.fleet.Config.SetText([]byte(text)), Digest: parsed.Digest(), Version: c.model.Version}
 	return nil
 }
 
-// startStubs starts those that the measured process will talk to. It chooses
-// by hashes of the ids, so its choices are known before it runs.
-func (c *crowd) startStubs() error {
+// startStubs starts a stub for each process that the measured process will
+// connect to. Processes choose their peers by hashes of the instance IDs, so
+// the choices are known before the measured process runs.
+func (c *simFleet) startStubs() error {
 	authority, err := pki.Open(c.fleet.Dir())
 	if err != nil {
 		return err
 	}
-	needed := c.chosen()
+	needed := c.requiredStubs()
 	for i := range c.list {
 		if !needed[c.list[i].ID] {
 			continue
@@ -182,12 +185,12 @@
 	return nil
 }
 
-// chosen are the neighbours and servers that the measured process chooses, and
-// those that are to choose it.
-func (c *crowd) chosen() map[fleet.InstanceID]bool {
+// requiredStubs returns the neighbours and servers that the measured process
+// chooses, and the processes that connect to it.
+func (c *simFleet) requiredStubs() map[fleet.InstanceID]bool {
 	needed := make(map[fleet.InstanceID]bool)
 	now := time.Now()
-	table := gossip.New(gossip.Options{Self: recordOf(c.measured, c.said)})
+	table := gossip.New(gossip.Options{Self: recordOf(c.measured, c.config)})
 	table.SetListed(now, c.list)
 	for _, contact := range table.Neighbours(now) {
 		needed[contact.ID] = true
@@ -195,19 +198,20 @@
 	if c.spec.Role == fleet.RoleEntry {
 		c.addServers(needed)
 	} else {
-		c.addExchanges(needed)
+		c.addChunkPeers(needed)
 	}
-	c.pickChoosers(needed)
-	for _, id := range slices.Concat(c.choosers, c.subscribers()) {
+	c.pickInbound(needed)
+	for _, id := range slices.Concat(c.inbound, c.subscribers()) {
 		needed[id] = true
 	}
 	return needed
 }
 
-// addServers adds the servers that the measured entry follows, and the entries
-// whose demand it may follow: the first by id, or those of its region.
-func (c *crowd) addServers(needed map[fleet.InstanceID]bool) {
-	const first = 40 // somewhat more than daemon/entry follows
+// addServers adds the servers that the measured entry subscribes to, and the
+// entries whose demand it may subscribe to: the first by ID, or those of its
+// region.
+func (c *simFleet) addServers(needed map[fleet.InstanceID]bool) {
+	const first = 40 // somewhat more than daemon/entry subscribes to
 	self := balance.Entry{ID: c.measured.ID, Place: c.measured.Place}
 	entries := []balance.Entry{self}
 	byService := make(map[fleet.ServiceName][]balance.Server)
@@ -227,11 +231,11 @@
 	}
 }
 
-// addExchanges adds the neighbours of the spread of weights.
-func (c *crowd) addExchanges(needed map[fleet.InstanceID]bool) {
+// addChunkPeers adds the peers that the measured agent exchanges chunks with.
+func (c *simFleet) addChunkPeers(needed map[fleet.InstanceID]bool) {
 	member := func(i fleet.Instance) spread.Member { return spread.Member{ID: i.ID, Place: i.Place} }
 	plan := spread.New(spread.Options{Self: member(c.measured), Manifest: c.model.Manifest,
-		ManifestDigest: c.said.Version.Manifest, Rand: newRand(), Start: time.Now()})
+		ManifestDigest: c.config.Version.Manifest, Rand: newRand(), Start: time.Now()})
 	var members []spread.Member
 	for _, i := range c.list {
 		if i.Role == fleet.RoleAgent {
@@ -244,14 +248,16 @@
 	}
 }
 
-// choosersEach is how many choose the measured process from its own zone, and
-// from elsewhere; all exchange chunks with an agent, and some gossip.
-const choosersEach, gossipEach = exchanges / 4, neighbours / 4
+// inboundPerSide is the number of processes that choose the measured process
+// from its own zone, and the number from other zones. All of them exchange
+// chunks with an agent; gossipPerSide of each side also open a gossip link.
+const inboundPerSide, gossipPerSide = chunkPeers / 4, neighbours / 4
 
-// pickChoosers picks agents that choose the measured process as a neighbour,
-// half of them in its zone: about as many as it chooses itself. None is one that
-// it chose, since of two links to one neighbour one would be closed.
-func (c *crowd) pickChoosers(taken map[fleet.InstanceID]bool) {
+// pickInbound picks agents that choose the measured process as a neighbour,
+// half of them in its zone: about as many as it chooses itself. Processes that
+// it chose are left out, because one of two links between the same two
+// neighbours would be closed.
+func (c *simFleet) pickInbound(taken map[fleet.InstanceID]bool) {
 	var near, far []fleet.InstanceID
 	for _, i := range c.list {
 		switch {
@@ -262,11 +268,11 @@
 			far = append(far, i.ID)
 		}
 	}
-	c.choosers = slices.Concat(near[:choosersEach], far[:choosersEach])
+	c.inbound = slices.Concat(near[:inboundPerSide], far[:inboundPerSide])
 }
 
-// subscribers are the first of the entries.
-func (c *crowd) subscribers() []fleet.InstanceID {
+// subscribers returns the first spec.Subscribers entries.
+func (c *simFleet) subscribers() []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for _, i := range c.list {
 		if i.Role == fleet.RoleEntry && len(ids) < c.spec.Subscribers {
@@ -276,8 +282,8 @@
 	return ids
 }
 
-// startMeasured starts the program and lets the stubs call it.
-func (c *crowd) startMeasured() error {
+// startMeasured starts the measured process and lets the stubs connect to it.
+func (c *simFleet) startMeasured() error {
 	var err error
 	if c.spec.Role == fleet.RoleEntry {
 		c.process, err = c.fleet.StartEntry(c.measured.ID, c.measured.Place)
@@ -291,9 +297,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	to := c.process.Instance
-	for n, id := range c.choosers {
+	for n, id := range c.inbound {
 		s := c.stubs[id]
-		if n%choosersEach < gossipEach {
+		if n%inboundPerSide < gossipPerSide {
 			go s.dial(ctx, to, peer.KindGossip, s.gossip)
 		}
 		if c.spec.Role == fleet.RoleAgent {
@@ -307,31 +313,31 @@
 	return nil
 }
 
-// ready checks that the engine beside a measured agent serves.
-func (c *crowd) ready() error {
+// checkReady checks that the engine of a measured agent has loaded the model.
+func (c *simFleet) checkReady() error {
 	for _, e := range c.fleet.Engines {
 		if e.Status().Loaded != c.model.Version {
-			return failure.Timeout.New("%+v does not serve after %s", c.spec, time.Since(c.started))
+			return failure.Timeout.New("%+v: engine has not loaded the model after %s", c.spec, time.Since(c.started))
 		}
 	}
 	return nil
 }
 
-// cost is what the measured process spends in a second.
+// cost is what the measured process uses per second.
 type cost struct {
-	CPU   float64 // ms of a core
-	Bytes float64 // sent and received, with all headers
+	CPU   float64 // ms of processor time
+	Bytes float64 // sent and received, including headers
 	RSS   float64 // resident bytes at the end
 }
 
-// reading is the state of the counters at one moment.
+// reading holds the counters at one point in time.
 type reading struct {
 	at    time.Time
 	used  usage.Reading
 	bytes float64
 }
 
-func (c *crowd) read() (reading, error) {
+func (c *simFleet) read() (reading, error) {
 	r := reading{at: time.Now()}
 	for _, s := range c.stubs {
 		r.bytes += s.wireBytes()
@@ -341,7 +347,7 @@
 	return r, err
 }
 
-// since returns the cost from one reading to another.
+// since returns the cost between an earlier reading and this one.
 func (r reading) since(before reading) cost {
 	seconds := r.at.Sub(before.at).Seconds()
 	return cost{
@@ -351,14 +357,14 @@
 	}
 }
 
-// beyond returns the bytes since started that are more than the steady rate.
-func (r reading) beyond(steady cost, started time.Time) float64 {
+// excessBytes returns the bytes since started beyond those of the steady rate.
+func (r reading) excessBytes(steady cost, started time.Time) float64 {
 	return r.bytes - steady.Bytes*r.at.Sub(started).Seconds()
 }
 
-// change lets states in the fleet change at a rate, as reported by one
-// neighbour; the measured process passes them on to the others.
-func (c *crowd) change(perSecond int64) {
-	s := c.stubs[c.choosers[0]]
+// setChangeRate sets the number of state changes per second that one neighbour
+// reports; the measured process passes them on to the others.
+func (c *simFleet) setChangeRate(perSecond int64) {
+	s := c.stubs[c.inbound[0]]
 	s.changes.Store(perSecond)
 }
--- a/standin/bench/slopes/spread.go
+++ b/standin/bench/slopes/spread.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// chunksTarget is a version of 100 GB in chunks of 4 MB.
+	// chunksTarget is the number of chunks of a 100 GB version in 4 MB chunks.
 	chunksTarget = 25_000
-	// exchanges are the neighbours that a member tells what it has: those that
-	// it chose and those that chose it.
-	exchanges = 16
-	// newsEvery is the time between two news, as daemon/swarm has it.
-	newsEvery = 100 * time.Millisecond
-	// burstTime is how long a burst may take.
+	// chunkPeers is the number of peers that a member exchanges chunk updates
+	// with, both those that it chose and those that chose it.
+	chunkPeers = 16
+	// updateInterval is the time between two chunk updates. It matches
+	// daemon/swarm.
+	updateInterval = 100 * time.Millisecond
+	// burstTime is the time allowed for a burst.
 	burstTime = 3 * time.Minute
 )
 
 var chunkCounts = []int{250, 2500, chunksTarget}
 
-// Spread measures what a member of a burst spends on deciding and on telling
-// its neighbours what it has.
+// Spread measures a burst member's work for its plan and the traffic of the
+// chunk updates that it exchanges with its peers.
 func Spread() ([]Slope, error) {
-	neighbours := measured(Slope{Name: "spread_neighbours", Of: "members", Unit: "ms", Target: BurstInstances},
+	neighbours := measurePoints(Slope{Name: "spread_neighbours", Of: "members", Unit: "ms", Target: BurstInstances},
 		[]int{130, BurstInstances, 1170, Servers}, func(n int) float64 {
 			plan := planOf(n, 1)
-			return perCall(func() { plan.Neighbours() })
+			return cpuPerCall(func() { plan.Neighbours() })
 		})
-	members := measured(Slope{Name: "spread_first_list", Of: "chunks", Unit: "ms", Target: chunksTarget}, chunkCounts,
-		func(chunks int) float64 { return perCall(func() { planOf(BurstInstances, chunks) }) })
-	memory := measured(Slope{Name: "spread_memory", Of: "chunks", Unit: "B", Target: chunksTarget, Budget: MemoryBudget}, chunkCounts,
-		func(chunks int) float64 { return heapOf(func() *spread.Plan { return connected(chunks) }) })
-	news := Slope{Name: "spread_news", Of: "chunks", Unit: "B/s", Target: chunksTarget, Budget: TrafficBudget}
+	members := measurePoints(Slope{Name: "spread_first_list", Of: "chunks", Unit: "ms", Target: chunksTarget}, chunkCounts,
+		func(chunks int) float64 { return cpuPerCall(func() { planOf(BurstInstances, chunks) }) })
+	memory := measurePoints(Slope{Name: "spread_memory", Of: "chunks", Unit: "B", Target: chunksTarget, Budget: MemoryBudget}, chunkCounts,
+		func(chunks int) float64 { return retainedHeap(func() *spread.Plan { return connected(chunks) }) })
+	updates := Slope{Name: "spread_news", Of: "chunks", Unit: "B/s", Target: chunksTarget, Budget: TrafficBudget}
 	for _, chunks := range chunkCounts {
-		rate, err := newsRate(chunks)
+		rate, err := updateRate(chunks)
 		if err != nil {
 			return nil, err
 		}
-		news.Points = append(news.Points, Point{float64(chunks), rate})
+		updates.Points = append(updates.Points, Point{float64(chunks), rate})
 	}
-	return []Slope{neighbours, members, memory, news}, nil
+	return []Slope{neighbours, members, memory, updates}, nil
 }
 
 func manifestOf(chunks int) weights.Manifest {
@@ -60,29 +61,29 @@
 func membersOf(n int) []spread.Member {
 	members := make([]spread.Member, n)
 	for i := range members {
-		p := phantom(i, 1)
+		p := simInstance(i, 1)
 		members[i] = spread.Member{ID: p.ID, Place: p.Place, Addr: p.PeerAddr}
 	}
 	return members
 }
 
-// planOf is the plan of one member that knows n members.
+// planOf returns the plan of one member in a set of n members.
 func planOf(n, chunks int) *spread.Plan {
 	members := membersOf(n)
 	plan := spread.New(spread.Options{Self: members[0], Manifest: manifestOf(chunks),
-		ManifestDigest: anySaid.Version.Manifest, Rand: newRand(), Start: time.Now()})
+		ManifestDigest: defaultConfig.Version.Manifest, Rand: newRand(), Start: time.Now()})
 	plan.SetMembers(time.Now(), members)
 	return plan
 }
 
-// connected is a plan in the middle of a burst: half of the chunks are here
-// and at each neighbour.
+// connected returns a plan in the middle of a burst: the member and each of
+// its peers hold half of the chunks.
 func connected(chunks int) *spread.Plan {
 	plan := planOf(BurstInstances, chunks)
 	now := time.Now()
 	half := halfOf(chunks)
 	plan.AddHeld(now, half)
-	for _, m := range membersOf(exchanges + 1)[1:] {
+	for _, m := range membersOf(chunkPeers + 1)[1:] {
 		plan.PeerUp(now, m)
 		plan.SetPeerChunks(now, m.ID, weights.SetOf(chunks, half...))
 	}
@@ -97,25 +98,26 @@
 	return half
 }
 
-// newsRate is the bytes a second of news that a member sends and receives over
-// all exchanges, if the chunks arrive evenly within burstTime in any order. A
-// chunk is told twice: once that it is seen somewhere, once that it is here.
-func newsRate(chunks int) (float64, error) {
+// updateRate returns the bytes per second of chunk updates that a member sends
+// and receives over all exchanges, if the chunks arrive at an even rate within
+// burstTime in random order. Each chunk is reported twice: once as seen at any
+// member, once as held by this member.
+func updateRate(chunks int) (float64, error) {
 	order := newRand().Perm(chunks)
-	turns := int(burstTime / newsEvery)
-	sum, told := 0, 0
-	for turn := 1; turn <= turns; turn++ {
-		until := chunks * turn / turns
-		if until == told {
+	rounds := int(burstTime / updateInterval)
+	sum, sent := 0, 0
+	for round := 1; round <= rounds; round++ {
+		end := chunks * round / rounds
+		if end == sent {
 			continue
 		}
-		now := slices.Sorted(slices.Values(order[told:until]))
+		now := slices.Sorted(slices.Values(order[sent:end]))
 		size, err := encodedSize(wire.ChunkUpdate{Have: now, Seen: now})
 		if err != nil {
 			return 0, err
 		}
 		sum += size
-		told = until
+		sent = end
 	}
-	return float64(sum) * exchanges * bothWays / burstTime.Seconds(), nil
+	return float64(sum) * chunkPeers * bothDirections / burstTime.Seconds(), nil
 }
--- a/standin/bench/slopes/stub.go
+++ b/standin/bench/slopes/stub.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	beatEvery   = time.Second
-	reportEvery = 500 * time.Millisecond
-	demandEvery = time.Second
-	// batch is the most records of one message, as core/gossip has it.
-	batch = 256
-	// manifestIndex asks for the manifest, as daemon/swarm has it.
+	heartbeatInterval = time.Second
+	reportInterval    = 500 * time.Millisecond
+	demandInterval    = time.Second
+	// maxRecords limits the records of one message. It matches core/gossip.
+	maxRecords = 256
+	// manifestIndex requests the manifest. It matches daemon/swarm.
 	manifestIndex = -1
 )
 
-// stub stands for one process of a made-up fleet towards the one that is
-// measured: it speaks the protocol of daemon/wire and decides nothing. It says
-// that it knows the whole fleet and that nothing changes, but for the changes
-// that it is asked to make.
+// stub replaces one process of a simulated fleet towards the measured process:
+// it implements the protocol of daemon/wire without any decisions. It reports
+// that it knows the whole fleet and that nothing changes, except for the rate
+// of changes that is set.
 type stub struct {
-	crowd    *crowd
+	sim      *simFleet
 	self     gossip.Record
 	endpoint *peer.Endpoint
 	cancel   context.CancelFunc
-	// changes is how many processes' states change in a second, as it reports.
+	// changes is the number of state changes per second that it reports.
 	changes atomic.Int64
 }
 
-// newStub makes the process that phantom names and sets its address.
-func newStub(c *crowd, authority *pki.Authority, phantom *fleet.Instance) (*stub, error) {
-	files, err := authority.WriteFiles(filepath.Join(c.fleet.Dir(), "stubs"), phantom.Role, phantom.ID)
+// newStub starts the stub of instance and sets the instance's address.
+func newStub(c *simFleet, authority *pki.Authority, instance *fleet.Instance) (*stub, error) {
+	files, err := authority.WriteFiles(filepath.Join(c.fleet.Dir(), "stubs"), instance.Role, instance.ID)
 	if err != nil {
 		return nil, err
 	}
@@ -50,13 +50,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &stub{crowd: c}
+	s := &stub{sim: c}
 	s.endpoint, err = peer.New(peer.Options{Listen: local.AnyPort, Keys: store, Handler: s})
 	if err != nil {
 		return nil, err
 	}
-	phantom.PeerAddr = s.endpoint.Addr()
-	s.self = recordOf(*phantom, c.said)
+	instance.PeerAddr = s.endpoint.Addr()
+	s.self = recordOf(*instance, c.config)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	go func() { _ = s.endpoint.Run(ctx) }()
@@ -68,8 +68,8 @@
 	_ = s.endpoint.Close()
 }
 
-// wireBytes is what crossed the link to and from the measured process, with
-// the headers of UDP and IPv4.
+// wireBytes returns the bytes sent to and received from the measured process,
+// including UDP and IPv4 headers.
 func (s *stub) wireBytes() float64 {
 	const headers = 28
 	stats := s.endpoint.Stats()
@@ -89,7 +89,8 @@
 	}
 }
 
-// dial opens a stream to the measured process and speaks on it until ctx ends.
+// dial opens a stream to the measured process and runs speak on it, again
+// after each failure, until ctx ends.
 func (s *stub) dial(ctx context.Context, to fleet.Instance, kind peer.Kind, speak func(context.Context, *peer.Stream)) {
 	const again = 300 * time.Millisecond
 	for ctx.Err() == nil {
@@ -102,31 +103,31 @@
 	}
 }
 
-// gossip does what a process does with a neighbour: it sends its own record, a
-// heartbeat of everyone, and whole records of those that are asked for; after
-// that its own heartbeat each second with relayed ones of the zone and, while
-// asked to, changes.
+// gossip implements a gossip neighbour. It sends its own record, heartbeats of
+// all processes, and complete records on request. After that it sends its own
+// heartbeat every second, with relayed heartbeats of the zone and the state
+// changes that are set.
 func (s *stub) gossip(ctx context.Context, st *peer.Stream) {
-	asked := make(chan []gossip.Record, 1)
-	go s.hear(ctx, st, asked)
-	if s.tellAll(st, append([]gossip.Record{s.self}, s.crowd.heartbeats()...)) != nil {
+	requested := make(chan []gossip.Record, 1)
+	go s.receiveRequests(ctx, st, requested)
+	if s.sendAll(st, append([]gossip.Record{s.self}, s.sim.heartbeats()...)) != nil {
 		return
 	}
-	ticker := time.NewTicker(beatEvery)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	for beat := uint64(firstBeat + 1); ; {
+	for seq := uint64(firstHeartbeat + 1); ; {
 		var err error
 		select {
 		case <-ctx.Done():
 			return
-		case records, more := <-asked:
+		case records, more := <-requested:
 			if !more {
 				return
 			}
-			err = s.tellAll(st, records)
+			err = s.sendAll(st, records)
 		case <-ticker.C:
-			err = s.tell(st, s.second(beat))
-			beat++
+			err = s.send(st, s.second(seq))
+			seq++
 		}
 		if err != nil {
 			return
@@ -134,10 +135,10 @@
 	}
 }
 
-// hear reads what the measured process sends and hands on what it asks for,
-// until the stream ends.
-func (s *stub) hear(ctx context.Context, st *peer.Stream, asked chan<- []gossip.Record) {
-	defer close(asked)
+// receiveRequests reads the messages of the measured process and forwards the
+// records that it requests, until the stream ends.
+func (s *stub) receiveRequests(ctx context.Context, st *peer.Stream, requested chan<- []gossip.Record) {
+	defer close(requested)
 	for {
 		var message wire.Gossip
 		if st.Recv(&message) != nil {
@@ -145,111 +146,112 @@
 		}
 		var wanted []gossip.Record
 		for _, r := range message.Records {
-			if whole, known := s.crowd.byID[r.ID]; known && r.IsRequest() {
-				wanted = append(wanted, whole)
+			if complete, known := s.sim.byID[r.ID]; known && r.IsRequest() {
+				wanted = append(wanted, complete)
 			}
 		}
 		if len(wanted) == 0 {
 			continue
 		}
 		select {
-		case asked <- wanted:
+		case requested <- wanted:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// second is the message of one quiet second.
-func (s *stub) second(beat uint64) []gossip.Record {
-	message := []gossip.Record{heartbeat(s.self, beat)}
-	if s.self.Zone == s.crowd.measured.Zone {
-		message = append(message, s.relay(beat)...)
+// second returns the message for one second.
+func (s *stub) second(seq uint64) []gossip.Record {
+	message := []gossip.Record{heartbeat(s.self, seq)}
+	if s.self.Zone == s.sim.measured.Zone {
+		message = append(message, s.relay(seq)...)
 	}
-	return append(message, s.changed(beat)...)
+	return append(message, s.changed(seq)...)
 }
 
-func (s *stub) tellAll(st *peer.Stream, records []gossip.Record) error {
-	for start := 0; start < len(records); start += batch {
-		if err := s.tell(st, records[start:min(start+batch, len(records))]); err != nil {
+func (s *stub) sendAll(st *peer.Stream, records []gossip.Record) error {
+	for start := 0; start < len(records); start += maxRecords {
+		if err := s.send(st, records[start:min(start+maxRecords, len(records))]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *stub) tell(st *peer.Stream, records []gossip.Record) error {
-	return st.Send(wire.Gossip{Records: records, Revision: s.crowd.said.Revision, Digest: s.crowd.said.Digest})
+func (s *stub) send(st *peer.Stream, records []gossip.Record) error {
+	return st.Send(wire.Gossip{Records: records, Revision: s.sim.config.Revision, Digest: s.sim.config.Digest})
 }
 
-// relay is the next part of the zone's heartbeats.
-func (s *stub) relay(beat uint64) []gossip.Record {
-	zone := s.crowd.zone
+// relay returns the next part of the zone's heartbeats.
+func (s *stub) relay(seq uint64) []gossip.Record {
+	zone := s.sim.zone
 	var records []gossip.Record
-	for i := range min(relayed, len(zone)) {
-		records = append(records, heartbeat(zone[(int(beat)*relayed+i)%len(zone)], beat))
+	for i := range min(relayedPerSecond, len(zone)) {
+		records = append(records, heartbeat(zone[(int(seq)*relayedPerSecond+i)%len(zone)], seq))
 	}
 	return records
 }
 
-// changed are replicas whose state changes now, others in each second.
-func (s *stub) changed(beat uint64) []gossip.Record {
+// changed returns records of replicas whose state changes now, different ones
+// each second.
+func (s *stub) changed(seq uint64) []gossip.Record {
 	var records []gossip.Record
-	all := s.crowd.records
+	all := s.sim.records
 	for i := range s.changes.Load() {
-		r := all[(int(beat)*int(s.changes.Load())+int(i))*Zones%len(all)]
+		r := all[(int(seq)*int(s.changes.Load())+int(i))*Zones%len(all)]
 		if r.Role != fleet.RoleAgent || r.ID == s.self.ID {
 			continue
 		}
-		r.StateSeq, r.HeartbeatSeq = beat, beat
+		r.StateSeq, r.HeartbeatSeq = seq, seq
 		r.State = gossip.StateChanging
 		records = append(records, r)
 	}
 	return records
 }
 
-// report sends a load each half second, as an agent does, or what workspaces
-// demand each second, as an entry does.
+// report sends a load report every half second, as an agent does, or the
+// demand of workspaces every second, as an entry does.
 func (s *stub) report(ctx context.Context, st *peer.Stream) {
 	if s.self.Role == fleet.RoleEntry {
-		repeat(ctx, demandEvery, func(int) error { return st.Send(demandOf()) })
+		repeat(ctx, demandInterval, func(int) error { return st.Send(demandOf()) })
 		return
 	}
-	s.crowd.following.Add(1)
-	defer s.crowd.following.Add(-1)
-	repeat(ctx, reportEvery, func(i int) error { return st.Send(reportOf(s.self.Service, s.crowd.said.Version, i)) })
+	s.sim.openReportStreams.Add(1)
+	defer s.sim.openReportStreams.Add(-1)
+	repeat(ctx, reportInterval, func(i int) error { return st.Send(reportOf(s.self.Service, s.sim.config.Version, i)) })
 }
 
-// repeat sends until that fails or ctx ends.
+// repeat calls send at intervals until it fails or ctx ends.
 func repeat(ctx context.Context, every time.Duration, send func(i int) error) {
 	for i := 0; send(i) == nil && wait(ctx, every); i++ {
 	}
 }
 
-// subscribe takes the reports of the measured process, as an entry does.
+// subscribe receives the reports of the measured process, as an entry does.
 func (s *stub) subscribe(_ context.Context, st *peer.Stream) {
 	var first cbor.RawMessage
 	if st.Send(wire.ReportRequest{}) != nil || st.Recv(&first) != nil {
 		return
 	}
-	s.crowd.following.Add(1)
-	defer s.crowd.following.Add(-1)
+	s.sim.openReportStreams.Add(1)
+	defer s.sim.openReportStreams.Add(-1)
 	discard[cbor.RawMessage](st)
 }
 
-// chunk exchanges news of chunks, or sends one.
+// chunk serves a chunk exchange, or sends one chunk or the manifest.
 func (s *stub) chunk(ctx context.Context, st *peer.Stream) {
 	var open wire.ChunkRequest
 	if st.Recv(&open) != nil {
 		return
 	}
 	if open.Exchange {
-		s.news(ctx, st)
+		s.sendChunkUpdate(ctx, st)
 		return
 	}
-	data := s.crowd.model.Encoded
+	data := s.sim.model.Encoded
 	if open.Index != manifestIndex {
-		data = s.crowd.model.Chunks[open.Index]
+		data = s.sim.model.Chunks[open.Index]
 	}
 	if st.Send(wire.ChunkHeader{Status: wire.ChunkFollows, Bytes: len(data)}) == nil {
 		_ = st.SendBytes(data)
@@ -257,17 +259,17 @@
 	}
 }
 
-// exchange opens an exchange of news, as a neighbour does.
+// exchange opens a chunk exchange, as a neighbour does.
 func (s *stub) exchange(ctx context.Context, st *peer.Stream) {
-	if st.Send(wire.ChunkRequest{Manifest: s.crowd.said.Version.Manifest, Exchange: true}) == nil {
-		s.news(ctx, st)
+	if st.Send(wire.ChunkRequest{Manifest: s.sim.config.Version.Manifest, Exchange: true}) == nil {
+		s.sendChunkUpdate(ctx, st)
 	}
 }
 
-// news reports that every chunk is held here.
-func (s *stub) news(_ context.Context, st *peer.Stream) {
+// sendChunkUpdate reports that this stub holds every chunk.
+func (s *stub) sendChunkUpdate(_ context.Context, st *peer.Stream) {
 	var all []int
-	for i := range s.crowd.model.Chunks {
+	for i := range s.sim.model.Chunks {
 		all = append(all, i)
 	}
 	if st.Send(wire.ChunkUpdate{Have: all, Seen: all}) == nil {
@@ -282,7 +284,7 @@
 	}
 }
 
-// wait reports false if ctx ended first.
+// wait waits for d. It returns false if ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/standin/bench/slopes/text.go
+++ b/standin/bench/slopes/text.go
@@ -14,17 +14,18 @@
 	"chivespindle.example/core/gossip"
 )
 
-// maxText is the largest text that the platform holds, in bytes.
-const maxText = 1 << 20
+// maxConfigBytes is the largest configuration that the platform stores.
+const maxConfigBytes = 1 << 20
 
-// textSizes are in services of about 130 bytes each; the last is just below
-// maxText.
-var textSizes = []int{80, 800, 7900}
+// serviceSizes are numbers of services of about 130 bytes each; the last is
+// just below maxConfigBytes.
+var serviceSizes = []int{80, 800, 7900}
 
-// oldTimeout and newTimeout are the change of one section.
+// oldTimeout and newTimeout are the values before and after the change of one
+// section.
 const oldTimeout, newTimeout = "45s", "46s"
 
-func textOf(services int) []byte {
+func configOf(services int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[fleet]\nname = large\n[version v1]\nmanifest = %s\n", fleet.DigestOf([]byte("v1")))
 	for i := range services {
@@ -34,16 +35,17 @@
 	return b.Bytes()
 }
 
-// Text measures the operators' text by its size: what it keeps in memory, what
-// a watcher spends on a change that it reads whole, and what the others spend
-// on the changed section that a peer sends.
+// Text measures the operator's configuration by its size: the memory that it
+// retains, the processor time of a watcher that reads a changed configuration
+// completely, and that of the other processes, which apply the changed section
+// that a peer sends.
 func Text() ([]Slope, error) {
-	kept := Slope{Name: "text_memory", Of: "text_bytes", Unit: "B", Target: maxText, Budget: MemoryBudget}
-	whole := Slope{Name: "text_reload", Of: "text_bytes", Unit: "ms", Target: maxText}
-	delta := Slope{Name: "text_apply", Of: "text_bytes", Unit: "ms", Target: maxText}
-	sent := Slope{Name: "text_delta", Of: "text_bytes", Unit: "B", Target: maxText}
-	for _, services := range textSizes {
-		text := textOf(services)
+	kept := Slope{Name: "text_memory", Of: "text_bytes", Unit: "B", Target: maxConfigBytes, Budget: MemoryBudget}
+	whole := Slope{Name: "text_reload", Of: "text_bytes", Unit: "ms", Target: maxConfigBytes}
+	delta := Slope{Name: "text_apply", Of: "text_bytes", Unit: "ms", Target: maxConfigBytes}
+	sent := Slope{Name: "text_delta", Of: "text_bytes", Unit: "B", Target: maxConfigBytes}
+	for _, services := range serviceSizes {
+		text := configOf(services)
 		base, err := fleettext.Load("text", text)
 		if err != nil {
 			return nil, err
@@ -59,15 +61,15 @@
 			return nil, err
 		}
 		bytes := float64(len(text))
-		kept.Points = append(kept.Points, Point{bytes, heapOf(func() *fleettext.Fleet { return mustLoad(text) })})
-		whole.Points = append(whole.Points, Point{bytes, perCall(func() { _, _ = fleettext.Reload("text", changed, base) })})
-		delta.Points = append(delta.Points, Point{bytes, perCall(func() { _, _ = fleettext.Apply("text", base, d) })})
+		kept.Points = append(kept.Points, Point{bytes, retainedHeap(func() *fleettext.Fleet { return mustLoad(text) })})
+		whole.Points = append(whole.Points, Point{bytes, cpuPerCall(func() { _, _ = fleettext.Reload("text", changed, base) })})
+		delta.Points = append(delta.Points, Point{bytes, cpuPerCall(func() { _, _ = fleettext.Apply("text", base, d) })})
 		sent.Points = append(sent.Points, Point{bytes, float64(size)})
 	}
 	return []Slope{kept, whole, delta, sent}, nil
 }
 
-// mustLoad loads a text that was loaded before.
+// mustLoad loads a configuration that is known to be valid.
 func mustLoad(text []byte) *fleettext.Fleet {
 	f, err := fleettext.Load("text", text)
 	if err != nil {
@@ -76,25 +78,25 @@
 	return f
 }
 
-// ListBody names the slope of the size of the instance list.
+// ListBody is the name of the slope for the size of the instance list.
 const ListBody = "list_body"
 
 // List measures one read of the platform's instance list: the bytes of its
-// body and the time to read and check it, and to take it into the table.
+// body, and the processor time to read and check it and to update the table.
 func List() ([]Slope, error) {
 	body := Slope{Name: ListBody, Of: "fleet_processes", Unit: "B", Target: Processes}
 	read := Slope{Name: "list_read", Of: "fleet_processes", Unit: "ms", Target: Processes}
 	for _, n := range fleetSizes {
-		raw, err := json.Marshal(phantoms(n, manyServices))
+		raw, err := json.Marshal(simInstances(n, manyServices))
 		if err != nil {
 			return nil, failure.Internal.Wrap(err, "encode the list")
 		}
 		list, err := platform.NewInstanceList(platform.InstanceListOptions{
-			BaseURL: "http://127.0.0.1:1", Client: &http.Client{Transport: canned(raw)}})
+			BaseURL: "http://127.0.0.1:1", Client: &http.Client{Transport: cannedTransport(raw)}})
 		if err != nil {
 			return nil, err
 		}
-		k := newKnown(n)
+		k := newNodeTable(n)
 		cost, err := readCost(list, k)
 		if err != nil {
 			return nil, err
@@ -105,9 +107,9 @@
 	return []Slope{body, read}, nil
 }
 
-func readCost(list gossip.InstanceList, k *known) (float64, error) {
+func readCost(list gossip.InstanceList, k *nodeTable) (float64, error) {
 	var failed error
-	cost := perCall(func() {
+	cost := cpuPerCall(func() {
 		instances, err := list.Instances(background)
 		if err != nil {
 			failed = err
@@ -118,11 +120,12 @@
 	return cost, failed
 }
 
-// canned answers every request with one body, without a socket.
-type canned []byte
+// cannedTransport responds to every request with the same body, without a
+// socket.
+type cannedTransport []byte
 
 // RoundTrip implements http.RoundTripper.
-func (c canned) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c cannedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	return &http.Response{
 		StatusCode:    http.StatusOK,
 		ProtoMajor:    1,
--- a/standin/bench/slopes/usage/usage.go
+++ b/standin/bench/slopes/usage/usage.go
@@ -1,6 +1,6 @@
-// Package usage reads what a process has used of the machine, by what the
-// kernel counts for it: processor time is not stretched when the machine is
-// busy with other work, as elapsed time is.
+// Package usage reads the resource usage of a process from the kernel's
+// counters. Unlike elapsed time, processor time does not grow when the machine
+// is busy with other work.
 package usage
 
 import (
@@ -19,16 +19,16 @@
 	"chivespindle.example/core/failure"
 )
 
-// Reading is what a process has used so far.
+// Reading is the resource usage of a process so far.
 type Reading struct {
 	CPU time.Duration // user and system
 	RSS float64       // resident bytes
 }
 
-// Of reads a process. The processor time is the sum over its threads, in
-// nanoseconds: the ticks of 10 ms in /proc/<pid>/stat are too coarse for a
-// process that uses one of them in a second. A thread that has ended is not
-// counted; the Go runtime keeps its threads.
+// Of reads the usage of a process. The processor time is the sum over its
+// threads, in nanoseconds: the ticks of 10 ms in /proc/<pid>/stat are too
+// coarse for a process that uses one of them per second. A thread that has
+// ended is not counted; the Go runtime keeps its threads.
 func Of(pid int) (Reading, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	threads, err := filepath.Glob(filepath.Join(dir, "task", "*", "schedstat"))
@@ -39,7 +39,7 @@
 	for _, path := range threads {
 		used, err := firstNumber(path, 0)
 		if err != nil {
-			continue // a thread that ended meanwhile
+			continue // the thread has ended
 		}
 		r.CPU += time.Duration(used)
 	}
@@ -77,14 +77,14 @@
 // Heap returns the bytes of live objects of this process.
 func Heap() float64 {
 	runtime.GC()
-	runtime.GC() // the first one only empties the pools halfway
+	runtime.GC() // a sync.Pool is emptied only by the second collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
 // Load returns the machine's load average of the last minute, to be printed
-// beside what was measured; 0 where the kernel does not tell.
+// with the measurements. It returns 0 if the kernel does not provide one.
 func Load() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -98,10 +98,10 @@
 	return load
 }
 
-// Metrics is a process's page of metrics, summed over the tags of each name.
+// Metrics holds the metrics of a process, summed over the tags of each name.
 type Metrics map[string]float64
 
-// Names on the page.
+// Names of metrics.
 const (
 	Mallocs     = "go_memstats_mallocs_total"
 	SentBytes   = "chivespindle_bytes_sent" // of frames to peers
@@ -109,7 +109,7 @@
 	ConfigCalls = "chivespindle_platform_config_calls"
 )
 
-// MetricsOf reads the page at an operators' address.
+// MetricsOf reads the metrics endpoint at the operations address of a process.
 func MetricsOf(ops netip.AddrPort) (Metrics, error) {
 	const timeout = 5 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/standin/bench/slopes/usage/usage_test.go
+++ b/standin/bench/slopes/usage/usage_test.go
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("the usage of a process", func() {
-	It("is read from the kernel", func() {
+	It("is read from the kernel's counters", func() {
 		r, err := Of(os.Getpid())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.CPU).To(BeNumerically(">", 0))
@@ -28,14 +28,14 @@
 		Expect(Heap()).To(BeNumerically(">", 0))
 	})
 
-	It("fails for a process that is not there", func() {
+	It("returns NotFound for a process that does not exist", func() {
 		const noSuchProcess = 1 << 30
 		_, err := Of(noSuchProcess)
 		Expect(errorx.IsOfType(err, failure.NotFound)).To(BeTrue(), "%v", err)
 	})
 })
 
-var _ = Describe("a page of metrics", func() {
+var _ = Describe("a metrics response", func() {
 	It("is summed over the tags of a name", func() {
 		page := "# HELP x y\nchivespindle_bytes_sent{kind=\"gossip\"} 10\nchivespindle_bytes_sent{kind=\"re port\"} 2.5e+06\n\ngo_memstats_mallocs_total 7\n"
 		m, err := parse(bufio.NewScanner(strings.NewReader(page)))
@@ -43,7 +43,7 @@
 		Expect(m).To(Equal(Metrics{SentBytes: 2500010, Mallocs: 7}))
 	})
 
-	It("is refused whole if a value is none", func() {
+	It("is rejected if a value is not a number", func() {
 		_, err := parse(bufio.NewScanner(strings.NewReader("a 1\nb many\n")))
 		Expect(errorx.IsOfType(err, failure.Corrupt)).To(BeTrue(), "%v", err)
 	})
--- a/standin/bench/slopes/zone.go
+++ b/standin/bench/slopes/zone.go
@@ -11,16 +11,16 @@
 	"chivespindle.example/daemon/wire"
 )
 
-// zone runs the tables of all processes of one availability zone on one clock,
-// without sockets. What is sent in one tick arrives in that tick and is passed
-// on in the next.
-type zone struct {
+// simZone runs the gossip tables of all processes of one availability zone on
+// a simulated clock, without sockets. Messages sent in one tick arrive in that
+// tick and are passed on in the next.
+type simZone struct {
 	now    time.Time
 	ids    []fleet.InstanceID
 	tables map[fleet.InstanceID]*gossip.Table
 	links  map[pair]bool
-	// While counting: the bytes of messages, and of the states in them, over all
-	// links and both directions.
+	// While counting is set, bytes counts the bytes of messages and states those
+	// of the records with a state, over all links and both directions.
 	counting      bool
 	bytes, states int
 }
@@ -34,15 +34,15 @@
 	return pair{a, b}
 }
 
-func newZone(n int) *zone {
-	z := &zone{now: time.Now(), tables: make(map[fleet.InstanceID]*gossip.Table), links: make(map[pair]bool)}
+func newSimZone(n int) *simZone {
+	z := &simZone{now: time.Now(), tables: make(map[fleet.InstanceID]*gossip.Table), links: make(map[pair]bool)}
 	var list []fleet.Instance
 	for i := range n {
-		instance := phantom(i, 1)
-		instance.Place = phantom(0, 1).Place
+		instance := simInstance(i, 1)
+		instance.Place = simInstance(0, 1).Place
 		list = append(list, instance)
 		z.ids = append(z.ids, instance.ID)
-		z.tables[instance.ID] = gossip.New(gossip.Options{Self: recordOf(instance, anySaid)})
+		z.tables[instance.ID] = gossip.New(gossip.Options{Self: recordOf(instance, defaultConfig)})
 	}
 	for _, id := range z.ids {
 		z.tables[id].SetListed(z.now, list)
@@ -50,9 +50,10 @@
 	return z
 }
 
-// tick is one second: everyone beats, links follow the choices, and each link
-// carries one message each way.
-func (z *zone) tick() error {
+// tick advances the clock by one second: all processes increment their
+// heartbeats, links are updated, and each link carries one message in each
+// direction.
+func (z *simZone) tick() error {
 	z.now = z.now.Add(time.Second)
 	for _, id := range z.ids {
 		z.tables[id].Heartbeat(z.now)
@@ -78,7 +79,7 @@
 }
 
 // connect opens the links that either end has chosen and closes the others.
-func (z *zone) connect() {
+func (z *simZone) connect() {
 	wanted := make(map[pair]bool)
 	for _, id := range z.ids {
 		for _, contact := range z.tables[id].Neighbours(z.now) {
@@ -98,17 +99,17 @@
 	z.links = wanted
 }
 
-func (z *zone) reset(p pair) {
+func (z *simZone) reset(p pair) {
 	z.tables[p.a].ResetPeer(p.b)
 	z.tables[p.b].ResetPeer(p.a)
 }
 
-// count adds the encoded size of a message.
-func (z *zone) count(records []gossip.Record) error {
+// count adds the encoded size of a message while counting is set.
+func (z *simZone) count(records []gossip.Record) error {
 	if !z.counting {
 		return nil
 	}
-	size, err := encodedSize(wire.Gossip{Records: records, Revision: anySaid.Revision, Digest: anySaid.Digest})
+	size, err := encodedSize(wire.Gossip{Records: records, Revision: defaultConfig.Revision, Digest: defaultConfig.Digest})
 	if err != nil {
 		return err
 	}
@@ -134,8 +135,9 @@
 	return len(raw), nil
 }
 
-// known reports whether everyone has heard of everyone.
-func (z *zone) known() bool {
+// isComplete reports whether every process has received a record of every
+// other.
+func (z *simZone) isComplete() bool {
 	for _, id := range z.ids {
 		for _, p := range z.tables[id].View(z.now).Peers {
 			if p.State == "" {
@@ -147,26 +149,29 @@
 }
 
 const (
-	// longestAcquaintance bounds the ticks until everyone knows everyone.
-	longestAcquaintance = 60
+	// maxSettleTicks limits the ticks until isComplete.
+	maxSettleTicks = 60
 	// relayTicks is the relay interval of the largest zone: a heartbeat of each
 	// process crosses each link once within it.
 	relayTicks = 22
-	// changeTicks and changesPerTick are the states changed by turns.
+	// changeTicks is the number of ticks with state changes, changesPerTick the
+	// number of processes that change in each, in turn.
 	changeTicks, changesPerTick = 8, 5
-	// spreadTicks is how long the last change takes to reach everyone.
+	// spreadTicks is the number of ticks for the last change to reach every
+	// process.
 	spreadTicks = 10
-	// bothWays: each byte is sent by one process and received by another.
-	bothWays = 2
+	// bothDirections counts each byte at its sender and at its receiver.
+	bothDirections = 2
 )
 
-// ZoneGossip measures what heartbeats and changes of state cost a process, in
-// bytes of messages sent and received, by the size of its availability zone.
+// ZoneGossip measures the traffic of heartbeats and state changes per process,
+// in bytes of messages sent and received, by the size of its availability
+// zone.
 func ZoneGossip(sizes []int) ([]Slope, error) {
 	quiet := Slope{Name: "zone_heartbeats", Of: "zone_processes", Unit: "B/s", Target: ZoneProcesses, Budget: TrafficBudget}
 	change := Slope{Name: "zone_change", Of: "zone_processes", Unit: "B", Target: ZoneProcesses}
 	for _, n := range sizes {
-		z := newZone(n)
+		z := newSimZone(n)
 		if err := z.settle(); err != nil {
 			return nil, err
 		}
@@ -180,11 +185,11 @@
 	return []Slope{quiet, change}, nil
 }
 
-// settle runs until everyone knows everyone, and one relay interval longer.
-func (z *zone) settle() error {
-	for tick := 0; tick == 0 || !z.known(); tick++ {
-		if tick == longestAcquaintance {
-			return failure.Timeout.New("%d processes do not know each other after %d s", len(z.ids), tick)
+// settle runs until isComplete, and one relay interval longer.
+func (z *simZone) settle() error {
+	for tick := 0; tick == 0 || !z.isComplete(); tick++ {
+		if tick == maxSettleTicks {
+			return failure.Timeout.New("%d processes do not all have each other's records after %d s", len(z.ids), tick)
 		}
 		if err := z.tick(); err != nil {
 			return err
@@ -193,17 +198,17 @@
 	return z.ticks(relayTicks, func(int) {})
 }
 
-// measure returns the bytes a second of a process in quiet times, and those
-// that one change of one process's state adds for each process.
-func (z *zone) measure() (quiet, change float64, err error) {
+// measure returns the bytes per second of a process without state changes, and
+// the bytes per process that one state change of one process adds.
+func (z *simZone) measure() (quiet, change float64, err error) {
 	z.counting = true
 	if err := z.ticks(relayTicks, func(int) {}); err != nil {
 		return 0, 0, err
 	}
-	each := bothWays / float64(len(z.ids))
+	each := bothDirections / float64(len(z.ids))
 	quiet = float64(z.bytes) * each / relayTicks
 	z.states = 0
-	if err := z.ticks(changeTicks, z.flip); err != nil {
+	if err := z.ticks(changeTicks, z.changeStates); err != nil {
 		return 0, 0, err
 	}
 	if err := z.ticks(spreadTicks, func(int) {}); err != nil {
@@ -212,8 +217,8 @@
 	return quiet, float64(z.states) * each / (changeTicks * changesPerTick), nil
 }
 
-// ticks runs n seconds and calls change before each.
-func (z *zone) ticks(n int, change func(tick int)) error {
+// ticks runs n ticks and calls change before each.
+func (z *simZone) ticks(n int, change func(tick int)) error {
 	for tick := range n {
 		change(tick)
 		if err := z.tick(); err != nil {
@@ -223,8 +228,8 @@
 	return nil
 }
 
-// flip changes the state of a few processes.
-func (z *zone) flip(tick int) {
+// changeStates changes the state of the next changesPerTick processes.
+func (z *simZone) changeStates(tick int) {
 	for i := range changesPerTick {
 		id := z.ids[(tick*changesPerTick+i)%len(z.ids)]
 		z.tables[id].UpdateSelf(func(r *gossip.Record) {
