--- a/standin/bench/slopes/fit.go
+++ b/standin/bench/slopes/fit.go
@@ -67,9 +67,9 @@
 
 // Sources of a cost at the target.
 const (
-	Measured  Source = "measured"   // measured at the target size
-	Fitted    Source = "fitted"     // extrapolated with the fitted line
-	WorkedOut Source = "worked_out" // calculated from other values
+	Measured   Source = "measured"   // measured at the target size
+	Fitted     Source = "fitted"     // extrapolated with the fitted line
+	Calculated Source = "worked_out" // calculated from other values
 )
 
 // AtTarget returns the cost at the target: the measured value if one of the
@@ -125,7 +125,7 @@
 
 // String returns the line that the program prints.
 func (f Figure) String() string {
-	return fmt.Sprintf("capacity=%s unit=%s", f.Name, f.Unit) + atTarget(f.At, WorkedOut, f.Budget) + " how=" + f.How
+	return fmt.Sprintf("capacity=%s unit=%s", f.Name, f.Unit) + atTarget(f.At, Calculated, f.Budget) + " how=" + f.How
 }
 
 // formatValue formats a value with four significant digits and no exponent.
--- a/standin/bench/slopes/target.go
+++ b/standin/bench/slopes/target.go
@@ -26,11 +26,11 @@
 
 // Budgets of a node for control tasks, and of the platform for all readers.
 const (
-	CPUBudget      = 11.0     // ms of processor time per second: 1.1% of a core
-	MemoryBudget   = 64e6     // bytes
-	TrafficBudget  = 23_000.0 // bytes per second, sent and received
-	PlatformBudget = 2000.0   // calls per second
-	InForceBudget  = 4000.0   // ms until a change is active everywhere
+	CPUBudget        = 11.0     // ms of processor time per second: 1.1% of a core
+	MemoryBudget     = 64e6     // bytes
+	TrafficBudget    = 23_000.0 // bytes per second, sent and received
+	PlatformBudget   = 2000.0   // calls per second
+	ActivationBudget = 4000.0   // ms until a change is active everywhere
 )
 
 // Intervals of the daemon. They match daemon/node and the settings.
