--- a/standin/bench/burst/baseline.go
+++ b/standin/bench/burst/baseline.go
@@ -9,20 +9,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Baselines are worked out on the same links without any protocol, which
-// flatters them: no packets, no checks, no control traffic.
+// Baselines run on links of the same rate without any protocol: no packets, no
+// checks, no control traffic. Their results are therefore optimistic.
 
-// baselineShare is the part of the model that a baseline moves. What counts is
-// the ratio to the bound, and sixty-four whole copies from the origin would
-// take a minute.
-const baselineShare = 8
+// baselineDivisor is the factor by which a baseline transfers less than the
+// model. Only the ratio to the bound matters, and sixty-four complete copies
+// from the origin would take a minute.
+const baselineDivisor = 8
 
 const (
-	baselineBytes  = ModelBytes / baselineShare
+	baselineBytes  = ModelBytes / baselineDivisor
 	baselineChunks = baselineBytes / ChunkBytes
 )
 
-// BaselineResult is what one baseline came to.
+// BaselineResult holds the measurements of one baseline.
 type BaselineResult struct {
 	Baseline      string
 	Fault         Fault
@@ -38,45 +38,46 @@
 		r.Baseline, r.Fault, r.Instances, r.OriginCopies, r.TimeOverBound, r.Serving)
 }
 
-// newLimiter returns a link's rate without the first burst, which would carry
-// one chunk through a whole chain in no time.
+// newLimiter returns a limiter for a link's rate with its initial burst already
+// spent; the burst would let one chunk pass a whole chain without delay.
 func newLimiter(bytesPerSecond int) *rate.Limiter {
 	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), ChunkBytes)
 	limiter.AllowN(time.Now(), ChunkBytes)
 	return limiter
 }
 
-// Direct lets every instance draw the whole from the origin.
+// Direct measures every instance fetching all chunks from the origin.
 func Direct(n int) BaselineResult {
 	origin := newLimiter(OriginRate)
 	started := time.Now()
 	var done sync.WaitGroup
 	for range n {
 		done.Go(func() {
-			own := newLimiter(MachineRate)
+			link := newLimiter(MachineRate)
 			for range baselineChunks {
 				_ = origin.WaitN(context.Background(), ChunkBytes)
-				_ = own.WaitN(context.Background(), ChunkBytes)
+				_ = link.WaitN(context.Background(), ChunkBytes)
 			}
 		})
 	}
 	done.Wait()
 	return BaselineResult{Baseline: "direct", Fault: FaultNone, Instances: n, OriginCopies: float64(n),
-		TimeOverBound: overBound(n, time.Since(started)), Serving: n}
+		TimeOverBound: timeOverBound(n, time.Since(started)), Serving: n}
 }
 
-// overBound is the ratio to the bound of the baseline's part of the model.
-func overBound(n int, took time.Duration) float64 {
-	return took.Seconds() * baselineShare / Bound(n).Seconds()
+// timeOverBound returns the ratio of took to the bound, scaled to the part of
+// the model that a baseline transfers.
+func timeOverBound(n int, took time.Duration) float64 {
+	return took.Seconds() * baselineDivisor / Bound(n).Seconds()
 }
 
-// chainWait is how many bounds a chain that broke is waited for.
-const chainWait = 4
+// chainWaitBounds is the timeout of a broken chain, as a multiple of the bound.
+const chainWaitBounds = 4
 
-// Chain lets each instance copy from the one before it, the first from the
-// origin. With FaultKill one in the middle dies half way.
+// Chain measures each instance fetching from its predecessor, the first from
+// the origin. With FaultKill the middle instance stops half way.
 func Chain(n int, fault Fault) BaselineResult {
-	ctx, cancel := context.WithTimeout(context.Background(), chainWait*Bound(n)/baselineShare+time.Duration(n)*chunkTime)
+	ctx, cancel := context.WithTimeout(context.Background(), chainWaitBounds*Bound(n)/baselineDivisor+time.Duration(n)*chunkTime)
 	defer cancel()
 	links := make([]chan struct{}, n+1)
 	for i := range links {
@@ -87,38 +88,38 @@
 	}
 	started := time.Now()
 	var done sync.WaitGroup
-	whole := make([]bool, n)
+	complete := make([]bool, n)
 	for i := range n {
 		chunks := baselineChunks
 		if fault == FaultKill && i == n/2 {
 			chunks /= 2
 		}
-		done.Go(func() { whole[i] = copyAlong(ctx, links[i], links[i+1], chunks) == baselineChunks })
+		done.Go(func() { complete[i] = relayChunks(ctx, links[i], links[i+1], chunks) == baselineChunks })
 	}
 	done.Wait()
-	r := BaselineResult{Baseline: "chain", Fault: fault, Instances: n, OriginCopies: 1, TimeOverBound: overBound(n, time.Since(started))}
-	for _, w := range whole {
-		if w {
+	r := BaselineResult{Baseline: "chain", Fault: fault, Instances: n, OriginCopies: 1, TimeOverBound: timeOverBound(n, time.Since(started))}
+	for _, c := range complete {
+		if c {
 			r.Serving++
 		}
 	}
 	return r
 }
 
-// chunkTime is how long a chunk takes on a machine's link.
+// chunkTime is the transfer time of a chunk on a machine's link.
 const chunkTime = time.Second * ChunkBytes / MachineRate
 
-// copyAlong takes up to chunks from one link and hands each on when the
-// machine's own link has carried it. It returns how many came.
-func copyAlong(ctx context.Context, from <-chan struct{}, to chan<- struct{}, chunks int) int {
+// relayChunks receives up to the given number of chunks and forwards each after
+// its transfer time on the machine's link. It returns the number forwarded.
+func relayChunks(ctx context.Context, from <-chan struct{}, to chan<- struct{}, chunks int) int {
 	for i := range chunks {
 		select {
 		case <-ctx.Done():
 			return i
 		case <-from:
 		}
-		// A chunk takes the link's time after it has come, however long the link
-		// was idle before; a token bucket would give that time back.
+		// A chunk takes the full transfer time after it arrives, however long the
+		// link was idle before; a token bucket would credit the idle time.
 		select {
 		case <-ctx.Done():
 			return i
--- a/standin/bench/burst/fleet.go
+++ b/standin/bench/burst/fleet.go
@@ -1,6 +1,6 @@
-// Package burst measures how a new version reaches a fleet: the agents' own
-// code over real QUIC on loopback, each behind a link of limited rate, with
-// the stand-ins of the origin and the engines.
+// Package burst measures how a new version is distributed to a fleet. It runs
+// the production agent code over QUIC on loopback, each agent behind a
+// rate-limited link, with stand-ins for the origin and the engines.
 package burst
 
 import (
@@ -22,8 +22,8 @@
 	"chivespindle.example/standin/platform"
 )
 
-// Sizes of the measurement. The origin sends four copies and a machine two in
-// the time T, as the brief says; all that counts is the ratio.
+// Sizes of the measurement. As required, the origin sends four copies in the
+// time T and a machine two; only that ratio matters.
 const (
 	ModelBytes  = 4 << 20
 	ChunkBytes  = 32 << 10
@@ -36,7 +36,7 @@
 	service fleet.ServiceName = "spindle-pool"
 )
 
-// member is one agent with its engine and its link.
+// member is one agent with its engine and its network link.
 type member struct {
 	id      fleet.InstanceID
 	place   fleet.Place
@@ -45,7 +45,7 @@
 	scope   tally.TestScope
 	process *process.Agent
 	running *local.Running
-	down    bool
+	stopped bool
 }
 
 // Fleet is a fleet of agents in this process.
@@ -56,7 +56,7 @@
 	logger   *zap.Logger
 }
 
-// NewFleet starts n agents beside empty engines.
+// NewFleet starts n agents, each with an engine that has no version loaded.
 func NewFleet(n int, logger *zap.Logger) (*Fleet, error) {
 	const storeRequests = 10
 	p, err := local.NewPlatform(local.Options{
@@ -87,7 +87,7 @@
 	return f.run(m)
 }
 
-// run starts the agent of a member, also again after it was killed.
+// run starts the agent of a member, or restarts it after a kill.
 func (f *Fleet) run(m *member) error {
 	s, err := f.Settings(fleet.RoleAgent, m.id, m.place)
 	if err != nil {
@@ -98,33 +98,34 @@
 	s.Link.BytesPerSecond = MachineRate
 	m.link = NewLink(MachineRate)
 	m.scope = tally.NewTestScope("", nil)
-	m.process, err = process.NewAgent(s, f.logger, process.Options{Socket: m.link.Socket, DownLimit: m.link.Down, Metrics: m.scope})
+	m.process, err = process.NewAgent(s, f.logger, process.Options{Socket: m.link.Socket, DownLimit: m.link.DownloadLimiter, Metrics: m.scope})
 	if err != nil {
 		return err
 	}
 	f.Instances.Set(m.process.Self())
 	m.running = local.Run(m.process.Actors())
-	m.down = false
+	m.stopped = false
 	return nil
 }
 
-// kill ends an agent without a word to anybody: its link is dead first.
+// kill stops an agent without notice to its peers: its link drops all outgoing
+// packets before the agent shuts down.
 func (m *member) kill() {
-	m.link.Cut(func(netip.AddrPort) bool { return true })
-	m.down = true
+	m.link.SetLoss(func(netip.AddrPort) bool { return true })
+	m.stopped = true
 	m.running.Stop()
 	m.process.Close()
 }
 
-// Close ends all agents and stand-ins.
+// Close stops all agents and stand-ins.
 func (f *Fleet) Close() {
 	for _, m := range f.members {
-		if !m.down && m.running != nil {
+		if !m.stopped && m.running != nil {
 			m.running.Interrupt()
 		}
 	}
 	for _, m := range f.members {
-		if !m.down && m.running != nil {
+		if !m.stopped && m.running != nil {
 			m.running.Stop()
 			m.process.Close()
 		}
@@ -133,7 +134,7 @@
 	f.Platform.Close()
 }
 
-// newVersion makes another version of the model known to origin and store.
+// newVersion adds another version of the model to the origin and the store.
 func (f *Fleet) newVersion() (fleet.Version, error) {
 	f.versions++
 	model, err := platform.NewModel(platform.ModelSpec{
@@ -149,16 +150,16 @@
 	return model.Version, nil
 }
 
-// publish writes a text by which all replicas may change at once, so that the
-// time is that of the spread alone.
-func (f *Fleet) publish(v fleet.Version, policy string) { f.write(v, policy, len(f.members)) }
+// publish publishes a configuration that lets all replicas switch at the same
+// time, so that only the distribution is timed.
+func (f *Fleet) publish(v fleet.Version, policy string) { f.setConfig(v, policy, len(f.members)) }
 
-// publishOneByOne writes a text by which one replica of each zone changes at a
-// time, as with live requests.
-func (f *Fleet) publishOneByOne(v fleet.Version) { f.write(v, "time", 1) }
+// publishOneByOne publishes a configuration that lets one replica of each zone
+// switch at a time, as in a rollout under live requests.
+func (f *Fleet) publishOneByOne(v fleet.Version) { f.setConfig(v, "time", 1) }
 
-// write writes the operator's text.
-func (f *Fleet) write(v fleet.Version, policy string, maxUnavailable int) {
+// setConfig publishes the operator's configuration.
+func (f *Fleet) setConfig(v fleet.Version, policy string, maxUnavailable int) {
 	f.Config.SetText([]byte(fmt.Sprintf(`[fleet]
 name = burst
 [version %[1]s]
@@ -172,25 +173,27 @@
 `, v.Name, v.Manifest, service, maxUnavailable, policy, OriginRate)))
 }
 
-// serving counts the living agents whose engine has loaded v.
-func (f *Fleet) serving(v fleet.Version) (serving, living int) {
+// serving counts the running agents whose engine has loaded v, and all running
+// agents.
+func (f *Fleet) serving(v fleet.Version) (serving, running int) {
 	for _, m := range f.members {
-		if m.down {
+		if m.stopped {
 			continue
 		}
-		living++
+		running++
 		if s := m.engine.Status(); s.Loaded == v && !s.Loading {
 			serving++
 		}
 	}
-	return serving, living
+	return serving, running
 }
 
-// behind names living agents that do not serve v, for a report.
-func (f *Fleet) behind(v fleet.Version) string {
+// notServing lists the IDs of running agents that do not serve v, for an error
+// message.
+func (f *Fleet) notServing(v fleet.Version) string {
 	var ids []string
 	for _, m := range f.members {
-		if s := m.engine.Status(); !m.down && s.Loaded != v {
+		if s := m.engine.Status(); !m.stopped && s.Loaded != v {
 			ids = append(ids, string(m.id))
 		}
 	}
@@ -198,25 +201,25 @@
 	return strings.Join(ids, ",")
 }
 
-// waitServing waits until all living agents serve v and returns how long that
-// took from since.
-func (f *Fleet) waitServing(v fleet.Version, since time.Time, most time.Duration) (time.Duration, error) {
+// waitServing waits until all running agents serve v and returns the time
+// elapsed since the given start.
+func (f *Fleet) waitServing(v fleet.Version, since time.Time, timeout time.Duration) (time.Duration, error) {
 	for {
-		serving, living := f.serving(v)
+		serving, running := f.serving(v)
 		took := time.Since(since)
-		if serving == living {
+		if serving == running {
 			return took, nil
 		}
-		if took > most {
-			return took, failure.Timeout.New("%d of %d serve %s after %s; behind: %s", serving, living, v.Name, most, f.behind(v))
+		if took > timeout {
+			return took, failure.Timeout.New("%d of %d running agents serve %s after %s; not serving: %s", serving, running, v.Name, timeout, f.notServing(v))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// mixed counts requests that engines ran on bytes which do not match their
-// version.
-func (f *Fleet) mixed() int {
+// weightMismatches counts requests that engines ran on bytes that do not match
+// their version.
+func (f *Fleet) weightMismatches() int {
 	sum := 0
 	for _, m := range f.members {
 		sum += m.engine.Counters().Mixed
@@ -224,8 +227,8 @@
 	return sum
 }
 
-// controlBytes sums what all agents sent between each other apart from the
-// chunks themselves.
+// controlBytes sums the bytes that agents sent to each other, without the
+// chunks.
 func (f *Fleet) controlBytes() int64 {
 	var sum int64
 	for _, m := range f.members {
@@ -233,7 +236,7 @@
 			switch {
 			case strings.HasSuffix(c.Name(), sentBytes):
 				sum += c.Value()
-			case strings.HasSuffix(c.Name(), givenBytes):
+			case strings.HasSuffix(c.Name(), uploadedBytes):
 				sum -= c.Value()
 			}
 		}
@@ -241,16 +244,16 @@
 	return sum
 }
 
-// Names of the metrics that make up the control bytes.
+// Suffixes of the metric names from which the control bytes are computed.
 const (
-	sentBytes  = "bytes_sent"
-	givenBytes = "weights_given_bytes"
+	sentBytes     = "bytes_sent"
+	uploadedBytes = "weights_given_bytes"
 )
 
-// copies turns bytes into copies of the model.
-func copies(bytes uint64) float64 { return float64(bytes) / ModelBytes }
+// modelCopies converts bytes to copies of the model.
+func modelCopies(bytes uint64) float64 { return float64(bytes) / ModelBytes }
 
-// Bound is the least time in which n instances can have a copy.
+// Bound returns the theoretical minimum time to deliver a copy to n instances.
 func Bound(n int) time.Duration {
 	oneFromOrigin := float64(ModelBytes) / OriginRate
 	oneAtMachine := float64(ModelBytes) / MachineRate
--- a/standin/bench/burst/link.go
+++ b/standin/bench/burst/link.go
@@ -9,43 +9,45 @@
 	"golang.org/x/time/rate"
 )
 
-// linkBurst is what a link's queue takes in one step: the largest batch that
-// the transport hands to the socket at once, with room.
+// linkBurst is the burst size of a link's rate limiter in bytes. It exceeds the
+// largest batch that the transport writes to the socket in one call.
 const linkBurst = 128 << 10
 
-// Link stands for one machine's network link. All packets of the machine's
-// process, weights and live requests alike, leave through one queue at the
-// link's rate; that is where live requests wait behind weights. Weights that
-// come in are limited by Down.
+// Link simulates one machine's network link. All outgoing packets of the
+// machine's process, weights and live requests alike, share one queue at the
+// link's rate, so live requests wait behind weights. Incoming weights are
+// limited by DownloadLimiter.
 type Link struct {
-	up   *rate.Limiter
-	Down *rate.Limiter
-	sent atomic.Int64
-	// cut, if set, tells which packets are lost.
-	cut atomic.Pointer[func(to netip.AddrPort) bool]
-	// stalled holds a channel while nothing gets through; it closes at the end.
+	uploadLimiter   *rate.Limiter
+	DownloadLimiter *rate.Limiter
+	sent            atomic.Int64
+	// lossFilter, if set, reports whether packets to an address are dropped.
+	lossFilter atomic.Pointer[func(to netip.AddrPort) bool]
+	// stalled holds a channel while all packets are dropped; it is closed when
+	// the stall ends.
 	stalled atomic.Pointer[chan struct{}]
 }
 
-// NewLink returns a link of bytesPerSecond each way.
+// NewLink returns a link limited to bytesPerSecond in each direction.
 func NewLink(bytesPerSecond int64) *Link {
 	return &Link{
-		up:   rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst),
-		Down: rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst),
+		uploadLimiter:   rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst),
+		DownloadLimiter: rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst),
 	}
 }
 
-// Cut loses packets to the addresses that lost names; nil heals the link.
-func (l *Link) Cut(lost func(to netip.AddrPort) bool) {
-	if lost == nil {
-		l.cut.Store(nil)
+// SetLoss drops packets to the addresses for which isLost returns true; nil
+// stops the loss.
+func (l *Link) SetLoss(isLost func(to netip.AddrPort) bool) {
+	if isLost == nil {
+		l.lossFilter.Store(nil)
 		return
 	}
-	l.cut.Store(&lost)
+	l.lossFilter.Store(&isLost)
 }
 
-// Stall lets nothing through until the returned function is called. Packets
-// are lost meanwhile, as on a link that fails without closing.
+// Stall drops all outgoing packets until the returned function is called, as on
+// a link that fails without closing its connections.
 func (l *Link) Stall() (release func()) {
 	stalled := make(chan struct{})
 	l.stalled.Store(&stalled)
@@ -55,34 +57,34 @@
 	}
 }
 
-// Socket puts the link in front of a socket.
+// Socket wraps a socket so that its packets leave through the link.
 func (l *Link) Socket(socket *net.UDPConn) net.PacketConn {
 	return &linkedSocket{UDPConn: socket, link: l}
 }
 
-// Sent returns the bytes that left through the link.
+// Sent returns the number of bytes sent through the link.
 func (l *Link) Sent() int64 { return l.sent.Load() }
 
-func (l *Link) lost(to netip.AddrPort) bool {
+func (l *Link) isLost(to netip.AddrPort) bool {
 	if l.stalled.Load() != nil {
 		return true
 	}
-	cut := l.cut.Load()
-	return cut != nil && (*cut)(to)
+	lossFilter := l.lossFilter.Load()
+	return lossFilter != nil && (*lossFilter)(to)
 }
 
-// linkedSocket is a UDP socket behind a link.
+// linkedSocket is a UDP socket that sends through a link.
 type linkedSocket struct {
 	*net.UDPConn
 	link *Link
 }
 
-// WriteMsgUDP implements the write that the transport uses.
+// WriteMsgUDP is the write method that the QUIC transport calls.
 func (s *linkedSocket) WriteMsgUDP(b, oob []byte, addr *net.UDPAddr) (n, oobn int, err error) {
-	if s.link.lost(addr.AddrPort()) {
+	if s.link.isLost(addr.AddrPort()) {
 		return len(b), len(oob), nil
 	}
-	if err := s.link.up.WaitN(context.Background(), min(len(b), linkBurst)); err != nil {
+	if err := s.link.uploadLimiter.WaitN(context.Background(), min(len(b), linkBurst)); err != nil {
 		return 0, 0, err
 	}
 	s.link.sent.Add(int64(len(b)))
--- a/standin/bench/entryload/entryload.go
+++ b/standin/bench/entryload/entryload.go
@@ -1,5 +1,5 @@
-// Package entryload measures what the request path costs: one entry and its
-// agents as programs of their own, before stand-in engines, on loopback.
+// Package entryload measures the cost of the request path: one entry and its
+// agents as separate processes on loopback, with stand-in engines.
 package entryload
 
 import (
@@ -16,15 +16,15 @@
 )
 
 const (
-	// quick answers without taking time, so that only the path is seen.
+	// quick responds without delay, so that only the request path is measured.
 	quick fleet.ServiceName = "workshop-assist"
-	// paced answers one token each slopes.TokenTime, as the target's engines.
+	// paced generates one token per slopes.TokenTime, like the target's engines.
 	paced fleet.ServiceName = "spindle-pool"
 
-	pacedServers = 4
-	slots        = 512
-	settle       = 30 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	pacedServers  = 4
+	slots         = 512
+	settleTimeout = 30 * time.Second
+	pollInterval  = 20 * time.Millisecond
 )
 
 var place = fleet.Place{Zone: "apapa-hall", Region: "lagos"}
@@ -37,7 +37,7 @@
 	paced []*harness.Process
 }
 
-// New starts the fleet. daemon is the path of chivespindled.
+// New starts the fleet. daemon is the path of the chivespindled binary.
 func New(daemon string) (*Fleet, error) {
 	h, err := harness.New(harness.Options{Daemon: daemon})
 	if err != nil {
@@ -80,33 +80,33 @@
 		Engine: &engine.Options{Slots: slots, MaxWaiting: slots, TokenTime: tokenTime}})
 }
 
-// waitServing waits until all engines serve and each service has answered.
+// waitServing waits until all engines serve v and each service has responded.
 func (f *Fleet) waitServing(v fleet.Version) error {
 	for id, e := range f.Engines {
-		if err := until(settle, func() bool { return e.Status().Loaded == v }); err != nil {
-			return failure.Timeout.Wrap(err, "%s does not serve", id)
+		if err := waitUntil(settleTimeout, func() bool { return e.Status().Loaded == v }); err != nil {
+			return failure.Timeout.Wrap(err, "engine of %s does not serve the version", id)
 		}
 	}
 	for _, service := range []fleet.ServiceName{quick, paced} {
-		err := until(settle, func() bool {
-			_, err := f.ask(service, 1)
+		err := waitUntil(settleTimeout, func() bool {
+			_, err := f.send(service, 1)
 			return err == nil
 		})
 		if err != nil {
-			return failure.Timeout.Wrap(err, "%s does not answer", service)
+			return failure.Timeout.Wrap(err, "service %s does not respond", service)
 		}
 	}
 	return nil
 }
 
-// until looks again and again whether done holds.
-func until(limit time.Duration, done func() bool) error {
+// waitUntil polls done until it returns true or limit has passed.
+func waitUntil(limit time.Duration, done func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !done() {
 		if time.Now().After(deadline) {
-			return failure.Timeout.New("waited %s", limit)
+			return failure.Timeout.New("condition not met within %s", limit)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
--- a/standin/bench/entryload/requests.go
+++ b/standin/bench/entryload/requests.go
@@ -23,29 +23,30 @@
 )
 
 const (
-	// tokens is the length of an answer in the measurement of the overhead.
+	// tokens is the output length in the measurement of the overhead.
 	tokens = 16
-	// oneByOne is how many requests are sent one after another for the latency.
-	oneByOne = 300
-	callers  = 16
-	flow     = 3 * time.Second
-	deadline = 10 * time.Second
+	// sequentialRequests is how many requests are sent one after another to
+	// measure the latency.
+	sequentialRequests = 300
+	callers            = 16
+	flowTime           = 3 * time.Second
+	deadline           = 10 * time.Second
 )
 
-// Result is what the path adds to a request.
+// Result holds the overhead that the path adds to a request.
 type Result struct {
-	// Through and Direct are the medians of the time to a whole answer through
-	// entry and agent, and of an agent's client straight to the engine.
+	// Through and Direct are the median times to a complete response through
+	// entry and agent, and from an agent's client directly to the engine.
 	Through, Direct time.Duration
 	Requests        int
 	Failed          int
 	Entry, Agent    Cost
 }
 
-// Cost is what one process spent on the requests.
+// Cost is the cost of the requests in one process.
 type Cost struct {
-	PerCore float64 // requests for each second of a core
-	Allocs  float64 // for each request
+	PerCore float64 // requests per second of CPU time
+	Allocs  float64 // per request
 }
 
 // String returns the line that bench prints.
@@ -55,29 +56,29 @@
 		r.Agent.PerCore, r.Agent.Allocs, tokens, r.Requests, r.Failed, usage.Load())
 }
 
-// Run measures short answers of the quick engine.
+// Run measures short responses of the quick engine.
 func (f *Fleet) Run() (Result, error) {
 	var r Result
 	var err error
-	if r.Through, err = median(func() error { _, err := f.ask(quick, tokens); return err }); err != nil {
+	if r.Through, err = median(func() error { _, err := f.send(quick, tokens); return err }); err != nil {
 		return r, err
 	}
-	direct, err := f.direct()
+	direct, err := f.directCall()
 	if err != nil {
 		return r, err
 	}
 	if r.Direct, err = median(direct); err != nil {
 		return r, err
 	}
-	return r, f.flow(&r)
+	return r, f.measureLoad(&r)
 }
 
 // median returns the median time of oneByOne calls.
-func median(ask func() error) (time.Duration, error) {
+func median(call func() error) (time.Duration, error) {
 	var took []time.Duration
-	for range oneByOne {
+	for range sequentialRequests {
 		started := time.Now()
-		if err := ask(); err != nil {
+		if err := call(); err != nil {
 			return 0, err
 		}
 		took = append(took, time.Since(started))
@@ -86,69 +87,70 @@
 	return took[len(took)/2], nil
 }
 
-// ask sends one request through the entry and checks its answer.
-func (f *Fleet) ask(service fleet.ServiceName, n int) (harness.Prompt, error) {
+// send sends one request through the entry and checks its response.
+func (f *Fleet) send(service fleet.ServiceName, n int) (harness.Prompt, error) {
 	prompt := harness.Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: n}
 	body, err := json.Marshal(prompt)
 	if err != nil {
 		return prompt, failure.Internal.Wrap(err, "encode a prompt")
 	}
-	answer, err := client.DoAt(context.Background(), f.entryAddr(),
+	response, err := client.DoAt(context.Background(), f.entryAddr(),
 		callerclient.Request{Service: service, Deadline: deadline, Body: body})
 	if err != nil {
 		return prompt, err
 	}
-	return prompt, checked(answer.Body, prompt)
+	return prompt, checkResponse(response.Body, prompt)
 }
 
-// client keeps its connections to the entry.
+// client reuses its connections to the entry.
 var client = callerclient.New(callerclient.Options{})
 
-func checked(body []byte, prompt harness.Prompt) error {
-	if _, whole := harness.CheckAnswer(body, prompt); !whole {
-		return failure.Corrupt.New("an answer of %d bytes is not whole", len(body))
+func checkResponse(body []byte, prompt harness.Prompt) error {
+	if _, complete := harness.CheckAnswer(body, prompt); !complete {
+		return failure.Corrupt.New("response of %d bytes is incorrect or incomplete", len(body))
 	}
 	return nil
 }
 
-// direct returns a call straight to the quick engine.
-func (f *Fleet) direct() (func() error, error) {
+// directCall returns a function that calls the quick engine directly.
+func (f *Fleet) directCall() (func() error, error) {
 	addr, err := netip.ParseAddrPort(strings.TrimPrefix(f.Engines[f.quick.Instance.ID].URL(), "http://"))
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "address of the engine")
+		return nil, failure.Internal.Wrap(err, "parse the address of the engine")
 	}
-	straight := adapter.New(adapter.Options{Addr: addr})
+	engineClient := adapter.New(adapter.Options{Addr: addr})
 	return func() error {
 		prompt := harness.Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: tokens}
 		body, err := json.Marshal(prompt)
 		if err != nil {
 			return failure.Internal.Wrap(err, "encode a prompt")
 		}
-		var answer []byte
-		_, err = straight.Do(context.Background(), serving.Call{ID: uuid.NewString(), Body: body}, func(p serving.Piece) error {
-			answer = append(answer, p.Data...)
+		var response []byte
+		_, err = engineClient.Do(context.Background(), serving.Call{ID: uuid.NewString(), Body: body}, func(p serving.Piece) error {
+			response = append(response, p.Data...)
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		return checked(answer, prompt)
+		return checkResponse(response, prompt)
 	}, nil
 }
 
-// flow lets callers ask for a while and counts what the processes spent.
-func (f *Fleet) flow(r *Result) error {
-	before, err := f.spent()
+// measureLoad sends requests from concurrent callers for flowTime and measures
+// the CPU time and allocations of the processes.
+func (f *Fleet) measureLoad(r *Result) error {
+	before, err := f.readCounters()
 	if err != nil {
 		return err
 	}
 	var answered, failed atomic.Int64
-	var asking sync.WaitGroup
-	end := time.Now().Add(flow)
+	var senders sync.WaitGroup
+	end := time.Now().Add(flowTime)
 	for range callers {
-		asking.Go(func() {
+		senders.Go(func() {
 			for time.Now().Before(end) {
-				if _, err := f.ask(quick, tokens); err != nil {
+				if _, err := f.send(quick, tokens); err != nil {
 					failed.Add(1)
 					continue
 				}
@@ -156,8 +158,8 @@
 			}
 		})
 	}
-	asking.Wait()
-	after, err := f.spent()
+	senders.Wait()
+	after, err := f.readCounters()
 	if err != nil {
 		return err
 	}
@@ -167,8 +169,8 @@
 	return nil
 }
 
-// spent is what the processes have used so far.
-type spent struct{ entry, agent counters }
+// processCounters holds the resources that the processes have used so far.
+type processCounters struct{ entry, agent counters }
 
 type counters struct {
 	cpu     time.Duration
@@ -180,13 +182,13 @@
 	return Cost{PerCore: n / (c.cpu - before.cpu).Seconds(), Allocs: (c.mallocs - before.mallocs) / n}
 }
 
-func (f *Fleet) spent() (spent, error) {
+func (f *Fleet) readCounters() (processCounters, error) {
 	entry, err := countersOf(f.entry)
 	if err != nil {
-		return spent{}, err
+		return processCounters{}, err
 	}
 	agent, err := countersOf(f.quick)
-	return spent{entry: entry, agent: agent}, err
+	return processCounters{entry: entry, agent: agent}, err
 }
 
 func countersOf(p *harness.Process) (counters, error) {
--- a/standin/bench/entryload/streams.go
+++ b/standin/bench/entryload/streams.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	// window is how long running answers are measured, with none that begins
-	// or ends.
+	// window is how long running streams are measured, while none starts or
+	// ends.
 	window = 5 * time.Second
-	// warmUp lets the memory of new streams settle.
+	// warmUp lets the memory of new streams stabilize.
 	warmUp = 2 * time.Second
 )
 
-// streamCounts are answers that run at once on the entry; the last is the
-// target's.
+// streamCounts returns the numbers of concurrent streams on the entry; the last
+// is that of the target.
 func streamCounts() []int {
 	target := int(math.Round(slopes.SharesOf(slopes.Entries).Streams))
 	return []int{target / 4, target / 2, target}
 }
 
-// streamed is what the processes spent on a number of running answers.
-type streamed struct {
+// streamUsage is the resource usage of the processes for a number of running
+// streams.
+type streamUsage struct {
 	streams      int
-	tokens       float64 // a second
+	tokens       float64 // per second
 	entry, agent usage.Reading
 }
 
-// Streams measures answers that come one token each slopes.TokenTime: the
-// processor time and memory of the entry and of an agent by the number of
-// answers that run at once.
+// Streams measures streams of one token per slopes.TokenTime: the CPU time and
+// memory of the entry and of an agent by the number of concurrent streams.
 func (f *Fleet) Streams() ([]slopes.Slope, error) {
-	var all []streamed
+	var all []streamUsage
 	for _, n := range streamCounts() {
 		s, err := f.stream(n)
 		if err != nil {
@@ -56,42 +56,42 @@
 	return streamSlopes(all), nil
 }
 
-// stream keeps n answers running and reads what one second of them costs.
-func (f *Fleet) stream(n int) (streamed, error) {
+// stream keeps n streams running and measures their cost per second.
+func (f *Fleet) stream(n int) (streamUsage, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var lines atomic.Int64
 	var open sync.WaitGroup
 	defer open.Wait()
 	defer cancel()
 	for range n {
-		open.Go(func() { f.readAnswer(ctx, &lines) })
+		open.Go(func() { f.readStream(ctx, &lines) })
 	}
-	if err := until(settle, func() bool { return f.running() == n }); err != nil {
-		return streamed{}, failure.Timeout.Wrap(err, "%d of %d answers run", f.running(), n)
+	if err := waitUntil(settleTimeout, func() bool { return f.running() == n }); err != nil {
+		return streamUsage{}, failure.Timeout.Wrap(err, "%d of %d streams run", f.running(), n)
 	}
 	time.Sleep(warmUp)
 	before, err := f.readings()
 	if err != nil {
-		return streamed{}, err
+		return streamUsage{}, err
 	}
 	counted, at := lines.Load(), time.Now()
 	time.Sleep(window)
 	after, err := f.readings()
 	if err != nil {
-		return streamed{}, err
+		return streamUsage{}, err
 	}
 	seconds := time.Since(at).Seconds()
-	s := streamed{streams: n, tokens: float64(lines.Load()-counted) / seconds}
+	s := streamUsage{streams: n, tokens: float64(lines.Load()-counted) / seconds}
 	s.entry = perSecond(before[:1], after[:1], seconds)
 	s.agent = perSecond(before[1:], after[1:], seconds)
 	if running := f.running(); running != n {
-		return s, failure.Unavailable.New("%d of %d answers run to the end", running, n)
+		return s, failure.Unavailable.New("%d of %d streams still run at the end of the measurement", running, n)
 	}
 	return s, nil
 }
 
-// readAnswer asks for a long answer and counts its lines until ctx ends.
-func (f *Fleet) readAnswer(ctx context.Context, lines *atomic.Int64) {
+// readStream requests a long response and counts its lines until ctx ends.
+func (f *Fleet) readStream(ctx context.Context, lines *atomic.Int64) {
 	const long = 1 << 14
 	body, err := json.Marshal(harness.Prompt{Prompt: "fault log", MaxTokens: long})
 	if err != nil {
@@ -108,12 +108,12 @@
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	for answer := bufio.NewScanner(resp.Body); answer.Scan(); {
+	for scanner := bufio.NewScanner(resp.Body); scanner.Scan(); {
 		lines.Add(1)
 	}
 }
 
-// running counts the answers that the paced engines work on.
+// running returns the number of requests that the paced engines are running.
 func (f *Fleet) running() int {
 	sum := 0
 	for _, p := range f.paced {
@@ -122,7 +122,7 @@
 	return sum
 }
 
-// readings are those of the entry and then of the paced agents.
+// readings returns the usage of the entry, followed by the paced agents.
 func (f *Fleet) readings() ([]usage.Reading, error) {
 	var all []usage.Reading
 	for _, p := range append([]*harness.Process{f.entry}, f.paced...) {
@@ -135,8 +135,8 @@
 	return all, nil
 }
 
-// perSecond returns the mean processor time of one process in a second, and
-// its memory at the end.
+// perSecond returns the mean CPU time per second and the mean memory at the end
+// over the processes.
 func perSecond(before, after []usage.Reading, seconds float64) usage.Reading {
 	var mean usage.Reading
 	n := float64(len(after))
@@ -147,8 +147,8 @@
 	return mean
 }
 
-// streamSlopes arranges what was measured.
-func streamSlopes(all []streamed) []slopes.Slope {
+// streamSlopes converts the measurements to slopes.
+func streamSlopes(all []streamUsage) []slopes.Slope {
 	entryTarget := float64(streamCounts()[2])
 	agentTarget := math.Round(slopes.SharesOf(slopes.Servers).Streams)
 	entryCPU := slopes.Slope{Name: "entry_stream_cpu", Of: "running_answers", Unit: "ms/s", Target: entryTarget}
--- a/standin/bench/local/local.go
+++ b/standin/bench/local/local.go
@@ -1,6 +1,6 @@
-// Package local holds what the measurements share: the platform's stand-ins
-// and the assembly of the system's processes as parts of one process, each
-// with its own sockets on loopback.
+// Package local holds what the benchmarks share: the stand-ins for the platform
+// and the means to run the system's processes inside one process, each with its
+// own sockets on loopback.
 package local
 
 import (
@@ -21,22 +21,22 @@
 	"chivespindle.example/standin/platform"
 )
 
-// AnyPort is a loopback address with a port of the kernel's choice.
+// AnyPort is a loopback address whose port the kernel chooses.
 var AnyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Options of a Platform. Zero rates are not limited.
+// Options are the options of a Platform. A rate of zero is unlimited.
 type Options struct {
 	OriginBytesPerSecond   int64
 	StoreBytesPerSecond    int64
 	StoreRequestsPerSecond float64
-	// WatchWait is how long a watch waits; default 30 s.
+	// WatchWait is the long-poll timeout of a watch; default 30 s.
 	WatchWait time.Duration
-	// ListEvery is the mean pause between reads of the instance list;
+	// ListInterval is the mean interval between reads of the instance list;
 	// default 1 s.
-	ListEvery time.Duration
+	ListInterval time.Duration
 }
 
-// Platform is the running stand-ins with an authority for certificates.
+// Platform runs the stand-ins for the platform, with a certificate authority.
 type Platform struct {
 	Config    *platform.ConfigService
 	Instances *platform.InstanceList
@@ -54,12 +54,12 @@
 	if opts.WatchWait == 0 {
 		opts.WatchWait = 30 * time.Second
 	}
-	if opts.ListEvery == 0 {
-		opts.ListEvery = time.Second
+	if opts.ListInterval == 0 {
+		opts.ListInterval = time.Second
 	}
 	dir, err := os.MkdirTemp("", "chivespindle-bench-")
 	if err != nil {
-		return nil, failure.Unavailable.Wrap(err, "work folder")
+		return nil, failure.Unavailable.Wrap(err, "create the work directory")
 	}
 	authority, err := pki.NewAuthority()
 	if err != nil {
@@ -86,13 +86,13 @@
 	if err := p.authority.Save(p.dir); err != nil {
 		return err
 	}
-	starts := []func() (*platform.Server, error){
+	starters := []func() (*platform.Server, error){
 		func() (*platform.Server, error) { return platform.Start(p.Config, AnyPort.String()) },
 		func() (*platform.Server, error) { return platform.Start(p.Instances, AnyPort.String()) },
 		func() (*platform.Server, error) { return platform.Start(p.Origin, AnyPort.String()) },
 		func() (*platform.Server, error) { return platform.Start(p.Store, AnyPort.String()) },
 	}
-	for _, start := range starts {
+	for _, start := range starters {
 		server, err := start()
 		if err != nil {
 			return err
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Close stops the stand-ins and removes the keys.
+// Close stops the stand-ins and removes the work directory with the keys.
 func (p *Platform) Close() {
 	for _, s := range p.servers {
 		s.Stop()
@@ -110,8 +110,8 @@
 	_ = os.RemoveAll(p.dir)
 }
 
-// Settings returns the settings of one process, with a certificate of its
-// own. The caller fills in what only its role has.
+// Settings returns the settings of one process, with its own certificate. The
+// caller sets the fields that are specific to the role.
 func (p *Platform) Settings(role fleet.Role, id fleet.InstanceID, place fleet.Place) (*settings.Settings, error) {
 	files, err := p.authority.WriteFiles(filepath.Join(p.dir, string(id)), role, id)
 	if err != nil {
@@ -124,7 +124,7 @@
 		Platform: settings.Platform{
 			ConfigURL: p.servers[0].URL(), InstancesURL: p.servers[1].URL(),
 			OriginURL: p.servers[2].URL(), StoreURL: p.servers[3].URL(),
-			WatchWait: p.opts.WatchWait, ListInterval: p.opts.ListEvery, CallTimeout: 2 * time.Second,
+			WatchWait: p.opts.WatchWait, ListInterval: p.opts.ListInterval, CallTimeout: 2 * time.Second,
 		},
 		TLS:    settings.TLS{Authority: files.Authority, Certificate: files.Certificate, Key: files.Key, ReloadInterval: time.Hour},
 		Link:   settings.Link{WeightsShare: 0.8, StallTimeout: time.Second},
@@ -135,7 +135,8 @@
 	}, nil
 }
 
-// PlaceOf spreads instance i over regions regions of zones zones each.
+// PlaceOf returns the place of instance i; instances are distributed evenly
+// over the given number of regions with the given number of zones each.
 func PlaceOf(i, regions, zones int) fleet.Place {
 	region := i % regions
 	zone := i / regions % zones
@@ -145,14 +146,14 @@
 	}
 }
 
-// Running is a process's parts at work.
+// Running is the running actors of one process.
 type Running struct {
 	stop  chan struct{}
 	once  sync.Once
 	ended chan struct{}
 }
 
-// Run starts the actors of a process.
+// Run starts the actors of a process in the background.
 func Run(actors []process.Actor) *Running {
 	r := &Running{stop: make(chan struct{}), ended: make(chan struct{})}
 	var group run.Group
@@ -167,10 +168,10 @@
 	return r
 }
 
-// Interrupt asks all parts to end.
+// Interrupt requests all actors to stop.
 func (r *Running) Interrupt() { r.once.Do(func() { close(r.stop) }) }
 
-// Stop asks all parts to end and waits for them.
+// Stop requests all actors to stop and waits for them.
 func (r *Running) Stop() {
 	r.Interrupt()
 	<-r.ended
--- a/standin/bench/relay/relay.go
+++ b/standin/bench/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay measures how a change of the operator's text reaches every
-// process, what that costs the platform and the processes, and that no process
-// ever goes back.
+// Package relay measures how fast a change of the operator's configuration
+// reaches every process, its cost for the platform and the processes, and
+// whether any process reverts to an older revision.
 package relay
 
 import (
@@ -25,27 +25,28 @@
 const (
 	regions        = 3
 	zonesPerRegion = 3
-	// changes is how many texts are published, changeEvery apart.
-	changes     = 12
-	changeEvery = 400 * time.Millisecond
-	// outage is how long the platform is down, once, between two changes.
-	outage = 1500 * time.Millisecond
-	// sampleEvery is how often each process's revision is looked at.
-	sampleEvery = 10 * time.Millisecond
-	// settle bounds the wait for the last change.
-	settle = 15 * time.Second
-	// idle is how long the processes are measured without any change.
-	idle = 4 * time.Second
+	// changes is the number of configurations published, changeInterval apart.
+	changes        = 12
+	changeInterval = 400 * time.Millisecond
+	// outageTime is how long the configuration service is down, once, between
+	// two changes.
+	outageTime = 1500 * time.Millisecond
+	// sampleInterval is the interval between reads of each process's revision.
+	sampleInterval = 10 * time.Millisecond
+	// settleTimeout limits the wait for the last change.
+	settleTimeout = 15 * time.Second
+	// idleTime is how long the processes are measured without any change.
+	idleTime = 4 * time.Second
 )
 
-// Result is what one size came to.
+// Result holds the measurements for one number of processes.
 type Result struct {
-	Processes    int
-	CallsPerS    float64 // configuration and list calls over the whole time
-	InForceP50MS float64
-	InForceP99MS float64
-	Reverts      int
-	// Idle slopes, per process: what it costs to know each other and the text.
+	Processes       int
+	CallsPerS       float64 // configuration and instance list calls during the changes
+	ActivationP50MS float64
+	ActivationP99MS float64
+	Reverts         int
+	// Idle cost per process of membership and configuration.
 	IdleBytesPerS  float64
 	IdleCPUPercent float64
 	HeapKB         float64
@@ -54,7 +55,7 @@
 // String returns the line that bench prints.
 func (r Result) String() string {
 	return fmt.Sprintf("bench=config processes=%d calls_per_s=%.1f in_force_p50_ms=%.0f in_force_p99_ms=%.0f reverts=%d idle_bytes_per_s=%.0f idle_cpu_percent=%.3f heap_kb=%.0f",
-		r.Processes, r.CallsPerS, r.InForceP50MS, r.InForceP99MS, r.Reverts, r.IdleBytesPerS, r.IdleCPUPercent, r.HeapKB)
+		r.Processes, r.CallsPerS, r.ActivationP50MS, r.ActivationP99MS, r.Reverts, r.IdleBytesPerS, r.IdleCPUPercent, r.HeapKB)
 }
 
 // member is one process under measurement.
@@ -65,35 +66,35 @@
 	stopped bool
 }
 
-// Measure runs n entry processes through the changes, one platform outage and
-// the death of one watcher.
+// Measure runs n entry processes through the changes, one outage of the
+// configuration service and the loss of one watcher.
 func Measure(n int, logger *zap.Logger) (Result, error) {
-	p, err := local.NewPlatform(local.Options{ListEvery: 2 * time.Second})
+	p, err := local.NewPlatform(local.Options{ListInterval: 2 * time.Second})
 	if err != nil {
 		return Result{}, err
 	}
 	defer p.Close()
-	before := heap()
+	before := heapBytes()
 	members, err := start(p, n, logger)
 	defer stop(members)
 	if err != nil {
 		return Result{}, err
 	}
-	p.Config.SetText(text(0))
+	p.Config.SetText(configText(0))
 	if err := waitAll(members, p.Config.Revision()); err != nil {
 		return Result{}, err
 	}
-	r := Result{Processes: n, HeapKB: float64(heap()-before) / 1024 / float64(n)}
+	r := Result{Processes: n, HeapKB: float64(heapBytes()-before) / 1024 / float64(n)}
 	r.measureIdle(members)
 	started, calls := time.Now(), p.Config.Calls()+p.Instances.Calls()
-	watch := newObserver(members)
-	if err := publishAll(p, members, watch); err != nil {
+	obs := newObserver(members)
+	if err := publishAll(p, members, obs); err != nil {
 		return r, err
 	}
-	watch.stop()
+	obs.stop()
 	r.CallsPerS = float64(p.Config.Calls()+p.Instances.Calls()-calls) / time.Since(started).Seconds()
-	r.InForceP50MS, r.InForceP99MS = watch.percentiles()
-	r.Reverts = watch.reverts
+	r.ActivationP50MS, r.ActivationP99MS = obs.percentiles()
+	r.Reverts = obs.reverts
 	return r, nil
 }
 
@@ -128,8 +129,9 @@
 	}
 }
 
-// text is the operator's text after change i; each changes one section.
-func text(i int) []byte {
+// configText returns the operator's configuration after change i; each change
+// affects one section.
+func configText(i int) []byte {
 	return []byte(fmt.Sprintf("[fleet]\nname = relay\n[service workshop-api]\nkind = plain\n[workspace apapa]\nrequests_per_second = %d\n", 10+i))
 }
 
@@ -142,47 +144,47 @@
 }
 
 func waitAll(members []*member, want revision.Revision) error {
-	const first = 40 * time.Second
-	deadline := time.Now().Add(first)
+	const timeout = 40 * time.Second
+	deadline := time.Now().Add(timeout)
 	for _, m := range members {
 		for !m.stopped && m.revision() < want {
 			if time.Now().After(deadline) {
-				return failure.Timeout.New("revision %d is not in force everywhere", want)
+				return failure.Timeout.New("revision %d is not active in all processes", want)
 			}
-			time.Sleep(sampleEvery)
+			time.Sleep(sampleInterval)
 		}
 	}
 	return nil
 }
 
-// publishAll publishes the changes. After a third the platform is down for a
-// while; after two thirds a watcher dies.
-func publishAll(p *local.Platform, members []*member, watch *observer) error {
+// publishAll publishes the changes. After a third of them the configuration
+// service has an outage; after two thirds a watcher is stopped.
+func publishAll(p *local.Platform, members []*member, obs *observer) error {
 	for i := 1; i <= changes; i++ {
 		switch i {
 		case changes / 3:
 			p.Config.SetDown(true)
-			time.Sleep(outage)
+			time.Sleep(outageTime)
 			p.Config.SetDown(false)
 		case 2 * changes / 3:
-			watch.lose(loseWatcher(members))
+			obs.exclude(stopWatcher(members))
 		}
 		at := time.Now()
-		watch.published(p.Config.SetText(text(i)), at)
-		time.Sleep(changeEvery)
+		obs.recordPublished(p.Config.SetText(configText(i)), at)
+		time.Sleep(changeInterval)
 	}
-	deadline := time.Now().Add(settle)
-	for !watch.complete() {
+	deadline := time.Now().Add(settleTimeout)
+	for !obs.allActivated() {
 		if time.Now().After(deadline) {
-			return failure.Timeout.New("the last change is not in force everywhere after %s", settle)
+			return failure.Timeout.New("the last change is not active in all processes after %s", settleTimeout)
 		}
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 	}
 	return nil
 }
 
-// loseWatcher ends one process that watches the platform.
-func loseWatcher(members []*member) *member {
+// stopWatcher stops one process that watches the platform.
+func stopWatcher(members []*member) *member {
 	var zone []fleet.Instance
 	byID := make(map[fleet.InstanceID]*member)
 	place := members[0].process.Self().Place
@@ -192,17 +194,17 @@
 			byID[self.ID] = m
 		}
 	}
-	lost := byID[revision.Watchers(zone, 1)[0]]
-	lost.stopped = true
-	lost.running.Stop()
-	lost.process.Close()
-	return lost
+	watcher := byID[revision.Watchers(zone, 1)[0]]
+	watcher.stopped = true
+	watcher.running.Stop()
+	watcher.process.Close()
+	return watcher
 }
 
-// measureIdle measures what the processes cost while nothing changes.
+// measureIdle measures the cost of the processes while nothing changes.
 func (r *Result) measureIdle(members []*member) {
 	bytesBefore, cpuBefore, at := sentBytes(members), cpuTime(), time.Now()
-	time.Sleep(idle)
+	time.Sleep(idleTime)
 	seconds := time.Since(at).Seconds()
 	n := float64(len(members))
 	r.IdleBytesPerS = float64(sentBytes(members)-bytesBefore) / n / seconds
@@ -210,7 +212,7 @@
 	r.IdleCPUPercent = (cpuTime() - cpuBefore).Seconds() / n / seconds * percent
 }
 
-// sentBytes sums the bytes of frames that the processes sent.
+// sentBytes sums the frame bytes sent by all processes.
 func sentBytes(members []*member) int64 {
 	var sum int64
 	for _, m := range members {
@@ -231,48 +233,48 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc + m.StackInuse
 }
 
-// observer looks at each process's revision again and again.
+// observer periodically samples the active revision of each process.
 type observer struct {
-	mu      sync.Mutex
-	members []*member
-	last    []revision.Revision
-	at      map[revision.Revision]time.Time
-	newest  revision.Revision
-	delays  []time.Duration
-	reverts int
-	done    chan struct{}
-	ended   chan struct{}
+	mu          sync.Mutex
+	members     []*member
+	lastSeen    []revision.Revision
+	publishedAt map[revision.Revision]time.Time
+	newest      revision.Revision
+	delays      []time.Duration
+	reverts     int
+	stopping    chan struct{}
+	stopped     chan struct{}
 }
 
 func newObserver(members []*member) *observer {
 	o := &observer{
-		members: slices.Clone(members),
-		last:    make([]revision.Revision, len(members)),
-		at:      make(map[revision.Revision]time.Time),
-		done:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		members:     slices.Clone(members),
+		lastSeen:    make([]revision.Revision, len(members)),
+		publishedAt: make(map[revision.Revision]time.Time),
+		stopping:    make(chan struct{}),
+		stopped:     make(chan struct{}),
 	}
 	for i, m := range members {
-		o.last[i] = m.revision()
+		o.lastSeen[i] = m.revision()
 	}
 	go o.run()
 	return o
 }
 
 func (o *observer) run() {
-	defer close(o.ended)
+	defer close(o.stopped)
 	for {
 		select {
-		case <-o.done:
+		case <-o.stopping:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 			o.sample(time.Now())
 		}
 	}
@@ -286,27 +288,27 @@
 			continue
 		}
 		seen := m.revision()
-		if seen < o.last[i] {
+		if seen < o.lastSeen[i] {
 			o.reverts++
 		}
-		for r := o.last[i] + 1; r <= seen; r++ {
-			if at, ok := o.at[r]; ok {
+		for r := o.lastSeen[i] + 1; r <= seen; r++ {
+			if at, ok := o.publishedAt[r]; ok {
 				o.delays = append(o.delays, now.Sub(at))
 			}
 		}
-		o.last[i] = seen
+		o.lastSeen[i] = seen
 	}
 }
 
-func (o *observer) published(r revision.Revision, at time.Time) {
+func (o *observer) recordPublished(r revision.Revision, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.at[r] = at
+	o.publishedAt[r] = at
 	o.newest = r
 }
 
-// lose leaves a process out from now on.
-func (o *observer) lose(lost *member) {
+// exclude removes a process from the observation.
+func (o *observer) exclude(lost *member) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, m := range o.members {
@@ -316,11 +318,11 @@
 	}
 }
 
-func (o *observer) complete() bool {
+func (o *observer) allActivated() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, m := range o.members {
-		if m != nil && o.last[i] < o.newest {
+		if m != nil && o.lastSeen[i] < o.newest {
 			return false
 		}
 	}
@@ -328,8 +330,8 @@
 }
 
 func (o *observer) stop() {
-	close(o.done)
-	<-o.ended
+	close(o.stopping)
+	<-o.stopped
 }
 
 func (o *observer) percentiles() (p50, p99 float64) {
--- a/standin/bench/requests/baseline.go
+++ b/standin/bench/requests/baseline.go
@@ -18,13 +18,13 @@
 	"chivespindle.example/standin/harness"
 )
 
-// Baselines are policies to compare with: the same callers straight to the
-// same engines, the server picked without looking at it.
+// Baselines returns load balancing policies for comparison. The same callers
+// send directly to the same engines, chosen without regard to their state.
 func Baselines() map[string]func(n int) func() int {
 	return map[string]func(n int) func() int{
 		"round_robin": func(n int) func() int {
-			var turn atomic.Int64
-			return func() int { return int(turn.Add(1)) % n }
+			var next atomic.Int64
+			return func() int { return int(next.Add(1)) % n }
 		},
 		"random": func(n int) func() int {
 			return func() int { return rand.IntN(n) }
@@ -32,7 +32,7 @@
 	}
 }
 
-// RunBaseline lets the same number of callers ask the engines by a baseline.
+// RunBaseline runs the same number of callers with a baseline policy.
 func (f *Fleet) RunBaseline(name string, fault Fault) (Result, error) {
 	r := Result{Fault: fault, Policy: name}
 	pick := Baselines()[name](engines)
@@ -44,20 +44,20 @@
 		}
 		clients = append(clients, client)
 	}
-	repair, err := f.inject(fault)
+	undo, err := f.inject(fault)
 	if err != nil {
 		return r, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), flow)
+	ctx, cancel := context.WithTimeout(context.Background(), flowTime)
 	defer cancel()
 	var mu sync.Mutex
 	var callersDone sync.WaitGroup
 	for range callers {
 		callersDone.Go(func() {
 			for ctx.Err() == nil {
-				took, whole := ask(clients[pick()])
+				took, complete := sendWithRetries(clients[pick()])
 				mu.Lock()
-				if whole {
+				if complete {
 					r.Tally.Answers++
 					r.Tally.Latencies = append(r.Tally.Latencies, took)
 				} else {
@@ -68,37 +68,39 @@
 		})
 	}
 	callersDone.Wait()
-	return r, repair()
+	return r, undo()
 }
 
-// engineClient speaks to an engine without the system between.
+// engineClient returns a client that calls an engine directly, without entry
+// and agent.
 func (f *Fleet) engineClient(i int) (*adapter.Client, error) {
 	addr, err := netip.ParseAddrPort(strings.TrimPrefix(f.Engines[engineID(i)].URL(), "http://"))
 	if err != nil {
-		return nil, failure.Internal.Wrap(err, "address of an engine")
+		return nil, failure.Internal.Wrap(err, "parse the address of an engine")
 	}
 	return adapter.New(adapter.Options{Addr: addr}), nil
 }
 
-// ask asks again while an engine declines, as a caller of the system does.
-func ask(client *adapter.Client) (time.Duration, bool) {
+// sendWithRetries sends a request and retries it after a failure, as a caller
+// of the system does. It reports whether the response was complete.
+func sendWithRetries(client *adapter.Client) (time.Duration, bool) {
 	prompt := harness.Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: tokens}
 	body, err := json.Marshal(prompt)
 	if err != nil {
 		return 0, false
 	}
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), settle)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	for range 5 {
-		var answer []byte
+		var response []byte
 		_, err = client.Do(ctx, serving.Call{ID: uuid.NewString(), Body: body}, func(p serving.Piece) error {
-			answer = append(answer, p.Data...)
+			response = append(response, p.Data...)
 			return nil
 		})
 		if err == nil {
-			_, whole := harness.CheckAnswer(answer, prompt)
-			return time.Since(started), whole
+			_, complete := harness.CheckAnswer(response, prompt)
+			return time.Since(started), complete
 		}
 	}
 	return time.Since(started), false
--- a/standin/bench/requests/cases.go
+++ b/standin/bench/requests/cases.go
@@ -10,7 +10,7 @@
 	"chivespindle.example/standin/harness"
 )
 
-// Fault is what happens to one server while requests flow.
+// Fault is a failure of one server under load.
 type Fault string
 
 // The faults.
@@ -18,38 +18,40 @@
 	FaultNone   Fault = "none"
 	FaultSlow   Fault = "slow"   // one engine is five times as slow
 	FaultKill   Fault = "kill"   // an agent is killed
-	FaultFreeze Fault = "freeze" // an agent does not run for two seconds
+	FaultFreeze Fault = "freeze" // an agent is suspended for two seconds
 	FaultStall  Fault = "stall"  // an engine stops sending without closing, for two seconds
 	FaultDrain  Fault = "drain"  // an agent is asked to stop
 )
 
-// Faults lists them in the order of a run.
+// Faults lists the faults in the order in which they are run.
 func Faults() []Fault {
 	return []Fault{FaultNone, FaultSlow, FaultKill, FaultFreeze, FaultStall, FaultDrain}
 }
 
 const (
 	callers = 16
-	// lead and flow are how long requests flow before the fault and after it.
-	lead = 800 * time.Millisecond
-	flow = 3 * time.Second
-	// held is how long a freeze and a stall last.
-	held = 2 * time.Second
+	// leadTime and flowTime are how long requests are sent before and after the
+	// fault.
+	leadTime = 800 * time.Millisecond
+	flowTime = 3 * time.Second
+	// faultTime is the duration of a freeze or a stall.
+	faultTime = 2 * time.Second
 	// slowMS is added to each token of the slow engine.
 	slowMS = 20
 )
 
-// Result is what one run came to.
+// Result holds the measurements of one run.
 type Result struct {
 	Fault  Fault
 	Policy string
 	Tally  harness.Tally
-	// Duplicates are executions beyond the first of a key, NotRunButRan keys
-	// that ran though the last response was "not run".
+	// Duplicates counts executions beyond the first of a key, NotRunButRan keys
+	// that ran although the last response was "not run".
 	Duplicates   int
 	NotRunButRan int
-	// Drain is how long after its leaving a server still began new work.
-	Drain time.Duration
+	// DrainTime is how long a server still started new work after it was told to
+	// stop.
+	DrainTime time.Duration
 }
 
 // String returns the line that bench prints.
@@ -60,29 +62,29 @@
 		r.Fault, r.Policy, answered+t.Lost+t.Wrong+t.WrongVersion, answered, t.Lost-len(t.UnknownKeys), len(t.UnknownKeys), r.Duplicates, t.Wrong+t.WrongVersion,
 		harness.PercentileMS(t.Latencies, 50), harness.PercentileMS(t.Latencies, 99), r.NotRunButRan, t.Refusals)
 	if r.Fault == FaultDrain {
-		line += fmt.Sprintf(" drain_ms=%d", r.Drain.Milliseconds())
+		line += fmt.Sprintf(" drain_ms=%d", r.DrainTime.Milliseconds())
 	}
 	return line
 }
 
-// Run lets requests flow, causes the fault and counts.
+// Run sends requests, injects the fault and counts the results.
 func (f *Fleet) Run(fault Fault) (Result, error) {
 	before := f.Executions()
 	load := harness.StartLoad(f.client(), f.spec(callers))
-	time.Sleep(lead)
+	time.Sleep(leadTime)
 	r := Result{Fault: fault, Policy: "chivespindle"}
-	repair, err := f.inject(fault)
+	undo, err := f.inject(fault)
 	if err != nil {
 		return r, err
 	}
 	if fault == FaultDrain {
-		r.Drain = f.lastWork(flow)
+		r.DrainTime = f.lastExecution(flowTime)
 	} else {
-		time.Sleep(flow)
+		time.Sleep(flowTime)
 	}
 	r.Tally = load.Stop()
 	r.count(before, f.Executions())
-	return r, repair()
+	return r, undo()
 }
 
 func (r *Result) count(before, after map[string]int) {
@@ -98,8 +100,9 @@
 	}
 }
 
-// inject hits the first engine. The fault ends with repair, if not before.
-func (f *Fleet) inject(fault Fault) (repair func() error, err error) {
+// inject causes a fault at the first engine or its agent. undo ends the fault
+// if it has not ended yet.
+func (f *Fleet) inject(fault Fault) (undo func() error, err error) {
 	id := engineID(0)
 	process, e := f.Process(id), f.Engines[id]
 	clear := func() error { e.SetFaults(engine.Faults{}); return nil }
@@ -117,26 +120,26 @@
 		return clear, nil
 	case FaultStall:
 		e.SetFaults(engine.Faults{Faults: backend.Faults{Stall: true}})
-		time.AfterFunc(held, func() { _ = clear() })
+		time.AfterFunc(faultTime, func() { _ = clear() })
 		return clear, nil
 	case FaultKill:
 		process.Kill()
 		return restart, nil
 	case FaultFreeze:
 		process.Freeze()
-		time.AfterFunc(held, process.Thaw)
+		time.AfterFunc(faultTime, process.Thaw)
 		return func() error { return nil }, nil
 	case FaultDrain:
 		process.Terminate()
 		return restart, nil
 	default:
-		return nil, failure.Invalid.New("no fault %q", fault)
+		return nil, failure.Invalid.New("unknown fault %q", fault)
 	}
 }
 
-// lastWork watches the leaving engine for as long as wait and returns when it
-// last began new work.
-func (f *Fleet) lastWork(wait time.Duration) time.Duration {
+// lastExecution observes the first engine, whose agent is stopping, for the
+// time wait and returns how long after the start it last began new work.
+func (f *Fleet) lastExecution(wait time.Duration) time.Duration {
 	e := f.Engines[engineID(0)]
 	started := time.Now()
 	begun := func() int { return len(e.Counters().ExecutionsByID) }
--- a/standin/bench/requests/fleet.go
+++ b/standin/bench/requests/fleet.go
@@ -1,5 +1,5 @@
-// Package requests measures what callers see while servers fail: separate
-// processes on loopback, counted by the callers and the stand-ins.
+// Package requests measures what callers observe while servers fail. It runs
+// separate processes on loopback; the callers and the stand-ins count results.
 package requests
 
 import (
@@ -17,20 +17,20 @@
 	"chivespindle.example/standin/platform"
 )
 
-// Sizes of the measurement: six engines that answer 16 tokens in 80 ms, four
-// at a time.
+// Sizes of the measurement: six engines that generate 16 tokens in 80 ms, for
+// four requests at the same time.
 const (
 	model fleet.ServiceName = "spindle-pool"
 	plain fleet.ServiceName = "workshop-api"
 
-	engines   = 6
-	plains    = 2
-	slots     = 4
-	queue     = 4
-	tokens    = 16
-	tokenTime = 5 * time.Millisecond
+	engines       = 6
+	plainServices = 2
+	slots         = 4
+	queue         = 4
+	tokens        = 16
+	tokenTime     = 5 * time.Millisecond
 
-	settle = 30 * time.Second
+	settleTimeout = 30 * time.Second
 )
 
 var places = []fleet.Place{
@@ -41,12 +41,12 @@
 // Fleet is a running fleet under measurement.
 type Fleet struct {
 	*harness.Fleet
-	entries  []netip.AddrPort
-	intended string
+	entries          []netip.AddrPort
+	publishedVersion string
 }
 
 // NewFleet starts two entries, six engines and two plain services with their
-// agents. daemon is the path of chivespindled.
+// agents. daemon is the path of the chivespindled binary.
 func NewFleet(daemon string) (*Fleet, error) {
 	h, err := harness.New(harness.Options{Daemon: daemon, ListLag: time.Second})
 	if err != nil {
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	f.intended = harness.VersionText(m.Version)
+	f.publishedVersion = harness.VersionText(m.Version)
 	f.Config.SetText([]byte(fmt.Sprintf("[fleet]\nname = requests\n[version r1]\nmanifest = %s\n[service %s]\nkind = model\nversion = r1\n[service %s]\nkind = plain\n",
 		m.Version.Manifest, model, plain)))
 	for i, place := range places {
@@ -82,7 +82,7 @@
 			return err
 		}
 	}
-	for i := range plains {
+	for i := range plainServices {
 		spec := harness.AgentSpec{Service: plain, Plain: &plainservice.Options{Delay: tokenTime}}
 		if _, err := f.StartAgent(fleet.InstanceID(fmt.Sprintf("plain-%d", i+1)), places[i%len(places)], spec); err != nil {
 			return err
@@ -93,28 +93,28 @@
 
 func engineID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprintf("engine-%d", i+1)) }
 
-// waitServing waits until all engines serve and requests are answered.
+// waitServing waits until all engines serve v and requests are answered.
 func (f *Fleet) waitServing(v fleet.Version) error {
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(settleTimeout)
 	for _, e := range f.Engines {
 		for e.Status().Loaded != v {
 			if time.Now().After(deadline) {
-				return failure.Timeout.New("the fleet does not serve after %s", settle)
+				return failure.Timeout.New("not all engines serve the version after %s", settleTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	return f.waitAnswers(deadline)
+	return f.waitResponses(deadline)
 }
 
-// waitAnswers asks until both services answer.
-func (f *Fleet) waitAnswers(deadline time.Time) error {
+// waitResponses sends requests until enough of them are answered.
+func (f *Fleet) waitResponses(deadline time.Time) error {
 	load := harness.StartLoad(f.client(), f.spec(1))
 	defer load.Stop()
 	const enough = 10
 	for load.Tally().Answers < enough {
 		if time.Now().After(deadline) {
-			return failure.Timeout.New("requests are not answered after %s", settle)
+			return failure.Timeout.New("requests are not answered after %s", settleTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -129,9 +129,9 @@
 	return harness.LoadSpec{
 		Models: []fleet.ServiceName{model, model, model, model}, Plain: []fleet.ServiceName{plain},
 		Callers: callers, MaxTokens: tokens, Deadline: 5 * time.Second,
-		Intended: func(version string) bool { return version == f.intended },
+		Intended: func(version string) bool { return version == f.publishedVersion },
 	}
 }
 
-// DaemonPath is where make build puts the daemon.
+// DaemonPath returns the path of the daemon that make build writes to bin.
 func DaemonPath(bin string) string { return filepath.Join(bin, "chivespindled") }
--- a/standin/bench/requests/overload.go
+++ b/standin/bench/requests/overload.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// overload is the offered load in capacities.
-	overload = 2
-	// oneInHigh of the requests have high priority.
-	oneInHigh        = 5
-	highPriority     = "u=0"
-	lowPriority      = "u=6"
-	overloadTime     = 6 * time.Second
-	overloadWarmUp   = 2 * time.Second
-	overloadDeadline = 2 * time.Second
-	capacityTime     = 2 * time.Second
+	// overloadFactor is the offered load as a multiple of the capacity.
+	overloadFactor = 2
+	// highPriorityStride gives one in five requests high priority.
+	highPriorityStride = 5
+	highPriority       = "u=0"
+	lowPriority        = "u=6"
+	overloadTime       = 6 * time.Second
+	overloadWarmUp     = 2 * time.Second
+	overloadDeadline   = 2 * time.Second
+	capacityTime       = 2 * time.Second
 )
 
-// OverloadResult is what a run at twice the capacity came to.
+// OverloadResult holds the measurements of a run at twice the capacity.
 type OverloadResult struct {
-	High, Low class
-	// Capacity is what the engines answer a second at most.
+	High, Low priorityStats
+	// Capacity is the maximum rate of the engines in requests per second.
 	Capacity float64
-	// Seconds is the time over which answers were counted.
+	// Seconds is the time over which responses were counted.
 	Seconds float64
 	Wrong   int
-	// SlowestRefusal is the longest time that a refusal took.
+	// SlowestRefusal is the longest time until a request was refused.
 	SlowestRefusal time.Duration
 }
 
-// class counts the requests of one priority.
-type class struct {
+// priorityStats counts the requests of one priority.
+type priorityStats struct {
 	Offered, Served, Refused, Unknown int
 	Latencies                         []time.Duration
 }
@@ -57,18 +57,18 @@
 		float64(served)/r.Seconds/r.Capacity, r.Capacity, r.SlowestRefusal.Milliseconds())
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func share(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
-// MeasureCapacity returns how many requests a second the engines answer when
-// each is kept full by callers of its own, without the system between.
+// MeasureCapacity returns the requests per second that the engines answer when
+// dedicated callers saturate each of them directly, without entries and agents.
 func (f *Fleet) MeasureCapacity() (float64, error) {
 	var answered atomic.Int64
-	var done sync.WaitGroup
+	var callersDone sync.WaitGroup
 	ctx, cancel := context.WithTimeout(context.Background(), capacityTime)
 	defer cancel()
 	for i := range engines {
@@ -77,9 +77,9 @@
 			return 0, err
 		}
 		for range slots {
-			done.Go(func() {
+			callersDone.Go(func() {
 				for ctx.Err() == nil {
-					if _, whole := ask(client); whole {
+					if _, complete := sendWithRetries(client); complete {
 						answered.Add(1)
 					}
 				}
@@ -87,39 +87,39 @@
 		}
 	}
 	started := time.Now()
-	done.Wait()
+	callersDone.Wait()
 	return float64(answered.Load()) / time.Since(started).Seconds(), nil
 }
 
-// RunOverload offers twice the capacity, each request once, and counts what is
-// served after a warm-up.
+// RunOverload offers twice the capacity, without retries by the load
+// generator, and counts the requests that start after a warm-up.
 func (f *Fleet) RunOverload(capacity float64) OverloadResult {
 	client := f.client()
-	rate := overload * capacity
+	rate := overloadFactor * capacity
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
 	r := OverloadResult{Capacity: capacity, Seconds: (overloadTime - overloadWarmUp).Seconds()}
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	started := time.Now()
 	for n := 0; time.Since(started) < overloadTime; n++ {
 		<-ticker.C
 		counted := time.Since(started) >= overloadWarmUp
-		asked.Go(func() {
-			o := f.askOnce(client, n%oneInHigh == 0)
+		requests.Go(func() {
+			o := f.sendOnce(client, n%highPriorityStride == 0)
 			if !counted {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.add(n%oneInHigh == 0, o)
+			r.add(n%highPriorityStride == 0, o)
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	return r
 }
 
-// outcome is how one request ended.
+// outcome is the result of one request.
 type outcome struct {
 	served, wrong bool
 	failure       failure.Outcome
@@ -146,7 +146,7 @@
 	}
 }
 
-func (f *Fleet) askOnce(client *callerclient.Client, high bool) outcome {
+func (f *Fleet) sendOnce(client *callerclient.Client, high bool) outcome {
 	prompt := harness.Prompt{Prompt: "fault log " + uuid.NewString(), MaxTokens: tokens}
 	body, err := json.Marshal(prompt)
 	if err != nil {
@@ -157,15 +157,15 @@
 		priority = highPriority
 	}
 	started := time.Now()
-	answer, err := client.Do(context.Background(), callerclient.Request{
+	response, err := client.Do(context.Background(), callerclient.Request{
 		Service: model, Priority: priority, Deadline: overloadDeadline, Body: body})
 	o := outcome{took: time.Since(started)}
 	if err != nil {
 		o.failure = failure.OutcomeOf(err)
 		return o
 	}
-	version, whole := harness.CheckAnswer(answer.Body, prompt)
-	o.served = whole && version == f.intended
+	version, complete := harness.CheckAnswer(response.Body, prompt)
+	o.served = complete && version == f.publishedVersion
 	o.wrong = !o.served
 	return o
 }
