--- a/daemon/swarm/link.go
+++ b/daemon/swarm/link.go
@@ -91,8 +91,8 @@
 // at most for the stall timeout: a connection whose remote process has vanished
 // opens streams without an error.
 func (d *download) openExchange(s *peer.Stream) (wire.ChunkUpdate, error) {
-	s.SetStall(d.swarm.opts.StallTimeout)
-	defer s.SetStall(0)
+	s.SetStallTimeout(d.swarm.opts.StallTimeout)
+	defer s.SetStallTimeout(0)
 	var first wire.ChunkUpdate
 	if err := s.Send(wire.ChunkRequest{Manifest: d.version.Manifest, Exchange: true}); err != nil {
 		return first, err
@@ -248,7 +248,7 @@
 // neighbour retries, since this process may just not be up to date.
 func (s *Swarm) acceptExchange(ctx context.Context, from keys.Identity, st *peer.Stream, request wire.ChunkRequest) {
 	var accepted bool
-	st.SetStall(0)
+	st.SetStallTimeout(0)
 	err := s.opts.Loop.Do(ctx, func(now time.Time) {
 		d, ok := s.downloads[request.Manifest]
 		member, listed := s.member(from.ID)
--- a/daemon/swarm/upload.go
+++ b/daemon/swarm/upload.go
@@ -27,7 +27,7 @@
 
 // ServeChunk serves a stream of peer.KindChunk. It runs on a traffic goroutine.
 func (s *Swarm) ServeChunk(ctx context.Context, from keys.Identity, st *peer.Stream) {
-	st.SetStall(s.opts.StallTimeout)
+	st.SetStallTimeout(s.opts.StallTimeout)
 	var request wire.ChunkRequest
 	if err := st.Recv(&request); err != nil {
 		st.Abort()
