--- a/standin/bench/entryload/requests.go
+++ b/standin/bench/entryload/requests.go
@@ -73,7 +73,7 @@
 	return r, f.measureLoad(&r)
 }
 
-// median returns the median time of oneByOne calls.
+// median returns the median time of sequentialRequests calls.
 func median(call func() error) (time.Duration, error) {
 	var took []time.Duration
 	for range sequentialRequests {
